--- a/crates/sandstile-lines/src/client.rs
+++ b/crates/sandstile-connections/src/client_connection.rs
@@ -2,9 +2,9 @@
 //! the desk, and says what comes back. One statement is out at a time; what is pipelined waits, the most of it in the
 //! socket.
 use crate::budget::{Budget, Holder};
-use crate::closing::Closing;
-use crate::job::Answer;
+use crate::close_reason::Closing;
 use crate::statement::{self, Statement, Workload};
+use crate::task::Answer;
 use sandstile_pgwire::{self as pg, Startup};
 use std::collections::VecDeque;
 
--- a/crates/sandstile-lines/src/lib.rs
+++ b/crates/sandstile-connections/src/lib.rs
@@ -4,11 +4,11 @@
 //!
 //! Times are Unix seconds as f64, handed in by whoever drives the machines.
 pub mod budget;
-pub mod client;
-pub mod closing;
-pub mod link;
+pub mod client_connection;
+pub mod close_reason;
 pub mod pool;
 pub mod sqlstate;
 pub mod statement;
+pub mod upstream_connection;
 
-pub use sandstile_desk::{ending, job};
+pub use sandstile_dispatcher::{outcome, task};
--- a/crates/sandstile-lines/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -1,7 +1,7 @@
 //! The links of one database host: which are idle, which are busy, and the jobs that wait for a dial. A dial belongs
 //! to nobody: whichever link is free first takes the job that waits longest.
-use crate::ending::Ending;
-use crate::job::Job;
+use crate::outcome::Ending;
+use crate::task::Job;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
--- a/crates/sandstile-lines/src/sqlstate.rs
+++ b/crates/sandstile-connections/src/sqlstate.rs
@@ -1,5 +1,5 @@
 //! What a database host's errors stand for.
-use sandstile_desk::Ending;
+use sandstile_dispatcher::Ending;
 
 /// The ending that an SQLSTATE stands for, once a statement was written whole.
 pub fn ending(code: &str) -> Ending {
--- a/crates/sandstile-lines/src/statement.rs
+++ b/crates/sandstile-connections/src/statement.rs
@@ -1,5 +1,5 @@
 //! One statement as a client worded it: the few fields that decisions need, and the bytes that go on.
-use crate::job::Parcel;
+use crate::task::Parcel;
 use sandstile_pgwire as pg;
 use std::ops::Range;
 
--- a/crates/sandstile-lines/src/link.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -1,8 +1,8 @@
 //! One connection to a database host, from the wish for it to its end: it is dialled, greeted, and then does one job
 //! at a time. Nothing is ever written twice, and a job that was not written whole never ran.
 use crate::budget::Budget;
-use crate::ending::{Ending, Outcome};
-use crate::job::{Errand, Job};
+use crate::outcome::{Ending, Outcome};
+use crate::task::{Errand, Job};
 use sandstile_pgwire::{self as pg, Answer, BadFrame, Stage};
 use sandstile_policy::terms::{Note, Verdict};
 
--- a/crates/sandstile-lines/tests/clients.rs
+++ b/crates/sandstile-connections/tests/client_connections.rs
@@ -1,10 +1,10 @@
 //! One client's line, whatever the cuts and times: each statement that is wished for gets one answer or is given up
 //! with its client, and what is held is given back.
 use oorandom::Rand64;
-use sandstile_lines::budget::{Budget, Holder};
-use sandstile_lines::client::{Around, Client, Remark, Wish, LATE, REST};
-use sandstile_lines::job::Answer;
-use sandstile_lines::statement::Workload;
+use sandstile_connections::budget::{Budget, Holder};
+use sandstile_connections::client_connection::{Around, Client, Remark, Wish, LATE, REST};
+use sandstile_connections::statement::Workload;
+use sandstile_connections::task::Answer;
 use sandstile_pgwire as pg;
 
 fn workloads() -> Vec<Workload> {
--- a/crates/sandstile-lines/tests/links.rs
+++ b/crates/sandstile-connections/tests/upstream_connections.rs
@@ -1,11 +1,11 @@
 //! Links and pools in every order of dial, write, answer, recall, break and time: each job ends once, and what was
 //! written whole never passes for what never ran.
 use oorandom::Rand64;
-use sandstile_lines::budget::Budget;
-use sandstile_lines::ending::Ending;
-use sandstile_lines::job::{Errand, Job, Parcel};
-use sandstile_lines::link::{Event, Link};
-use sandstile_lines::pool::{Found, Free, Pool, Step};
+use sandstile_connections::budget::Budget;
+use sandstile_connections::outcome::Ending;
+use sandstile_connections::pool::{Found, Free, Pool, Step};
+use sandstile_connections::task::{Errand, Job, Parcel};
+use sandstile_connections::upstream_connection::{Event, Link};
 use sandstile_pgwire as pg;
 use sandstile_policy::terms::Verdict;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/sandstile-intake/src/list.rs
+++ b/crates/sandstile-deployment/src/host_list.rs
@@ -1,5 +1,5 @@
 //! The list of database hosts, merged from whole lists and from changes.
-use crate::names::Names;
+use crate::interner::Names;
 use sandstile_policy::terms::{Member, Readiness};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/sandstile-desk/src/desk.rs
+++ b/crates/sandstile-dispatcher/src/dispatcher.rs
@@ -1,16 +1,16 @@
 //! Takes mail and facts, lets the decisions say what follows, and says when they want to look again. It never touches a socket and
 //! knows no protocol.
-use crate::counts::Counts;
-use crate::ending::Ending;
-use crate::job::{Answer, Errand, Job, Parcel};
-use crate::mail::{Asked, Given, Mail, Order, Said, Update};
+use crate::counters::Counts;
+use crate::messages::{Asked, Given, Mail, Order, Said, Update};
+use crate::outcome::Ending;
 use crate::source::{Fact, Source};
-use sandstile_intake::list::List;
-use sandstile_intake::names::Names;
+use crate::task::{Answer, Errand, Job, Parcel};
+use sandstile_deployment::host_list::List;
+use sandstile_deployment::interner::Names;
 use sandstile_limits::{Entry, Limits};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{Arrival, Cause, Decision, Reach};
-use sandstile_return::{Door, Ramp, Stall};
+use sandstile_restart_pacing::{Door, Ramp, Stall};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
--- a/crates/sandstile-desk/src/lib.rs
+++ b/crates/sandstile-dispatcher/src/lib.rs
@@ -1,16 +1,16 @@
 //! The only caller of the decisions: mail of clients and hosts and the facts of other sources go in, orders and final answers come
 //! out. Pure: no socket, no clock, no thread, no protocol; a statement comes as an opaque parcel, times are Unix seconds of the
 //! caller's. `docs/architecture.md` draws a statement's way.
-pub mod counts;
-pub mod desk;
-pub mod ending;
-pub mod job;
-pub mod mail;
+pub mod counters;
+pub mod dispatcher;
+pub mod messages;
+pub mod outcome;
 pub mod source;
+pub mod task;
 
-pub use counts::{Count, Counts};
-pub use desk::Desk;
-pub use ending::{Ending, Outcome};
-pub use job::{Answer, Errand, Job, Parcel};
-pub use mail::{Asked, Given, Mail, Order, Said, Update};
+pub use counters::{Count, Counts};
+pub use dispatcher::Desk;
+pub use messages::{Asked, Given, Mail, Order, Said, Update};
+pub use outcome::{Ending, Outcome};
 pub use source::{Fact, Source};
+pub use task::{Answer, Errand, Job, Parcel};
--- a/crates/sandstile-desk/src/mail.rs
+++ b/crates/sandstile-dispatcher/src/messages.rs
@@ -1,7 +1,7 @@
 //! What goes to the desk and what comes from it.
-use crate::ending::{Ending, Outcome};
-use crate::job::{Answer, Job, Parcel};
-use sandstile_intake::list::Entry;
+use crate::outcome::{Ending, Outcome};
+use crate::task::{Answer, Job, Parcel};
+use sandstile_deployment::host_list::Entry;
 use sandstile_policy::terms::{Cause, Hold};
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/sandstile-desk/src/source.rs
+++ b/crates/sandstile-dispatcher/src/source.rs
@@ -1,7 +1,7 @@
 //! Where facts come from that no answer tells: discovery, what sessions have seen, the other routers. Each source is asked at the
 //! same few places, and knows nothing of the desk.
-use crate::ending::Outcome;
-use crate::mail::{Asked, Given, Update};
+use crate::messages::{Asked, Given, Update};
+use crate::outcome::Outcome;
 use sandstile_policy::terms::Reach;
 
 /// What a source has to tell the decisions.
--- a/crates/sandstile-desk/tests/desk.rs
+++ b/crates/sandstile-dispatcher/tests/dispatcher.rs
@@ -1,8 +1,8 @@
 //! The desk alone, with a clock that the test moves: one final answer each, in the order that the links need, on facts of several
 //! sources.
 use oorandom::Rand64;
-use sandstile_desk::*;
-use sandstile_intake::list::Entry;
+use sandstile_deployment::host_list::Entry;
+use sandstile_dispatcher::*;
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{Consistency, DedupScope, Effect, Note, Reach, Readiness, Terms, Workload};
 use std::collections::BTreeMap;
--- a/crates/sandstile-stored/src/lib.rs
+++ b/crates/sandstile-durable-state/src/lib.rs
@@ -1,13 +1,13 @@
 //! The kept state on a disk. One file holds a copy and, behind it, what changed since; a witness, best on another disk and in no backup,
 //! names the life that wrote it and the number that it ended with. Whoever opens the file takes up its facts whatever befell it; that
-//! it holds *all* is believed only where the witness says so too (`sandstile_replica::catchup::believe`). A disk that fails ends the
+//! it holds *all* is believed only where the witness says so too (`sandstile_replicated_state::catchup::believe`). A disk that fails ends the
 //! writing, loudly, and nothing else: what is there has no end in order, so it is never taken for all.
 mod folder;
 
 pub use folder::Folder;
-use sandstile_replica::catchup::{Stored, Witness};
-use sandstile_replica::stored::{self, Found};
-use sandstile_replica::Snapshot;
+use sandstile_replicated_state::catchup::{Stored, Witness};
+use sandstile_replicated_state::stored::{self, Found};
+use sandstile_replicated_state::Snapshot;
 use std::io;
 
 /// Where bytes lie. The one for real disks is [`Folder`]; tests have others that fail.
--- a/crates/sandstile-stored/tests/disks.rs
+++ b/crates/sandstile-durable-state/tests/disks.rs
@@ -1,8 +1,8 @@
 //! Disks that fail, files that are damaged, two processes in one folder.
 use oorandom::Rand64;
-use sandstile_replica::catchup::{believe, Belief};
-use sandstile_replica::{stored, wire, Fact, Key, Kind, Replica, Value};
-use sandstile_stored::{open, Folder, Place};
+use sandstile_durable_state::{open, Folder, Place};
+use sandstile_replicated_state::catchup::{believe, Belief};
+use sandstile_replicated_state::{stored, wire, Fact, Key, Kind, Replica, Value};
 use std::io;
 use std::sync::{Arc, Mutex};
 
@@ -135,7 +135,7 @@
 
 #[test]
 fn two_processes_keep_no_state_in_one_folder() {
-    let dir = std::env::temp_dir().join(format!("sandstile-stored-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("sandstile-durable-state-{}", std::process::id()));
     let first = Folder::open(&dir, None).expect("a folder");
     let second = Folder::open(&dir, None).err().expect("the second is told");
     assert!(second.contains("another process"), "{second}");
@@ -147,7 +147,7 @@
 /// On a real disk: what is put down is found by the next life, and a half-written file is not there.
 #[test]
 fn a_folder_holds_what_was_put() {
-    let dir = std::env::temp_dir().join(format!("sandstile-stored-real-{}", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("sandstile-durable-state-real-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     let (state, witness) = (dir.join("state"), dir.join("elsewhere"));
     let life = |life: u64| open(Box::new(Folder::open(&state, Some(&witness)).expect("a folder")), life);
@@ -220,7 +220,7 @@
     assert!(!found.whole());
 }
 
-/// Out of CI: `cargo test -p sandstile-stored --release -- --ignored`.
+/// Out of CI: `cargo test -p sandstile-durable-state --release -- --ignored`.
 #[test]
 #[ignore]
 fn a_million_damaged_files() {
@@ -233,7 +233,7 @@
     let mut replica = Replica::new(300.0);
     (0..40).for_each(|n| learn(&mut replica, n));
     let facts: Vec<_> = replica.iter().map(|(k, f)| (k.clone(), f.clone())).collect();
-    let whole = wire::write(&sandstile_replica::Message::Facts(facts), NOW);
+    let whole = wire::write(&sandstile_replicated_state::Message::Facts(facts), NOW);
     let mut chance = Rand64::new(3);
     let mut some = 0;
     for _ in 0..20_000 {
@@ -242,7 +242,7 @@
             let at = chance.rand_range(0..bytes.len() as u64) as usize;
             bytes[at] ^= 1 + (chance.rand_u64() % 255) as u8;
         }
-        if let Some((sandstile_replica::Message::Facts(facts), spoilt)) = wire::read(&bytes, NOW) {
+        if let Some((sandstile_replicated_state::Message::Facts(facts), spoilt)) = wire::read(&bytes, NOW) {
             assert!(facts.len() + spoilt <= 40);
             some += usize::from(!facts.is_empty());
         }
--- a/crates/sandstile-emulator/src/lib.rs
+++ b/crates/sandstile-emulator/src/lib.rs
@@ -3,9 +3,9 @@
 //! the network does to them. No router code is used.
 pub mod agent;
 pub mod clock;
+pub mod protocol;
 pub mod run;
 mod sockets;
-pub mod speech;
 
 pub use clock::Clock;
 pub use run::{
--- a/crates/sandstile-emulator/src/run.rs
+++ b/crates/sandstile-emulator/src/run.rs
@@ -2,14 +2,14 @@
 //! channels.
 use crate::agent::{self, Board, Entry, Wish};
 use crate::clock::Clock;
+use crate::protocol::{self, Query};
 use crate::sockets;
-use crate::speech::{self, Query};
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use hdrhistogram::Histogram;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
+use sandstile_faults::fault_state::Where;
 use sandstile_faults::process::Whom;
-use sandstile_faults::weather::Where;
 use sandstile_faults::{Blow, End, Strike};
 use sandstile_fleet::plan::Consistency;
 use sandstile_fleet::{Answer, Event, Fault, Fleet, Input, Kind, Output, Readiness};
@@ -745,7 +745,7 @@
             other => other,
         };
         let mut bytes = Vec::new();
-        speech::say(answer, &name, &mut bytes);
+        protocol::say(answer, &name, &mut bytes);
         let halves = workload.filter(|w| self.director.as_ref().is_some_and(|d| d.looks_for_halves(*w)));
         if let Some(workload) = halves {
             // The description and part of the row.
@@ -904,7 +904,9 @@
         if c.ear.waiting() == 0 || !self.director.as_ref().is_some_and(Director::looks_for_parts) {
             return Ok(());
         }
-        let Some(workload) = speech::workload_of_part(c.ear.begun(), &self.workloads) else { return Ok(()) };
+        let Some(workload) = protocol::workload_of_part(c.ear.begun(), &self.workloads) else {
+            return Ok(());
+        };
         c.part_told = true;
         let (now, host) = (self.clock.now(), c.host);
         let (host, name) = (self.fleet.listing(host).name, self.workloads[workload].clone());
@@ -927,7 +929,7 @@
                 self.close_when_sent(token);
                 self.lose(token);
             }
-            pg::Heard::Query(text) => match speech::read(&text, &self.workloads) {
+            pg::Heard::Query(text) => match protocol::read(&text, &self.workloads) {
                 Query::Statement(ask) => {
                     c.workload = Some(ask.workload);
                     self.fleet.input(now, token as u64, Input::Statement(ask));
--- a/crates/sandstile-emulator/tests/hosts.rs
+++ b/crates/sandstile-emulator/tests/hosts.rs
@@ -1,6 +1,6 @@
 //! The emulator as a router meets it: greetings, statements, faults on sockets, discovery.
 use crossbeam_channel::{unbounded, Receiver};
-use sandstile_emulator::{speech, Clock, Emulator, Handle, Note, Record};
+use sandstile_emulator::{protocol, Clock, Emulator, Handle, Note, Record};
 use sandstile_pgwire as pg;
 use sandstile_scenario::Script;
 use std::io::{ErrorKind, Read, Write};
@@ -160,7 +160,7 @@
     let mut s = stage("");
     let mut primary = Link::up(s.host(0));
     let Got::Value(value) = primary.ask("w1", "save") else { panic!("a value") };
-    let made = speech::made_for(value.as_bytes()).expect("a value in its form");
+    let made = protocol::made_for(value.as_bytes()).expect("a value in its form");
     assert_eq!((made.0, made.1), ("w1", "s-1-a"));
     assert_eq!(s.saw("ran", "s-1-a")["id"], "w1");
     let mut replica = Link::up(s.host(1));
--- a/crates/sandstile-experiment/src/plan.rs
+++ b/crates/sandstile-experiment/src/plan.rs
@@ -1,5 +1,5 @@
 //! What is compared with what, how often, and in which order.
-use sandstile_fleet::chance::Chance;
+use sandstile_fleet::random::Chance;
 use sandstile_hcl::{Problem, Section, Source};
 use sandstile_scenario::script::Remembering;
 use sandstile_scenario::Script;
--- a/crates/sandstile-faults/src/draw.rs
+++ b/crates/sandstile-faults/src/draw.rs
@@ -1,8 +1,8 @@
 //! Schedules drawn by seed: what a hunt plays. A drawn fault is written in the form of our scripts, so that what was
 //! found is a script like any other.
 use crate::ends::Pick;
+use crate::fault_state::{Strike, Where};
 use crate::process::{Blow, State, Whom};
-use crate::weather::{Strike, Where};
 use oorandom::Rand64;
 use std::fmt::Write;
 
--- a/crates/sandstile-faults/src/lane.rs
+++ b/crates/sandstile-faults/src/lane.rs
@@ -1,6 +1,6 @@
 //! What is on its way in one direction of one link. A lane keeps the order of a stream's bytes whatever stands on it;
 //! datagrams keep none.
-use crate::weather::Weather;
+use crate::fault_state::Weather;
 use oorandom::Rand64;
 use std::collections::VecDeque;
 
--- a/crates/sandstile-faults/tests/faults.rs
+++ b/crates/sandstile-faults/tests/faults.rs
@@ -1,10 +1,10 @@
 //! The model of faults against what it promises.
 use oorandom::Rand64;
 use sandstile_faults::draw::{self, Field};
+use sandstile_faults::fault_state::Where;
 use sandstile_faults::lane::{AGAIN, WINDOW};
 use sandstile_faults::process::Whom;
 use sandstile_faults::shrink::Shrink;
-use sandstile_faults::weather::Where;
 use sandstile_faults::{Datagrams, End, Lane, Net, Pick, State, Strike, Weather};
 
 fn pick(text: &str) -> Pick {
--- a/crates/sandstile-fleet/src/fleet.rs
+++ b/crates/sandstile-fleet/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The whole: machines, hosts and groups, and the one queue of what is to happen when.
-use crate::chance::Chance;
 use crate::event::{Answer, Ask, Event, Input, Output, Readiness};
 use crate::fault::{Effects, Fault, Kind, Target};
 use crate::group::{Group, STEP};
 use crate::host::{Cold, Conn, Doing, Host, Job, What};
 use crate::machine::Machine;
 use crate::plan::{Consistency, Effect, Node, Plan, Tokens};
+use crate::random::Chance;
 use crate::replay::Replay;
 use crate::roles::{Seen, Step};
 use sandstile_timers::Wheel;
--- a/crates/sandstile-fleet/src/lib.rs
+++ b/crates/sandstile-fleet/src/lib.rs
@@ -4,7 +4,6 @@
 //!
 //! All times are seconds as f64 on the driver's clock, work is seconds of one core at speed 1, positions are
 //! the times of commits.
-pub mod chance;
 pub mod cpu;
 pub mod event;
 pub mod fault;
@@ -13,6 +12,7 @@
 mod host;
 mod machine;
 pub mod plan;
+pub mod random;
 pub mod replay;
 pub mod roles;
 pub use sandstile_timers as timers;
--- a/crates/sandstile-fleet/tests/theory.rs
+++ b/crates/sandstile-fleet/tests/theory.rs
@@ -2,8 +2,8 @@
 mod driver;
 
 use driver::*;
-use sandstile_fleet::chance::Chance;
 use sandstile_fleet::plan::*;
+use sandstile_fleet::random::Chance;
 use sandstile_fleet::{Answer, Event};
 
 /// The mean time in an M/M/c queue, waiting and served, after Erlang C.
--- a/crates/sandstile-lab/src/clients.rs
+++ b/crates/sandstile-lab/src/clients.rs
@@ -1,9 +1,9 @@
 //! Clients: open-loop arrivals over connections that are kept and used again, retries, and what follows a write.
 //! Many small threads, each with one statement at a time; times count from when a statement was meant to be asked.
-use crate::book::{Book, Line};
+use crate::trace_writer::{Book, Line};
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use hdrhistogram::Histogram;
-use sandstile_emulator::{speech, Clock};
+use sandstile_emulator::{protocol, Clock};
 use sandstile_fleet::plan::{Consistency, Effect, Tokens};
 use sandstile_pgwire as pg;
 use sandstile_scenario::traffic::{Arrival, Traffic};
@@ -516,7 +516,7 @@
         match &answer.stage {
             pg::Stage::Whole => {
                 let value = &answer.rows[answer.value.clone()];
-                let made = speech::made_for(value);
+                let made = protocol::made_for(value);
                 self.answered_by(id, t, "completed", None, made);
                 Ended::Completed(made.map(|(_, _, position)| position))
             }
--- a/crates/sandstile-lab/src/sights.rs
+++ b/crates/sandstile-lab/src/control_queries.rs
@@ -1,5 +1,5 @@
 //! Whom a router sees, as it says over its control socket.
-use crate::book::Line;
+use crate::trace_writer::Line;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
--- a/crates/sandstile-lab/src/copies.rs
+++ b/crates/sandstile-lab/src/copies.rs
@@ -1,9 +1,9 @@
-//! How keeping the same grows with the number of routers: the very keepers of the router (`sandstile-keeper`) in virtual time. How long
+//! How keeping the same grows with the number of routers: the very keepers of the router (`sandstile-replication`) in virtual time. How long
 //! until what one learns is everywhere, what it costs, and what one that lost all costs the others when it returns.
 use crate::charts::{self, Line};
-use sandstile_keeper::sim::{Net, Sim};
-use sandstile_replica::catchup::Belief;
-use sandstile_replica::{Fact, Key, Kind, Replica, Value};
+use sandstile_replicated_state::catchup::Belief;
+use sandstile_replicated_state::{Fact, Key, Kind, Replica, Value};
+use sandstile_replication::sim::{Net, Sim};
 use sandstile_sessions::mark::{Mark, Seen, Term};
 use std::fmt::Write as _;
 use std::path::Path;
--- a/crates/sandstile-lab/src/lib.rs
+++ b/crates/sandstile-lab/src/lib.rs
@@ -1,9 +1,9 @@
 //! Rehearsals: the emulator, real router processes and clients on one machine, a trace of all of it, and what
 //! the audit says of that.
-pub mod book;
 pub mod capacity;
 pub mod charts;
 pub mod clients;
+pub mod control_queries;
 pub mod copies;
 pub mod experiment;
 pub mod hunt;
@@ -14,5 +14,5 @@
 pub mod report;
 pub mod returns;
 pub mod scale_out;
-pub mod sights;
 pub mod soak;
+pub mod trace_writer;
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -1,9 +1,9 @@
 //! One rehearsal from beginning to end.
-use crate::book::{self, Book, Line};
 use crate::clients::Crew;
+use crate::control_queries;
 use crate::processes::{self, Nurse, Router};
 use crate::report;
-use crate::sights;
+use crate::trace_writer::{self, Book, Line};
 use crossbeam_channel::{unbounded, Receiver, RecvTimeoutError};
 pub use sandstile_emulator::router_address;
 use sandstile_emulator::{Clock, Emulator, Handle, Note, Record};
@@ -228,7 +228,7 @@
             let asked = self.clock.now();
             let there = self.routers[number].lock().expect("no thread panics under the lock").is_some();
             // One that does not run sees nobody, and says so anew when it is back.
-            let sight = there.then(|| sights::of(&socket)).flatten();
+            let sight = there.then(|| control_queries::of(&socket)).flatten();
             if let Some(sight) = sight.filter(|s| last.as_ref() != Some(s)) {
                 self.book.line(self.clock.now(), sight.line(number));
                 last = Some(sight);
@@ -249,7 +249,7 @@
             thread::sleep(self.clock.until(round * COMPARES));
             let there = self.routers[number].lock().expect("no thread panics under the lock").is_some();
             if let Some(line) =
-                there.then(|| sights::copy(&socket, number, round * COMPARES - HEARD)).flatten()
+                there.then(|| control_queries::copy(&socket, number, round * COMPARES - HEARD)).flatten()
             {
                 self.book.line(self.clock.now(), line);
             }
@@ -315,7 +315,8 @@
         let _ = std::fs::remove_dir_all(wanted.out.join(format!("router-{number}.state")));
     }
     let clock = Clock::anchor();
-    let (book, records, writer) = book::open(&wanted.out.join("trace.jsonl")).map_err(told("the trace"))?;
+    let (book, records, writer) =
+        trace_writer::open(&wanted.out.join("trace.jsonl")).map_err(told("the trace"))?;
     let (emulator, notes, net) = emulator(&script, clock, records).map_err(told("the emulator"))?;
     let emulator = emulator.spawn().map_err(told("the emulator"))?;
     // Told to end, it ends its routers with it, and says that the evening was not played whole.
--- a/crates/sandstile-lab/src/returns.rs
+++ b/crates/sandstile-lab/src/returns.rs
@@ -1,16 +1,16 @@
-//! How a return grows with the number of routers: the same state machines (`sandstile-policy`, `sandstile-return`) before the fleet model, in
+//! How a return grows with the number of routers: the same state machines (`sandstile-policy`, `sandstile-restart-pacing`) before the fleet model, in
 //! virtual time. Seven in ten routers die at once, or all of them and the hosts with them; their clients come back with them.
 use crate::charts::{self, Line};
-use sandstile_fleet::chance::Chance;
 use sandstile_fleet::event::Event;
 use sandstile_fleet::plan::*;
+use sandstile_fleet::random::Chance;
 use sandstile_fleet::{Fault, Fleet, Kind as Trouble, Target};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms;
-use sandstile_return::{Dials, Pace};
+use sandstile_restart_pacing::{Dials, Pace};
+use sandstile_simulation::world::{Clients, World};
+use sandstile_simulation::{Final, Mind, Wanted, EPOCH};
 use sandstile_timers::Heap;
-use sandstile_virtual::world::{Clients, World};
-use sandstile_virtual::{Final, Mind, Wanted, EPOCH};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/sandstile-lab/src/scale_out.rs
+++ b/crates/sandstile-lab/src/scale_out.rs
@@ -12,7 +12,7 @@
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{self, DedupScope, Terms};
 use sandstile_scenario::Script;
-use sandstile_virtual::{Mind, Workers, World, EPOCH};
+use sandstile_simulation::{Mind, Workers, World, EPOCH};
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Duration;
@@ -294,7 +294,7 @@
             closed: true,
             seconds: seconds + 2.0,
         };
-        let mut chance = sandstile_fleet::chance::Chance::new(e.seed, "sockets");
+        let mut chance = sandstile_fleet::random::Chance::new(e.seed, "sockets");
         let arrivals = Arrivals::new(Shape::Constant(1.0), load.seconds, e.seed);
         let report = run(&load, arrivals, &mut |n, ms| {
             let (write, group) = (chance.happens(e.writes), chance.below(f.databases) + 1);
--- a/crates/sandstile-load/src/arrivals.rs
+++ b/crates/sandstile-load/src/arrivals.rs
@@ -1,5 +1,5 @@
 //! When statements are meant to be asked. Pure and seeded.
-use sandstile_fleet::chance::Chance;
+use sandstile_fleet::random::Chance;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Shape {
--- a/crates/sandstile-views/tests/model.rs
+++ b/crates/sandstile-membership-view/tests/model.rs
@@ -1,6 +1,6 @@
 //! One router among peers that say anything, whichever view holds: every order of words, own looks and changes of the view. It never
 //! becomes less careful by a word alone, and by its own eyes it always can.
-use sandstile_views::{may, About, View, Way, ABOUT};
+use sandstile_membership_view::{may, About, View, Way, ABOUT};
 use stateright::{Checker, Model, Property};
 
 const VIEWS: [View; 4] = [View::Agreed, View::Settling, View::CutOff, View::Alone];
--- a/crates/sandstile-views/tests/views.rs
+++ b/crates/sandstile-membership-view/tests/views.rs
@@ -1,6 +1,6 @@
 //! The line that holds in every state, and what leads from one state to the next.
 use oorandom::Rand64;
-use sandstile_views::{may, About, Look, Sharers, View, Views, Way, ABOUT};
+use sandstile_membership_view::{may, About, Look, Sharers, View, Views, Way, ABOUT};
 
 const VIEWS: [View; 4] = [View::Agreed, View::Settling, View::CutOff, View::Alone];
 
--- a/crates/sandstile-membership/src/lib.rs
+++ b/crates/sandstile-membership/src/lib.rs
@@ -4,9 +4,9 @@
 //! a driver has the socket, authenticates and bounds what comes.
 //!
 //! Times are seconds on the caller's clock; nothing is ordered by a clock of another.
-pub mod rumours;
 pub mod sim;
 pub mod swim;
+pub mod updates;
 pub mod wire;
 
 pub use swim::{Change, Swim, Terms};
--- a/crates/sandstile-membership/src/swim.rs
+++ b/crates/sandstile-membership/src/swim.rs
@@ -1,5 +1,5 @@
 //! The state machine of one member. A driver hands in what comes and the time, sends what goes out, and wakes it when due.
-use crate::rumours::Rumours;
+use crate::updates::Rumours;
 use crate::wire::{size, voice, Letter, Life, Message, Meta, Rumour, State, MOST};
 use oorandom::Rand64;
 use std::cell::Cell;
--- a/crates/sandstile-peers/src/lib.rs
+++ b/crates/sandstile-peers/src/lib.rs
@@ -1,5 +1,5 @@
 //! One router among its peers, without sockets or clock: letters come in sealed and go out sealed, `sandstile-membership` says who is
-//! there, `sandstile-views` which view holds and what may be done on it. The router drives it beside its loop; the tests drive many
+//! there, `sandstile-membership-view` which view holds and what may be done on it. The router drives it beside its loop; the tests drive many
 //! of it in virtual time.
 pub mod gate;
 pub mod peers;
--- a/crates/sandstile-peers/src/peers.rs
+++ b/crates/sandstile-peers/src/peers.rs
@@ -3,7 +3,7 @@
 use crate::seal::{Opener, Refused, Sealer, Secret};
 use sandstile_membership::swim::Known;
 use sandstile_membership::{Change, Meta, State, Swim};
-use sandstile_views::{may, About, Look, Sharers, View, Views, Way};
+use sandstile_membership_view::{may, About, Look, Sharers, View, Views, Way};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
--- a/crates/sandstile-peers/tests/peers.rs
+++ b/crates/sandstile-peers/tests/peers.rs
@@ -2,8 +2,8 @@
 //! floods, and what the views make of it.
 use oorandom::Rand64;
 use sandstile_membership::Meta;
+use sandstile_membership_view::{About, View, Way};
 use sandstile_peers::{News, Opener, Peers, Refused, Sealer, Terms};
-use sandstile_views::{About, View, Way};
 use std::net::SocketAddr;
 
 const OLD: [u8; 32] = [7; 32];
--- a/crates/sandstile-policy/tests/rules.rs
+++ b/crates/sandstile-policy/tests/rules.rs
@@ -1,10 +1,10 @@
 //! Random runs (each number one input) that hold every decision against the rules, and a few plain cases.
-mod world;
+mod simulation;
 
 use quickcheck::{Gen, QuickCheck};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::*;
-use world::{terms, World, HOSTS};
+use simulation::{terms, World, HOSTS};
 
 fn verdict(n: usize) -> Verdict {
     use Verdict::*;
--- a/crates/sandstile-duties/tests/duties.rs
+++ b/crates/sandstile-probe-sharing/tests/probe_sharing.rs
@@ -1,6 +1,6 @@
 //! Several routers and what they hear of each other, in virtual time: load, takeover, splits, liars; and a model check of the gap.
 use oorandom::Rand64;
-use sandstile_duties::{ranks, Duties, Terms, Told, Warnings};
+use sandstile_probe_sharing::{ranks, Duties, Terms, Told, Warnings};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/sandstile-relay/src/carry.rs
+++ b/crates/sandstile-relay/src/forward.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use mio::net::{TcpListener, TcpStream, UdpSocket};
 use mio::{Events, Interest, Poll, Token};
-use sandstile_faults::weather::Where;
+use sandstile_faults::fault_state::Where;
 use sandstile_faults::{Datagrams, End, Lane, Net, Strike, Weather};
 use socket2::SockRef;
 use std::cmp::Reverse;
--- a/crates/sandstile-relay/src/lib.rs
+++ b/crates/sandstile-relay/src/lib.rs
@@ -1,13 +1,13 @@
 //! Links between processes that can fail. Whoever is to be told another's address is told a relay's instead; what comes
 //! there goes on as the weather of that link has it. One thread with a readiness loop carries all relays of a rehearsal;
 //! nothing privileged is needed. What the weather does to bytes is decided in `sandstile-faults`; here are only sockets.
-mod carry;
+mod forward;
 
-use carry::{Carry, Command};
 use crossbeam_channel::{unbounded, Sender};
+use forward::{Carry, Command};
 use hdrhistogram::Histogram;
 use mio::{Poll, Token, Waker};
-use sandstile_faults::weather::Where;
+use sandstile_faults::fault_state::Where;
 use sandstile_faults::{End, Strike};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
--- a/crates/sandstile-relay/tests/links.rs
+++ b/crates/sandstile-relay/tests/links.rs
@@ -1,5 +1,5 @@
 //! Relays on real sockets of loopback: what a fault does to a link is seen at its ends.
-use sandstile_faults::weather::Where;
+use sandstile_faults::fault_state::Where;
 use sandstile_faults::{End, Pick, Strike};
 use sandstile_relay::{Relay, Side};
 use std::io::{ErrorKind, Read, Write};
--- a/crates/sandstile-replica/examples/differ/main.rs
+++ b/crates/sandstile-replicated-state/examples/differ/main.rs
@@ -1,5 +1,5 @@
 //! What it costs to find what differs between two copies, one table:
-//! `cargo run --release -p sandstile-replica --example differ`
+//! `cargo run --release -p sandstile-replicated-state --example differ`
 //!
 //! Bytes both ways, the facts that are sent at last left out of all but *all*: they are the same by any way. Time is that of both
 //! sides on one core, the keeping of sums as facts change not counted for the tree, for it is done by then; sketches are made anew, as
@@ -8,7 +8,7 @@
 
 use oorandom::Rand64;
 
-use sandstile_replica::tree::{leaf, Tree, LEVELS, WIDE};
+use sandstile_replicated_state::tree::{leaf, Tree, LEVELS, WIDE};
 use sketch::Sketch;
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/crates/sandstile-replica/src/deltas.rs
+++ b/crates/sandstile-replicated-state/src/deltas.rs
@@ -3,7 +3,7 @@
 //! loses no fact, costs no memory, and hears of one that changed ten times once.
 use crate::fact::{Fact, Key};
 use crate::state::Replica;
-use crate::talk::Message;
+use crate::sync_protocol::Message;
 
 /// Facts that may be on their way to one peer, unacknowledged.
 const UNDER_WAY: u64 = 4096;
--- a/crates/sandstile-replica/src/lib.rs
+++ b/crates/sandstile-replicated-state/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod fact;
 pub mod state;
 pub mod stored;
-pub mod talk;
+pub mod sync_protocol;
 pub mod tree;
 pub mod wire;
 
@@ -15,5 +15,5 @@
 pub use deltas::Deltas;
 pub use fact::{Fact, Key, Kind, Value};
 pub use state::{Came, Replica, Snapshot};
-pub use talk::{Message, Talk};
+pub use sync_protocol::{Message, Talk};
 pub use tree::Tree;
--- a/crates/sandstile-replica/src/wire.rs
+++ b/crates/sandstile-replicated-state/src/wire.rs
@@ -1,7 +1,7 @@
 //! Facts and messages as bytes. What can't be read whole is none; lengths are bounded before anything is allocated; a fact that is
 //! spoilt is refused alone, for each carries its length.
 use crate::fact::{Fact, Key, Kind, Said, Value, LONGEST_NAME};
-use crate::talk::Message;
+use crate::sync_protocol::Message;
 use crate::tree::WIDE;
 use sandstile_sessions::mark::{Mark, Seen, Term};
 use std::collections::BTreeMap;
--- a/crates/sandstile-replica/tests/common/mod.rs
+++ b/crates/sandstile-replicated-state/tests/common/mod.rs
@@ -1,6 +1,6 @@
 use oorandom::Rand64;
-use sandstile_replica::fact::Said;
-use sandstile_replica::{Fact, Key, Kind, Value};
+use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::{Fact, Key, Kind, Value};
 use sandstile_sessions::mark::{Mark, Seen, Term};
 
 pub const NOW: f64 = 1_000_000.0;
--- a/crates/sandstile-replica/tests/laws.rs
+++ b/crates/sandstile-replicated-state/tests/laws.rs
@@ -3,8 +3,8 @@
 
 use common::{drawn, NOW};
 use oorandom::Rand64;
-use sandstile_replica::fact::Said;
-use sandstile_replica::{Came, Fact, Key, Kind, Replica, Value};
+use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::{Came, Fact, Key, Kind, Replica, Value};
 use sandstile_sessions::mark::{Mark, Seen, Term};
 
 fn joined(a: &Fact, b: &Fact) -> Fact {
@@ -60,7 +60,8 @@
         let b = copy(&mut || other.rand_range(0..60) as usize);
         let values = |r: &Replica| r.iter().map(|(k, f)| (k.clone(), f.value.clone())).collect::<Vec<_>>();
         let sum = a.iter().fold(0u64, |sum, (key, fact)| sum.wrapping_add(fact.hash(key)));
-        let leaves: usize = (0..sandstile_replica::Tree::leaves()).map(|at| a.below(4, at, 9999).len()).sum();
+        let leaves: usize =
+            (0..sandstile_replicated_state::Tree::leaves()).map(|at| a.below(4, at, 9999).len()).sum();
         a.digest() == b.digest() && values(&a) == values(&b) && a.digest() == sum && leaves == a.len()
     }
     quickcheck::QuickCheck::new().tests(40).quickcheck(holds as fn(u64) -> bool);
--- a/crates/sandstile-replica/tests/returns.rs
+++ b/crates/sandstile-replicated-state/tests/returns.rs
@@ -1,6 +1,6 @@
 //! What a router that returns may believe: every order of a crash, a copy put back, a split and a write between two routers and what
 //! their disks hold.
-use sandstile_replica::catchup::{believe, Belief, CatchUp, Standing, Stored, Witness};
+use sandstile_replicated_state::catchup::{believe, Belief, CatchUp, Standing, Stored, Witness};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/sandstile-replica/tests/talk.rs
+++ b/crates/sandstile-replicated-state/tests/sync_protocol.rs
@@ -4,7 +4,7 @@
 
 use common::{below, drawn, NOW};
 use oorandom::Rand64;
-use sandstile_replica::{wire, Deltas, Fact, Key, Kind, Message, Replica, Talk, Value};
+use sandstile_replicated_state::{wire, Deltas, Fact, Key, Kind, Message, Replica, Talk, Value};
 
 fn copy(facts: &[(Key, Fact)]) -> Replica {
     let mut copy = Replica::new(300.0);
--- a/crates/sandstile-keeper/src/lib.rs
+++ b/crates/sandstile-replication/src/lib.rs
@@ -1,9 +1,9 @@
 //! One router among those that keep the same: what it tells to whom and when, whom it asks after a start, and what it may believe
-//! until then. Facts, joins and comparisons are `sandstile-replica`; here they meet links that come and go, rates and patience. Pure:
+//! until then. Facts, joins and comparisons are `sandstile-replicated-state`; here they meet links that come and go, rates and patience. Pure:
 //! messages go in and out as bytes, times are the caller's.
-mod keeper;
 mod near;
+mod replicator;
 pub mod sim;
 
-pub use keeper::{Counts, Keeper, News, Terms};
 pub use near::near;
+pub use replicator::{Counts, Keeper, News, Terms};
--- a/crates/sandstile-keeper/src/keeper.rs
+++ b/crates/sandstile-replication/src/replicator.rs
@@ -1,10 +1,10 @@
 //! The router's copy and its conversations.
 use oorandom::Rand64;
-use sandstile_replica::catchup::{Belief, CatchUp, Standing};
-use sandstile_replica::deltas::COMPARED;
-use sandstile_replica::fact::Said;
-use sandstile_replica::talk::LAST_HOP;
-use sandstile_replica::{wire, Came, Deltas, Fact, Key, Kind, Message, Replica, Talk, Value};
+use sandstile_replicated_state::catchup::{Belief, CatchUp, Standing};
+use sandstile_replicated_state::deltas::COMPARED;
+use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::sync_protocol::LAST_HOP;
+use sandstile_replicated_state::{wire, Came, Deltas, Fact, Key, Kind, Message, Replica, Talk, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a keeper is told at its start.
--- a/crates/sandstile-keeper/src/sim.rs
+++ b/crates/sandstile-replication/src/sim.rs
@@ -1,10 +1,10 @@
 //! Many keepers in virtual time: streams between them that keep their order, are late, and stand still while they are cut. The very
 //! same keepers as in routers; nothing else of a router is here.
-use crate::keeper::{Keeper, News, Terms};
 use crate::near::near;
+use crate::replicator::{Keeper, News, Terms};
 use oorandom::Rand64;
-use sandstile_replica::catchup::{Belief, Standing};
-use sandstile_replica::{Fact, Key};
+use sandstile_replicated_state::catchup::{Belief, Standing};
+use sandstile_replicated_state::{Fact, Key};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
--- a/crates/sandstile-keeper/tests/keepers.rs
+++ b/crates/sandstile-replication/tests/replication.rs
@@ -1,9 +1,9 @@
 //! Keepers in virtual time: returns, splits, peers that die while they tell, that ask for more than they take, that lie.
-use sandstile_keeper::sim::{Net, Sim};
-use sandstile_keeper::{near, Keeper, News, Terms};
-use sandstile_replica::catchup::{Belief, Standing};
-use sandstile_replica::fact::Said;
-use sandstile_replica::{wire, Fact, Key, Kind, Message, Value};
+use sandstile_replicated_state::catchup::{Belief, Standing};
+use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::{wire, Fact, Key, Kind, Message, Value};
+use sandstile_replication::sim::{Net, Sim};
+use sandstile_replication::{near, Keeper, News, Terms};
 use sandstile_sessions::mark::{Mark, Seen, Term};
 use std::collections::BTreeSet;
 
--- a/crates/sandstile-return/src/lib.rs
+++ b/crates/sandstile-restart-pacing/src/lib.rs
@@ -1,17 +1,17 @@
 //! The return of a router that has just started, beside many others that have just started too: how fast it may dial
-//! (`dials`), when it asks for lists again (`lists`), how many of the crowd that came with it come in at once (`ramp`),
+//! (`dial_pacing`), when it asks for lists again (`list_polling`), how many of the crowd that came with it come in at once (`admission_ramp`),
 //! and whether it stood still itself and knows only of yesterday (`stall`). `sandstile-policy` decides which host gets a
 //! statement; this only says how soon a connection that it needs may be begun.
 //!
 //! Times are Unix seconds handed in; nothing here reads a clock or opens a socket. `docs/design/return.md` weighs the paces.
-pub mod dials;
-pub mod lists;
-pub mod ramp;
+pub mod admission_ramp;
+pub mod dial_pacing;
+pub mod list_polling;
 pub mod stall;
 
-pub use dials::{Came, Dials, When};
-pub use lists::Lists;
-pub use ramp::{Door, Ramp};
+pub use admission_ramp::{Door, Ramp};
+pub use dial_pacing::{Came, Dials, When};
+pub use list_polling::Lists;
 pub use stall::Stall;
 
 /// How a router comes back. All but `Answers` are there to be measured against.
--- a/crates/sandstile-return/tests/paces.rs
+++ b/crates/sandstile-restart-pacing/tests/pacing.rs
@@ -1,8 +1,8 @@
 //! What each pace promises, over random events: nothing stands still for ever, and nothing exceeds its share.
 use oorandom::Rand64;
-use sandstile_return::dials::PLAIN_POOL;
-use sandstile_return::stall::{LOOK, NEWS};
-use sandstile_return::{Came, Dials, Door, Lists, Pace, Ramp, Stall, When, PACES};
+use sandstile_restart_pacing::dial_pacing::PLAIN_POOL;
+use sandstile_restart_pacing::stall::{LOOK, NEWS};
+use sandstile_restart_pacing::{Came, Dials, Door, Lists, Pace, Ramp, Stall, When, PACES};
 use std::collections::BTreeMap;
 
 /// A host whose handshakes take work of one core each, and those that dial it.
--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -1,16 +1,16 @@
-//! The clients' connections: their sockets beside their state machines of `sandstile-lines`.
+//! The clients' connections: their sockets beside their state machines of `sandstile-connections`.
 use crate::budget::{Holder, Rest};
-use crate::client::{Around, Client, Remark, Wish};
-use crate::closing::Closing;
+use crate::client_connection::{Around, Client, Remark, Wish};
+use crate::close_reason::Closing;
+use crate::loop_context::{Tools, TURN};
 use crate::mailbox::Post;
 use crate::rate::Limiter;
+use crate::socket::{Moved, Wire};
 use crate::statement::Workload;
-use crate::tools::{Tools, TURN};
-use crate::wire::{Moved, Wire};
 use mio::event::Event;
 use mio::net::TcpStream;
 use mio::Token;
-use sandstile_desk::{Answer, Asked, Given, Mail};
+use sandstile_dispatcher::{Answer, Asked, Given, Mail};
 use slab::Slab;
 use slog::{debug, info};
 use std::io;
--- a/crates/sandstile-router/src/ask.rs
+++ b/crates/sandstile-router/src/control_client.rs
@@ -1,5 +1,5 @@
 //! Asks a running router over its control socket, and lays out what it says.
-use sandstile_replica::stored::{self, Found};
+use sandstile_replicated_state::stored::{self, Found};
 use serde_json::Value;
 use std::fmt::Write as _;
 use std::io::{Read, Write as _};
@@ -110,7 +110,7 @@
     }
     let found = facts(path)?;
     let mut kinds = std::collections::BTreeMap::<&str, usize>::new();
-    let facts = sandstile_replica::differ::gather(&found.facts);
+    let facts = sandstile_replicated_state::differ::gather(&found.facts);
     facts.keys().for_each(|key| *kinds.entry(key.kind.word()).or_default() += 1);
     let kinds: Vec<String> = kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
     Ok(format!(
--- a/crates/sandstile-router/src/counters.rs
+++ b/crates/sandstile-router/src/counters.rs
@@ -1,7 +1,7 @@
 //! What the router took in, sent and answered; printed on SIGUSR1 and at the end.
-use crate::closing::{self, Closing};
-use crate::ending::{self, Ending};
-use sandstile_desk::{Count, Counts};
+use crate::close_reason::{self, Closing};
+use crate::outcome::{self, Ending};
+use sandstile_dispatcher::{Count, Counts};
 use std::fmt;
 use std::sync::Arc;
 
@@ -49,8 +49,8 @@
     pub longest_turn_ms: Count,
     pub longest_accept_wait_ms: Count,
     pub longest_dial_wait_ms: Count,
-    endings: [Count; ending::ALL.len()],
-    closings: [Count; closing::ALL.len()],
+    endings: [Count; outcome::ALL.len()],
+    closings: [Count; close_reason::ALL.len()],
 }
 
 impl Counters {
@@ -112,10 +112,10 @@
         for (name, count) in plain {
             write!(f, " {name}={}", count.get())?;
         }
-        for ending in ending::ALL {
+        for ending in outcome::ALL {
             write!(f, " {ending:?}={}", self.endings[ending as usize].get())?;
         }
-        for closing in closing::ALL {
+        for closing in close_reason::ALL {
             write!(f, " {closing:?}={}", self.closings[closing as usize].get())?;
         }
         for (cause, count) in self.desk.refusals().chain(self.desk.unsent()) {
--- a/crates/sandstile-router/src/dialling.rs
+++ b/crates/sandstile-router/src/dialling.rs
@@ -1,6 +1,6 @@
 //! What comes of a dial: whether a connection is up, and what an error of it says of the host.
-use crate::ending::Ending;
 use crate::errno::{is_local, is_unreachable};
+use crate::outcome::Ending;
 use mio::net::TcpStream;
 use std::io::ErrorKind;
 
--- a/crates/sandstile-router/src/discovery.rs
+++ b/crates/sandstile-router/src/discovery.rs
@@ -1,13 +1,13 @@
 //! The list's actor: follows discovery by a watch and hands each change to the desk. Whatever breaks, the
 //! list stands and the watch is opened again from where it was.
 use crate::counters::Counters;
-use crate::known::KnownList;
+use crate::known_hosts::KnownList;
 use crate::list_stream::{Heard, ListStream};
 use crate::lists;
 use crate::mailbox::Post;
 use oorandom::Rand32;
-use sandstile_desk::Update;
-use sandstile_return::Lists;
+use sandstile_dispatcher::Update;
+use sandstile_restart_pacing::Lists;
 use serde_json::Value;
 use slog::{debug, info, warn, Logger};
 use std::collections::BTreeSet;
--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -1,13 +1,13 @@
 //! Instances tell each other what sessions have seen: each dials those that our own file names and tells them, and
 //! listens to whoever dials it. Plain threads round the frames of `sandstile-exchange`; off without our own file.
-use crate::charter::Exchange;
 use crate::errno::uninterrupted;
+use crate::local_config::Exchange;
 use crate::mailbox::{narrow, Post};
+use crate::session_messages::{Telling, Word};
 use crate::threads;
-use crate::words::{Telling, Word};
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_exchange::{greeting, keeping, read_greeting, Heard, Listener, Teller, MOST_MARKS};
-use sandstile_keeper::near;
+use sandstile_replication::near;
 use slog::{info, warn, Logger};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
--- a/crates/sandstile-router/src/known.rs
+++ b/crates/sandstile-router/src/known_hosts.rs
@@ -1,7 +1,7 @@
 //! The list as discovery has told it so far. What it tells anew becomes the entries that differ, in pieces that the
 //! carrier takes one by one between its clients: a whole list of thousands of hosts is no work of one turn.
-use sandstile_desk::Update;
-use sandstile_intake::list::Entry;
+use sandstile_deployment::host_list::Entry;
+use sandstile_dispatcher::Update;
 use sandstile_policy::terms::Readiness;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/sandstile-router/src/launch.rs
+++ b/crates/sandstile-router/src/launch.rs
@@ -1,8 +1,8 @@
 //! What a router is told at its start: `LB_CONFIG`, and the variables beside it.
 use crate::lists;
 use crate::statement::Workload;
-use sandstile_desk::Update;
-use sandstile_intake::facts;
+use sandstile_deployment::settings;
+use sandstile_dispatcher::Update;
 use sandstile_policy::terms::{Consistency, Terms};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -58,15 +58,15 @@
             most.map(|n| n as usize).ok_or_else(|| format!("no usable limits.{key}"))
         };
         let seed = json["seed"].as_str().and_then(|hex| u64::from_str_radix(hex, 16).ok());
-        let flat = facts::flatten(json.get("settings").ok_or("no settings")?);
+        let flat = settings::flatten(json.get("settings").ok_or("no settings")?);
         let lack = |what: String| format!("settings lack {what}");
-        let (names, terms) = facts::terms(&flat).map_err(lack)?;
+        let (names, terms) = settings::terms(&flat).map_err(lack)?;
         if terms.workloads.is_empty() {
             return Err("settings name no workload".to_string());
         }
         let sessions = |c: Consistency| matches!(c, Consistency::Write | Consistency::Session);
         let workloads = names.into_iter().zip(&terms.workloads);
-        let dial = facts::number(&flat, "allowed.dialTimeoutMs", 0.0).map_err(lack)?;
+        let dial = settings::number(&flat, "allowed.dialTimeoutMs", 0.0).map_err(lack)?;
         if dial <= 0.0 {
             return Err("settings lack a usable allowed.dialTimeoutMs".to_string());
         }
--- a/crates/sandstile-router/src/lib.rs
+++ b/crates/sandstile-router/src/lib.rs
@@ -1,37 +1,39 @@
-//! The sandstile router: the decisions of `sandstile-policy` behind real sockets. One thread, the `carrier`, carries
-//! the clients' connections (`clients`), the desk of the decisions (`sandstile-desk`) and the database hosts (`hosts`); what
-//! happens on a connection is decided by the machines of `sandstile-lines`, which know neither socket nor clock.
-pub mod ask;
-pub mod carrier;
-pub mod charter;
+//! The sandstile router: the decisions of `sandstile-policy` behind real sockets. One thread, the `event_loop`, carries
+//! the clients' connections (`clients`), the desk of the decisions (`sandstile-dispatcher`) and the database hosts (`hosts`); what
+//! happens on a connection is decided by the machines of `sandstile-connections`, which know neither socket nor clock.
 pub mod clients;
 pub mod clock;
 pub mod control;
+pub mod control_client;
 pub mod counters;
 pub mod dialling;
 pub mod discovery;
 pub mod errno;
+pub mod event_loop;
 pub mod exchange;
 pub mod hosts;
-pub mod inlet;
-pub mod kept;
 pub mod keys;
-pub mod known;
+pub mod known_hosts;
 pub mod launch;
 pub mod list_stream;
 pub mod listener;
 pub mod lists;
+pub mod local_config;
+pub mod loop_context;
 pub mod mailbox;
+pub mod mailbox_source;
 pub mod members;
 pub mod rate;
 pub mod recorder;
+pub mod replicated_state;
 pub mod router;
+pub mod session_messages;
 pub mod sessions;
 pub mod signals;
+pub mod socket;
 pub mod threads;
-pub mod tools;
-pub mod wire;
-pub mod words;
 
-pub use sandstile_lines::{budget, client, closing, ending, job, link, pool, sqlstate, statement};
+pub use sandstile_connections::{
+    budget, client_connection, close_reason, outcome, pool, sqlstate, statement, task, upstream_connection,
+};
 pub use sandstile_pgwire as pg;
--- a/crates/sandstile-router/src/lists.rs
+++ b/crates/sandstile-router/src/lists.rs
@@ -1,7 +1,7 @@
 //! Reads the lists of discovery and of the configuration.
 use crate::pg;
-use sandstile_desk::Update;
-use sandstile_intake::list::{readiness, Entry};
+use sandstile_deployment::host_list::{readiness, Entry};
+use sandstile_dispatcher::Update;
 use sandstile_policy::terms::Readiness;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/crates/sandstile-router/src/charter.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -86,7 +86,7 @@
     pub recording: Option<Recording>,
     pub limits: Option<sandstile_limits::Terms>,
     /// How a router that has just started comes back.
-    pub back: Option<sandstile_return::Terms>,
+    pub back: Option<sandstile_restart_pacing::Terms>,
     pub members: Option<Members>,
 }
 
@@ -149,9 +149,9 @@
                 on.then_some(terms)
             });
             let back = file.only("return").and_then(|r| {
-                let usual = sandstile_return::Terms::default();
-                let terms = sandstile_return::Terms {
-                    pace: r.word("pace", &sandstile_return::PACES, Some(usual.pace)),
+                let usual = sandstile_restart_pacing::Terms::default();
+                let terms = sandstile_restart_pacing::Terms {
+                    pace: r.word("pace", &sandstile_restart_pacing::PACES, Some(usual.pace)),
                     ramp: r.yes("ramp", usual.ramp),
                     stall_s: r.ms("stall_ms", 0.0..60_000.0, usual.stall_s),
                 };
--- a/crates/sandstile-router/src/inlet.rs
+++ b/crates/sandstile-router/src/mailbox_source.rs
@@ -1,6 +1,6 @@
 //! A source of the desk whose facts come by mail: what another thread or another actor of the carrier's has learnt.
 use crate::mailbox::Mailbox;
-use sandstile_desk::{Fact, Source};
+use sandstile_dispatcher::{Fact, Source};
 
 /// Mail taken at one look: the desk has its clients in between.
 const MOST: usize = 2;
--- a/crates/sandstile-router/src/main.rs
+++ b/crates/sandstile-router/src/main.rs
@@ -1,10 +1,10 @@
 //! The command line of sandstile.
-use sandstile_router::charter::Charter;
 use sandstile_router::clock::Clock;
 use sandstile_router::counters::Counters;
 use sandstile_router::launch::Launch;
+use sandstile_router::local_config::Charter;
 use sandstile_router::signals::{print_counters, Wishes};
-use sandstile_router::{ask, keys, router};
+use sandstile_router::{control_client, keys, router};
 use slog::{o, Drain, Level, Logger};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -110,10 +110,10 @@
 
 /// Who is there, as a running router sees it.
 fn members(socket: Option<&Path>, json: bool) -> Result<(), String> {
-    let said = ask::members(socket.ok_or("no --socket PATH")?)?;
+    let said = control_client::members(socket.ok_or("no --socket PATH")?)?;
     match json {
         true => println!("{said}"),
-        false => print!("{}", ask::table(&said, Clock::anchor().now())),
+        false => print!("{}", control_client::table(&said, Clock::anchor().now())),
     }
     Ok(())
 }
@@ -123,14 +123,16 @@
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words[..] {
         ["show", of] => {
-            print!("{}", ask::state(Path::new(of), Clock::anchor().now())?);
+            print!("{}", control_client::state(Path::new(of), Clock::anchor().now())?);
             Ok(())
         }
         ["compare", one, other] => {
-            let (one, other) = (ask::facts(Path::new(one))?, ask::facts(Path::new(other))?);
-            let differences = sandstile_replica::differ::compare(&one.facts, &other.facts);
+            let (one, other) =
+                (control_client::facts(Path::new(one))?, control_client::facts(Path::new(other))?);
+            let differences = sandstile_replicated_state::differ::compare(&one.facts, &other.facts);
             differences.iter().for_each(|d| println!("{d}"));
-            let counts = [&one, &other].map(|found| sandstile_replica::differ::gather(&found.facts).len());
+            let counts =
+                [&one, &other].map(|found| sandstile_replicated_state::differ::gather(&found.facts).len());
             println!("{} facts, {} facts, {} differ", counts[0], counts[1], differences.len());
             match differences.is_empty() {
                 true => Ok(()),
--- a/crates/sandstile-router/src/members.rs
+++ b/crates/sandstile-router/src/members.rs
@@ -1,10 +1,10 @@
 //! The peers' letters beside the carrier's loop: one UDP socket, no thread. What is said and believed is `sandstile-peers`; off without
 //! our own file.
-use crate::charter::Members as Plan;
 use crate::control::Control;
 use crate::exchange::Roster;
+use crate::local_config::Members as Plan;
+use crate::loop_context::Tools;
 use crate::mailbox::Post;
-use crate::tools::Tools;
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
 use sandstile_membership::wire::LONGEST_NAME;
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -1,11 +1,11 @@
 //! Writes down who asked what kind of thing when, for models and rehearsals: no literal, no name of a session. Off without
 //! our own file. The disk holds up nobody: what it does not keep up with is counted and left out.
-use crate::charter::Recording;
 use crate::counters::Counters;
+use crate::local_config::Recording;
 use crate::mailbox::{narrow, Mailbox, Post};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_desk::{Asked, Source};
+use sandstile_dispatcher::{Asked, Source};
 use sandstile_recording::{Arrival, Head, Recorder};
 use slog::{info, warn, Logger};
 use std::fs::{File, OpenOptions};
--- a/crates/sandstile-router/src/kept.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -1,23 +1,23 @@
 //! The state that is kept together with other instances, beside the desk's sessions. What is told to whom and believed when stands in
-//! `sandstile-keeper`; here it meets outlets to other instances, the disk's thread and whoever asks over a socket. Off without our own file.
-use crate::charter::State as Plan;
+//! `sandstile-replication`; here it meets outlets to other instances, the disk's thread and whoever asks over a socket. Off without our own file.
 use crate::clock::Clock;
 use crate::control::is_abandoned;
+use crate::local_config::State as Plan;
 use crate::mailbox::{mailbox, Mailbox, Post};
+use crate::session_messages::{Shown, Telling, Word};
 use crate::threads;
-use crate::words::{Shown, Telling, Word};
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_desk::{Ending, Outcome};
-use sandstile_duties::{Duties, Told, Warnings};
-use sandstile_keeper::{Keeper, News};
+use sandstile_dispatcher::{Ending, Outcome};
+use sandstile_durable_state::{Folder, Opened, Shelf};
+use sandstile_membership_view::{may, About, View, Way};
 use sandstile_policy::terms::Verdict;
-use sandstile_replica::catchup::{believe, Belief, Standing};
-use sandstile_replica::fact::Said;
-use sandstile_replica::{stored, Fact, Kind, Snapshot, Value};
+use sandstile_probe_sharing::{Duties, Told, Warnings};
+use sandstile_replicated_state::catchup::{believe, Belief, Standing};
+use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::{stored, Fact, Kind, Snapshot, Value};
+use sandstile_replication::{Keeper, News};
 use sandstile_sessions::mark::{Mark, Seen};
 use sandstile_sessions::store::Key;
-use sandstile_stored::{Folder, Opened, Shelf};
-use sandstile_views::{may, About, View, Way};
 use serde_json::json;
 use slog::{info, warn, Logger};
 use std::collections::{BTreeMap, BTreeSet};
@@ -107,7 +107,7 @@
     format!("{:016x}", key.0)
 }
 
-fn mark((key, fact): (&sandstile_replica::Key, &Fact)) -> Option<(Key, Seen)> {
+fn mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(Key, Seen)> {
     match (key.kind, &fact.value) {
         (Kind::Mark, Value::Seen(seen)) => {
             Some((Key(u64::from_str_radix(&key.subject, 16).ok()?), seen.clone()))
@@ -131,7 +131,7 @@
         if let Some(dir) = &plan.dir {
             let folder = Folder::open(dir, plan.witness.as_deref())?;
             let Opened { found, stored, witness, shelf } =
-                sandstile_stored::open(Box::new(folder), terms.life);
+                sandstile_durable_state::open(Box::new(folder), terms.life);
             believed = believe(stored, witness);
             info!(log, "state is taken up"; "facts" => found.facts.len(), "spoilt" => found.spoilt,
                 "ended" => found.ended, "believed" => ?believed, "witness" => ?witness.file);
@@ -157,7 +157,7 @@
             threads::begin("state asked", move || answer(&listener, &words))?;
         }
         let keeper = Keeper::new(
-            sandstile_keeper::Terms {
+            sandstile_replication::Terms {
                 name: terms.name.to_string(),
                 life: terms.life,
                 horizon: terms.horizon,
@@ -178,7 +178,7 @@
             wrote_at: now,
             put: 0,
             led: BTreeMap::new(),
-            duties: plan.together.then(|| Duties::new(terms.name, sandstile_duties::Terms::default())),
+            duties: plan.together.then(|| Duties::new(terms.name, sandstile_probe_sharing::Terms::default())),
             refused: BTreeMap::new(),
             warnings: Warnings::default(),
             believed,
@@ -295,7 +295,7 @@
     }
 
     /// Another's word on a host.
-    fn told(&mut self, now: f64, key: &sandstile_replica::Key, said: &Said, learnt: &mut Learnt) {
+    fn told(&mut self, now: f64, key: &sandstile_replicated_state::Key, said: &Said, learnt: &mut Learnt) {
         let Some(duties) = &mut self.duties else { return };
         let Some(born) = self.keeper.replica().get(key).map(|fact| fact.born) else { return };
         match key.kind {
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -1,29 +1,29 @@
 //! Builds the actors of one router, and takes them down in order.
 use crate::budget::{Budget, REFUSALS};
-use crate::carrier::{Carrier, Charge, Parts, Posts};
-use crate::charter::Charter;
 use crate::clock::Clock;
 use crate::counters::Counters;
 use crate::discovery::{self, Agent, Watcher};
 use crate::errno;
+use crate::event_loop::{Carrier, Charge, Parts, Posts};
 use crate::exchange;
-use crate::inlet::Inlet;
-use crate::kept::{self, Kept};
 use crate::keys;
-use crate::known::KnownList;
+use crate::known_hosts::KnownList;
 use crate::launch::Launch;
+use crate::local_config::Charter;
 use crate::mailbox::slot;
+use crate::mailbox_source::Inlet;
 use crate::members::{self, Beside, Members};
 use crate::pg;
 use crate::recorder;
+use crate::replicated_state::{self, Kept};
+use crate::session_messages::Word;
 use crate::sessions::Sessions;
 use crate::signals::{Wish, Wishes};
 use crate::threads;
-use crate::words::Word;
 use oorandom::Rand32;
-use sandstile_desk::{Desk, Fact, Update};
+use sandstile_dispatcher::{Desk, Fact, Update};
 use sandstile_policy::policy::Instance;
-use sandstile_return::{Dials, Lists, Ramp, Stall};
+use sandstile_restart_pacing::{Dials, Lists, Ramp, Stall};
 use slog::{info, warn, Drain, Logger};
 use std::collections::BTreeSet;
 use std::net::TcpListener;
@@ -96,7 +96,12 @@
         let (post, word_box) = posts.inlet::<Word>();
         let answers = posts.answers.clone();
         let kept = plan.state.as_ref().map(|state| {
-            let terms = kept::Terms { name: &launch.name, life, seed: launch.seed, horizon: plan.horizon };
+            let terms = replicated_state::Terms {
+                name: &launch.name,
+                life,
+                seed: launch.seed,
+                horizon: plan.horizon,
+            };
             Kept::begin(state, &terms, post.clone(), &clock, &log)
         });
         let seen = Sessions::begin(
--- a/crates/sandstile-router/src/words.rs
+++ b/crates/sandstile-router/src/session_messages.rs
@@ -1,7 +1,7 @@
 //! What the desk's sessions hear from outside, and what goes from them to other instances.
 use crate::mailbox::Post;
 use sandstile_exchange::Heard;
-use sandstile_replica::Snapshot;
+use sandstile_replicated_state::Snapshot;
 use sandstile_sessions::mark::Seen;
 use sandstile_sessions::store::{Exact, Key};
 use sandstile_sessions::token::KeyRing;
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -1,14 +1,14 @@
 //! What sessions have seen, beside the desk: marks are taken from answers and tokens, put down in a journal, and
 //! say what an own read must reach. What is to be decided stands in `sandstile-sessions`; here it meets statements,
 //! keys and the disk.
-use crate::charter::{Durability, Sessions as Plan};
 use crate::clock::Clock;
-use crate::kept::Kept;
+use crate::local_config::{Durability, Sessions as Plan};
 use crate::mailbox::{mailbox, Mailbox, Post};
+use crate::replicated_state::Kept;
+use crate::session_messages::{Telling, Word};
 use crate::statement::Workload;
-use crate::words::{Telling, Word};
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_desk::{Answer, Asked, Ending, Fact, Given, Outcome, Source};
+use sandstile_dispatcher::{Answer, Asked, Ending, Fact, Given, Outcome, Source};
 use sandstile_exchange::Heard;
 use sandstile_journal::pace::Pace;
 use sandstile_journal::{Found, Journal, Wrong};
--- a/crates/sandstile-router/tests/agreement.rs
+++ b/crates/sandstile-router/tests/agreement.rs
@@ -4,7 +4,7 @@
 mod stand_ins;
 
 use crossbeam_channel::unbounded;
-use sandstile_emulator::{speech, Clock, Emulator, Handle, Record};
+use sandstile_emulator::{protocol, Clock, Emulator, Handle, Record};
 use sandstile_scenario::Script;
 use stand_ins::*;
 use std::net::SocketAddr;
@@ -223,7 +223,7 @@
         standing += usize::from(line.contains("FaultBegins"));
     }
     let ends = ends(&router, &play.steps, |value| {
-        let (_, host, _) = speech::made_for(value).expect("a value in its form");
+        let (_, host, _) = protocol::made_for(value).expect("a value in its form");
         if host == "s-3-0" { "primary" } else { "replica" }.to_string()
     });
     drop(router);
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -1,17 +1,17 @@
 //! Random bytes and pieces through the codecs and the mapping of endings, each from a fixed seed.
 use crossbeam_channel::RecvTimeoutError;
 use quickcheck::{Gen, QuickCheck, Testable};
-use sandstile_intake::{facts, list, names::Names};
+use sandstile_deployment::{host_list, interner::Names, settings};
 use sandstile_policy::terms::{Readiness, Verdict};
 use sandstile_router::budget::{Budget, Claim, Holder};
 use sandstile_router::discovery::Chunks;
-use sandstile_router::ending::{Ending, ALL};
-use sandstile_router::job::Parcel;
 use sandstile_router::lists;
 use sandstile_router::mailbox;
+use sandstile_router::outcome::{Ending, ALL};
 use sandstile_router::pg::{self, Answer, Stage};
 use sandstile_router::sqlstate;
 use sandstile_router::statement::{self, Workload, Wrong};
+use sandstile_router::task::Parcel;
 use std::thread;
 use std::time::Duration;
 
@@ -175,7 +175,7 @@
         update.entries.iter().map(|e| (e.host.as_str(), e.readiness, e.primary, e.since)).collect();
     assert_eq!(states, [("a", Readiness::Draining, false, 0.0), ("c", Readiness::Active, true, 1.5)]);
     assert!(read("{}").is_err() && read(r#"{"index":1,"snapshot":true}"#).is_err());
-    let (mut kept, mut hosts, mut groups) = (list::List::default(), Names::default(), Names::default());
+    let (mut kept, mut hosts, mut groups) = (host_list::List::default(), Names::default(), Names::default());
     assert_eq!(kept.merge(false, &update.entries, &mut hosts, &mut groups).len(), 2);
     let gone = kept.merge(true, &update.entries[..1], &mut hosts, &mut groups);
     assert_eq!(
@@ -205,7 +205,7 @@
 #[test]
 fn nested_settings_take_the_paths_of_the_wire() {
     let json = serde_json::json!({"a": {"b": [1.5, "x"], "c": []}, "classes": [{"name": "n o"}], "t": true, "n": null});
-    let facts: Vec<String> = facts::flatten(&json).into_iter().map(|(k, v)| format!("{k}={v}")).collect();
+    let facts: Vec<String> = settings::flatten(&json).into_iter().map(|(k, v)| format!("{k}={v}")).collect();
     assert_eq!(facts, ["a.b=1.5,x", "a.c=", "classes.0.name=n o", "classes.count=1", "n=", "t=true"]);
 }
 
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -235,12 +235,12 @@
 /// The answer stands in the socket as the withdrawal is ordered: it counts, or nobody would know whether it ran.
 #[test]
 fn an_answer_that_has_come_as_its_execution_is_withdrawn_counts() {
-    use sandstile_desk::{Errand, Job, Mail, Order, Outcome};
+    use sandstile_dispatcher::{Errand, Job, Mail, Order, Outcome};
     use sandstile_router::{
-        budget::Budget, clock::Clock, counters::Counters, hosts::Hosts, mailbox, tools::Tools,
+        budget::Budget, clock::Clock, counters::Counters, hosts::Hosts, loop_context::Tools, mailbox,
     };
     struct Text;
-    impl sandstile_desk::Parcel for Text {
+    impl sandstile_dispatcher::Parcel for Text {
         fn message(&self, _: f64) -> Vec<u8> {
             query("SELECT 1")
         }
@@ -293,7 +293,7 @@
     hosts.order(Order::Recall { host: 0, stmt: 7, execution: 0 }, &mut tools);
     match mail.try_recv() {
         Some(Mail::Ended { outcome: Outcome { ending, .. }, .. }) => {
-            assert_eq!(ending, sandstile_desk::Ending::Completed);
+            assert_eq!(ending, sandstile_dispatcher::Ending::Completed);
         }
         _ => panic!("no ending"),
     }
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -9,7 +9,7 @@
 use sandstile_membership::{Letter, Life, Message, Meta, Rumour, State};
 use sandstile_peers::Sealer;
 use sandstile_router::members::CONTEXT;
-use sandstile_router::{ask, keys};
+use sandstile_router::{control_client, keys};
 use sandstile_scenario::Script;
 use serde_json::Value;
 use stand_ins::{config, known, run, wait_for, Agent, Host, Router};
@@ -152,7 +152,7 @@
     let files: Vec<_> = (0..4).map(|n| own_file(&dir, n, at[n], at[0])).collect();
     let first = started("a", &primary, &files[0].0);
     let second = started("b", &primary, &files[1].0);
-    let asked = |n: usize| ask::members(&files[n].1).unwrap_or(Value::Null);
+    let asked = |n: usize| control_client::members(&files[n].1).unwrap_or(Value::Null);
     wait_for("both", || there(&asked(0), "alive") == 1 && there(&asked(1), "alive") == 1);
     let life = |said: &Value, name: &str| {
         let found = said["members"].as_array()?.iter().find(|m| m["name"] == name)?;
@@ -192,7 +192,7 @@
     let at: Vec<SocketAddr> = (0..3).map(|_| free()).collect();
     let files: Vec<_> = (0..3).map(|n| own_file(&dir, n, at[n], at[0])).collect();
     let routers: Vec<Router> = (0..3).map(|n| started(&format!("r{n}"), &primary, &files[n].0)).collect();
-    let asked = |n: usize| ask::members(&files[n].1).unwrap_or(Value::Null);
+    let asked = |n: usize| control_client::members(&files[n].1).unwrap_or(Value::Null);
     let all_there = || (0..3).all(|n| there(&asked(n), "alive") >= 2);
     wait_for("all", all_there);
     let secret = keys::read_keys(&dir.join("keys")).expect("keys").derived(CONTEXT);
@@ -268,7 +268,7 @@
     let at = free();
     let (file, socket) = own_file(&dir, 0, at, at);
     let on = started("a", &primary, &file);
-    wait_for("control", || ask::members(&socket).is_ok());
+    wait_for("control", || control_client::members(&socket).is_ok());
     wait_for("the same threads", || threads(&on) == threads(&off));
     // The listener, and the watch of discovery.
     wait_for("sockets", || open(&off, "socket:") <= 3 && open(&on, "socket:") == open(&off, "socket:") + 2);
--- a/crates/sandstile-router/tests/no_ring.rs
+++ b/crates/sandstile-router/tests/no_ring.rs
@@ -43,9 +43,9 @@
         to.remove(&name(file));
         graph.insert(name(file), to);
     }
-    assert!(graph["carrier"].contains("hosts"), "what leans on what is read");
+    assert!(graph["event_loop"].contains("hosts"), "what leans on what is read");
     let mut ring = graph.clone();
-    ring.get_mut("hosts").unwrap().insert("carrier".to_string());
+    ring.get_mut("hosts").unwrap().insert("event_loop".to_string());
     assert!(ringed(ring).contains("hosts"), "a ring is seen");
     assert_eq!(ringed(graph), BTreeSet::new());
 }
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -3,11 +3,11 @@
 mod stand_ins;
 
 use crossbeam_channel::{unbounded, Receiver};
-use sandstile_emulator::{speech, Clock, Emulator, Handle, Record};
+use sandstile_emulator::{protocol, Clock, Emulator, Handle, Record};
 use sandstile_lab::processes;
 use sandstile_pgwire as pg;
-use sandstile_replica::fact::Said;
-use sandstile_replica::{wire, Fact, Key, Kind, Message, Value};
+use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::{wire, Fact, Key, Kind, Message, Value};
 use sandstile_scenario::Script;
 use stand_ins::{wait_for, PATIENCE};
 use std::fs;
@@ -159,7 +159,7 @@
                 b'Z' if !greeted => greeted = true,
                 _ => {
                     if answer.take(tag, body).expect("an answer") {
-                        let (_, host, position) = speech::made_for(answer.text().as_bytes())
+                        let (_, host, position) = protocol::made_for(answer.text().as_bytes())
                             .unwrap_or_else(|| panic!("{:?}", answer.stage));
                         return Got { host: host.to_string(), position, mark: token };
                     }
--- a/crates/sandstile-router/tests/waiting.rs
+++ b/crates/sandstile-router/tests/waiting.rs
@@ -4,7 +4,7 @@
 
 use mio::{Poll, Token};
 use sandstile_policy::terms::Readiness;
-use sandstile_router::known::KnownList;
+use sandstile_router::known_hosts::KnownList;
 use sandstile_router::list_stream::{Heard, ListStream};
 use sandstile_router::listener::{Accepted, Listener};
 use sandstile_router::lists;
--- a/crates/sandstile-scenario/src/script.rs
+++ b/crates/sandstile-scenario/src/script.rs
@@ -1,7 +1,7 @@
 //! A rehearsal as a whole: fleet, workloads, traffic, routers and cues, each checked against the others before
 //! anything starts.
+use sandstile_faults::fault_state::Where;
 use sandstile_faults::process::{Whom, STATES};
-use sandstile_faults::weather::Where;
 use sandstile_faults::{Blow, End, Pick, State, Strike};
 use sandstile_fleet::plan::*;
 use sandstile_fleet::{Kind, Plan, Target};
--- a/crates/sandstile-scenario/src/traffic.rs
+++ b/crates/sandstile-scenario/src/traffic.rs
@@ -1,7 +1,7 @@
 //! What clients ask when: open-loop arrivals whose rate moves with the script. Seeded; nothing here waits for
 //! answers, so that a fleet that slows down gets no less.
 use crate::script::{Jump, Script, Stream};
-use sandstile_fleet::chance::Chance;
+use sandstile_fleet::random::Chance;
 
 /// One statement that a client is to ask.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/sandstile-virtual/src/mind.rs
+++ b/crates/sandstile-simulation/src/instance_driver.rs
@@ -3,7 +3,7 @@
 use sandstile_fleet::event::{Answer, Ask, Input};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{Arrival, Decision, Member, Note, Verdict};
-use sandstile_return::{Came, Dials, When};
+use sandstile_restart_pacing::{Came, Dials, When};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a client wants; `key` is its own name for it.
--- a/crates/sandstile-virtual/src/lib.rs
+++ b/crates/sandstile-simulation/src/lib.rs
@@ -3,11 +3,11 @@
 //! hour of a hundred databases is a matter of seconds, and the same seed plays the same hour.
 //!
 //! What it leaves out is what sockets cost: a router's own processor time, and the way there and back.
-pub mod mind;
+pub mod instance_driver;
 pub mod workers;
 pub mod world;
 
-pub use mind::{Final, Mind, Wanted};
+pub use instance_driver::{Final, Mind, Wanted};
 pub use workers::{Tally, Workers};
 pub use world::World;
 
--- a/crates/sandstile-virtual/src/workers.rs
+++ b/crates/sandstile-simulation/src/workers.rs
@@ -1,9 +1,9 @@
 //! Clients in a closed loop, as in the paper's measurements: each asks, waits for its answer and asks again at once, of a
 //! database drawn anew each time. What was answered in the counted time goes into histograms.
-use crate::mind::{Final, Wanted};
+use crate::instance_driver::{Final, Wanted};
 use crate::world::Clients;
 use hdrhistogram::Histogram;
-use sandstile_fleet::chance::Chance;
+use sandstile_fleet::random::Chance;
 use sandstile_timers::Heap;
 use std::collections::BTreeMap;
 
--- a/crates/sandstile-virtual/src/world.rs
+++ b/crates/sandstile-simulation/src/world.rs
@@ -1,5 +1,5 @@
 //! The one clock: what happens next, in the model, at a router or at a client, and to whom it is told.
-use crate::mind::{Act, Final, Mind, Wanted};
+use crate::instance_driver::{Act, Final, Mind, Wanted};
 use crate::EPOCH;
 use sandstile_fleet::event::{Event, Input, Output, Readiness as Listed};
 use sandstile_fleet::Fleet;
--- a/crates/sandstile-virtual/tests/world.rs
+++ b/crates/sandstile-simulation/tests/world.rs
@@ -4,7 +4,7 @@
 use sandstile_fleet::{Fault, Fleet, Kind, Target};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{self, DedupScope, Terms};
-use sandstile_virtual::{Mind, Workers, World, EPOCH};
+use sandstile_simulation::{Mind, Workers, World, EPOCH};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/sandstile-wirehost/src/instance.rs
+++ b/crates/sandstile-simulator-adapter/src/instance.rs
@@ -1,8 +1,8 @@
 //! One hosted instance: its ids and their indices, its timer, and the calls into the decisions.
 use crate::wire::Fields;
-use sandstile_intake::facts;
-use sandstile_intake::list::{Entry, List};
-use sandstile_intake::names::Names;
+use sandstile_deployment::host_list::{Entry, List};
+use sandstile_deployment::interner::Names;
+use sandstile_deployment::settings;
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::*;
 use std::collections::{BTreeMap, HashMap};
@@ -33,8 +33,8 @@
     pub fn start(now: f64, seed: u64, fields: &mut Fields) -> Result<Self, String> {
         let facts = fields.pairs();
         let wrong = |what: String| fields.wrong(&what);
-        let (names, terms) = facts::terms(&facts).map_err(wrong)?;
-        let zero = facts::number(&facts, "specifics.baseTimeMs", 0.0).map_err(wrong)?;
+        let (names, terms) = settings::terms(&facts).map_err(wrong)?;
+        let zero = settings::number(&facts, "specifics.baseTimeMs", 0.0).map_err(wrong)?;
         Ok(Hosted {
             policy: Instance::new(&terms, seed, now),
             workloads: names.into_iter().zip(0..).collect(),
--- a/crates/sandstile-wirehost/src/main.rs
+++ b/crates/sandstile-simulator-adapter/src/main.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use instance::{Hosted, EPOCH};
-use sandstile_intake::list::Entry;
+use sandstile_deployment::host_list::Entry;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
--- a/crates/sandstile-wirehost/src/wire.rs
+++ b/crates/sandstile-simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's lines: fields in order, each read with a plain message on what was expected.
 use crate::instance::EPOCH;
-use sandstile_intake::list::{readiness, Entry};
+use sandstile_deployment::host_list::{readiness, Entry};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
