--- a/crates/sandstile-router/src/event_loop.rs
+++ b/crates/sandstile-router/src/event_loop.rs
@@ -15,7 +15,7 @@
 use crate::members::{self, Members};
 use crate::outcome::Ending;
 use crate::rate::Limiter;
-use crate::session_messages::Word;
+use crate::session_messages::SessionMessage;
 use crate::statement::Workload;
 use mio::net::TcpStream;
 use mio::{Events, Poll, Token};
@@ -91,7 +91,7 @@
     /// When the window after SIGTERM closes.
     ends_at: f64,
     /// Where sessions are kept, which have a last word to put down.
-    last_word: Option<Post<Word>>,
+    last_word: Option<Post<SessionMessage>>,
 }
 
 /// The mailboxes of what is carried, made before the actors that write to them.
@@ -134,7 +134,7 @@
     /// How dials are paced, where our own file turns that on.
     pub dials: Option<Dials>,
     pub members: Option<Members>,
-    pub last_word: Option<Post<Word>>,
+    pub last_word: Option<Post<SessionMessage>>,
 }
 
 impl Carrier {
@@ -211,7 +211,7 @@
                 match event.token() {
                     BELL => {}
                     DOOR => self.listener.told(self.tools.told_since),
-                    members::LETTERS => self.members.iter_mut().for_each(|m| m.told()),
+                    members::DATAGRAMS => self.members.iter_mut().for_each(|m| m.set_readable()),
                     token if Control::is_its(token) => {
                         self.members.iter_mut().filter_map(|m| m.control.as_mut()).for_each(Control::told);
                     }
@@ -527,7 +527,7 @@
     /// All is answered: what is remembered of sessions is whole, and is put down as that.
     fn end(&mut self) {
         let (done, last) = slot::<()>();
-        if self.last_word.as_ref().is_some_and(|words| words.send(Word::End(done))) {
+        if self.last_word.as_ref().is_some_and(|words| words.send(SessionMessage::End(done))) {
             self.decide(true);
             let _ = last.recv(Some(LAST_WORD));
         }
--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::errno::uninterrupted;
 use crate::local_config::Exchange;
 use crate::mailbox::{narrow, Post};
-use crate::session_messages::{Telling, Word};
+use crate::session_messages::{SessionMessage, Telling};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_exchange::{greeting, keeping, read_greeting, Heard, Listener, Teller, MOST_MARKS};
@@ -37,7 +37,7 @@
 const MOST_TELLERS: usize = 64;
 
 /// Whom this instance tells: those that our own file names, and the members that are there.
-pub struct Roster {
+pub struct ExchangePeers {
     named: BTreeSet<SocketAddr>,
     /// Who is told now; dropping what stands beside an address ends that.
     told: BTreeMap<SocketAddr, Arc<AtomicBool>>,
@@ -45,11 +45,11 @@
     /// Where this one is found itself, where state is kept with others: of many members it tells those that are near.
     near: Option<SocketAddr>,
     secret: [u8; 32],
-    desk: Post<Word>,
+    desk: Post<SessionMessage>,
     log: Logger,
 }
 
-impl Roster {
+impl ExchangePeers {
     /// Tells just these from now on, and those that our own file names.
     pub fn follow(&mut self, members: &BTreeSet<SocketAddr>) {
         let mut wanted: BTreeSet<SocketAddr> = members.union(&self.named).copied().collect();
@@ -101,15 +101,15 @@
     life: u64,
     keeps: bool,
     secrets: Vec<[u8; 32]>,
-    desk: Post<Word>,
+    desk: Post<SessionMessage>,
     log: &Logger,
-) -> Result<Roster, String> {
+) -> Result<ExchangePeers, String> {
     let name = format!("{}#{life}", name.chars().take(40).collect::<String>());
     let name = &if keeps { keeping(&name) } else { name };
     let listener = TcpListener::bind(plan.listen).map_err(|e| format!("exchange: {}: {e}", plan.listen))?;
     let (own, keys, to_desk, own_log) = (name.to_string(), secrets.clone(), desk.clone(), log.clone());
     threads::begin("exchange", move || accept(&listener, &own, &keys, &to_desk, &own_log))?;
-    let mut roster = Roster {
+    let mut exchange_peers = ExchangePeers {
         named: plan.peers.iter().copied().collect(),
         told: BTreeMap::new(),
         name: name.to_string(),
@@ -118,8 +118,8 @@
         desk,
         log: log.clone(),
     };
-    roster.follow(&BTreeSet::new());
-    Ok(roster)
+    exchange_peers.follow(&BTreeSet::new());
+    Ok(exchange_peers)
 }
 
 /// A listener says nothing after its greeting.
@@ -140,7 +140,13 @@
     std::array::from_fn(|n| hash.as_bytes()[n])
 }
 
-fn accept(listener: &TcpListener, name: &str, secrets: &[[u8; 32]], desk: &Post<Word>, log: &Logger) {
+fn accept(
+    listener: &TcpListener,
+    name: &str,
+    secrets: &[[u8; 32]],
+    desk: &Post<SessionMessage>,
+    log: &Logger,
+) {
     let tellers = Arc::new(AtomicUsize::new(0));
     for (number, stream) in listener.incoming().enumerate() {
         let Ok(mut stream) = stream else {
@@ -168,7 +174,12 @@
 }
 
 /// Takes in what another instance tells, until it ends or can't be believed.
-fn hear(stream: &mut TcpStream, secrets: &[[u8; 32]], nonce: &[u8; 16], desk: &Post<Word>) -> io::Result<()> {
+fn hear(
+    stream: &mut TcpStream,
+    secrets: &[[u8; 32]],
+    nonce: &[u8; 16],
+    desk: &Post<SessionMessage>,
+) -> io::Result<()> {
     let mut listener = Listener::new(secrets, nonce);
     let mut from = None;
     let mut bytes = [0; 8192];
@@ -191,7 +202,7 @@
                 thread::sleep(BREATH);
             }
             if let Some(from) = &from {
-                desk.send(Word::Heard(from.clone(), heard));
+                desk.send(SessionMessage::Heard(from.clone(), heard));
             }
         }
     }
@@ -202,14 +213,14 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    desk: &Post<Word>,
+    desk: &Post<SessionMessage>,
     over: &AtomicBool,
     log: &Logger,
 ) -> io::Result<bool> {
     let mut to = None;
     let told = tell_one(peer, name, secret, desk, over, log, &mut to);
     if let Some(to) = to {
-        desk.send(Word::Untold(to));
+        desk.send(SessionMessage::Untold(to));
     }
     told
 }
@@ -219,7 +230,7 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    desk: &Post<Word>,
+    desk: &Post<SessionMessage>,
     over: &AtomicBool,
     log: &Logger,
     whom: &mut Option<String>,
@@ -244,7 +255,7 @@
     stream.write_all(&teller.who(name))?;
     let (outlet, tellings) = narrow(MOST_WAITING);
     *whom = Some(to.clone());
-    desk.send(Word::Tell(to.clone(), outlet));
+    desk.send(SessionMessage::Tell(to.clone(), outlet));
     loop {
         let telling = match tellings.recv(Some(LOOK)) {
             Ok(telling) => telling,
@@ -266,7 +277,7 @@
             Telling::Whole { of_yours } => stream.write_all(&teller.whole(of_yours))?,
             Telling::State(message) => {
                 stream.write_all(&teller.state(&message))?;
-                desk.send(Word::Written(to.clone(), message.len()));
+                desk.send(SessionMessage::Written(to.clone(), message.len()));
             }
             Telling::Seen(key, seen) => {
                 // All that waits goes in one frame.
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -77,16 +77,16 @@
 pub struct Recording {
     pub file: PathBuf,
     /// Bytes; the recording ends there.
-    pub most: u64,
+    pub max_bytes: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Charter {
+pub struct LocalConfig {
     pub sessions: Option<Sessions>,
     pub recording: Option<Recording>,
     pub limits: Option<sandstile_limits::Terms>,
     /// How a router that has just started comes back.
-    pub back: Option<sandstile_restart_pacing::Terms>,
+    pub restart_pacing: Option<sandstile_restart_pacing::Terms>,
     pub members: Option<Members>,
 }
 
@@ -107,14 +107,14 @@
     pub period: f64,
 }
 
-impl Charter {
+impl LocalConfig {
     /// Reads the file that the command line names, if it names one. The message is one line a problem, each with its
     /// place.
-    pub fn of(path: Option<&Path>) -> Result<Charter, String> {
-        let Some(path) = path else { return Ok(Charter::default()) };
+    pub fn load(path: Option<&Path>) -> Result<LocalConfig, String> {
+        let Some(path) = path else { return Ok(LocalConfig::default()) };
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-        let charter = Charter::read(&name, &text)?;
+        let charter = LocalConfig::read(&name, &text)?;
         let of_sessions = charter.sessions.as_ref().and_then(|s| s.keys.as_ref());
         for keys in of_sessions.into_iter().chain(charter.members.as_ref().map(|m| &m.keys)) {
             // Before anything starts: a router without its keys would believe nobody.
@@ -123,7 +123,7 @@
         Ok(charter)
     }
 
-    pub fn read(name: &str, text: &str) -> Result<Charter, String> {
+    pub fn read(name: &str, text: &str) -> Result<LocalConfig, String> {
         let source = Source::new(name, text);
         let charter = source.parse().map(|body| {
             let file = Section::of(&source, &body);
@@ -131,7 +131,7 @@
             let recording = file.only("recording").and_then(|r| {
                 let plan = Recording {
                     file: PathBuf::from(r.needed_text("file")),
-                    most: r.count("most_mb", 1.0..1_000_000.0, 256) as u64 * 1024 * 1024,
+                    max_bytes: r.count("most_mb", 1.0..1_000_000.0, 256) as u64 * 1024 * 1024,
                 };
                 let on = r.yes("on", true);
                 r.finish();
@@ -148,7 +148,7 @@
                 l.finish();
                 on.then_some(terms)
             });
-            let back = file.only("return").and_then(|r| {
+            let restart_pacing = file.only("return").and_then(|r| {
                 let usual = sandstile_restart_pacing::Terms::default();
                 let terms = sandstile_restart_pacing::Terms {
                     pace: r.word("pace", &sandstile_restart_pacing::PACES, Some(usual.pace)),
@@ -161,7 +161,7 @@
             });
             let members = file.only("members").and_then(|m| members(&m));
             file.finish();
-            Charter { sessions: sessions.flatten(), recording, limits, back, members }
+            LocalConfig { sessions: sessions.flatten(), recording, limits, restart_pacing, members }
         });
         let problems = source.problems();
         match charter {
--- a/crates/sandstile-router/src/main.rs
+++ b/crates/sandstile-router/src/main.rs
@@ -2,7 +2,7 @@
 use sandstile_router::clock::Clock;
 use sandstile_router::counters::Counters;
 use sandstile_router::launch::Launch;
-use sandstile_router::local_config::Charter;
+use sandstile_router::local_config::LocalConfig;
 use sandstile_router::signals::{print_counters, Wishes};
 use sandstile_router::{control_client, keys, router};
 use slog::{o, Drain, Level, Logger};
@@ -161,7 +161,7 @@
 
 fn serve(verbose: bool, file: Option<&Path>) -> Result<(), String> {
     let launch = launch()?;
-    let charter = Charter::of(file)?;
+    let charter = LocalConfig::load(file)?;
     // A router without one of its actors would look alive and answer nothing.
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
@@ -186,15 +186,16 @@
 
 fn check(file: Option<&Path>) -> Result<(), String> {
     if let Some(path) = file {
-        let charter = Charter::of(file)?;
+        let charter = LocalConfig::load(file)?;
         let sessions = charter.sessions.map_or("off".to_string(), |s| s.describe());
         let recording = charter.recording.map_or("off".to_string(), |r| {
-            format!("to {}, {} MB at most", r.file.display(), r.most / 1024 / 1024)
+            format!("to {}, {} MB at most", r.file.display(), r.max_bytes / 1024 / 1024)
         });
         let limits = charter.limits.map_or("off".to_string(), |l| {
             format!("{} later tries a first one completed, in a storm", l.later_tries)
         });
-        let back = charter.back.map_or("off".to_string(), |b| format!("{:?}", b.pace).to_lowercase());
+        let restart_pacing =
+            charter.restart_pacing.map_or("off".to_string(), |b| format!("{:?}", b.pace).to_lowercase());
         let path = path.display();
         let members = charter.members.map_or("off".to_string(), |m| {
             format!(
@@ -204,7 +205,7 @@
                 if m.share { ", shares follow them" } else { "" }
             )
         });
-        println!("{path}: sessions {sessions}; recording {recording}; limits {limits}; return {back}; members {members}");
+        println!("{path}: sessions {sessions}; recording {recording}; limits {limits}; return {restart_pacing}; members {members}");
         if std::env::var_os("LB_CONFIG").is_none() {
             return Ok(());
         }
--- a/crates/sandstile-router/src/members.rs
+++ b/crates/sandstile-router/src/members.rs
@@ -1,7 +1,7 @@
 //! The peers' letters beside the carrier's loop: one UDP socket, no thread. What is said and believed is `sandstile-peers`; off without
 //! our own file.
 use crate::control::Control;
-use crate::exchange::Roster;
+use crate::exchange::ExchangePeers;
 use crate::local_config::Members as Plan;
 use crate::loop_context::Tools;
 use crate::mailbox::Post;
@@ -19,7 +19,7 @@
 /// As its makers count; members of several run side by side.
 pub const VERSION: u16 = 1;
 /// Far above those of clients and links.
-pub const LETTERS: Token = Token(usize::MAX - 2);
+pub const DATAGRAMS: Token = Token(usize::MAX - 2);
 /// Letters read before the others have their turn.
 const TURN: usize = 64;
 /// A letter is one datagram of some 1,200 bytes; more is none of ours.
@@ -30,30 +30,30 @@
     peers: Peers,
     /// The platform may hold more letters.
     ready: bool,
-    sharers: Option<Post<f64>>,
-    roster: Option<Roster>,
+    sharing_routers: Option<Post<f64>>,
+    exchange_peers: Option<ExchangePeers>,
     pub control: Option<Control>,
     counted: sandstile_peers::Counts,
     log: Logger,
 }
 
 /// What the router that members run beside has told them.
-pub struct Beside {
+pub struct MembersContext {
     pub name: String,
-    pub life: u64,
+    pub generation: u64,
     pub seed: u64,
     pub routers: usize,
     pub keys: Vec<[u8; 32]>,
     pub exchange: Option<std::net::SocketAddr>,
     /// Where the number of those that share the hosts goes.
-    pub sharers: Option<Post<f64>>,
+    pub sharing_routers: Option<Post<f64>>,
     /// Who is to be told what sessions have seen.
-    pub roster: Option<Roster>,
+    pub exchange_peers: Option<ExchangePeers>,
 }
 
 impl Members {
     /// The message is one line.
-    pub fn open(plan: &Plan, beside: Beside, now: f64, log: &Logger) -> Result<Members, String> {
+    pub fn open(plan: &Plan, beside: MembersContext, now: f64, log: &Logger) -> Result<Members, String> {
         let told = |e: io::Error| format!("members: {}: {e}", plan.listen);
         if beside.name.is_empty() || beside.name.len() > LONGEST_NAME {
             return Err(format!("members: a router's name has 1 to {LONGEST_NAME} bytes: '{}'", beside.name));
@@ -62,7 +62,7 @@
         let control = plan.control.as_deref().map(Control::open).transpose()?;
         let terms = Terms {
             name: beside.name,
-            life: beside.life,
+            life: beside.generation,
             at: plan.advertise,
             seeds: plan.seeds.clone(),
             meta: Meta { version: VERSION, zone: plan.zone.clone(), exchange: beside.exchange },
@@ -75,8 +75,8 @@
             socket,
             peers: Peers::new(terms, beside.seed, now),
             ready: true,
-            sharers: beside.sharers,
-            roster: beside.roster,
+            sharing_routers: beside.sharing_routers,
+            exchange_peers: beside.exchange_peers,
             control,
             counted: sandstile_peers::Counts::default(),
             log: log.clone(),
@@ -84,12 +84,12 @@
     }
 
     pub fn register(&mut self, registry: &Registry) -> io::Result<()> {
-        registry.register(&mut self.socket, LETTERS, Interest::READABLE)?;
+        registry.register(&mut self.socket, DATAGRAMS, Interest::READABLE)?;
         self.control.as_mut().map_or(Ok(()), |c| c.register(registry))
     }
 
     /// Letters may have come.
-    pub fn told(&mut self) {
+    pub fn set_readable(&mut self) {
         self.ready = true;
     }
 
@@ -153,10 +153,10 @@
                     info!(self.log, "view: {}", view.word(); "there" => look.there, "suspects" => look.suspects,
                         "dead" => look.dead, "differing" => look.differing);
                 }
-                News::Sharers(n) => drop(self.sharers.as_ref().map(|post| post.send(n))),
+                News::Sharers(n) => drop(self.sharing_routers.as_ref().map(|post| post.send(n))),
                 News::Tell(whom) => {
-                    if let Some(roster) = &mut self.roster {
-                        roster.follow(&whom);
+                    if let Some(exchange_peers) = &mut self.exchange_peers {
+                        exchange_peers.follow(&whom);
                     }
                 }
             }
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -75,8 +75,8 @@
     let out = Counted { out: BufWriter::new(file), written: 0 };
     let recorder = Recorder::begin(out, &head).map_err(told)?;
     let (post, mailbox) = narrow(MOST_WAITING);
-    let (most, own) = (plan.most, log.clone());
-    let write = move || match write(recorder, &head, &mailbox, now, most) {
+    let (max_bytes, own) = (plan.max_bytes, log.clone());
+    let write = move || match write(recorder, &head, &mailbox, now, max_bytes) {
         Ok((written, true)) => info!(own, "the recording is whole"; "arrivals" => written),
         Ok((written, false)) => {
             warn!(own, "the recording has reached its most and ends"; "arrivals" => written)
@@ -112,7 +112,7 @@
     head: &Head,
     mailbox: &Mailbox<Seen>,
     begun: f64,
-    most: u64,
+    max_bytes: u64,
 ) -> io::Result<(u64, bool)> {
     let unnamed = head.groups.len() - 1;
     loop {
@@ -127,7 +127,7 @@
                     wait_ms: (seen.wait * 1e3) as u32,
                     again: seen.again,
                 })?;
-                if recorder.out().written >= most {
+                if recorder.out().written >= max_bytes {
                     let written = recorder.written;
                     recorder.end()?;
                     return Ok((written, false));
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -4,7 +4,7 @@
 use crate::control::is_abandoned;
 use crate::local_config::State as Plan;
 use crate::mailbox::{mailbox, Mailbox, Post};
-use crate::session_messages::{Shown, Telling, Word};
+use crate::session_messages::{SessionMessage, Shown, Telling};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Ending, Outcome};
@@ -42,9 +42,9 @@
 const REFUSALS: f64 = 0.5;
 
 /// What is known of this router besides its plan.
-pub struct Terms<'a> {
+pub struct RouterSettings<'a> {
     pub name: &'a str,
-    pub life: u64,
+    pub generation: u64,
     pub seed: u64,
     /// Seconds.
     pub horizon: f64,
@@ -68,7 +68,7 @@
     End(f64, Snapshot, Post<()>),
 }
 
-pub struct Kept {
+pub struct ReplicatedState {
     keeper: Keeper,
     outlets: BTreeMap<String, Post<Telling>>,
     /// Those that were handed all that our former life knew.
@@ -116,22 +116,22 @@
     }
 }
 
-impl Kept {
+impl ReplicatedState {
     /// Takes up what the disk holds, and begins what runs beside. The message is one line.
     pub fn begin(
         plan: &Plan,
-        terms: &Terms,
-        words: Post<Word>,
+        terms: &RouterSettings,
+        words: Post<SessionMessage>,
         clock: &Clock,
         log: &Logger,
-    ) -> Result<Kept, String> {
+    ) -> Result<ReplicatedState, String> {
         let now = clock.now();
         let (mut disk, mut believed, mut stored_life, mut facts) = (None, Belief::None, None, Vec::new());
         let (idle, done) = mailbox();
         if let Some(dir) = &plan.dir {
             let folder = Folder::open(dir, plan.witness.as_deref())?;
             let Opened { found, stored, witness, shelf } =
-                sandstile_durable_state::open(Box::new(folder), terms.life);
+                sandstile_durable_state::open(Box::new(folder), terms.generation);
             believed = believe(stored, witness);
             info!(log, "state is taken up"; "facts" => found.facts.len(), "spoilt" => found.spoilt,
                 "ended" => found.ended, "believed" => ?believed, "witness" => ?witness.file);
@@ -148,7 +148,7 @@
         }
         let ticks = words.clone();
         threads::begin("ticks", move || {
-            while ticks.send(Word::Tick) {
+            while ticks.send(SessionMessage::Tick) {
                 std::thread::sleep(TICK);
             }
         })?;
@@ -159,16 +159,16 @@
         let keeper = Keeper::new(
             sandstile_replication::Terms {
                 name: terms.name.to_string(),
-                life: terms.life,
+                life: terms.generation,
                 horizon: terms.horizon,
-                seed: terms.seed ^ terms.life,
+                seed: terms.seed ^ terms.generation,
                 stored: facts,
                 believed,
                 stored_life,
             },
             now,
         );
-        Ok(Kept {
+        Ok(ReplicatedState {
             keeper,
             outlets: BTreeMap::new(),
             vouchers: BTreeSet::new(),
@@ -481,7 +481,7 @@
 }
 
 /// Answers one after the other: `summary SECONDS` or `facts`, a line.
-fn answer(listener: &UnixListener, words: &Post<Word>) {
+fn answer(listener: &UnixListener, words: &Post<SessionMessage>) {
     for stream in listener.incoming() {
         let Ok(mut stream) = stream else {
             std::thread::sleep(TICK);
@@ -498,7 +498,7 @@
             continue;
         }
         let (post, told) = crate::mailbox::slot();
-        if !words.send(Word::Show(post)) {
+        if !words.send(SessionMessage::Show(post)) {
             return;
         }
         // Looked through here, and not where statements wait.
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -9,14 +9,14 @@
 use crate::keys;
 use crate::known_hosts::KnownList;
 use crate::launch::Launch;
-use crate::local_config::Charter;
+use crate::local_config::LocalConfig;
 use crate::mailbox::slot;
 use crate::mailbox_source::Inlet;
-use crate::members::{self, Beside, Members};
+use crate::members::{self, Members, MembersContext};
 use crate::pg;
 use crate::recorder;
-use crate::replicated_state::{self, Kept};
-use crate::session_messages::Word;
+use crate::replicated_state::{self, ReplicatedState};
+use crate::session_messages::SessionMessage;
 use crate::sessions::Sessions;
 use crate::signals::{Wish, Wishes};
 use crate::threads;
@@ -48,7 +48,7 @@
 /// Serves until told to end, and until all that was taken is answered. `again` reads the configuration anew.
 pub fn serve(
     launch: Launch,
-    charter: Charter,
+    charter: LocalConfig,
     again: impl Fn() -> Result<Launch, String>,
     counters: Arc<Counters>,
     log: Logger,
@@ -76,7 +76,7 @@
         counters: counters.clone(),
         log: log.clone(),
         told: BTreeSet::new(),
-        returning: charter.back.as_ref().map(|_| Lists::new(launch.seed)),
+        returning: charter.restart_pacing.as_ref().map(|_| Lists::new(launch.seed)),
         // Where lists are asked for, what has not been asked for in 6 s counts as told.
         longest_pause: match launch.terms.on_request {
             true => Duration::from_secs_f64(launch.terms.ask_within.clamp(0.3, 6.0) / 3.0),
@@ -86,23 +86,23 @@
         first: Some(first),
     };
     // Each life of an instance has a number of its own, higher than that of the former one as far as its clock goes.
-    let life = (clock.now() * 1e6) as u64;
+    let generation = (clock.now() * 1e6) as u64;
     let policy = Instance::new(&launch.terms, launch.seed, clock.now());
     let mut desk = Desk::new(policy, counters.desk.clone());
     desk.traces = log.is_debug_enabled();
     desk.add(Box::new(Inlet::new(listed, Fact::List)));
     let mut words = None;
     if let Some(plan) = &charter.sessions {
-        let (post, word_box) = posts.inlet::<Word>();
+        let (post, word_box) = posts.inlet::<SessionMessage>();
         let answers = posts.answers.clone();
         let kept = plan.state.as_ref().map(|state| {
-            let terms = replicated_state::Terms {
+            let terms = replicated_state::RouterSettings {
                 name: &launch.name,
-                life,
+                generation,
                 seed: launch.seed,
                 horizon: plan.horizon,
             };
-            Kept::begin(state, &terms, post.clone(), &clock, &log)
+            ReplicatedState::begin(state, &terms, post.clone(), &clock, &log)
         });
         let seen = Sessions::begin(
             plan.clone(),
@@ -121,11 +121,11 @@
         .limits
         .as_ref()
         .map(|terms| (sandstile_limits::Limits::new(terms, launch.seed, clock.now()), policy_returns));
-    let back = charter.back.as_ref();
-    desk.ramp = back.filter(|b| b.ramp).map(|_| (Ramp::default(), policy_returns));
-    desk.stall = back.filter(|b| b.stall_s > 0.0).map(|b| Stall::new(b.stall_s, clock.now()));
+    let restart_pacing = charter.restart_pacing.as_ref();
+    desk.ramp = restart_pacing.filter(|b| b.ramp).map(|_| (Ramp::default(), policy_returns));
+    desk.stall = restart_pacing.filter(|b| b.stall_s > 0.0).map(|b| Stall::new(b.stall_s, clock.now()));
     desk.longest_return = policy_returns;
-    let dials = back.map(|b| {
+    let dials = restart_pacing.map(|b| {
         let number = numbered(&launch.name).unwrap_or(launch.seed);
         Dials::new(b.pace, launch.terms.routers, number, launch.seed, clock.now())
     });
@@ -141,29 +141,36 @@
     for piece in of_the_start {
         lists.send(piece);
     }
-    let (mut roster, mut told_at) = (None, None);
+    let (mut exchange_peers, mut told_at) = (None, None);
     if let (Some(plan), Some(words)) = (&charter.sessions, &words) {
         if let Some(exchange) = &plan.exchange {
             let secrets = plan.read_keys()?.derived(exchange::CONTEXT);
             let keeps = plan.state.is_some();
-            roster =
-                Some(exchange::begin(exchange, &launch.name, life, keeps, secrets, words.clone(), &log)?);
+            exchange_peers = Some(exchange::begin(
+                exchange,
+                &launch.name,
+                generation,
+                keeps,
+                secrets,
+                words.clone(),
+                &log,
+            )?);
             told_at = Some(exchange.listen);
         }
     }
     let mut members = None;
     if let Some(plan) = &charter.members {
-        let (sharers, shared) = posts.inlet::<f64>();
+        let (sharing_routers, shared) = posts.inlet::<f64>();
         desk.add(Box::new(Inlet::new(shared, Fact::Sharers)));
-        let beside = Beside {
+        let beside = MembersContext {
             name: launch.name.clone(),
-            life,
+            generation,
             seed: launch.seed,
             routers: launch.terms.routers,
             keys: keys::read_keys(&plan.keys)?.derived(members::CONTEXT),
             exchange: told_at,
-            sharers: Some(sharers),
-            roster,
+            sharing_routers: Some(sharing_routers),
+            exchange_peers,
         };
         members = Some(Members::open(plan, beside, clock.now(), &log)?);
     }
@@ -209,7 +216,7 @@
             Ok(ring) => {
                 info!(log, "keys read again"; "numbers" => ?ring.numbers());
                 if let Some(words) = &words {
-                    words.send(Word::Keys(ring));
+                    words.send(SessionMessage::Keys(ring));
                 }
             }
             Err(what) => warn!(log, "{what}; the former keys stay"),
--- a/crates/sandstile-router/src/session_messages.rs
+++ b/crates/sandstile-router/src/session_messages.rs
@@ -14,7 +14,7 @@
 }
 
 /// Word from outside the desk.
-pub enum Word {
+pub enum SessionMessage {
     Keys(KeyRing),
     /// Another instance, of this name, wants to be told what is known here.
     Tell(String, Post<Telling>),
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -4,8 +4,8 @@
 use crate::clock::Clock;
 use crate::local_config::{Durability, Sessions as Plan};
 use crate::mailbox::{mailbox, Mailbox, Post};
-use crate::replicated_state::Kept;
-use crate::session_messages::{Telling, Word};
+use crate::replicated_state::ReplicatedState;
+use crate::session_messages::{SessionMessage, Telling};
 use crate::statement::Workload;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Answer, Asked, Ending, Fact, Given, Outcome, Source};
@@ -63,7 +63,7 @@
     own_reads: Vec<bool>,
     /// What the statements that are open want.
     wishes: BTreeMap<u64, Wish>,
-    words: Mailbox<Word>,
+    words: Mailbox<SessionMessage>,
     journal: Option<Post<Entry>>,
     outlets: Vec<Post<Telling>>,
     /// Instances that ended in order and told all they knew before: when, and the life that is to have it back.
@@ -72,7 +72,7 @@
     /// How far each group's log had come when its primary first answered this instance.
     begun: BTreeMap<Arc<str>, Mark>,
     /// What is kept together with other instances, where our own file turns that on.
-    kept: Option<Box<Kept>>,
+    kept: Option<Box<ReplicatedState>>,
     /// What others met, for the decisions.
     warned: Vec<Fact>,
     aged_at: f64,
@@ -95,9 +95,9 @@
     pub fn begin(
         plan: Plan,
         workloads: &[Workload],
-        words: Mailbox<Word>,
+        words: Mailbox<SessionMessage>,
         answers: Post<Given>,
-        kept: Option<Kept>,
+        kept: Option<ReplicatedState>,
         clock: &Clock,
         log: &Logger,
     ) -> Result<Sessions, String> {
@@ -270,10 +270,10 @@
         None
     }
 
-    fn heard(&mut self, now: f64, word: Word) {
+    fn heard(&mut self, now: f64, word: SessionMessage) {
         match word {
-            Word::Keys(ring) => self.ring = ring,
-            Word::Tell(to, outlet) => {
+            SessionMessage::Keys(ring) => self.ring = ring,
+            SessionMessage::Tell(to, outlet) => {
                 let of_yours = self.has_of(now, &to);
                 if let Some(kept) = self.kept.as_mut().filter(|_| sandstile_exchange::keeps(&to)) {
                     kept.linked(now, to, outlet, of_yours);
@@ -283,16 +283,16 @@
                     self.outlets.push(outlet);
                 }
             }
-            Word::Heard(from, heard) => self.learn(now, &from, heard),
-            Word::Untold(to) => self.kept.iter_mut().for_each(|k| k.parted(now, &to)),
-            Word::Written(to, bytes) => self.kept.iter_mut().for_each(|k| k.written(&to, bytes)),
-            Word::Tick => self.keep(now, true),
-            Word::Show(post) => {
+            SessionMessage::Heard(from, heard) => self.learn(now, &from, heard),
+            SessionMessage::Untold(to) => self.kept.iter_mut().for_each(|k| k.parted(now, &to)),
+            SessionMessage::Written(to, bytes) => self.kept.iter_mut().for_each(|k| k.written(&to, bytes)),
+            SessionMessage::Tick => self.keep(now, true),
+            SessionMessage::Show(post) => {
                 if let Some(kept) = &self.kept {
                     post.send(kept.show(now));
                 }
             }
-            Word::End(done) => {
+            SessionMessage::End(done) => {
                 self.told_at = now;
                 info!(self.log, "sessions: {:?}", self.counts; "remembered" => self.store.len());
                 for outlet in self.outlets.drain(..) {
