--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -2,8 +2,8 @@
 use crate::budget::{Holder, Rest};
 use crate::client_connection::{Around, Client, Remark, Wish};
 use crate::close_reason::Closing;
-use crate::loop_context::{Tools, TURN};
-use crate::mailbox::Post;
+use crate::loop_context::{LoopContext, TURN};
+use crate::mailbox::MailboxSender;
 use crate::rate::Limiter;
 use crate::socket::{Moved, Wire};
 use crate::statement::Workload;
@@ -56,7 +56,7 @@
 pub struct Clients {
     seats: Slab<Seat>,
     workloads: Vec<Workload>,
-    desk: Post<Mail>,
+    desk: MailboxSender<Mail>,
     remarks: Vec<Remark>,
     /// Connections that rest and have asked nothing yet.
     resting_strangers: usize,
@@ -76,7 +76,7 @@
 }
 
 impl Clients {
-    pub fn new(workloads: Vec<Workload>, desk: Post<Mail>) -> Self {
+    pub fn new(workloads: Vec<Workload>, desk: MailboxSender<Mail>) -> Self {
         Clients {
             seats: Slab::new(),
             workloads,
@@ -107,23 +107,23 @@
         stream: TcpStream,
         waited_since: f64,
         refused: bool,
-        tools: &mut Tools,
+        context: &mut LoopContext,
     ) -> Result<(), (TcpStream, io::Error)> {
         // Without it answers may come a little later, which is better than none.
         if let Err(e) = stream.set_nodelay(true) {
-            debug!(tools.log, "client without TCP_NODELAY: {e}");
+            debug!(context.log, "client without TCP_NODELAY: {e}");
         }
         let entry = self.seats.vacant_entry();
         let key = entry.key();
-        let mut wire = Wire::new(&tools.registry, stream, token(key), true)?;
+        let mut wire = Wire::new(&context.registry, stream, token(key), true)?;
         // Most bring their first statement along.
         wire.look();
-        wire.moved(tools.clock.now());
+        wire.moved(context.clock.now());
         self.accepted += 1;
-        let (now, number) = (tools.clock.now(), self.accepted);
-        debug!(tools.log, "client accepted"; "client" => number, "peer" => ?wire.stream().peer_addr().ok());
+        let (now, number) = (context.clock.now(), self.accepted);
+        debug!(context.log, "client accepted"; "client" => number, "peer" => ?wire.stream().peer_addr().ok());
         if number == 1 {
-            info!(tools.log, "first client accepted");
+            info!(context.log, "first client accepted");
         }
         entry.insert(Seat {
             number,
@@ -142,81 +142,81 @@
             unread: false,
             refused,
         });
-        self.queue(key, tools);
+        self.queue(key, context);
         Ok(())
     }
 
-    pub fn told(&mut self, key: usize, event: &Event, tools: &mut Tools) {
+    pub fn told(&mut self, key: usize, event: &Event, context: &mut LoopContext) {
         if let Some(seat) = self.seats.get_mut(key) {
             seat.wire.told(event);
-            self.queue(key, tools);
+            self.queue(key, context);
         }
     }
 
-    fn queue(&mut self, key: usize, tools: &mut Tools) {
+    fn queue(&mut self, key: usize, context: &mut LoopContext) {
         let seat = &mut self.seats[key];
         if !std::mem::replace(&mut seat.queued, true) {
-            tools.queue.push_back(token(key));
+            context.queue.push_back(token(key));
         }
     }
 
     /// Its turn in the loop's queue.
-    pub fn called(&mut self, key: usize, tools: &mut Tools) {
+    pub fn called(&mut self, key: usize, context: &mut LoopContext) {
         if let Some(seat) = self.seats.get_mut(key) {
             seat.queued = false;
-            self.run(key, tools);
+            self.run(key, context);
         }
     }
 
     /// A timer that may be this line's. What has come meanwhile is taken first.
-    pub fn timer(&mut self, key: usize, at: f64, tools: &mut Tools) {
+    pub fn timer(&mut self, key: usize, at: f64, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.armed == at) else { return };
         seat.armed = f64::INFINITY;
-        seat.wire.look_again(tools.clock.now());
-        if seat.line.due() <= tools.clock.now() {
+        seat.wire.look_again(context.clock.now());
+        if seat.line.due() <= context.clock.now() {
             seat.wire.look();
         }
-        self.run(key, tools);
+        self.run(key, context);
     }
 
-    pub fn answer(&mut self, given: Given, tools: &mut Tools) {
+    pub fn answer(&mut self, given: Given, context: &mut LoopContext) {
         if let Some(seat) = self.seats.get_mut(given.line) {
-            debug!(tools.log, "answered"; "client" => seat.number, "statement" => given.stmt,
+            debug!(context.log, "answered"; "client" => seat.number, "statement" => given.stmt,
                 "with" => given.answer.name());
-            seat.line.answer(tools.clock.now(), given.stmt, given.answer, &mut self.remarks);
-            self.run(given.line, tools);
+            seat.line.answer(context.clock.now(), given.stmt, given.answer, &mut self.remarks);
+            self.run(given.line, context);
         }
     }
 
     /// Tells one that waits to go. What has come from it by now is still read and answered.
-    pub fn leave(&mut self, key: usize, tools: &mut Tools) {
+    pub fn leave(&mut self, key: usize, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key) else { return };
         let why = if self.dismissed { Closing::ClientDismissed } else { Closing::ClientEvicted };
         (seat.leaves, seat.looked, seat.closing) = (true, true, Some(why));
         seat.wire.look();
-        self.run(key, tools);
+        self.run(key, context);
         let Some(seat) = self.seats.get_mut(key).filter(|_| !self.dismissed) else { return };
         if seat.line.unanswered_bytes() > 0 {
-            seat.line.turn_away(tools.clock.now());
-            self.run(key, tools);
+            seat.line.turn_away(context.clock.now());
+            self.run(key, context);
         }
     }
 
     /// All that wait go, and from now on each as soon as it waits.
-    pub fn dismiss(&mut self, tools: &mut Tools) {
+    pub fn dismiss(&mut self, context: &mut LoopContext) {
         self.dismissed = true;
         let all: Vec<usize> = self.seats.iter().map(|(key, _)| key).collect();
         for key in all {
-            self.leave(key, tools);
+            self.leave(key, context);
         }
     }
 
     /// As much as one line may do before the others have their turn.
-    fn run(&mut self, key: usize, tools: &mut Tools) {
+    fn run(&mut self, key: usize, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key) else { return };
         let mut more = true;
         for _ in 0..TURN {
-            let now = tools.clock.now();
+            let now = context.clock.now();
             let mut moved = false;
             if seat.wire.ending() && seat.line.asks() {
                 // Gone, though commands before its end may still be unread for want of room.
@@ -238,18 +238,18 @@
                 }
                 Moved::Nothing => {}
             }
-            let wants = seat.line.wants().min(tools.scratch.len());
+            let wants = seat.line.wants().min(context.scratch.len());
             if seat.wire.readable() && wants > 0 {
                 seat.unread = false;
             }
-            match seat.wire.read(&mut tools.scratch[..wants]) {
+            match seat.wire.read(&mut context.scratch[..wants]) {
                 Moved::Bytes(got) => {
                     seat.reads += 1;
                     if seat.wire.unannounced() {
-                        tools.counters.found_by_look.add();
+                        context.counters.found_by_look.add();
                     }
                     seat.wire.moved(now);
-                    seat.line.bytes_since(tools.told_since.min(now), now, &tools.scratch[..got]);
+                    seat.line.bytes_since(context.events_since.min(now), now, &context.scratch[..got]);
                     moved = true;
                 }
                 Moved::Ended => {
@@ -274,13 +274,13 @@
                 break;
             }
             let remarks = &mut self.remarks;
-            let mut around = Around { budget: &mut tools.budget, workloads: &self.workloads, remarks };
+            let mut around = Around { budget: &mut context.budget, workloads: &self.workloads, remarks };
             match seat.line.turn(now, &mut around) {
                 Some(Wish::Ask { statement, time }) if seat.wire.ending() => {
                     // Asked before its client left: nobody reads an answer, so nothing is to begin for it.
-                    tools.counters.read_too_late.add();
+                    context.counters.read_too_late.add();
                     if self.unread.admits(now, ()) {
-                        info!(tools.log, "a statement was read only with its client's end";
+                        info!(context.log, "a statement was read only with its client's end";
                             "client" => seat.number, "id" => &statement.id, "reads" => seat.reads,
                             "time_left_s" => format!("{:.3}", time - now),
                             "connected_s" => format!("{:.3}", now - seat.accepted_at));
@@ -291,8 +291,8 @@
                 Some(Wish::Ask { statement, .. }) if seat.refused => {
                     self.asked += 1;
                     seat.line.asked(self.asked);
-                    tools.counters.refused_for_room.add();
-                    debug!(tools.log, "refused for want of descriptors"; "client" => seat.number, "id" => &statement.id);
+                    context.counters.refused_for_room.add();
+                    debug!(context.log, "refused for want of descriptors"; "client" => seat.number, "id" => &statement.id);
                     seat.line.answer(now, self.asked, Answer::Rejected(0.0), &mut self.remarks);
                     (seat.leaves, seat.closing) = (true, Some(Closing::ClientEvicted));
                     moved = true;
@@ -301,10 +301,10 @@
                     self.asked += 1;
                     seat.line.asked(self.asked);
                     if self.asked == 1 {
-                        info!(tools.log, "first statement read"; "client" => seat.number, "id" => &statement.id,
+                        info!(context.log, "first statement read"; "client" => seat.number, "id" => &statement.id,
                             "reads" => seat.reads, "connected_s" => format!("{:.3}", now - seat.accepted_at));
                     }
-                    debug!(tools.log, "asked"; "client" => seat.number, "statement" => self.asked, "id" => &statement.id,
+                    debug!(context.log, "asked"; "client" => seat.number, "statement" => self.asked, "id" => &statement.id,
                         "reads" => seat.reads, "time_left_s" => format!("{:.3}", time - now));
                     self.desk.send(Mail::Asked(Asked {
                         stmt: self.asked,
@@ -332,20 +332,20 @@
         }
         for remark in self.remarks.drain(..) {
             match remark {
-                Remark::Rested => tools.counters.rested.add(),
-                Remark::EmptyQuery => tools.counters.empty_queries.add(),
-                Remark::Forsaken => tools.counters.forsaken.add(),
+                Remark::Rested => context.counters.rested.add(),
+                Remark::EmptyQuery => context.counters.empty_queries.add(),
+                Remark::Forsaken => context.counters.forsaken.add(),
                 Remark::BadInput(what) => {
-                    tools.counters.bad_input.add();
-                    debug!(tools.log, "bad input: {what}");
+                    context.counters.bad_input.add();
+                    debug!(context.log, "bad input: {what}");
                 }
             }
         }
-        self.settle(key, more, tools);
+        self.settle(key, more, context);
     }
 
     /// Puts on record what the line is now: gone, idle, armed, or with more to do.
-    fn settle(&mut self, key: usize, more: bool, tools: &mut Tools) {
+    fn settle(&mut self, key: usize, more: bool, context: &mut LoopContext) {
         let seat = &mut self.seats[key];
         let rests = seat.line.rests();
         // As the router ends, a command that has begun is waited for, its time allowing: it may be whole by the close.
@@ -354,7 +354,7 @@
         // A last look that failed proves nothing: its socket is looked at again in its own time.
         let looks = leaves && !seat.unread;
         if seat.line.ended() || (looks && seat.looked) {
-            return self.close(key, tools);
+            return self.close(key, context);
         }
         if looks {
             seat.wire.look();
@@ -362,64 +362,64 @@
         seat.looked = leaves;
         if seat.resting.map(|(spell, _)| spell) != rests {
             if let Some((rest, _)) = seat.idle.take() {
-                tools.budget.strike(rest);
+                context.budget.strike(rest);
             }
             self.resting_strangers -= usize::from(seat.rests_as_stranger());
-            seat.resting = rests.map(|spell| (spell, tools.clock.now()));
+            seat.resting = rests.map(|spell| (spell, context.clock.now()));
             self.resting_strangers += usize::from(seat.rests_as_stranger());
         }
         let own = if seat.unread { f64::INFINITY } else { seat.line.due() };
         let mut due = own.min(seat.wire.look_due());
         if let (Some(((holder, spell), since)), None) = (seat.resting, seat.idle) {
             // One that has only just come to wait may be about to ask: it is not closed for another's sake.
-            if tools.clock.now() >= since + SETTLED {
-                seat.idle = Some((tools.budget.rests(holder, key), spell));
+            if context.clock.now() >= since + SETTLED {
+                seat.idle = Some((context.budget.rests(holder, key), spell));
             } else {
                 due = due.min(since + SETTLED);
             }
         }
         if due < seat.armed {
             seat.armed = due;
-            tools.timers.push(due, token(key));
+            context.timers.push(due, token(key));
         }
         if more || looks {
-            self.queue(key, tools);
+            self.queue(key, context);
         }
     }
 
     /// Counts why a connection ends, and logs it: each where all is logged, else the unusual ones, at most one of a
     /// kind in a second.
-    fn log_closing(&mut self, seat: &Seat, tools: &Tools) {
+    fn log_closing(&mut self, seat: &Seat, context: &LoopContext) {
         let broken = seat.closing == Some(Closing::ClientBroken);
         let own_end = seat.line.ended() && !broken;
         let why = seat.closing.filter(|_| !own_end).unwrap_or(seat.line.closing());
-        tools.counters.closed(why);
-        let now = tools.clock.now();
-        debug!(tools.log, "client closed: {why:?}"; "client" => seat.number, "answered" => seat.line.answered());
+        context.counters.closed(why);
+        let now = context.clock.now();
+        debug!(context.log, "client closed: {why:?}"; "client" => seat.number, "answered" => seat.line.answered());
         if !why.ordinary() && self.unusual.admits(now, why) {
-            info!(tools.log, "client closed: {why:?}"; "client" => seat.number, "reads" => seat.reads,
+            info!(context.log, "client closed: {why:?}"; "client" => seat.number, "reads" => seat.reads,
                 "answered" => seat.line.answered(), "unanswered_bytes" => seat.line.unanswered_bytes(),
                 "errno" => seat.error, "connected_s" => format!("{:.3}", now - seat.accepted_at));
         }
     }
 
-    fn close(&mut self, key: usize, tools: &mut Tools) {
+    fn close(&mut self, key: usize, context: &mut LoopContext) {
         let mut seat = self.seats.remove(key);
         self.resting_strangers -= usize::from(seat.rests_as_stranger());
-        self.log_closing(&seat, tools);
+        self.log_closing(&seat, context);
         if let Some((rest, _)) = seat.idle {
-            tools.budget.strike(rest);
+            context.budget.strike(rest);
         }
-        seat.line.release(&mut tools.budget);
-        seat.wire.close(&tools.registry);
+        seat.line.release(&mut context.budget);
+        seat.wire.close(&context.registry);
         match seat.refused {
-            true => tools.budget.release_refused(),
-            false => tools.budget.release(Holder::Client),
+            true => context.budget.release_refused(),
+            false => context.budget.release(Holder::Client),
         }
     }
 }
 
-fn gone(wish: Option<Wish>, desk: &Post<Mail>) {
+fn gone(wish: Option<Wish>, desk: &MailboxSender<Mail>) {
     if let Some(Wish::Gone(stmt)) = wish {
         desk.send(Mail::ClientGone(stmt));
     }
--- a/crates/sandstile-router/src/control.rs
+++ b/crates/sandstile-router/src/control.rs
@@ -1,6 +1,6 @@
 //! Operators ask a running router over a UNIX socket: whoever connects is told all at once, and the connection ends. Beside the
 //! carrier's loop; one that reads slowly waits alone, and not for ever.
-use crate::errno::uninterrupted;
+use crate::errno::retry_interrupted;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
 use std::io::{self, Write};
@@ -21,20 +21,20 @@
 
 /// Whether nobody listens at this socket: only a refused connection proves that.
 pub fn is_abandoned(path: &Path) -> bool {
-    let tried = uninterrupted(|| std::os::unix::net::UnixStream::connect(path));
+    let tried = retry_interrupted(|| std::os::unix::net::UnixStream::connect(path));
     matches!(tried, Err(e) if e.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-pub struct Control {
+pub struct ControlSocket {
     path: PathBuf,
     listener: UnixListener,
     askers: [Option<Asker>; ASKERS],
     ready: bool,
 }
 
-impl Control {
+impl ControlSocket {
     /// A socket that a former process left is taken away; one that somebody listens at is not.
-    pub fn open(path: &Path) -> Result<Control, String> {
+    pub fn open(path: &Path) -> Result<ControlSocket, String> {
         let told = |e: io::Error| format!("members: {}: {e}", path.display());
         if let Ok(found) = std::fs::symlink_metadata(path) {
             if !std::os::unix::fs::FileTypeExt::is_socket(&found.file_type()) {
@@ -49,7 +49,7 @@
         // Whoever may read our own file may ask; nobody else.
         let mode = std::os::unix::fs::PermissionsExt::from_mode(0o600);
         std::fs::set_permissions(path, mode).map_err(told)?;
-        Ok(Control { path: path.to_path_buf(), listener, askers: Default::default(), ready: true })
+        Ok(ControlSocket { path: path.to_path_buf(), listener, askers: Default::default(), ready: true })
     }
 
     pub fn register(&mut self, registry: &Registry) -> io::Result<()> {
@@ -70,7 +70,7 @@
     }
 
     /// Takes in who asks, and writes on to those that read slowly.
-    pub fn turn(&mut self, registry: &Registry, now: f64, report: impl Fn() -> String) {
+    pub fn serve(&mut self, registry: &Registry, now: f64, report: impl Fn() -> String) {
         for _ in 0..ASKERS {
             if !self.ready {
                 break;
--- a/crates/sandstile-router/src/discovery.rs
+++ b/crates/sandstile-router/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::known_hosts::KnownList;
 use crate::list_stream::{Heard, ListStream};
 use crate::lists;
-use crate::mailbox::Post;
+use crate::mailbox::MailboxSender;
 use oorandom::Rand32;
 use sandstile_dispatcher::Update;
 use sandstile_restart_pacing::Lists;
@@ -18,11 +18,11 @@
 use std::time::{Duration, Instant};
 
 /// Where discovery answers, and the watch that is open there. A new configuration can name another address.
-pub struct Agent(Mutex<(SocketAddr, Option<TcpStream>)>);
+pub struct DiscoveryAgent(Mutex<(SocketAddr, Option<TcpStream>)>);
 
-impl Agent {
-    pub fn at(address: SocketAddr) -> Arc<Agent> {
-        Arc::new(Agent(Mutex::new((address, None))))
+impl DiscoveryAgent {
+    pub fn at(address: SocketAddr) -> Arc<DiscoveryAgent> {
+        Arc::new(DiscoveryAgent(Mutex::new((address, None))))
     }
 
     fn held(&self) -> MutexGuard<'_, (SocketAddr, Option<TcpStream>)> {
@@ -53,10 +53,10 @@
 }
 
 pub struct Watcher {
-    pub agent: Arc<Agent>,
+    pub agent: Arc<DiscoveryAgent>,
     pub index: u64,
     pub known: KnownList,
-    pub desk: Post<Update>,
+    pub desk: MailboxSender<Update>,
     pub counters: Arc<Counters>,
     pub log: Logger,
     pub told: BTreeSet<String>,
@@ -66,7 +66,7 @@
     pub longest_pause: Duration,
     pub chance: Rand32,
     /// Dropped once discovery has told a list, or the first call to it has come to nothing.
-    pub first: Option<Post<()>>,
+    pub first: Option<MailboxSender<()>>,
 }
 
 /// How the ending of a call begins that discovery answered with a status of its own.
--- a/crates/sandstile-router/src/errno.rs
+++ b/crates/sandstile-router/src/errno.rs
@@ -65,7 +65,7 @@
 const START_PAUSE: Duration = Duration::from_millis(20);
 
 /// Makes a call of a start again for as long as its failure may pass.
-pub fn patiently<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let give_up_at = Instant::now() + START_PATIENCE;
     loop {
         match call() {
@@ -76,7 +76,7 @@
 }
 
 /// Repeats a call for as long as signals interrupt it.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
--- a/crates/sandstile-router/src/event_loop.rs
+++ b/crates/sandstile-router/src/event_loop.rs
@@ -5,13 +5,13 @@
 use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::close_reason::Closing;
-use crate::control::Control;
+use crate::control::ControlSocket;
 use crate::counters::Counters;
 use crate::errno::AcceptFailure;
 use crate::hosts::{self, Dialled, Hosts};
 use crate::listener::{Accepted, Listener};
-use crate::loop_context::Tools;
-use crate::mailbox::{carried, slot, Bell, Mailbox, Post};
+use crate::loop_context::LoopContext;
+use crate::mailbox::{carried, single_slot_mailbox, Bell, Mailbox, MailboxSender};
 use crate::members::{self, Members};
 use crate::outcome::Ending;
 use crate::rate::Limiter;
@@ -69,7 +69,7 @@
 pub struct Carrier {
     poll: Poll,
     bell: Arc<Bell>,
-    tools: Tools,
+    context: LoopContext,
     /// What is beyond the budget waits in its queue.
     listener: Listener,
     unserved: Option<Unserved>,
@@ -91,7 +91,7 @@
     /// When the window after SIGTERM closes.
     ends_at: f64,
     /// Where sessions are kept, which have a last word to put down.
-    last_word: Option<Post<SessionMessage>>,
+    last_word: Option<MailboxSender<SessionMessage>>,
 }
 
 /// The mailboxes of what is carried, made before the actors that write to them.
@@ -99,9 +99,9 @@
     poll: Poll,
     bell: Arc<Bell>,
     /// For answers that waited for a disk.
-    pub answers: Post<Given>,
+    pub answers: MailboxSender<Given>,
     answer_box: Mailbox<Given>,
-    pub charges: Post<Charge>,
+    pub charges: MailboxSender<Charge>,
     charge_box: Mailbox<Charge>,
 }
 
@@ -115,7 +115,7 @@
     }
 
     /// A mailbox of one of the desk's sources, which whoever writes to it wakes the carrier for.
-    pub fn inlet<T>(&self) -> (Post<T>, Mailbox<T>) {
+    pub fn inlet<T>(&self) -> (MailboxSender<T>, Mailbox<T>) {
         carried(&self.bell)
     }
 }
@@ -134,7 +134,7 @@
     /// How dials are paced, where our own file turns that on.
     pub dials: Option<Dials>,
     pub members: Option<Members>,
-    pub last_word: Option<Post<SessionMessage>>,
+    pub last_word: Option<MailboxSender<SessionMessage>>,
 }
 
 impl Carrier {
@@ -167,10 +167,10 @@
         Ok(Carrier {
             poll,
             bell,
-            tools: Tools {
+            context: LoopContext {
                 registry,
                 clock,
-                told_since: clock.now(),
+                events_since: clock.now(),
                 budget,
                 counters,
                 log,
@@ -205,29 +205,32 @@
         }
         while !self.over() {
             self.sleep(&mut events)?;
-            let woke_at = self.tools.clock.now();
-            self.desk.look(self.tools.clock.now());
+            let woke_at = self.context.clock.now();
+            self.desk.look(self.context.clock.now());
             for event in &events {
                 match event.token() {
                     BELL => {}
-                    DOOR => self.listener.told(self.tools.told_since),
+                    DOOR => self.listener.told(self.context.events_since),
                     members::DATAGRAMS => self.members.iter_mut().for_each(|m| m.set_readable()),
-                    token if Control::is_its(token) => {
-                        self.members.iter_mut().filter_map(|m| m.control.as_mut()).for_each(Control::told);
+                    token if ControlSocket::is_its(token) => {
+                        self.members
+                            .iter_mut()
+                            .filter_map(|m| m.control.as_mut())
+                            .for_each(ControlSocket::told);
                     }
-                    Token(n) if n % 2 == 0 => self.clients.told((n - 2) / 2, event, &mut self.tools),
-                    Token(n) => self.hosts.told((n - 3) / 2, event, &mut self.tools),
+                    Token(n) if n % 2 == 0 => self.clients.told((n - 2) / 2, event, &mut self.context),
+                    Token(n) => self.hosts.told((n - 3) / 2, event, &mut self.context),
                 }
             }
             self.charged();
             if let Some(members) = &mut self.members {
-                members.turn(&self.tools);
+                members.turn(&self.context);
             }
             // Those that have more to do have their next turn behind the others.
-            for _ in 0..self.tools.queue.len() {
-                match self.tools.queue.pop_front() {
-                    Some(Token(n)) if n % 2 == 0 => self.clients.called((n - 2) / 2, &mut self.tools),
-                    Some(Token(n)) => self.hosts.called((n - 3) / 2, &mut self.tools),
+            for _ in 0..self.context.queue.len() {
+                match self.context.queue.pop_front() {
+                    Some(Token(n)) if n % 2 == 0 => self.clients.called((n - 2) / 2, &mut self.context),
+                    Some(Token(n)) => self.hosts.called((n - 3) / 2, &mut self.context),
                     None => break,
                 }
             }
@@ -243,18 +246,18 @@
 
     /// Keeps the longest turn, and says of one that was long enough to be felt by clients.
     fn note_turn(&mut self, woke_at: f64, events: usize) {
-        let now = self.tools.clock.now();
-        self.tools.counters.longest_turn_ms.at_least_ms(now - woke_at);
+        let now = self.context.clock.now();
+        self.context.counters.longest_turn_ms.at_least_ms(now - woke_at);
         if now - woke_at >= LONG_TURN && self.long_turns.admits(now, ()) {
-            info!(self.tools.log, "a long turn"; "ms" => format!("{:.0}", (now - woke_at) * 1e3), "events" => events,
-                "statements" => self.desk.open(), "lines_behind" => self.tools.queue.len());
+            info!(self.context.log, "a long turn"; "ms" => format!("{:.0}", (now - woke_at) * 1e3), "events" => events,
+                "statements" => self.desk.open(), "lines_behind" => self.context.queue.len());
         }
     }
 
     fn busy(&self) -> bool {
         let mail = !self.mail.is_empty() || self.desk.pending() || !self.answers.is_empty();
         let letters = self.members.as_ref().is_some_and(|m| m.busy());
-        mail || letters || !self.tools.queue.is_empty() || !self.charges.is_empty() || self.accepts()
+        mail || letters || !self.context.queue.is_empty() || !self.charges.is_empty() || self.accepts()
     }
 
     fn sleep(&mut self, events: &mut Events) -> io::Result<()> {
@@ -264,20 +267,20 @@
         } else {
             // Once the window has closed there is nothing left to wake for: a time that has passed would spin.
             let window = if self.closing { f64::INFINITY } else { self.ends_at };
-            let mut due = self.desk.due(self.tools.clock.now()).min(window).min(self.hosts.due());
+            let mut due = self.desk.due(self.context.clock.now()).min(window).min(self.hosts.due());
             due = due.min(self.members.as_ref().map_or(f64::INFINITY, |m| m.due()));
-            due = due.min(self.tools.timers.earliest().unwrap_or(f64::INFINITY));
+            due = due.min(self.context.timers.earliest().unwrap_or(f64::INFINITY));
             due = due.min(self.accept_due());
-            due.is_finite().then(|| self.tools.clock.until(due))
+            due.is_finite().then(|| self.context.clock.until(due))
         };
         let (told_all, polled_at) = (events.iter().count() < MOST_EVENTS, self.polled_at);
         let polled = self.poll.poll(events, limit);
         self.bell.wakes();
-        self.polled_at = self.tools.clock.now();
+        self.polled_at = self.context.clock.now();
         if told_all {
             // A loop that slept was woken by what came; one that did not finds all that came since it last looked.
             let slept = limit != Some(Duration::ZERO);
-            self.tools.told_since = if slept { self.polled_at } else { polled_at };
+            self.context.events_since = if slept { self.polled_at } else { polled_at };
         }
         match polled {
             Err(e) if e.kind() == ErrorKind::Interrupted => {
@@ -291,17 +294,17 @@
     /// The desk takes all that waits, and what its sources have to tell where `asks` says so, and lets the decisions say
     /// what follows; `false` where there was nothing to do.
     fn decide(&mut self, asks: bool) -> bool {
-        let mut took = asks && self.desk.ask(self.tools.clock.now());
+        let mut took = asks && self.desk.ask(self.context.clock.now());
         while let Some(mail) = self.mail.try_recv() {
-            self.desk.take(self.tools.clock.now(), mail);
+            self.desk.take(self.context.clock.now(), mail);
             took = true;
         }
-        let worked = self.desk.turn(self.tools.clock.now(), took);
+        let worked = self.desk.turn(self.context.clock.now(), took);
         for said in self.desk.take_said() {
             match said {
-                Said::StoodStill(_) => warn!(self.tools.log, "{said}"),
-                step if step.is_step() => debug!(self.tools.log, "{step}"),
-                _ => info!(self.tools.log, "{said}"),
+                Said::StoodStill(_) => warn!(self.context.log, "{said}"),
+                step if step.is_step() => debug!(self.context.log, "{step}"),
+                _ => info!(self.context.log, "{said}"),
             }
         }
         worked
@@ -313,20 +316,20 @@
         for round in 0..ROUNDS {
             let mut worked = self.decide(round == 0);
             while let Some(order) = self.desk.next_order() {
-                self.hosts.order(order, &mut self.tools);
+                self.hosts.order(order, &mut self.context);
                 worked = true;
             }
             while !self.yields_to_queue()
-                && self.hosts.wanting(self.tools.clock.now())
+                && self.hosts.wanting(self.context.clock.now())
                 && self.claim(Holder::Link)
             {
-                if self.hosts.dial(&mut self.tools) == Dialled::DescriptorsSpent {
+                if self.hosts.dial(&mut self.context) == Dialled::DescriptorsSpent {
                     self.make_room();
                 }
                 worked = true;
             }
             while let Some(given) = self.desk.next_answer().or_else(|| self.answers.try_recv()) {
-                self.clients.answer(given, &mut self.tools);
+                self.clients.answer(given, &mut self.context);
                 worked = true;
             }
             if !worked {
@@ -336,12 +339,12 @@
     }
 
     fn timers(&mut self) {
-        let now = self.tools.clock.now();
-        while let Some((at, Token(n))) = self.tools.timers.pop(now) {
+        let now = self.context.clock.now();
+        while let Some((at, Token(n))) = self.context.timers.pop(now) {
             match n {
-                n if n >= hosts::HOSTS => self.hosts.host_timer(n - hosts::HOSTS, at, &mut self.tools),
-                n if n % 2 == 0 => self.clients.timer((n - 2) / 2, at, &mut self.tools),
-                n => self.hosts.timer((n - 3) / 2, at, &mut self.tools),
+                n if n >= hosts::HOSTS => self.hosts.host_timer(n - hosts::HOSTS, at, &mut self.context),
+                n if n % 2 == 0 => self.clients.timer((n - 2) / 2, at, &mut self.context),
+                n => self.hosts.timer((n - 3) / 2, at, &mut self.context),
             }
         }
         if self.ends_at <= now && !self.closing {
@@ -349,14 +352,14 @@
             self.closing = true;
             self.listener.look();
             self.accept();
-            self.clients.dismiss(&mut self.tools);
+            self.clients.dismiss(&mut self.context);
         }
     }
 
     fn charged(&mut self) {
         while let Some(charge) = self.charges.try_recv() {
             match charge {
-                Charge::End => self.ends_at = self.ends_at.min(self.tools.clock.now() + WINDOW),
+                Charge::End => self.ends_at = self.ends_at.min(self.context.clock.now() + WINDOW),
                 Charge::Keys(keys) => self.members.iter_mut().for_each(|m| m.rotate(keys.clone())),
             }
         }
@@ -365,12 +368,12 @@
     /// A descriptor, in place of idle ones if need be. Each goes at once, unless something has just come for it.
     fn claim(&mut self, holder: Holder) -> bool {
         loop {
-            match self.tools.budget.claim(holder) {
+            match self.context.budget.claim(holder) {
                 Claim::Granted => return true,
                 Claim::Evict(Holder::Link, key) => {
-                    self.hosts.leave(key, Ending::IdleEvicted, &mut self.tools);
+                    self.hosts.leave(key, Ending::IdleEvicted, &mut self.context);
                 }
-                Claim::Evict(_, key) => self.clients.leave(key, &mut self.tools),
+                Claim::Evict(_, key) => self.clients.leave(key, &mut self.context),
                 Claim::Full => return false,
             }
         }
@@ -382,18 +385,18 @@
             return Admission::Wait;
         }
         let serves = !self.clients.has_resting_strangers();
-        self.tools.budget.admission(serves, now >= self.listener.refused_at())
+        self.context.budget.admission(serves, now >= self.listener.refused_at())
     }
 
     /// Whether one more client can be taken in now, be it to refuse its statement.
     fn has_room(&self, now: f64) -> bool {
-        let fits = self.unserved.is_some() || self.tools.budget.could(Holder::Client);
+        let fits = self.unserved.is_some() || self.context.budget.could(Holder::Client);
         fits || self.admission(now) != Admission::Wait
     }
 
     /// When a connection is to be looked for though nothing is told.
     fn accept_due(&self) -> f64 {
-        let now = self.tools.clock.now();
+        let now = self.context.clock.now();
         if self.has_room(now) {
             return self.listener.due();
         }
@@ -404,14 +407,14 @@
 
     /// Whether the next descriptor that comes free is for what waits in the queue, and not for a link.
     fn yields_to_queue(&self) -> bool {
-        let overdue = self.tools.clock.now() >= self.listener.overdue_at();
-        let serves = !self.clients.has_resting_strangers() && self.tools.budget.below_bound();
+        let overdue = self.context.clock.now() >= self.listener.overdue_at();
+        let serves = !self.clients.has_resting_strangers() && self.context.budget.below_bound();
         overdue && serves && self.listener.is_open()
     }
 
     /// Whether a connection could be taken in now, should one wait.
     fn accepts(&self) -> bool {
-        let now = self.tools.clock.now();
+        let now = self.context.clock.now();
         self.listener.wants(now) && self.has_room(now)
     }
 
@@ -423,7 +426,7 @@
             let Some(next) = self.unserved.take().or_else(|| self.accept_next()) else { continue };
             self.serve(next);
         }
-        let now = self.tools.clock.now();
+        let now = self.context.clock.now();
         if !self.has_room(now) {
             self.listener.hold_up(now);
         }
@@ -431,15 +434,15 @@
 
     /// The next connection of the queue, counted in the budget.
     fn accept_next(&mut self) -> Option<Unserved> {
-        let now = self.tools.clock.now();
-        match self.listener.accept(&self.tools.registry, now) {
+        let now = self.context.clock.now();
+        match self.listener.accept(&self.context.registry, now) {
             Accepted::Connection(stream, waited_since) => {
-                self.tools.counters.connections.add();
-                self.tools.counters.longest_accept_wait_ms.at_least_ms(now - waited_since);
+                self.context.counters.connections.add();
+                self.context.counters.longest_accept_wait_ms.at_least_ms(now - waited_since);
                 let refused =
                     !self.claim(Holder::Client) && self.claim_beyond_share(now) == Admission::Refuse;
-                if let Some(key) = self.tools.budget.surplus() {
-                    self.clients.leave(key, &mut self.tools);
+                if let Some(key) = self.context.budget.surplus() {
+                    self.clients.leave(key, &mut self.context);
                 }
                 Some(Unserved { stream, waited_since, give_up_at: now + SETUP_PATIENCE, refused })
             }
@@ -461,28 +464,28 @@
     fn claim_beyond_share(&mut self, now: f64) -> Admission {
         let admission = self.admission(now);
         match admission {
-            Admission::Refuse => self.tools.budget.take_refused(),
+            Admission::Refuse => self.context.budget.take_refused(),
             Admission::Serve => self.claim_in_place_of_links(),
             // Those that were to go had just asked something: it is one more for a moment.
-            Admission::Wait => self.tools.budget.take(Holder::Client),
+            Admission::Wait => self.context.budget.take(Holder::Client),
         }
         admission
     }
 
     fn claim_in_place_of_links(&mut self) {
         loop {
-            match self.tools.budget.claim_beyond_share() {
+            match self.context.budget.claim_beyond_share() {
                 Claim::Granted => return,
-                Claim::Evict(_, key) => self.hosts.leave(key, Ending::IdleEvicted, &mut self.tools),
-                Claim::Full => return self.tools.budget.take(Holder::Client),
+                Claim::Evict(_, key) => self.hosts.leave(key, Ending::IdleEvicted, &mut self.context),
+                Claim::Full => return self.context.budget.take(Holder::Client),
             }
         }
     }
 
     fn accept_failed(&mut self, now: f64, failure: AcceptFailure, error: &io::Error) {
-        self.tools.counters.accept_errors.add();
+        self.context.counters.accept_errors.add();
         if self.accept_failures.admits(now, failure) {
-            warn!(self.tools.log, "accept: {error}"; "failure" => ?failure);
+            warn!(self.context.log, "accept: {error}"; "failure" => ?failure);
         }
         // Once may be a moment's trouble; the budget keeps this process well below its limit.
         if failure == AcceptFailure::DescriptorsSpent && self.listener.failures() >= FAILURES_TO_EVICT {
@@ -492,18 +495,19 @@
 
     /// The oldest idle connection goes: the platform gives fewer descriptors than were promised.
     fn make_room(&mut self) {
-        match self.tools.budget.oldest() {
-            Some((Holder::Link, key)) => self.hosts.leave(key, Ending::IdleEvicted, &mut self.tools),
-            Some((_, key)) => self.clients.leave(key, &mut self.tools),
+        match self.context.budget.oldest() {
+            Some((Holder::Link, key)) => self.hosts.leave(key, Ending::IdleEvicted, &mut self.context),
+            Some((_, key)) => self.clients.leave(key, &mut self.context),
             None => {}
         }
     }
 
     /// Hands a connection over to the clients, or keeps it for another try.
     fn serve(&mut self, next: Unserved) {
-        let now = self.tools.clock.now();
+        let now = self.context.clock.now();
         let Unserved { stream, waited_since, give_up_at, refused } = next;
-        let Err((stream, error)) = self.clients.accept(stream, waited_since, refused, &mut self.tools) else {
+        let Err((stream, error)) = self.clients.accept(stream, waited_since, refused, &mut self.context)
+        else {
             return;
         };
         if now < give_up_at {
@@ -512,11 +516,11 @@
             self.unserved = Some(Unserved { stream, waited_since, give_up_at, refused });
         } else {
             match refused {
-                true => self.tools.budget.release_refused(),
-                false => self.tools.budget.release(Holder::Client),
+                true => self.context.budget.release_refused(),
+                false => self.context.budget.release(Holder::Client),
             }
-            self.tools.counters.closed(Closing::ClientSetupFailed);
-            warn!(self.tools.log, "client not served: {error}");
+            self.context.counters.closed(Closing::ClientSetupFailed);
+            warn!(self.context.log, "client not served: {error}");
         }
     }
 
@@ -526,14 +530,14 @@
 
     /// All is answered: what is remembered of sessions is whole, and is put down as that.
     fn end(&mut self) {
-        let (done, last) = slot::<()>();
+        let (done, last) = single_slot_mailbox::<()>();
         if self.last_word.as_ref().is_some_and(|words| words.send(SessionMessage::End(done))) {
             self.decide(true);
             let _ = last.recv(Some(LAST_WORD));
         }
         if let Some(members) = &mut self.members {
-            members.leave(self.tools.clock.now());
+            members.leave(self.context.clock.now());
         }
-        info!(self.tools.log, "all answered");
+        info!(self.context.log, "all answered");
     }
 }
--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -1,8 +1,8 @@
 //! Instances tell each other what sessions have seen: each dials those that our own file names and tells them, and
 //! listens to whoever dials it. Plain threads round the frames of `sandstile-exchange`; off without our own file.
-use crate::errno::uninterrupted;
+use crate::errno::retry_interrupted;
 use crate::local_config::Exchange;
-use crate::mailbox::{narrow, Post};
+use crate::mailbox::{bounded_mailbox, MailboxSender};
 use crate::session_messages::{SessionMessage, Telling};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
@@ -45,7 +45,7 @@
     /// Where this one is found itself, where state is kept with others: of many members it tells those that are near.
     near: Option<SocketAddr>,
     secret: [u8; 32],
-    desk: Post<SessionMessage>,
+    desk: MailboxSender<SessionMessage>,
     log: Logger,
 }
 
@@ -77,7 +77,7 @@
             let (name, secret, desk, log) =
                 (self.name.clone(), self.secret, self.desk.clone(), self.log.clone());
             let over = ends.clone();
-            let begun = threads::begin("tell", move || {
+            let begun = threads::spawn_detached("tell", move || {
                 while !over.load(SeqCst) {
                     // Whatever ends it, the next time begins with a snapshot.
                     if let Ok(true) = tell(peer, &name, &secret, &desk, &over, &log) {
@@ -101,14 +101,14 @@
     life: u64,
     keeps: bool,
     secrets: Vec<[u8; 32]>,
-    desk: Post<SessionMessage>,
+    desk: MailboxSender<SessionMessage>,
     log: &Logger,
 ) -> Result<ExchangePeers, String> {
     let name = format!("{}#{life}", name.chars().take(40).collect::<String>());
     let name = &if keeps { keeping(&name) } else { name };
     let listener = TcpListener::bind(plan.listen).map_err(|e| format!("exchange: {}: {e}", plan.listen))?;
     let (own, keys, to_desk, own_log) = (name.to_string(), secrets.clone(), desk.clone(), log.clone());
-    threads::begin("exchange", move || accept(&listener, &own, &keys, &to_desk, &own_log))?;
+    threads::spawn_detached("exchange", move || accept(&listener, &own, &keys, &to_desk, &own_log))?;
     let mut exchange_peers = ExchangePeers {
         named: plan.peers.iter().copied().collect(),
         told: BTreeMap::new(),
@@ -124,7 +124,7 @@
 
 /// A listener says nothing after its greeting.
 fn there(stream: &TcpStream) -> bool {
-    let look = stream.set_nonblocking(true).and_then(|()| uninterrupted(|| stream.peek(&mut [0])));
+    let look = stream.set_nonblocking(true).and_then(|()| retry_interrupted(|| stream.peek(&mut [0])));
     let back = stream.set_nonblocking(false);
     matches!(look, Err(e) if e.kind() == io::ErrorKind::WouldBlock) && back.is_ok()
 }
@@ -144,7 +144,7 @@
     listener: &TcpListener,
     name: &str,
     secrets: &[[u8; 32]],
-    desk: &Post<SessionMessage>,
+    desk: &MailboxSender<SessionMessage>,
     log: &Logger,
 ) {
     let tellers = Arc::new(AtomicUsize::new(0));
@@ -167,7 +167,7 @@
             }
             here.fetch_sub(1, SeqCst);
         };
-        if threads::begin("hear", listen).is_err() {
+        if threads::spawn_detached("hear", listen).is_err() {
             tellers.fetch_sub(1, SeqCst);
         }
     }
@@ -178,7 +178,7 @@
     stream: &mut TcpStream,
     secrets: &[[u8; 32]],
     nonce: &[u8; 16],
-    desk: &Post<SessionMessage>,
+    desk: &MailboxSender<SessionMessage>,
 ) -> io::Result<()> {
     let mut listener = Listener::new(secrets, nonce);
     let mut from = None;
@@ -186,7 +186,7 @@
     // A stranger has to prove itself soon; one that has may be silent for as long as nobody writes.
     stream.set_read_timeout(Some(PATIENCE))?;
     loop {
-        let n = uninterrupted(|| stream.read(&mut bytes))?;
+        let n = retry_interrupted(|| stream.read(&mut bytes))?;
         if n == 0 {
             return Ok(());
         }
@@ -198,7 +198,7 @@
                 stream.set_read_timeout(None)?;
             }
             // One that tells faster than is heard waits in its own stream, and fills no memory here.
-            while desk.waiting() > MOST_HEARD {
+            while desk.queued() > MOST_HEARD {
                 thread::sleep(BREATH);
             }
             if let Some(from) = &from {
@@ -213,7 +213,7 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    desk: &Post<SessionMessage>,
+    desk: &MailboxSender<SessionMessage>,
     over: &AtomicBool,
     log: &Logger,
 ) -> io::Result<bool> {
@@ -230,7 +230,7 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    desk: &Post<SessionMessage>,
+    desk: &MailboxSender<SessionMessage>,
     over: &AtomicBool,
     log: &Logger,
     whom: &mut Option<String>,
@@ -245,7 +245,7 @@
         if let Some((nonce, to, _)) = read_greeting(&buf).map_err(wrong)? {
             break (nonce, to);
         }
-        let n = uninterrupted(|| stream.read(&mut bytes))?;
+        let n = retry_interrupted(|| stream.read(&mut bytes))?;
         if n == 0 {
             return Ok(false);
         }
@@ -253,7 +253,7 @@
     };
     let mut teller = Teller::new(secret, &nonce);
     stream.write_all(&teller.who(name))?;
-    let (outlet, tellings) = narrow(MOST_WAITING);
+    let (outlet, tellings) = bounded_mailbox(MOST_WAITING);
     *whom = Some(to.clone());
     desk.send(SessionMessage::Tell(to.clone(), outlet));
     loop {
--- a/crates/sandstile-router/src/hosts.rs
+++ b/crates/sandstile-router/src/hosts.rs
@@ -3,8 +3,8 @@
 use crate::counters::Counters;
 use crate::dialling::{dial_ending, is_up};
 use crate::errno::{accept_failure, is_local, AcceptFailure};
-use crate::loop_context::{Tools, TURN};
-use crate::mailbox::Post;
+use crate::loop_context::{LoopContext, TURN};
+use crate::mailbox::MailboxSender;
 use crate::outcome::{Ending, Outcome};
 use crate::pool::{Found, Free, Pool, Step};
 use crate::socket::{Moved, Wire};
@@ -58,7 +58,7 @@
 pub struct Hosts {
     hosts: Vec<Option<Host>>,
     seats: Slab<Seat>,
-    desk: Post<Mail>,
+    desk: MailboxSender<Mail>,
     counters: Arc<Counters>,
     log: Logger,
     /// Links that wait for a descriptor, with where they go.
@@ -102,7 +102,7 @@
 
 impl Hosts {
     pub fn new(
-        desk: Post<Mail>,
+        desk: MailboxSender<Mail>,
         counters: Arc<Counters>,
         log: Logger,
         dial_limit: f64,
@@ -129,36 +129,36 @@
         self.hosts.get_mut(host).and_then(Option::as_mut).expect("a pool for each host")
     }
 
-    pub fn order(&mut self, order: Order, tools: &mut Tools) {
+    pub fn order(&mut self, order: Order, context: &mut LoopContext) {
         match order {
-            Order::Known { host, name, address } => self.known(host, &name, address, tools),
+            Order::Known { host, name, address } => self.known(host, &name, address, context),
             Order::End(host) => {
                 let links: Vec<usize> = self.host(host).pool.links().collect();
-                links.into_iter().for_each(|key| self.close(key, tools));
+                links.into_iter().for_each(|key| self.close(key, context));
                 self.hosts[host] = None;
                 self.counters.hosts.less();
                 if let Some(dials) = &mut self.dials {
                     dials.forget(host);
                 }
             }
-            Order::Do(host, job) => self.begin(host, job, tools),
+            Order::Do(host, job) => self.begin(host, job, context),
             Order::Probe(host) => {
                 self.counters.probes.add();
-                let until = tools.clock.now() + self.dial_limit;
-                self.begin(host, Job { errand: Errand::Probe, until }, tools);
+                let until = context.clock.now() + self.dial_limit;
+                self.begin(host, Job { errand: Errand::Probe, until }, context);
             }
-            Order::Recall { host, stmt, execution } => self.recall(host, (stmt, execution), true, tools),
-            Order::Unsend { host, stmt, execution } => self.recall(host, (stmt, execution), false, tools),
+            Order::Recall { host, stmt, execution } => self.recall(host, (stmt, execution), true, context),
+            Order::Unsend { host, stmt, execution } => self.recall(host, (stmt, execution), false, context),
             Order::Sharers(n) => {
                 if let Some(dials) = &mut self.dials {
                     dials.shared_by(n);
                 }
             }
         }
-        self.act(tools);
+        self.act(context);
     }
 
-    fn known(&mut self, host: usize, name: &str, address: Option<SocketAddr>, tools: &mut Tools) {
+    fn known(&mut self, host: usize, name: &str, address: Option<SocketAddr>, context: &mut LoopContext) {
         if self.hosts.len() <= host {
             self.hosts.resize_with(host + 1, || None);
         }
@@ -177,19 +177,19 @@
         }
         for key in links {
             self.counters.ended(Ending::Moved);
-            self.close(key, tools);
+            self.close(key, context);
         }
         for _ in 0..self.dials.as_ref().map_or(0, Dials::at_once) {
-            self.want(host, address, tools);
+            self.want(host, address, context);
         }
     }
 
     /// One more link is to be dialled.
-    fn want(&mut self, host: usize, address: SocketAddr, tools: &Tools) {
+    fn want(&mut self, host: usize, address: SocketAddr, context: &LoopContext) {
         self.counters.dialled.add();
-        let line = Link::wanted(tools.clock.now() + self.dial_limit, self.dial_limit);
+        let line = Link::wanted(context.clock.now() + self.dial_limit, self.dial_limit);
         let (armed, idle, began, held) = (f64::INFINITY, None, None, false);
-        let wanted_at = tools.clock.now();
+        let wanted_at = context.clock.now();
         let (wire, queued, local_until) = (None, false, None);
         let seat = Seat { host, line, wire, queued, armed, idle, began, wanted_at, held, local_until };
         let key = self.seats.insert(seat);
@@ -198,24 +198,24 @@
     }
 
     /// A job takes an idle link, if that is still of use, or waits for a dial.
-    fn begin(&mut self, host: usize, mut job: Job, tools: &mut Tools) {
+    fn begin(&mut self, host: usize, mut job: Job, context: &mut LoopContext) {
         loop {
             match self.host(host).pool.begin(job) {
                 Step::Hand(key, handed) => {
-                    self.wake(key, tools);
+                    self.wake(key, context);
                     if self.quiet(key) {
-                        return self.hand(key, handed, tools);
+                        return self.hand(key, handed, context);
                     }
                     self.host(host).pool.stale(key);
                     self.counters.ended(Ending::IdleEnded);
-                    self.close(key, tools);
+                    self.close(key, context);
                     job = handed;
                 }
                 Step::Dial(address) => {
-                    self.want(host, address, tools);
+                    self.want(host, address, context);
                     return;
                 }
-                Step::End(job, ending) => return self.report(host, job, ending.into(), tools),
+                Step::End(job, ending) => return self.report(host, job, ending.into(), context),
             }
         }
     }
@@ -225,34 +225,34 @@
     }
 
     /// Strikes an idle link's record out.
-    fn wake(&mut self, key: usize, tools: &mut Tools) {
+    fn wake(&mut self, key: usize, context: &mut LoopContext) {
         if let Some(rest) = self.seats[key].idle.take() {
-            tools.budget.strike(rest);
+            context.budget.strike(rest);
         }
     }
 
-    fn hand(&mut self, key: usize, job: Job, tools: &mut Tools) {
+    fn hand(&mut self, key: usize, job: Job, context: &mut LoopContext) {
         if job.which().is_some() {
             self.counters.sent.add();
         }
-        if let Some(event) = self.seats[key].line.begin(tools.clock.now(), job) {
+        if let Some(event) = self.seats[key].line.begin(context.clock.now(), job) {
             self.events.push_back((key, event));
         }
-        self.run(key, tools);
+        self.run(key, context);
     }
 
     /// Ends an execution that waits for a link, and, where `sent` says so, one that is under way.
-    fn recall(&mut self, host: usize, which: (u64, usize), sent: bool, tools: &mut Tools) {
+    fn recall(&mut self, host: usize, which: (u64, usize), sent: bool, context: &mut LoopContext) {
         match self.host(host).pool.find(which) {
-            Found::Waiting(job) => self.report(host, job, Ending::WithdrawnUnsent.into(), tools),
+            Found::Waiting(job) => self.report(host, job, Ending::WithdrawnUnsent.into(), context),
             Found::Under(key) if sent => {
                 // An answer that has come by now counts: nobody has to wonder then whether it ran.
                 if let Some(wire) = &mut self.seats[key].wire {
                     wire.look();
                 }
-                self.run(key, tools);
+                self.run(key, context);
                 let Some(seat) = self.seats.get_mut(key) else { return };
-                if let Some(event) = seat.line.withdraw(which, &mut tools.budget) {
+                if let Some(event) = seat.line.withdraw(which, &mut context.budget) {
                     self.events.push_back((key, event));
                 }
             }
@@ -317,19 +317,19 @@
     }
 
     /// Dials it; a descriptor has been counted for it.
-    pub fn dial(&mut self, tools: &mut Tools) -> Dialled {
+    pub fn dial(&mut self, context: &mut LoopContext) -> Dialled {
         let Some((key, address)) = self.wanted.pop_front() else { return Dialled::Failed };
         let dialled = TcpStream::connect(address).and_then(|stream| {
             // Without it statements may go out a little later.
             let _ = stream.set_nodelay(true);
-            Wire::new(&tools.registry, stream, token(key), false).map_err(|(_, e)| e)
+            Wire::new(&context.registry, stream, token(key), false).map_err(|(_, e)| e)
         });
-        let now = tools.clock.now();
+        let now = context.clock.now();
         let seat = &mut self.seats[key];
         self.counters.longest_dial_wait_ms.at_least_ms(now - seat.wanted_at);
         if let Some(e) = dialled.as_ref().err().filter(|e| is_local(e)) {
             if now < *seat.local_until.get_or_insert(now + LOCAL_PATIENCE) {
-                return self.dial_again(key, address, e, tools);
+                return self.dial_again(key, address, e, context);
             }
         }
         if let Some(dials) = &mut self.dials {
@@ -343,14 +343,14 @@
             Ok(mut wire) => {
                 wire.moved(now);
                 seat.wire = Some(wire);
-                self.arm(key, tools);
+                self.arm(key, context);
                 Dialled::Begun
             }
             Err(e) => {
-                tools.budget.release(Holder::Link);
+                context.budget.release(Holder::Link);
                 let event = seat.line.failed(dial_ending(&e));
                 self.events.extend(event.map(|event| (key, event)));
-                self.act(tools);
+                self.act(context);
                 Dialled::Failed
             }
         }
@@ -362,122 +362,122 @@
         key: usize,
         address: SocketAddr,
         error: &std::io::Error,
-        tools: &mut Tools,
+        context: &mut LoopContext,
     ) -> Dialled {
-        tools.budget.release(Holder::Link);
-        tools.counters.dials_repeated.add();
+        context.budget.release(Holder::Link);
+        context.counters.dials_repeated.add();
         let host = self.seats[key].host;
         debug!(self.host(host).log, "dialled again soon: {error}");
         self.wanted.push_front((key, address));
-        self.paused_until = tools.clock.now() + LOCAL_PAUSE;
+        self.paused_until = context.clock.now() + LOCAL_PAUSE;
         match accept_failure(error) {
             AcceptFailure::DescriptorsSpent => Dialled::DescriptorsSpent,
             _ => Dialled::Failed,
         }
     }
 
-    pub fn told(&mut self, key: usize, event: &mio::event::Event, tools: &mut Tools) {
+    pub fn told(&mut self, key: usize, event: &mio::event::Event, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key) else { return };
         let Some(wire) = &mut seat.wire else { return };
         wire.told(event);
-        self.queue(key, tools);
+        self.queue(key, context);
     }
 
-    fn queue(&mut self, key: usize, tools: &mut Tools) {
+    fn queue(&mut self, key: usize, context: &mut LoopContext) {
         let seat = &mut self.seats[key];
         if !std::mem::replace(&mut seat.queued, true) {
-            tools.queue.push_back(token(key));
+            context.queue.push_back(token(key));
         }
     }
 
-    pub fn called(&mut self, key: usize, tools: &mut Tools) {
+    pub fn called(&mut self, key: usize, context: &mut LoopContext) {
         if let Some(seat) = self.seats.get_mut(key) {
             seat.queued = false;
-            self.run(key, tools);
-            self.act(tools);
+            self.run(key, context);
+            self.act(context);
         }
     }
 
     /// A timer that may be this link's. What has come meanwhile is taken first.
-    pub fn timer(&mut self, key: usize, at: f64, tools: &mut Tools) {
+    pub fn timer(&mut self, key: usize, at: f64, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.armed == at) else { return };
         seat.armed = f64::INFINITY;
-        let now = tools.clock.now();
+        let now = context.clock.now();
         let (time_up, look) = (seat.line.due() <= now, seat.look_due() <= now);
         if time_up || look {
             if let Some(wire) = &mut seat.wire {
                 wire.look_again(now);
                 wire.look();
             }
-            self.run(key, tools);
+            self.run(key, context);
             if let Some(seat) = self.seats.get_mut(key) {
-                if let Some(event) = seat.line.time(tools.clock.now(), &mut tools.budget) {
+                if let Some(event) = seat.line.time(context.clock.now(), &mut context.budget) {
                     self.events.push_back((key, event));
                 }
             }
-            self.act(tools);
+            self.act(context);
         }
         if self.seats.contains(key) {
-            self.arm(key, tools);
+            self.arm(key, context);
         }
     }
 
     /// A timer that may be this host's: closes what has rested too long.
-    pub fn host_timer(&mut self, host: usize, at: f64, tools: &mut Tools) {
-        let before = tools.clock.now() - self.rest_limit;
+    pub fn host_timer(&mut self, host: usize, at: f64, context: &mut LoopContext) {
+        let before = context.clock.now() - self.rest_limit;
         let Some(h) = self.hosts.get_mut(host).and_then(Option::as_mut).filter(|h| h.armed == at) else {
             return;
         };
         h.armed = f64::INFINITY;
         while let Some((key, _)) = self.host(host).pool.oldest().filter(|(_, since)| *since <= before) {
-            self.leave(key, Ending::IdleExpired, tools);
+            self.leave(key, Ending::IdleExpired, context);
         }
-        self.arm_host(host, tools);
+        self.arm_host(host, context);
     }
 
-    fn arm_host(&mut self, host: usize, tools: &mut Tools) {
+    fn arm_host(&mut self, host: usize, context: &mut LoopContext) {
         let limit = self.rest_limit;
         let h = self.host(host);
         let due = h.pool.oldest().map_or(f64::INFINITY, |(_, since)| since + limit);
         if due < h.armed {
             h.armed = due;
-            tools.timers.push(due, Token(HOSTS + host));
+            context.timers.push(due, Token(HOSTS + host));
         }
     }
 
-    fn arm(&mut self, key: usize, tools: &mut Tools) {
+    fn arm(&mut self, key: usize, context: &mut LoopContext) {
         let seat = &mut self.seats[key];
         let due = seat.line.due().min(seat.look_due());
         if due < seat.armed {
             seat.armed = due;
-            tools.timers.push(due, token(key));
+            context.timers.push(due, token(key));
         }
     }
 
     /// An idle link goes, for whatever reason of this machine.
-    pub fn leave(&mut self, key: usize, ending: Ending, tools: &mut Tools) {
+    pub fn leave(&mut self, key: usize, ending: Ending, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.line.idle()) else { return };
         seat.line.leave();
         let host = seat.host;
         self.host(host).pool.left(key);
         self.counters.ended(ending);
-        self.close(key, tools);
+        self.close(key, context);
     }
 
-    fn close(&mut self, key: usize, tools: &mut Tools) {
+    fn close(&mut self, key: usize, context: &mut LoopContext) {
         let Some(mut seat) = self.seats.try_remove(key) else { return };
         if let Some(rest) = seat.idle {
-            tools.budget.strike(rest);
+            context.budget.strike(rest);
         }
-        seat.line.release(&mut tools.budget);
+        seat.line.release(&mut context.budget);
         if let Some(wire) = seat.wire {
-            wire.close(&tools.registry);
-            tools.budget.release(Holder::Link);
+            wire.close(&context.registry);
+            context.budget.release(Holder::Link);
         }
     }
 
     /// As much as one link may do before the others have their turn.
-    fn run(&mut self, key: usize, tools: &mut Tools) {
+    fn run(&mut self, key: usize, context: &mut LoopContext) {
         for turn in 0.. {
             let Some(seat) = self.seats.get_mut(key) else { return };
             let Some(wire) = &mut seat.wire else { return };
@@ -502,27 +502,27 @@
             match wire.write(seat.line.out()) {
                 Moved::Bytes(put) => {
                     seat.line.wrote(put);
-                    wire.moved(tools.clock.now());
+                    wire.moved(context.clock.now());
                     moved = true;
                 }
-                Moved::Later => wire.moved(tools.clock.now()),
-                Moved::Ended | Moved::Broken(_) => event = event.or(seat.line.closed(&mut tools.budget)),
+                Moved::Later => wire.moved(context.clock.now()),
+                Moved::Ended | Moved::Broken(_) => event = event.or(seat.line.closed(&mut context.budget)),
                 Moved::Nothing => {}
             }
             if event.is_none() {
-                let wants = seat.line.wants().min(tools.scratch.len());
-                match wire.read(&mut tools.scratch[..wants]) {
+                let wants = seat.line.wants().min(context.scratch.len());
+                match wire.read(&mut context.scratch[..wants]) {
                     Moved::Bytes(got) => {
-                        let now = tools.clock.now();
+                        let now = context.clock.now();
                         if wire.unannounced() {
-                            tools.counters.found_by_look.add();
+                            context.counters.found_by_look.add();
                         }
                         wire.moved(now);
-                        event = seat.line.bytes(now, &tools.scratch[..got], &mut tools.budget);
+                        event = seat.line.bytes(now, &context.scratch[..got], &mut context.budget);
                         moved = true;
                     }
-                    Moved::Later => wire.moved(tools.clock.now()),
-                    Moved::Ended | Moved::Broken(_) => event = seat.line.closed(&mut tools.budget),
+                    Moved::Later => wire.moved(context.clock.now()),
+                    Moved::Ended | Moved::Broken(_) => event = seat.line.closed(&mut context.budget),
                     Moved::Nothing => {}
                 }
             }
@@ -534,35 +534,35 @@
                 break;
             }
             if turn >= TURN {
-                self.queue(key, tools);
+                self.queue(key, context);
                 break;
             }
         }
         if self.seats.contains(key) {
-            self.arm(key, tools);
+            self.arm(key, context);
         }
     }
 
     /// Acts on what has happened to links until nothing more follows from it.
-    fn act(&mut self, tools: &mut Tools) {
+    fn act(&mut self, context: &mut LoopContext) {
         while let Some((key, event)) = self.events.pop_front() {
             let Some(seat) = self.seats.get(key) else { continue };
             let host = seat.host;
             match event {
                 Event::Up => {
-                    self.dialled(key, None, tools.clock.now());
+                    self.dialled(key, None, context.clock.now());
                     if self.quiet(key) {
-                        let free = self.host(host).pool.up(key, tools.clock.now());
-                        self.freed(host, key, free, true, tools);
+                        let free = self.host(host).pool.up(key, context.clock.now());
+                        self.freed(host, key, free, true, context);
                     } else {
-                        self.undialled(host, key, Ending::DialBroken, tools);
+                        self.undialled(host, key, Ending::DialBroken, context);
                     }
                 }
-                Event::Failed(ending) => self.undialled(host, key, ending, tools),
+                Event::Failed(ending) => self.undialled(host, key, ending, context),
                 Event::Over(ending) => {
                     self.host(host).pool.left(key);
                     self.counters.ended(ending);
-                    self.close(key, tools);
+                    self.close(key, context);
                 }
                 Event::Done { job, outcome, goes_on } => {
                     // With more behind the answer than belongs to it, it is of no use to what waits.
@@ -572,47 +572,47 @@
                     }
                     let goes_on = goes_on && !spoilt;
                     if !goes_on {
-                        self.close(key, tools);
+                        self.close(key, context);
                     }
                     // The pool first: a further execution for this host is to find the link free.
-                    let free = self.host(host).pool.done(key, goes_on, tools.clock.now());
-                    self.report(host, job, outcome, tools);
-                    self.freed(host, key, free, false, tools);
+                    let free = self.host(host).pool.done(key, goes_on, context.clock.now());
+                    self.report(host, job, outcome, context);
+                    self.freed(host, key, free, false, context);
                 }
             }
         }
     }
 
     /// A link with nothing to do has been given something, rests, or is of no use any more.
-    fn freed(&mut self, host: usize, key: usize, free: Free, fresh: bool, tools: &mut Tools) {
+    fn freed(&mut self, host: usize, key: usize, free: Free, fresh: bool, context: &mut LoopContext) {
         match free {
-            Free::Hand(job) => self.hand(key, job, tools),
+            Free::Hand(job) => self.hand(key, job, context),
             Free::Rest => {
-                self.seats[key].idle = Some(tools.budget.rests(Holder::Link, key));
-                self.arm_host(host, tools);
+                self.seats[key].idle = Some(context.budget.rests(Holder::Link, key));
+                self.arm_host(host, context);
             }
-            Free::Moved if fresh => self.undialled(host, key, Ending::Moved, tools),
+            Free::Moved if fresh => self.undialled(host, key, Ending::Moved, context),
             Free::Moved => {
                 if self.seats.contains(key) {
                     self.counters.ended(Ending::Moved);
-                    self.close(key, tools);
+                    self.close(key, context);
                 }
             }
         }
     }
 
     /// A dial less.
-    fn undialled(&mut self, host: usize, key: usize, ending: Ending, tools: &mut Tools) {
-        self.dialled(key, Some(ending), tools.clock.now());
-        self.close(key, tools);
+    fn undialled(&mut self, host: usize, key: usize, ending: Ending, context: &mut LoopContext) {
+        self.dialled(key, Some(ending), context.clock.now());
+        self.close(key, context);
         match self.host(host).pool.undialled(key) {
-            Some(job) => self.report(host, job, ending.into(), tools),
-            None => self.ended(host, ending, tools),
+            Some(job) => self.report(host, job, ending.into(), context),
+            None => self.ended(host, ending, context),
         }
     }
 
-    fn report(&mut self, host: usize, job: Job, outcome: Outcome, tools: &Tools) {
-        self.ended(host, outcome.ending, tools);
+    fn report(&mut self, host: usize, job: Job, outcome: Outcome, context: &LoopContext) {
+        self.ended(host, outcome.ending, context);
         self.desk.send(match job.errand {
             Errand::Statement { stmt, execution, .. } => Mail::Ended { stmt, execution, outcome },
             Errand::Probe => Mail::Probed { host, outcome },
@@ -621,12 +621,12 @@
 
     /// Counts an ending, and logs it where it is out of the ordinary: each cause once a second and host, for
     /// a host that is down ends statements by the hundred.
-    fn ended(&mut self, host: usize, ending: Ending, tools: &Tools) {
+    fn ended(&mut self, host: usize, ending: Ending, context: &LoopContext) {
         self.counters.ended(ending);
         if ending.ordinary() {
             return;
         }
-        let now = tools.clock.now();
+        let now = context.clock.now();
         let h = self.host(host);
         debug!(h.log, "{ending:?}");
         let (at, more) = h.causes.entry(ending).or_insert((0.0, 0));
--- a/crates/sandstile-router/src/listener.rs
+++ b/crates/sandstile-router/src/listener.rs
@@ -1,7 +1,7 @@
 //! The clients' listening socket. A connection that waits in its queue counts as taken, so nothing but an empty queue
 //! ends the looking: no error of `accept` does, and an empty queue is looked at again in bounded time, for readiness is
 //! told once and a failed call may have used that up.
-use crate::errno::{accept_failure, patiently, AcceptFailure};
+use crate::errno::{accept_failure, retry_transient, AcceptFailure};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
 use rustix::net::{accept_with, listen, SocketFlags};
@@ -75,7 +75,7 @@
     ) -> io::Result<Listener> {
         socket.set_nonblocking(true)?;
         let bounded = listen(&socket, i32::from(BACKLOG)).is_ok();
-        let socket = patiently(|| {
+        let socket = retry_transient(|| {
             // Made anew each time: the library takes one whose registration failed for registered.
             let mut socket = TcpListener::from_std(socket.try_clone()?);
             registry.register(&mut socket, token, Interest::READABLE)?;
--- a/crates/sandstile-router/src/loop_context.rs
+++ b/crates/sandstile-router/src/loop_context.rs
@@ -12,11 +12,11 @@
 pub const TURN: usize = 8;
 
 /// What all lines work with.
-pub struct Tools {
+pub struct LoopContext {
     pub registry: Registry,
     pub clock: Clock,
     /// What is told in this turn of the loop came no earlier than then.
-    pub told_since: f64,
+    pub events_since: f64,
     pub budget: Budget,
     pub counters: Arc<Counters>,
     pub log: Logger,
--- a/crates/sandstile-router/src/mailbox.rs
+++ b/crates/sandstile-router/src/mailbox.rs
@@ -4,7 +4,7 @@
 //!
 //! A reader is a thread of its own, which is parked while there is nothing, or an actor that the carrier's thread
 //! carries, which is woken by a bell; within that thread mail is a push and a pop, and no bell is rung.
-use crate::errno::uninterrupted;
+use crate::errno::retry_interrupted;
 use crossbeam_channel::{bounded, unbounded, Receiver, RecvTimeoutError, Sender, TryRecvError};
 use mio::Waker;
 use std::sync::atomic::{fence, AtomicBool, Ordering::SeqCst};
@@ -35,7 +35,7 @@
 
     fn ring(&self) {
         fence(SeqCst);
-        if self.asleep.swap(false, SeqCst) && uninterrupted(|| self.waker.wake()).is_err() {
+        if self.asleep.swap(false, SeqCst) && retry_interrupted(|| self.waker.wake()).is_err() {
             // Not woken: whoever rings next tries again, and the carrier's own times wake it meanwhile.
             self.asleep.store(true, SeqCst);
         }
@@ -49,7 +49,7 @@
 }
 
 /// The writing end; any number of them.
-pub struct Post<T> {
+pub struct MailboxSender<T> {
     sender: Option<Sender<T>>,
     reader: Reader,
 }
@@ -60,30 +60,30 @@
     reader: Reader,
 }
 
-pub fn mailbox<T>() -> (Post<T>, Mailbox<T>) {
+pub fn mailbox<T>() -> (MailboxSender<T>, Mailbox<T>) {
     with(unbounded(), Reader::Thread(Arc::default()))
 }
 
 /// For an actor that the carrier's thread carries.
-pub fn carried<T>(bell: &Arc<Bell>) -> (Post<T>, Mailbox<T>) {
+pub fn carried<T>(bell: &Arc<Bell>) -> (MailboxSender<T>, Mailbox<T>) {
     with(unbounded(), Reader::Carried(bell.clone()))
 }
 
 /// For one piece of mail at a time.
-pub fn slot<T>() -> (Post<T>, Mailbox<T>) {
-    narrow(1)
+pub fn single_slot_mailbox<T>() -> (MailboxSender<T>, Mailbox<T>) {
+    bounded_mailbox(1)
 }
 
 /// For so many pieces of mail at the most.
-pub fn narrow<T>(most: usize) -> (Post<T>, Mailbox<T>) {
+pub fn bounded_mailbox<T>(most: usize) -> (MailboxSender<T>, Mailbox<T>) {
     with(bounded(most), Reader::Thread(Arc::default()))
 }
 
-fn with<T>((sender, receiver): (Sender<T>, Receiver<T>), reader: Reader) -> (Post<T>, Mailbox<T>) {
-    (Post { sender: Some(sender), reader: reader.clone() }, Mailbox { receiver, reader })
+fn with<T>((sender, receiver): (Sender<T>, Receiver<T>), reader: Reader) -> (MailboxSender<T>, Mailbox<T>) {
+    (MailboxSender { sender: Some(sender), reader: reader.clone() }, Mailbox { receiver, reader })
 }
 
-impl<T> Post<T> {
+impl<T> MailboxSender<T> {
     /// Never waits. `false` where nobody will read it: the reader has gone, or a slot is taken.
     pub fn send(&self, mail: T) -> bool {
         let sent = self.sender.as_ref().is_some_and(|sender| sender.try_send(mail).is_ok());
@@ -92,7 +92,7 @@
     }
 
     /// Mail that nobody has read yet.
-    pub fn waiting(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.sender.as_ref().map_or(0, Sender::len)
     }
 
@@ -108,13 +108,13 @@
     }
 }
 
-impl<T> Clone for Post<T> {
+impl<T> Clone for MailboxSender<T> {
     fn clone(&self) -> Self {
-        Post { sender: self.sender.clone(), reader: self.reader.clone() }
+        MailboxSender { sender: self.sender.clone(), reader: self.reader.clone() }
     }
 }
 
-impl<T> Drop for Post<T> {
+impl<T> Drop for MailboxSender<T> {
     fn drop(&mut self) {
         // The last one gone ends a reader's wait, so the channel has to know first.
         self.sender = None;
--- a/crates/sandstile-router/src/members.rs
+++ b/crates/sandstile-router/src/members.rs
@@ -1,10 +1,10 @@
 //! The peers' letters beside the carrier's loop: one UDP socket, no thread. What is said and believed is `sandstile-peers`; off without
 //! our own file.
-use crate::control::Control;
+use crate::control::ControlSocket;
 use crate::exchange::ExchangePeers;
 use crate::local_config::Members as Plan;
-use crate::loop_context::Tools;
-use crate::mailbox::Post;
+use crate::loop_context::LoopContext;
+use crate::mailbox::MailboxSender;
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
 use sandstile_membership::wire::LONGEST_NAME;
@@ -30,9 +30,9 @@
     peers: Peers,
     /// The platform may hold more letters.
     ready: bool,
-    sharing_routers: Option<Post<f64>>,
+    sharing_routers: Option<MailboxSender<f64>>,
     exchange_peers: Option<ExchangePeers>,
-    pub control: Option<Control>,
+    pub control: Option<ControlSocket>,
     counted: sandstile_peers::Counts,
     log: Logger,
 }
@@ -46,7 +46,7 @@
     pub keys: Vec<[u8; 32]>,
     pub exchange: Option<std::net::SocketAddr>,
     /// Where the number of those that share the hosts goes.
-    pub sharing_routers: Option<Post<f64>>,
+    pub sharing_routers: Option<MailboxSender<f64>>,
     /// Who is to be told what sessions have seen.
     pub exchange_peers: Option<ExchangePeers>,
 }
@@ -59,7 +59,7 @@
             return Err(format!("members: a router's name has 1 to {LONGEST_NAME} bytes: '{}'", beside.name));
         }
         let socket = UdpSocket::bind(plan.listen).map_err(told)?;
-        let control = plan.control.as_deref().map(Control::open).transpose()?;
+        let control = plan.control.as_deref().map(ControlSocket::open).transpose()?;
         let terms = Terms {
             name: beside.name,
             life: beside.generation,
@@ -99,7 +99,7 @@
     }
 
     pub fn due(&self) -> f64 {
-        let control = self.control.as_ref().map_or(f64::INFINITY, Control::due);
+        let control = self.control.as_ref().map_or(f64::INFINITY, ControlSocket::due);
         self.peers.due().min(control)
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// A bounded piece of work: letters that have come, what is due, what is to go out, who asks.
-    pub fn turn(&mut self, tools: &Tools) {
+    pub fn turn(&mut self, context: &LoopContext) {
         // A process that stood still looks at what has come before it holds anybody for dead.
         let mut bytes = [0; LONGEST];
         for _ in 0..TURN {
@@ -116,20 +116,20 @@
                 break;
             }
             match self.socket.recv_from(&mut bytes) {
-                Ok((n, _)) => self.peers.received(tools.clock.now(), &bytes[..n]),
+                Ok((n, _)) => self.peers.received(context.clock.now(), &bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.ready = false,
                 // What could not be delivered earlier is told here; it is the other's death, which letters tell better.
                 Err(_) => {}
             }
         }
-        let now = tools.clock.now();
+        let now = context.clock.now();
         if self.peers.due() <= now && !self.ready {
             self.peers.woken(now);
         }
         self.send(now);
-        self.heed(tools);
+        self.heed(context);
         if let Some(mut control) = self.control.take() {
-            control.turn(&tools.registry, now, || report(&self.peers.report(now)).to_string());
+            control.serve(&context.registry, now, || report(&self.peers.report(now)).to_string());
             self.control = Some(control);
         }
     }
@@ -141,7 +141,7 @@
         }
     }
 
-    fn heed(&mut self, tools: &Tools) {
+    fn heed(&mut self, context: &LoopContext) {
         for news in self.peers.take_news() {
             match news {
                 News::Change(Change::NameTaken(at)) => {
@@ -149,7 +149,7 @@
                 }
                 News::Change(change) => info!(self.log, "member: {change:?}"),
                 News::View(view, look) => {
-                    tools.counters.view_changes.add();
+                    context.counters.view_changes.add();
                     info!(self.log, "view: {}", view.word(); "there" => look.there, "suspects" => look.suspects,
                         "dead" => look.dead, "differing" => look.differing);
                 }
@@ -164,14 +164,14 @@
         let counts = self.peers.counts();
         if counts != self.counted {
             self.counted = counts;
-            let c = &tools.counters;
+            let c = &context.counters;
             c.letters.set(counts.letters);
             c.letters_refused.set(counts.unreadable + counts.forged + counts.replayed + counts.flooded);
             c.names_taken.set(counts.names_taken);
             c.member_deaths.set(counts.deaths);
         }
-        tools.counters.members.set(self.peers.count() as u64);
-        tools.counters.view.set(self.peers.view() as u64);
+        context.counters.members.set(self.peers.count() as u64);
+        context.counters.view.set(self.peers.view() as u64);
     }
 
     /// This process ends: the others need not wonder.
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -2,7 +2,7 @@
 //! our own file. The disk holds up nobody: what it does not keep up with is counted and left out.
 use crate::counters::Counters;
 use crate::local_config::Recording;
-use crate::mailbox::{narrow, Mailbox, Post};
+use crate::mailbox::{bounded_mailbox, Mailbox, MailboxSender};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Asked, Source};
@@ -28,7 +28,7 @@
 
 /// The desk's end.
 pub struct Tape {
-    post: Post<Seen>,
+    post: MailboxSender<Seen>,
     counters: Arc<Counters>,
 }
 
@@ -74,7 +74,7 @@
     let head = Head { salt, workloads, groups };
     let out = Counted { out: BufWriter::new(file), written: 0 };
     let recorder = Recorder::begin(out, &head).map_err(told)?;
-    let (post, mailbox) = narrow(MOST_WAITING);
+    let (post, mailbox) = bounded_mailbox(MOST_WAITING);
     let (max_bytes, own) = (plan.max_bytes, log.clone());
     let write = move || match write(recorder, &head, &mailbox, now, max_bytes) {
         Ok((written, true)) => info!(own, "the recording is whole"; "arrivals" => written),
@@ -83,7 +83,7 @@
         }
         Err(e) => warn!(own, "the recording ends: {e}"),
     };
-    let thread = threads::joined("recorder", threads::STACK, write)?;
+    let thread = threads::spawn_joinable("recorder", threads::STACK, write)?;
     info!(log, "recording"; "file" => %plan.file.display());
     Ok((Tape { post, counters: counters.clone() }, thread))
 }
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::control::is_abandoned;
 use crate::local_config::State as Plan;
-use crate::mailbox::{mailbox, Mailbox, Post};
+use crate::mailbox::{mailbox, Mailbox, MailboxSender};
 use crate::session_messages::{SessionMessage, Shown, Telling};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
@@ -65,16 +65,16 @@
 /// For the disk's thread.
 enum Chore {
     Put(f64, Snapshot),
-    End(f64, Snapshot, Post<()>),
+    End(f64, Snapshot, MailboxSender<()>),
 }
 
 pub struct ReplicatedState {
     keeper: Keeper,
-    outlets: BTreeMap<String, Post<Telling>>,
+    outlets: BTreeMap<String, MailboxSender<Telling>>,
     /// Those that were handed all that our former life knew.
     vouchers: BTreeSet<String>,
     /// Where the disk takes what has changed; `None` in memory alone, and once it has failed.
-    disk: Option<Post<Chore>>,
+    disk: Option<MailboxSender<Chore>>,
     /// The disk's thread has done what it was given.
     idle: Mailbox<bool>,
     busy: bool,
@@ -121,7 +121,7 @@
     pub fn begin(
         plan: &Plan,
         terms: &RouterSettings,
-        words: Post<SessionMessage>,
+        words: MailboxSender<SessionMessage>,
         clock: &Clock,
         log: &Logger,
     ) -> Result<ReplicatedState, String> {
@@ -140,21 +140,23 @@
                 Ok(shelf) => {
                     let (post, chores) = mailbox();
                     let own = log.clone();
-                    threads::joined("state", threads::STACK, move || keep(shelf, &chores, &idle, &own))?;
+                    threads::spawn_joinable("state", threads::STACK, move || {
+                        keep(shelf, &chores, &idle, &own)
+                    })?;
                     disk = Some(post);
                 }
                 Err(e) => warn!(log, "state is kept in memory alone: {e}"),
             }
         }
         let ticks = words.clone();
-        threads::begin("ticks", move || {
+        threads::spawn_detached("ticks", move || {
             while ticks.send(SessionMessage::Tick) {
                 std::thread::sleep(TICK);
             }
         })?;
         if let Some(path) = &plan.control {
             let listener = door(path)?;
-            threads::begin("state asked", move || answer(&listener, &words))?;
+            threads::spawn_detached("state asked", move || answer(&listener, &words))?;
         }
         let keeper = Keeper::new(
             sandstile_replication::Terms {
@@ -221,7 +223,7 @@
     }
 
     /// This one hears us from now on; `of_yours` says that it ended in order and left us all that it knew.
-    pub fn linked(&mut self, now: f64, peer: String, outlet: Post<Telling>, of_yours: bool) {
+    pub fn linked(&mut self, now: f64, peer: String, outlet: MailboxSender<Telling>, of_yours: bool) {
         if outlet.send(Telling::Whole { of_yours }) {
             self.keeper.linked_with(now, &peer);
             self.outlets.insert(peer, outlet);
@@ -382,7 +384,7 @@
     }
 
     /// All is told to all, and put down as that.
-    pub fn end(&mut self, now: f64, done: &Post<()>) {
+    pub fn end(&mut self, now: f64, done: &MailboxSender<()>) {
         self.keeper.look(now);
         for (peer, outlet) in std::mem::take(&mut self.outlets) {
             let Some(words) = self.keeper.last_words(now, &peer) else { continue };
@@ -442,7 +444,7 @@
 }
 
 /// The disk's thread: one chore at a time, however slow it is.
-fn keep(mut shelf: Shelf, chores: &Mailbox<Chore>, idle: &Post<bool>, log: &Logger) {
+fn keep(mut shelf: Shelf, chores: &Mailbox<Chore>, idle: &MailboxSender<bool>, log: &Logger) {
     loop {
         match chores.recv(None) {
             Ok(Chore::Put(now, held)) => {
@@ -481,7 +483,7 @@
 }
 
 /// Answers one after the other: `summary SECONDS` or `facts`, a line.
-fn answer(listener: &UnixListener, words: &Post<SessionMessage>) {
+fn answer(listener: &UnixListener, words: &MailboxSender<SessionMessage>) {
     for stream in listener.incoming() {
         let Ok(mut stream) = stream else {
             std::thread::sleep(TICK);
@@ -497,7 +499,7 @@
         if at.is_none_or(|at| !at.is_finite()) && line.trim() != "facts" {
             continue;
         }
-        let (post, told) = crate::mailbox::slot();
+        let (post, told) = crate::mailbox::single_slot_mailbox();
         if !words.send(SessionMessage::Show(post)) {
             return;
         }
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -2,7 +2,7 @@
 use crate::budget::{Budget, REFUSALS};
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::discovery::{self, Agent, Watcher};
+use crate::discovery::{self, DiscoveryAgent, Watcher};
 use crate::errno;
 use crate::event_loop::{Carrier, Charge, Parts, Posts};
 use crate::exchange;
@@ -10,7 +10,7 @@
 use crate::known_hosts::KnownList;
 use crate::launch::Launch;
 use crate::local_config::LocalConfig;
-use crate::mailbox::slot;
+use crate::mailbox::single_slot_mailbox;
 use crate::mailbox_source::Inlet;
 use crate::members::{self, Members, MembersContext};
 use crate::pg;
@@ -60,11 +60,11 @@
     // come and go. Half of the memory is for long frames.
     let most_clients = (launch.sockets / 3 + OWN_DESCRIPTORS).min(most / 2).max(2);
     let budget = Budget::new(most, most_clients, (launch.memory / 2).max(4 * pg::MOST_FRAME));
-    let posts = errno::patiently(Posts::open).map_err(|e| format!("readiness: {e}"))?;
+    let posts = errno::retry_transient(Posts::open).map_err(|e| format!("readiness: {e}"))?;
     let charges = posts.charges.clone();
     let (lists, listed) = posts.inlet::<Update>();
-    let agent = Agent::at(launch.discovery);
-    let (first, first_told) = slot::<()>();
+    let agent = DiscoveryAgent::at(launch.discovery);
+    let (first, first_told) = single_slot_mailbox::<()>();
     let index = launch.known.index;
     let mut known = KnownList::default();
     let of_the_start = known.changes(launch.known);
@@ -174,11 +174,11 @@
         };
         members = Some(Members::open(plan, beside, clock.now(), &log)?);
     }
-    threads::joined("discovery", CARRIER_STACK, move || watcher.run())?;
+    threads::spawn_joinable("discovery", CARRIER_STACK, move || watcher.run())?;
     // What the agent has counts as told from the first moment, and the list of the start may be old: nobody is let in
     // before the list is, but for an agent that is silent. Nor may they wait in the listening socket: their time runs.
     let _ = first_told.recv(Some(FIRST_WORD));
-    let listener = errno::patiently(|| TcpListener::bind(launch.listen))
+    let listener = errno::retry_transient(|| TcpListener::bind(launch.listen))
         .map_err(|e| format!("listen on {}: {e}", launch.listen))?;
     let parts = Parts {
         clock,
@@ -202,7 +202,7 @@
         drop(enough);
         carried
     };
-    let carried = threads::joined("carrier", CARRIER_STACK, carry)?;
+    let carried = threads::spawn_joinable("carrier", CARRIER_STACK, carry)?;
     let follow_discovery = || match again() {
         Ok(new) => {
             info!(log, "configuration read again"; "discovery" => %new.discovery);
--- a/crates/sandstile-router/src/session_messages.rs
+++ b/crates/sandstile-router/src/session_messages.rs
@@ -1,5 +1,5 @@
 //! What the desk's sessions hear from outside, and what goes from them to other instances.
-use crate::mailbox::Post;
+use crate::mailbox::MailboxSender;
 use sandstile_exchange::Heard;
 use sandstile_replicated_state::Snapshot;
 use sandstile_sessions::mark::Seen;
@@ -17,7 +17,7 @@
 pub enum SessionMessage {
     Keys(KeyRing),
     /// Another instance, of this name, wants to be told what is known here.
-    Tell(String, Post<Telling>),
+    Tell(String, MailboxSender<Telling>),
     /// What another instance, of this name, has told.
     Heard(String, Heard),
     /// The instance of this name is not told any more.
@@ -27,9 +27,9 @@
     /// The kept state is to be looked at: some twenty times a second.
     Tick,
     /// An operator asks.
-    Show(Post<Shown>),
+    Show(MailboxSender<Shown>),
     /// The instance ends: all that is known is to be on the disk, and told, when nobody holds this any more.
-    End(Post<()>),
+    End(MailboxSender<()>),
 }
 
 /// What goes to another instance.
@@ -45,5 +45,5 @@
         of_yours: bool,
     },
     State(Vec<u8>),
-    End(Post<()>),
+    End(MailboxSender<()>),
 }
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -3,7 +3,7 @@
 //! keys and the disk.
 use crate::clock::Clock;
 use crate::local_config::{Durability, Sessions as Plan};
-use crate::mailbox::{mailbox, Mailbox, Post};
+use crate::mailbox::{mailbox, Mailbox, MailboxSender};
 use crate::replicated_state::ReplicatedState;
 use crate::session_messages::{SessionMessage, Telling};
 use crate::statement::Workload;
@@ -64,8 +64,8 @@
     /// What the statements that are open want.
     wishes: BTreeMap<u64, Wish>,
     words: Mailbox<SessionMessage>,
-    journal: Option<Post<Entry>>,
-    outlets: Vec<Post<Telling>>,
+    journal: Option<MailboxSender<Entry>>,
+    outlets: Vec<MailboxSender<Telling>>,
     /// Instances that ended in order and told all they knew before: when, and the life that is to have it back.
     handed: BTreeMap<String, (f64, Option<String>)>,
     heard_since: f64,
@@ -96,7 +96,7 @@
         plan: Plan,
         workloads: &[Workload],
         words: Mailbox<SessionMessage>,
-        answers: Post<Given>,
+        answers: MailboxSender<Given>,
         kept: Option<ReplicatedState>,
         clock: &Clock,
         log: &Logger,
@@ -455,14 +455,14 @@
 
 enum Entry {
     Seen { key: Key, seen: Seen, then: Option<Given> },
-    End(Post<()>),
+    End(MailboxSender<()>),
 }
 
 /// The journal's actor: all that waits in its mailbox shares one sync.
 struct Scribe {
     /// `None` once the disk has failed.
     journal: Option<Journal>,
-    answers: Post<Given>,
+    answers: MailboxSender<Given>,
     path: PathBuf,
     durability: Durability,
     clock: Clock,
--- a/crates/sandstile-router/src/threads.rs
+++ b/crates/sandstile-router/src/threads.rs
@@ -5,11 +5,11 @@
 pub const STACK: usize = 128 * 1024;
 
 /// Begins one that nobody waits for.
-pub fn begin(name: &str, body: impl FnOnce() + Send + 'static) -> Result<(), String> {
-    joined(name, STACK, body).map(drop)
+pub fn spawn_detached(name: &str, body: impl FnOnce() + Send + 'static) -> Result<(), String> {
+    spawn_joinable(name, STACK, body).map(drop)
 }
 
-pub fn joined<T: Send + 'static>(
+pub fn spawn_joinable<T: Send + 'static>(
     name: &str,
     stack: usize,
     body: impl FnOnce() -> T + Send + 'static,
--- a/crates/sandstile-router/tests/agreement.rs
+++ b/crates/sandstile-router/tests/agreement.rs
@@ -84,7 +84,7 @@
     stand: usize,
     delay_ms: u32,
     /// For the stand-ins: what primary and replicas do; `None` where nobody listens.
-    acts: [Option<Vec<Act>>; 3],
+    acts: [Option<Vec<HostReply>>; 3],
 }
 
 fn fault(name: &str, kind: &str, on: &str, when: &str, lasts: f64) -> String {
@@ -93,7 +93,7 @@
 
 fn plays() -> Vec<Play> {
     let good = || Some(Vec::new());
-    let many = |act: Act| Some(vec![act; 12]);
+    let many = |act: HostReply| Some(vec![act; 12]);
     let replicas = |kind: &str| {
         let one = |n: usize| fault(&format!("r{n}"), kind, &format!("host:s-3-{n}"), "at = 0", 30.0);
         format!("{}{}", one(1), one(2))
@@ -115,7 +115,7 @@
             cues: replicas("\"fast_errors\"\n share = 1"),
             stand: 2,
             delay_ms: 0,
-            acts: [good(), many(Act::Fail("XX000")), many(Act::Fail("XX000"))],
+            acts: [good(), many(HostReply::Fail("XX000")), many(HostReply::Fail("XX000"))],
         },
         Play {
             name: "replicas answer nonsense",
@@ -123,7 +123,7 @@
             cues: replicas("\"spoilt\"\n share = 1"),
             stand: 2,
             delay_ms: 0,
-            acts: [good(), many(Act::Say(b"no frame at all")), many(Act::Say(b"G\0\0\x10\0"))],
+            acts: [good(), many(HostReply::Raw(b"no frame at all")), many(HostReply::Raw(b"G\0\0\x10\0"))],
         },
         Play {
             name: "nobody listens at the replicas",
@@ -139,7 +139,7 @@
             cues: replicas("\"slow_replay\"\n share = 0"),
             stand: 2,
             delay_ms: 0,
-            acts: [good(), many(Act::Fail("72000")), many(Act::Fail("72000"))],
+            acts: [good(), many(HostReply::Fail("72000")), many(HostReply::Fail("72000"))],
         },
         Play {
             name: "the primary hangs under a write",
@@ -147,7 +147,7 @@
             cues: primary("\"hang\"", at_once),
             stand: 1,
             delay_ms: 0,
-            acts: [many(Act::Silent), good(), good()],
+            acts: [many(HostReply::Silent), good(), good()],
         },
         Play {
             name: "the primary dies between run and answer",
@@ -155,7 +155,7 @@
             cues: primary("\"crash\"", "when = \"ran:book:2\""),
             stand: 0,
             delay_ms: 0,
-            acts: [Some(vec![Act::Row(b"primary"), Act::Cut(0)]), good(), good()],
+            acts: [Some(vec![HostReply::Row(b"primary"), HostReply::Cut(0)]), good(), good()],
         },
         Play {
             name: "the primary dies within its answer",
@@ -163,7 +163,7 @@
             cues: primary("\"crash\"", "when = \"half_said:book:2\""),
             stand: 0,
             delay_ms: 0,
-            acts: [Some(vec![Act::Row(b"primary"), Act::Cut(40)]), good(), good()],
+            acts: [Some(vec![HostReply::Row(b"primary"), HostReply::Cut(40)]), good(), good()],
         },
         Play {
             name: "the primary drains and the list is late",
@@ -171,7 +171,7 @@
             cues: primary("\"drain\"", at_once),
             stand: 1,
             delay_ms: 60_000,
-            acts: [many(Act::Fail("53300")), good(), good()],
+            acts: [many(HostReply::Fail("53300")), good(), good()],
         },
         Play {
             name: "hosts close idle connections early",
@@ -180,9 +180,9 @@
             stand: 3,
             delay_ms: 0,
             acts: [
-                many(Act::RowThenEnd(b"primary")),
-                many(Act::RowThenEnd(b"replica")),
-                many(Act::RowThenEnd(b"replica")),
+                many(HostReply::RowThenEnd(b"primary")),
+                many(HostReply::RowThenEnd(b"replica")),
+                many(HostReply::RowThenEnd(b"replica")),
             ],
         },
     ]
@@ -218,7 +218,7 @@
     handle.begin(Clock::anchor().now());
     let mut standing = 0;
     while standing < play.stand {
-        let record = records.recv_timeout(PATIENCE).expect("faults that begin");
+        let record = records.recv_timeout(TEST_TIMEOUT).expect("faults that begin");
         let line = format!("{:?}", record.what);
         standing += usize::from(line.contains("FaultBegins"));
     }
@@ -232,7 +232,7 @@
 }
 
 fn stood_in(play: &Play) -> Vec<String> {
-    let host = |(n, acts): (usize, &Option<Vec<Act>>)| -> SocketAddr {
+    let host = |(n, acts): (usize, &Option<Vec<HostReply>>)| -> SocketAddr {
         match acts {
             Some(acts) => Host::scripted(n == 0, acts).address,
             None => "127.0.0.2:1".parse().expect("an address where nobody listens"),
@@ -241,7 +241,7 @@
     let addresses: Vec<SocketAddr> = play.acts.iter().enumerate().map(host).collect();
     let one = |(n, at): (usize, &SocketAddr)| entry(&format!("s-3-{n}"), *at, n == 0, "active");
     let entries: Vec<String> = addresses.iter().enumerate().map(one).collect();
-    let router = Router::start(&config(Agent::start().address, &list(41, true, &entries)));
+    let router = Router::start(&config(DiscoveryAgent::start().address, &list(41, true, &entries)));
     ends(&router, &play.steps, |value| String::from_utf8_lossy(value).into_owned())
 }
 
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -265,9 +265,9 @@
     let last = thread::spawn(move || drop(post));
     assert_eq!(mailbox.recv(None), Err(RecvTimeoutError::Disconnected));
     last.join().expect("a writer");
-    let (post, slot) = mailbox::slot();
+    let (post, single_slot_mailbox) = mailbox::single_slot_mailbox();
     assert!(post.send(1) && !post.send(2));
-    assert_eq!(slot.recv(None), Ok(1));
-    drop(slot);
+    assert_eq!(single_slot_mailbox.recv(None), Ok(1));
+    drop(single_slot_mailbox);
     assert!(!post.send(3));
 }
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -10,8 +10,8 @@
 /// A pipelined statement's client counts its time from the sending, whatever stood before it on the connection.
 #[test]
 fn a_pipelined_statement_is_told_within_the_time_from_its_own_sending() {
-    let primary = Host::scripted(true, &[Act::Slow(300, b"first"), Act::Silent]);
-    let router = Router::before(&primary, &[]);
+    let primary = Host::scripted(true, &[HostReply::Slow(300, b"first"), HostReply::Silent]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     let begun = Instant::now();
     client.send(&[query(&write(700)), query(&write(700))].concat());
@@ -25,8 +25,8 @@
 /// A client that fills its connection with commands and leaves is gone at once: what it left unread hides no end.
 #[test]
 fn a_client_that_leaves_behind_unread_commands_is_gone() {
-    let primary = Host::scripted(true, &[Act::Silent]);
-    let router = Router::before(&primary, &[]);
+    let primary = Host::scripted(true, &[HostReply::Silent]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let mut leaver = router.client();
     let burst: Vec<u8> = (0..100).flat_map(|_| query(&write(1900))).collect();
     leaver.send(&burst);
@@ -47,7 +47,7 @@
 #[test]
 fn statements_behind_an_unreadable_one_are_answered() {
     let primary = Host::start(true);
-    let router = Router::before(&primary, &[]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     let late = write(0);
     client.send(&[query("SELECT 1"), query(&late), query(&write(800))].concat());
@@ -64,7 +64,7 @@
 #[test]
 fn a_new_process_lets_nobody_in_before_the_agent_has_told_its_list() {
     let (primary, replica) = (Host::start(true), Host::start(false));
-    let agent = Agent::start();
+    let agent = DiscoveryAgent::start();
     let text = config(agent.address, &known(&primary, &[&replica]));
     // On a machine that holds this test up the half second may be over as it looks: then once more.
     let (router, mut watch) = loop {
@@ -87,7 +87,7 @@
 #[test]
 fn a_new_process_serves_by_the_list_of_the_start_where_the_agent_is_silent() {
     let primary = Host::start(true);
-    let agent = Agent::start();
+    let agent = DiscoveryAgent::start();
     let begun = Instant::now();
     let router = Router::start(&config(agent.address, &known(&primary, &[])));
     let mut client = router.client();
@@ -98,8 +98,8 @@
 /// Lists may come indented, over several lines and in any pieces.
 #[test]
 fn a_list_over_many_lines_is_one_list() {
-    let (old, new) = (Host::start(true), Host::scripted(true, &[Act::Row(b"new")]));
-    let agent = Agent::start();
+    let (old, new) = (Host::start(true), Host::scripted(true, &[HostReply::Row(b"new")]));
+    let agent = DiscoveryAgent::start();
     let router = Router::start(&config(agent.address, &known(&old, &[])));
     let mut watch = agent.watch();
     watch.begin();
@@ -121,7 +121,7 @@
 #[test]
 fn a_watch_that_drips_is_a_silent_one() {
     let primary = Host::start(true);
-    let agent = Agent::start();
+    let agent = DiscoveryAgent::start();
     let router = Router::start(&config(agent.address, &known(&primary, &[])));
     let mut watch = agent.watch();
     watch.begin();
@@ -143,9 +143,9 @@
 /// Its client left while it waited for a connection: it is not begun, though executions may not be withdrawn here.
 #[test]
 fn a_statement_that_waits_for_a_connection_goes_with_its_client() {
-    let primary = Host::scripted(true, &[Act::Slow(340, b"first")]);
+    let primary = Host::scripted(true, &[HostReply::Slow(340, b"first")]);
     primary.script.lock().expect("script").greet = Some(1);
-    let text = config(Agent::start().address, &known(&primary, &[]))
+    let text = config(DiscoveryAgent::start().address, &known(&primary, &[]))
         .replace("\"probes\":true", "\"probes\":false")
         .replace("\"mayCancel\":true", "\"mayCancel\":false")
         .replace("\"dialTimeoutMs\":250.0", "\"dialTimeoutMs\":1500.0");
@@ -168,7 +168,7 @@
 #[test]
 fn a_discovery_that_refuses_is_not_hammered() {
     let primary = Host::start(true);
-    let agent = Agent::start();
+    let agent = DiscoveryAgent::start();
     let text = config(agent.address, &known(&primary, &[]));
     let router = Router::start(&text.replace("\"discovery\":\"pushed\"", "\"discovery\":\"on_request\""));
     let mut calls = vec![Instant::now()];
@@ -186,7 +186,7 @@
 #[test]
 fn a_command_that_is_half_there_as_the_door_closes_is_answered() {
     let primary = Host::start(true);
-    let router = Router::before(&primary, &[]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let (mut half, mut idle) = (router.client(), router.client());
     assert_eq!(value(&half.ask(&write(800))), b"primary");
     assert_eq!(value(&idle.ask(&write(800))), b"primary");
@@ -206,7 +206,7 @@
 #[test]
 fn an_end_before_the_first_list_is_an_end() {
     let primary = Host::start(true);
-    let agent = Agent::start();
+    let agent = DiscoveryAgent::start();
     let mut router = Router::begin(&config(agent.address, &known(&primary, &[])));
     let _silent = agent.watch();
     router.signal("TERM");
@@ -218,8 +218,8 @@
 /// of the new life is served.
 #[test]
 fn a_process_that_is_killed_under_a_statement_leaves_nothing_to_its_next_life() {
-    let primary = Host::scripted(true, &[Act::Silent]);
-    let text = config(Agent::start().address, &known(&primary, &[]));
+    let primary = Host::scripted(true, &[HostReply::Silent]);
+    let text = config(DiscoveryAgent::start().address, &known(&primary, &[]));
     let mut former = Router::start(&text);
     let mut client = former.client();
     client.send(&query(&write(1900)));
@@ -237,7 +237,7 @@
 fn an_answer_that_has_come_as_its_execution_is_withdrawn_counts() {
     use sandstile_dispatcher::{Errand, Job, Mail, Order, Outcome};
     use sandstile_router::{
-        budget::Budget, clock::Clock, counters::Counters, hosts::Hosts, loop_context::Tools, mailbox,
+        budget::Budget, clock::Clock, counters::Counters, hosts::Hosts, loop_context::LoopContext, mailbox,
     };
     struct Text;
     impl sandstile_dispatcher::Parcel for Text {
@@ -245,12 +245,12 @@
             query("SELECT 1")
         }
     }
-    let primary = Host::scripted(true, &[Act::Row(b"came")]);
+    let primary = Host::scripted(true, &[HostReply::Row(b"came")]);
     let mut poll = mio::Poll::new().expect("readiness");
     let (clock, counters) = (Clock::anchor(), std::sync::Arc::new(Counters::default()));
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let mut tools = Tools {
-        told_since: 0.0,
+    let mut context = LoopContext {
+        events_since: 0.0,
         registry: poll.registry().try_clone().expect("readiness"),
         clock,
         budget: Budget::new(16, 8, 1 << 20),
@@ -262,35 +262,37 @@
     };
     let (post, mail) = mailbox::mailbox::<Mail>();
     let mut hosts = Hosts::new(post, counters, log, 1.0, 30.0);
-    hosts
-        .order(Order::Known { host: 0, name: "s-0".to_string(), address: Some(primary.address) }, &mut tools);
+    hosts.order(
+        Order::Known { host: 0, name: "s-0".to_string(), address: Some(primary.address) },
+        &mut context,
+    );
     let errand = Errand::Statement { stmt: 7, execution: 0, parcel: std::sync::Arc::new(Text) };
-    hosts.order(Order::Do(0, Job { errand, until: clock.now() + 5.0 }), &mut tools);
+    hosts.order(Order::Do(0, Job { errand, until: clock.now() + 5.0 }), &mut context);
     let mut events = mio::Events::with_capacity(16);
     // Until the statement is written: from then on nothing is told of the socket any more.
     wait_for("the statement at its host", || {
-        if tools.budget.claim(sandstile_router::budget::Holder::Link)
+        if context.budget.claim(sandstile_router::budget::Holder::Link)
             == sandstile_router::budget::Claim::Granted
         {
             if hosts.wanting(clock.now()) {
-                hosts.dial(&mut tools);
+                hosts.dial(&mut context);
             } else {
-                tools.budget.release(sandstile_router::budget::Holder::Link);
+                context.budget.release(sandstile_router::budget::Holder::Link);
             }
         }
         if primary.count() == 0 {
             poll.poll(&mut events, Some(Duration::from_millis(1))).expect("readiness");
             for event in &events {
-                hosts.told((event.token().0 - 3) / 2, event, &mut tools);
+                hosts.told((event.token().0 - 3) / 2, event, &mut context);
             }
-            while let Some(token) = tools.queue.pop_front() {
-                hosts.called((token.0 - 3) / 2, &mut tools);
+            while let Some(token) = context.queue.pop_front() {
+                hosts.called((token.0 - 3) / 2, &mut context);
             }
         }
         primary.count() == 1
     });
     wait_for("the answer in the socket", || primary.answered.load(SeqCst) == 1);
-    hosts.order(Order::Recall { host: 0, stmt: 7, execution: 0 }, &mut tools);
+    hosts.order(Order::Recall { host: 0, stmt: 7, execution: 0 }, &mut context);
     match mail.try_recv() {
         Some(Mail::Ended { outcome: Outcome { ending, .. }, .. }) => {
             assert_eq!(ending, sandstile_dispatcher::Ending::Completed);
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -12,7 +12,7 @@
 use sandstile_router::{control_client, keys};
 use sandstile_scenario::Script;
 use serde_json::Value;
-use stand_ins::{config, known, run, wait_for, Agent, Host, Router};
+use stand_ins::{config, known, run, wait_for, DiscoveryAgent, Host, Router};
 use std::fs;
 use std::net::{SocketAddr, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
@@ -138,9 +138,9 @@
 }
 
 fn started(name: &str, primary: &Host, file: &Path) -> Router {
-    let config = config(Agent::start().address, &known(primary, &[]))
+    let config = config(DiscoveryAgent::start().address, &known(primary, &[]))
         .replace("\"name\":\"n3\"", &format!("\"name\":\"{name}\""));
-    Router::start_with(&config, &["--config", &file.display().to_string()])
+    Router::start_with_arguments(&config, &["--config", &file.display().to_string()])
 }
 
 /// Another process under a name that is taken: the first stays, and its log and counters say so. Under the same name from a new
@@ -263,7 +263,7 @@
 #[test]
 fn off_there_is_nothing_and_on_there_is_no_thread() {
     let (dir, primary) = (folder("members-off"), Host::start(true));
-    let config = config(Agent::start().address, &known(&primary, &[]));
+    let config = config(DiscoveryAgent::start().address, &known(&primary, &[]));
     let off = Router::start(&config);
     let at = free();
     let (file, socket) = own_file(&dir, 0, at, at);
--- a/crates/sandstile-router/tests/program.rs
+++ b/crates/sandstile-router/tests/program.rs
@@ -12,8 +12,8 @@
 #[test]
 fn statements_go_by_the_design_and_come_back_as_the_hosts_bytes() {
     let odd: &[u8] = &[0, 255, 92, 39, 0, 10];
-    let (primary, replica) = (Host::start(true), Host::scripted(false, &[Act::Row(odd)]));
-    let router = Router::before(&primary, &[&replica]);
+    let (primary, replica) = (Host::start(true), Host::scripted(false, &[HostReply::Row(odd)]));
+    let router = Router::start_with_hosts(&primary, &[&replica]);
     let mut client = Client::connect(router.address);
     let mut encrypt = 8u32.to_be_bytes().to_vec();
     encrypt.extend_from_slice(&80_877_103u32.to_be_bytes());
@@ -56,18 +56,20 @@
 #[test]
 fn a_refused_read_moves_on_and_a_value_as_long_as_allowed_passes() {
     let long: &'static [u8] = vec![7; 64 * 1024].leak();
-    let primary = Host::scripted(true, &[Act::Row(long)]);
-    let replicas =
-        [Host::scripted(false, &[Act::Fail("72000")]), Host::scripted(false, &[Act::Fail("72000")])];
-    let router = Router::before(&primary, &[&replicas[0], &replicas[1]]);
+    let primary = Host::scripted(true, &[HostReply::Row(long)]);
+    let replicas = [
+        Host::scripted(false, &[HostReply::Fail("72000")]),
+        Host::scripted(false, &[HostReply::Fail("72000")]),
+    ];
+    let router = Router::start_with_hosts(&primary, &[&replicas[0], &replicas[1]]);
     let mut client = router.client();
     assert_eq!(value(&client.ask(&read(1500))), long);
     assert_eq!((replicas[0].count(), replicas[1].count(), primary.count()), (1, 1, 1));
     // The protocol's page says 64 KiB; hosts in service send longer ones. What no memory here could hold is cut.
     let longer: &'static [u8] = vec![8; 700_000].leak();
-    primary.script.lock().expect("script").acts.push_back(Act::Row(longer));
+    primary.script.lock().expect("script").acts.push_back(HostReply::Row(longer));
     assert_eq!(value(&client.ask(&write(1500))), longer);
-    primary.script.lock().expect("script").acts.push_back(Act::Row(vec![9; 8_000_000].leak()));
+    primary.script.lock().expect("script").acts.push_back(HostReply::Row(vec![9; 8_000_000].leak()));
     let got = client.ask(&write(1500));
     assert!(got.ready && got.code.as_deref() == Some("57014"), "{:?}", got.code);
     let literal = "ab".repeat(64 * 1024);
@@ -82,14 +84,14 @@
 #[test]
 fn a_write_that_may_have_run_is_aborted_and_never_sent_again() {
     for act in [
-        Act::Cut(0),
-        Act::Cut(40),
-        Act::Fail("XX000"),
-        Act::Say(b"G\0\0\0\x04"),
-        Act::Say(b"T\xff\xff\xff\xff"),
+        HostReply::Cut(0),
+        HostReply::Cut(40),
+        HostReply::Fail("XX000"),
+        HostReply::Raw(b"G\0\0\0\x04"),
+        HostReply::Raw(b"T\xff\xff\xff\xff"),
     ] {
         let primary = Host::scripted(true, &[act]);
-        let router = Router::before(&primary, &[&Host::start(false)]);
+        let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
         let got = router.client().ask(&write(600));
         assert!(got.ready && got.value.is_none());
         assert!(!["53300", "57P03"].contains(&got.code.as_deref().expect("an error")), "{got:?}");
@@ -117,9 +119,9 @@
         // What it tells of its host stands in a spoilt answer: nobody is to believe it.
         [row(b"value", 15), b"S\0\0\0\x14mode\0read-write\0Z\0\0\0\xffI".to_vec()].concat().leak(),
     ];
-    let acts: Vec<Act> = spoilt.iter().map(|bytes| Act::Say(bytes)).collect();
+    let acts: Vec<HostReply> = spoilt.iter().map(|bytes| HostReply::Raw(bytes)).collect();
     let (primary, replica) = (Host::start(true), Host::scripted(false, &acts));
-    let router = Router::before(&primary, &[&replica]);
+    let router = Router::start_with_hosts(&primary, &[&replica]);
     let mut client = router.client();
     let started = Instant::now();
     for n in 1..=spoilt.len() {
@@ -137,8 +139,11 @@
 /// What stands behind a good answer ends the link, and is never taken for the next statement's answer.
 #[test]
 fn more_than_the_answer_ends_the_link_and_not_the_answer() {
-    let primary = Host::scripted(true, &[Act::Twice(b"mine"), Act::Slow(30, b"next"), Act::Twice(b"third")]);
-    let router = Router::before(&primary, &[]);
+    let primary = Host::scripted(
+        true,
+        &[HostReply::Twice(b"mine"), HostReply::Slow(30, b"next"), HostReply::Twice(b"third")],
+    );
+    let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     assert_eq!(value(&client.ask(&write(800))), b"mine");
     assert_eq!(value(&client.ask(&write(800))), b"next");
@@ -160,7 +165,7 @@
         } else {
             known(primary, &[])
         };
-        let router = Router::start(&config(Agent::start().address, &known));
+        let router = Router::start(&config(DiscoveryAgent::start().address, &known));
         let started = Instant::now();
         let got = router.client().ask(&write(400));
         assert_eq!((got.code.as_deref(), got.detail.as_deref()), (Some("53300"), Some("700")));
@@ -172,8 +177,8 @@
 /// A connection that the host has closed is noticed before a write goes onto it.
 #[test]
 fn an_idle_connection_is_looked_at_before_it_is_used_again() {
-    let primary = Host::scripted(true, &[Act::RowThenEnd(b"one"), Act::Row(b"two")]);
-    let router = Router::before(&primary, &[]);
+    let primary = Host::scripted(true, &[HostReply::RowThenEnd(b"one"), HostReply::Row(b"two")]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     assert_eq!(value(&client.ask(&write(800))), b"one");
     wait_for("the host's end", || primary.ended.load(SeqCst) == 1);
@@ -185,8 +190,8 @@
 fn an_idle_connection_is_closed_here_before_the_host_would() {
     let primary = Host::start(true);
     let known = known(&primary, &[]);
-    let brief =
-        config(Agent::start().address, &known).replace("\"idleCloseMs\":30000.0", "\"idleCloseMs\":200.0");
+    let brief = config(DiscoveryAgent::start().address, &known)
+        .replace("\"idleCloseMs\":30000.0", "\"idleCloseMs\":200.0");
     let router = Router::start(&brief);
     let mut client = router.client();
     assert_eq!(value(&client.ask(&write(800))), b"primary");
@@ -198,8 +203,8 @@
 
 #[test]
 fn a_silent_host_costs_its_statement_only_and_a_client_that_leaves_takes_its_execution_along() {
-    let primary = Host::scripted(true, &[Act::Silent, Act::Silent]);
-    let router = Router::before(&primary, &[&Host::start(false)]);
+    let primary = Host::scripted(true, &[HostReply::Silent, HostReply::Silent]);
+    let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
     let (mut slow, mut quick) = (router.client(), router.client());
     let started = Instant::now();
     slow.send(&query(&write(500)));
@@ -211,8 +216,8 @@
     wait_for("the withdrawal", || primary.ended.load(SeqCst) == 1);
     drop(router);
 
-    let primary = Host::scripted(true, &[Act::Silent]);
-    let router = Router::before(&primary, &[]);
+    let primary = Host::scripted(true, &[HostReply::Silent]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let mut leaver = router.client();
     leaver.send(&query(&write(2000)));
     wait_for("the write", || primary.count() == 1);
@@ -226,7 +231,7 @@
 #[test]
 fn hostile_input_gets_an_error_an_end_and_a_count_and_nothing_goes_on() {
     let primary = Host::start(true);
-    let router = Router::before(&primary, &[&Host::start(false)]);
+    let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
     let q = |text: &str| query(text);
     // Where commands end is sure: the statement alone is turned away, and the client is served on.
     let unreadable: Vec<Vec<u8>> = vec![
@@ -272,7 +277,7 @@
     no_startup.send(b"GET / HTTP/1.1\r\n\r\n");
     assert_eq!(no_startup.answer().code.as_deref(), Some("08P01"));
     // The id of another client's open statement: that one is answered, the copy never goes on.
-    primary.script.lock().expect("script").acts.push_back(Act::Slow(200, b"first"));
+    primary.script.lock().expect("script").acts.push_back(HostReply::Slow(200, b"first"));
     let (mut first, asked) = (router.client(), write(800));
     first.send(&query(&asked));
     wait_for("the write", || primary.count() == 1);
@@ -292,7 +297,7 @@
 /// Who says nothing, stops in the middle or drips is turned away in the page's time; who asked may rest as long.
 #[test]
 fn connections_without_an_open_statement_end_in_the_pages_time() {
-    let router = Router::before(&Host::start(true), &[]);
+    let router = Router::start_with_hosts(&Host::start(true), &[]);
     let started = Instant::now();
     let mut silent = Client::connect(router.address);
     let (mut greeted, mut half, mut dripping, mut asked) =
@@ -325,8 +330,8 @@
 #[test]
 fn the_list_follows_changes_whole_lists_and_addresses_through_a_watch_that_breaks() {
     let (old, new, replica) =
-        (Host::start(true), Host::scripted(true, &[Act::Row(b"new")]), Host::start(false));
-    let agent = Agent::start();
+        (Host::start(true), Host::scripted(true, &[HostReply::Row(b"new")]), Host::start(false));
+    let agent = DiscoveryAgent::start();
     let router = Router::start(&config(agent.address, &known(&old, &[&replica])));
     let mut client = router.client();
     assert_eq!(value(&client.ask(&write(800))), b"primary");
@@ -376,8 +381,8 @@
 
 #[test]
 fn told_to_end_it_serves_on_for_a_little_answers_all_and_exits_well() {
-    let primary = Host::scripted(true, &[Act::Silent]);
-    let router = Router::before(&primary, &[&Host::start(false)]);
+    let primary = Host::scripted(true, &[HostReply::Silent]);
+    let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
     let (mut waiting, mut idle) = (router.client(), router.client());
     waiting.send(&query(&write(1200)));
     wait_for("the write", || primary.count() == 1);
@@ -396,8 +401,8 @@
 /// answer that it then has is late, and not withheld.
 #[test]
 fn an_answer_that_has_become_late_is_given_all_the_same() {
-    let primary = Host::scripted(true, &[Act::Silent]);
-    let router = Router::before(&primary, &[]);
+    let primary = Host::scripted(true, &[HostReply::Silent]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     let started = Instant::now();
     client.send(&query(&write(500)));
@@ -414,8 +419,8 @@
 /// A new configuration names another agent: the old watch is left, the list stands, what is out is answered.
 #[test]
 fn a_reload_follows_the_new_discovery_and_a_bad_file_changes_nothing() {
-    let primary = Host::scripted(true, &[Act::Slow(300, b"slow")]);
-    let (old, replica) = (Agent::start(), Host::start(false));
+    let primary = Host::scripted(true, &[HostReply::Slow(300, b"slow")]);
+    let (old, replica) = (DiscoveryAgent::start(), Host::start(false));
     let text = config(old.address, &known(&primary, &[]));
     let router = Router::start(&text);
     old.watch().begin();
@@ -425,7 +430,7 @@
     for bad in ["{\"name\":", &text.replace(&old.address.to_string(), "nowhere")] {
         router.reload(bad);
     }
-    let new = Agent::start();
+    let new = DiscoveryAgent::start();
     router.reload(&text.replace(&old.address.to_string(), &new.address.to_string()));
     let mut watch = new.watch();
     assert!(watch.request.contains("&since=41 "), "{}", watch.request);
@@ -441,7 +446,7 @@
 /// Hosts replaced under new ids, as releases do for ever: what has left takes its links and its records along.
 #[test]
 fn hosts_that_have_left_for_good_are_forgotten() {
-    let (primary, replica, agent) = (Host::start(true), Host::start(false), Agent::start());
+    let (primary, replica, agent) = (Host::start(true), Host::start(false), DiscoveryAgent::start());
     let router = Router::start(&config(agent.address, &known(&primary, &[&replica])));
     let mut watch = agent.watch();
     watch.begin();
@@ -469,9 +474,15 @@
 /// A statement that crosses the host's close of a link that rested: the host is well, and keeps its turn.
 #[test]
 fn a_link_that_ends_under_its_next_statement_rests_no_host() {
-    let acts = [Act::Row(b"one"), Act::Cut(0), Act::Row(b"two"), Act::Cut(20), Act::Row(b"three")];
+    let acts = [
+        HostReply::Row(b"one"),
+        HostReply::Cut(0),
+        HostReply::Row(b"two"),
+        HostReply::Cut(20),
+        HostReply::Row(b"three"),
+    ];
     let (primary, replica) = (Host::start(true), Host::scripted(false, &acts));
-    let router = Router::before(&primary, &[&replica]);
+    let router = Router::start_with_hosts(&primary, &[&replica]);
     let mut client = router.client();
     for wanted in [&b"one"[..], b"primary", b"two", b"primary", b"three"] {
         assert_eq!(value(&client.ask(&read(800))), wanted);
@@ -483,9 +494,9 @@
 /// The list names who was primary once; answers say who is. Probes look for it where nobody answers as one.
 #[test]
 fn a_write_finds_the_primary_that_the_list_does_not_name() {
-    let (old, new) = (Host::scripted(false, &[Act::Fail("25006")]), Host::start(true));
+    let (old, new) = (Host::scripted(false, &[HostReply::Fail("25006")]), Host::start(true));
     let names = [entry("s-0", old.address, true, "active"), entry("s-1", new.address, false, "active")];
-    let router = Router::start(&config(Agent::start().address, &list(41, true, &names)));
+    let router = Router::start(&config(DiscoveryAgent::start().address, &list(41, true, &names)));
     let mut client = router.client();
     assert_eq!(value(&client.ask(&write(1500))), b"primary");
     assert_eq!(value(&client.ask(&write(1500))), b"primary");
@@ -495,10 +506,10 @@
 
     let hosts = [Host::start(false), Host::start(false)];
     for host in &hosts {
-        let report = [Act::Fail("25006"), Act::Row(b"x0=1700000000.5,x1=0")];
+        let report = [HostReply::Fail("25006"), HostReply::Row(b"x0=1700000000.5,x1=0")];
         host.script.lock().expect("script").acts.extend(report);
     }
-    let router = Router::before(&hosts[0], &[&hosts[1]]);
+    let router = Router::start_with_hosts(&hosts[0], &[&hosts[1]]);
     assert_eq!(router.client().ask(&write(800)).code.as_deref(), Some("53300"));
     let asked = |host: &Host| host.queries.lock().expect("queries").iter().any(|q| q == b"SHOW stats\0");
     assert!(hosts.iter().all(asked));
@@ -507,8 +518,8 @@
 /// Database hosts turn away what they can't read: that is the client's doing, and rests no host.
 #[test]
 fn a_statement_that_a_host_cannot_read_is_no_fault_of_the_host() {
-    let primary = Host::scripted(true, &[Act::Fail("08P01")]);
-    let router = Router::before(&primary, &[]);
+    let primary = Host::scripted(true, &[HostReply::Fail("08P01")]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     assert!(client.ask(&write(800)).code.is_some());
     let started = Instant::now();
@@ -519,9 +530,9 @@
 /// A statement that waits for a dial goes by whichever link is free first.
 #[test]
 fn a_dial_that_never_comes_up_costs_nothing_where_another_link_comes_free() {
-    let primary = Host::scripted(true, &[Act::Slow(120, b"one"), Act::Row(b"two")]);
+    let primary = Host::scripted(true, &[HostReply::Slow(120, b"one"), HostReply::Row(b"two")]);
     primary.script.lock().expect("script").greet = Some(1);
-    let router = Router::before(&primary, &[]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let (mut first, mut second) = (router.client(), router.client());
     first.send(&query(&write(1500)));
     wait_for("the first write", || primary.count() == 1);
@@ -535,9 +546,9 @@
 #[test]
 fn a_router_that_runs_out_of_descriptors_neither_dies_nor_blames_its_hosts() {
     let primary = Host::start(true);
-    let promised =
-        config(Agent::start().address, &known(&primary, &[])).replace("\"sockets\":64", "\"sockets\":512");
-    let router = Router::start_by("ulimit -n 40; exec \"$0\" serve", &promised);
+    let promised = config(DiscoveryAgent::start().address, &known(&primary, &[]))
+        .replace("\"sockets\":64", "\"sockets\":512");
+    let router = Router::start_in_shell("ulimit -n 40; exec \"$0\" serve", &promised);
     let mut flood: Vec<Client> = (0..60).map(|_| Client::connect(router.address)).collect();
     for client in flood.iter_mut().rev().take(5) {
         client.greet();
@@ -552,8 +563,8 @@
 #[test]
 fn clients_that_stop_in_the_middle_of_a_frame_stay_within_the_memory() {
     let primary = Host::start(true);
-    let roomy =
-        config(Agent::start().address, &known(&primary, &[])).replace("\"sockets\":64", "\"sockets\":1024");
+    let roomy = config(DiscoveryAgent::start().address, &known(&primary, &[]))
+        .replace("\"sockets\":64", "\"sockets\":1024");
     let router = Router::start(&roomy);
     let mut half = Vec::new();
     pg::put(&mut half, b'Q', &[&vec![b'x'; pg::MOST_FRAME - 4]]);
@@ -576,7 +587,7 @@
 fn a_flood_of_connections_stays_within_the_descriptors() {
     let long: &'static [u8] = vec![7; 64 * 1024].leak();
     let (primary, replica) = (Host::start(true), Host::start(false));
-    let router = Router::before(&primary, &[&replica]);
+    let router = Router::start_with_hosts(&primary, &[&replica]);
     let mut flood: Vec<Client> = (0..90).map(|_| Client::connect(router.address)).collect();
     // All are in, and nobody is told to go for want of room any more.
     flood.iter().for_each(|c| c.stream.set_nonblocking(true).expect("a socket"));
@@ -594,7 +605,7 @@
     assert!(held <= 64, "{held}");
     // With more to give out, no more rest than statements could need: each has a thread.
     let known = known(&primary, &[&replica]);
-    let roomy = config(Agent::start().address, &known).replace("\"sockets\":64", "\"sockets\":256");
+    let roomy = config(DiscoveryAgent::start().address, &known).replace("\"sockets\":64", "\"sockets\":256");
     let roomy = Router::start(&roomy);
     let crowd: Vec<Client> = (0..200).map(|_| Client::connect(roomy.address)).collect();
     assert_eq!(value(&roomy.client().ask(&read(1500))), b"replica");
@@ -603,7 +614,7 @@
     drop((crowd, roomy));
     // A client that never reads and one that sends a byte at a time hold up nobody.
     let mut stuck = router.client();
-    replica.script.lock().expect("script").acts.extend(vec![Act::Row(long); 200]);
+    replica.script.lock().expect("script").acts.extend(vec![HostReply::Row(long); 200]);
     stuck.send(&query(&read(1500)).repeat(200));
     let mut dribble = router.client();
     dribble.send(&query(&read(1500))[..9]);
@@ -615,7 +626,7 @@
 
 #[test]
 fn the_command_line_says_what_is_wrong_in_one_line() {
-    let good = config(Agent::start().address, &list(1, true, &[]));
+    let good = config(DiscoveryAgent::start().address, &list(1, true, &[]));
     let said = |config: &str, arguments: &[&str]| {
         let output = run(config, arguments);
         let error = String::from_utf8(output.stderr).expect("text");
@@ -647,7 +658,7 @@
 
 #[test]
 fn counters_are_printed_on_request() {
-    let mut router = Router::before(&Host::start(true), &[]);
+    let mut router = Router::start_with_hosts(&Host::start(true), &[]);
     assert_eq!(value(&router.client().ask(&write(800))), b"primary");
     router.signal("USR1");
     let out = router.child.stderr.take().expect("a pipe");
--- a/crates/sandstile-router/tests/readiness.rs
+++ b/crates/sandstile-router/tests/readiness.rs
@@ -16,8 +16,8 @@
 fn lines_with_endless_work_hold_up_nobody() {
     let long: &'static [u8] = vec![7; 60_000].leak();
     let (primary, replica) = (Host::start(true), Host::start(false));
-    replica.script.lock().expect("script").acts.extend(vec![Act::Row(long); 4_000]);
-    let router = Router::before(&primary, &[&replica]);
+    replica.script.lock().expect("script").acts.extend(vec![HostReply::Row(long); 4_000]);
+    let router = Router::start_with_hosts(&primary, &[&replica]);
     let (over, floods) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let mut threads = Vec::new();
     for _ in 0..2 {
@@ -62,8 +62,8 @@
 #[test]
 fn a_process_that_is_stopped_again_and_again_answers_all() {
     let (primary, replica) = (Host::start(true), Host::start(false));
-    replica.script.lock().expect("script").acts.extend(vec![Act::Slow(30, b"slow"); 40]);
-    let router = Router::before(&primary, &[&replica]);
+    replica.script.lock().expect("script").acts.extend(vec![HostReply::Slow(30, b"slow"); 40]);
+    let router = Router::start_with_hosts(&primary, &[&replica]);
     let clients: Vec<Client> = (0..6).map(|_| router.client()).collect();
     let over = Arc::new(AtomicBool::new(false));
     let asks: Vec<_> = clients
@@ -102,10 +102,12 @@
 fn an_end_and_a_reload_in_the_midst_of_everything_lose_nothing() {
     let mut half = Vec::new();
     pg::put(&mut half, b'T', &[b"\0\x01payload\0", &[0; 18]]);
-    let (primary, replica) =
-        (Host::scripted(true, &[Act::Slow(400, b"first")]), Host::scripted(false, &[Act::Say(half.leak())]));
+    let (primary, replica) = (
+        Host::scripted(true, &[HostReply::Slow(400, b"first")]),
+        Host::scripted(false, &[HostReply::Raw(half.leak())]),
+    );
     primary.script.lock().expect("script").greet = Some(1);
-    let agent = Agent::start();
+    let agent = DiscoveryAgent::start();
     let text = config(agent.address, &known(&primary, &[&replica]));
     let router = Router::start(&text);
     let (mut first, mut second, mut third, mut begun) =
@@ -142,8 +144,8 @@
 /// spun here heard no answer any more, and were killed with what they had taken.
 #[test]
 fn a_router_that_ends_sleeps_while_a_statement_is_out() {
-    let primary = Host::scripted(true, &[Act::Silent]);
-    let router = Router::before(&primary, &[]);
+    let primary = Host::scripted(true, &[HostReply::Silent]);
+    let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     client.send(&query(&write(1900)));
     wait_for("the write", || primary.count() == 1);
--- a/crates/sandstile-router/tests/recorder.rs
+++ b/crates/sandstile-router/tests/recorder.rs
@@ -18,9 +18,9 @@
     let (file, own) = (place("evening.rec"), place("recording.hcl"));
     fs::write(&own, format!("recording {{\n  file = \"{}\"\n}}\n", file.display())).expect("a place");
     let (primary, replica) = (Host::start(true), Host::start(false));
-    let text = config(Agent::start().address, &known(&primary, &[&replica]));
+    let text = config(DiscoveryAgent::start().address, &known(&primary, &[&replica]));
     let line = format!("exec \"$0\" serve --config {}", own.display());
-    let router = Router::start_by(&line, &text);
+    let router = Router::start_in_shell(&line, &text);
     let mut client = router.client();
     for n in 0..5 {
         let asked = if n == 2 { write(800) } else { read(800) };
@@ -63,9 +63,9 @@
     let own = place("limits.hcl");
     fs::write(&own, "limits {\n  later_tries = 0.2\n}\n").expect("a place");
     let (primary, replica) = (Host::start(true), Host::start(false));
-    let text = config(Agent::start().address, &known(&primary, &[&replica]));
+    let text = config(DiscoveryAgent::start().address, &known(&primary, &[&replica]));
     let line = format!("exec \"$0\" serve --config {}", own.display());
-    let router = Router::start_by(&line, &text);
+    let router = Router::start_in_shell(&line, &text);
     let mut client = router.client();
     let again = |text: String| text.replace(",cluster=", ",r=1,cluster=");
     let mut told = Vec::new();
@@ -93,7 +93,7 @@
 #[test]
 fn without_our_own_file_there_is_one_listener_and_nothing_on_the_disk() {
     let primary = Host::start(true);
-    let router = Router::before(&primary, &[&Host::start(false)]);
+    let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
     let mut client = router.client();
     assert!(client.ask(&write(800)).value.is_some());
     let pid = router.child.id();
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -9,7 +9,7 @@
 use sandstile_replicated_state::fact::Said;
 use sandstile_replicated_state::{wire, Fact, Key, Kind, Message, Value};
 use sandstile_scenario::Script;
-use stand_ins::{wait_for, PATIENCE};
+use stand_ins::{wait_for, TEST_TIMEOUT};
 use std::fs;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -142,7 +142,7 @@
         "/* id=s{id:08},c={class},d=1900,cluster=1{mark} */ SELECT clip FROM clips WHERE viewer = '{session}'"
     );
     let mut stream = TcpStream::connect(router.address).expect("a router");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
     let mut bytes = pg::hello();
     pg::query(&mut bytes, text.as_bytes());
     stream.write_all(&bytes).expect("a router that reads");
--- a/crates/sandstile-router/tests/stand_ins/mod.rs
+++ b/crates/sandstile-router/tests/stand_ins/mod.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 use std::{fs, thread};
 
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Looks again and again until it is so.
 pub fn wait_for(what: &str, mut seen: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !seen() {
         assert!(Instant::now() < end, "never came: {what}");
         thread::sleep(Duration::from_millis(2));
@@ -27,7 +27,7 @@
 
 /// What a database host does with a statement.
 #[derive(Clone)]
-pub enum Act {
+pub enum HostReply {
     Row(&'static [u8]),
     /// A row after so many milliseconds.
     Slow(u64, &'static [u8]),
@@ -38,13 +38,13 @@
     RowThenEnd(&'static [u8]),
     /// A row, and the same once more behind it.
     Twice(&'static [u8]),
-    Say(&'static [u8]),
+    Raw(&'static [u8]),
     Silent,
 }
 
 #[derive(Default)]
 pub struct Script {
-    pub acts: VecDeque<Act>,
+    pub acts: VecDeque<HostReply>,
     pub greeting_code: Option<&'static str>,
     /// Connections beyond so many are never greeted.
     pub greet: Option<usize>,
@@ -104,7 +104,7 @@
         host
     }
 
-    pub fn scripted(primary: bool, acts: &[Act]) -> Host {
+    pub fn scripted(primary: bool, acts: &[HostReply]) -> Host {
         let host = Host::start(primary);
         host.script.lock().expect("script").acts.extend(acts.iter().cloned());
         host
@@ -157,30 +157,30 @@
             }
             queries.lock().expect("queries").push(query);
             let act = script.lock().expect("script").acts.pop_front();
-            match act.unwrap_or(Act::Row(if primary { b"primary" } else { b"replica" })) {
-                Act::Row(value) => row(value, primary, &mut out),
-                Act::Twice(value) => {
+            match act.unwrap_or(HostReply::Row(if primary { b"primary" } else { b"replica" })) {
+                HostReply::Row(value) => row(value, primary, &mut out),
+                HostReply::Twice(value) => {
                     row(value, primary, &mut out);
                     row(value, primary, &mut out);
                 }
-                Act::Slow(ms, value) => {
+                HostReply::Slow(ms, value) => {
                     thread::sleep(Duration::from_millis(ms));
                     row(value, primary, &mut out);
                 }
-                Act::RowThenEnd(value) => {
+                HostReply::RowThenEnd(value) => {
                     row(value, primary, &mut out);
                     return stream.write_all(&out);
                 }
-                Act::Fail(code) => {
+                HostReply::Fail(code) => {
                     pg::error(&mut out, false, code, "as told", None);
                     close(primary, &mut out);
                 }
-                Act::Cut(n) => {
+                HostReply::Cut(n) => {
                     row(b"cut", primary, &mut out);
                     return stream.write_all(&out[..n]);
                 }
-                Act::Say(bytes) => out.extend_from_slice(bytes),
-                Act::Silent => {}
+                HostReply::Raw(bytes) => out.extend_from_slice(bytes),
+                HostReply::Silent => {}
             }
         }
         stream.write_all(&out)?;
@@ -189,7 +189,7 @@
 }
 
 /// Discovery's agent: each watch is handed to the test, which says what goes over it.
-pub struct Agent {
+pub struct DiscoveryAgent {
     pub address: SocketAddr,
     listener: TcpListener,
 }
@@ -199,15 +199,15 @@
     stream: TcpStream,
 }
 
-impl Agent {
-    pub fn start() -> Agent {
+impl DiscoveryAgent {
+    pub fn start() -> DiscoveryAgent {
         let listener = listener();
-        Agent { address: listener.local_addr().expect("bound"), listener }
+        DiscoveryAgent { address: listener.local_addr().expect("bound"), listener }
     }
 
     pub fn watch(&self) -> Watch {
         let (mut stream, _) = self.listener.accept().expect("a watch");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
         let (mut request, mut byte) = (Vec::new(), [0]);
         while !request.ends_with(b"\r\n\r\n") {
             stream.read_exact(&mut byte).expect("a whole request");
@@ -301,7 +301,7 @@
 
     // Not all tests that have these stand-ins give arguments.
     #[allow(dead_code)]
-    pub fn start_with(config: &str, arguments: &[&str]) -> Router {
+    pub fn start_with_arguments(config: &str, arguments: &[&str]) -> Router {
         let (mut command, address, file) = Router::command(config);
         command.arg("serve").args(arguments);
         Router::up(command, address, file)
@@ -321,7 +321,7 @@
     }
 
     /// The program under a shell's line, in which `$0` is its path.
-    pub fn start_by(line: &str, config: &str) -> Router {
+    pub fn start_in_shell(line: &str, config: &str) -> Router {
         let (command, address, file) = Router::command(config);
         let mut shell = Command::new("/bin/sh");
         shell.args(["-c", line]).arg(command.get_program());
@@ -331,8 +331,8 @@
     }
 
     /// A router before one primary and so many replicas, with discovery silent.
-    pub fn before(primary: &Host, replicas: &[&Host]) -> Router {
-        Router::start(&config(Agent::start().address, &known(primary, replicas)))
+    pub fn start_with_hosts(primary: &Host, replicas: &[&Host]) -> Router {
+        Router::start(&config(DiscoveryAgent::start().address, &known(primary, replicas)))
     }
 
     /// Has the program read this in place of its configuration.
@@ -413,7 +413,7 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("a router that accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
         Client { stream, buf: Vec::new() }
     }
 
--- a/crates/sandstile-router/tests/system_calls.rs
+++ b/crates/sandstile-router/tests/system_calls.rs
@@ -13,7 +13,7 @@
 /// A router whose system calls go by these rules, before one primary and one replica.
 fn router_under(rules: &[Rule], primary: &Host, replicas: &[&Host]) -> Router {
     let (mut command, address, file) =
-        Router::command(&config(Agent::start().address, &known(primary, replicas)));
+        Router::command(&config(DiscoveryAgent::start().address, &known(primary, replicas)));
     let library = sandstile_shim::library(Path::new(command.get_program())).expect("the shim");
     Plan { seed: 1, rules: rules.to_vec() }.apply(&mut command, &library);
     command.arg("serve");
@@ -165,7 +165,7 @@
 #[test]
 fn a_broken_read_aborts_a_non_idempotent_statement_and_never_repeats_it() {
     for errno in [ECONNRESET, ETIMEDOUT, EHOSTUNREACH] {
-        let (primary, replica) = (Host::scripted(true, &[Act::Slow(300, b"late")]), Host::start(false));
+        let (primary, replica) = (Host::scripted(true, &[HostReply::Slow(300, b"late")]), Host::start(false));
         let broken = Rule::fails(Call::Recv, errno).port(primary.address.port()).between(500, 2000);
         let router = router_under(&[broken], &primary, &[&replica]);
         std::thread::sleep(Duration::from_millis(300));
@@ -211,7 +211,7 @@
 #[test]
 fn a_stepped_wall_clock_moves_no_deadline() {
     for ms in [-3_600_000, -5_000, 5_000, 3_600_000] {
-        let (primary, replica) = (Host::scripted(true, &[Act::Silent]), Host::start(false));
+        let (primary, replica) = (Host::scripted(true, &[HostReply::Silent]), Host::start(false));
         let router = router_under(
             &[Rule::new(Call::WallClock, Fault::StepMs(ms)).between(300, u64::MAX)],
             &primary,
--- a/crates/sandstile-router/tests/waiting.rs
+++ b/crates/sandstile-router/tests/waiting.rs
@@ -19,9 +19,9 @@
 /// Guards against requests that wait unread in the listen queue while all connections that are in are busy.
 #[test]
 fn a_request_behind_a_full_house_gets_its_answer_in_its_time() {
-    let (primary, replica) = (Host::start(true), Host::scripted(false, &vec![Act::Silent; 200]));
-    primary.script.lock().expect("script").acts.extend(vec![Act::Silent; 200]);
-    let router = Router::before(&primary, &[&replica]);
+    let (primary, replica) = (Host::start(true), Host::scripted(false, &vec![HostReply::Silent; 200]));
+    primary.script.lock().expect("script").acts.extend(vec![HostReply::Silent; 200]);
+    let router = Router::start_with_hosts(&primary, &[&replica]);
     let busy: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = Client::connect(router.address);
@@ -93,7 +93,7 @@
 #[test]
 fn an_indented_list_of_thousands_of_hosts_is_taken() {
     let primary = Host::start(true);
-    let agent = Agent::start();
+    let agent = DiscoveryAgent::start();
     let router = Router::start(&config(agent.address, &known(&primary, &[])));
     let mut watch = agent.watch();
     watch.begin();
@@ -112,7 +112,7 @@
 #[test]
 fn a_long_list_that_comes_slowly_is_taken() {
     let primary = Host::start(true);
-    let agent = Agent::start();
+    let agent = DiscoveryAgent::start();
     let router = Router::start(&config(agent.address, &known(&primary, &[])));
     let mut watch = agent.watch();
     watch.begin();
