--- a/crates/sandstile-connections/src/client_connection.rs
+++ b/crates/sandstile-connections/src/client_connection.rs
@@ -56,7 +56,7 @@
         time: f64,
     },
     Asking {
-        stmt: u64,
+        statement_id: u64,
         time: f64,
     },
     /// Says what is in `out`, until then at the latest.
@@ -231,7 +231,7 @@
             };
         }
         match std::mem::replace(&mut self.state, State::Ended) {
-            State::Asking { stmt, .. } => Some(Wish::Gone(stmt)),
+            State::Asking { statement_id, .. } => Some(Wish::Gone(statement_id)),
             _ => None,
         }
     }
@@ -249,16 +249,16 @@
     }
 
     /// The name of the statement that was wished for.
-    pub fn asked(&mut self, stmt: u64) {
+    pub fn asked(&mut self, statement_id: u64) {
         if let State::Wishing { time } = self.state {
-            self.state = State::Asking { stmt, time };
+            self.state = State::Asking { statement_id, time };
         }
     }
 
     /// The one answer to the statement that is out; one to any other is nobody's any more.
-    pub fn answer(&mut self, now: f64, stmt: u64, answer: Answer, remarks: &mut Vec<Remark>) {
+    pub fn answer(&mut self, now: f64, statement_id: u64, answer: Answer, remarks: &mut Vec<Remark>) {
         let time = match self.state {
-            State::Asking { stmt: out, time } if out == stmt => time,
+            State::Asking { statement_id: out, time } if out == statement_id => time,
             _ => return,
         };
         if answer == Answer::Unusable {
--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -4,7 +4,7 @@
 use crate::outcome::{Ending, Outcome};
 use crate::task::{Errand, Job};
 use sandstile_pgwire::{self as pg, Answer, BadFrame, Stage};
-use sandstile_policy::terms::{Note, Verdict};
+use sandstile_policy::terms::{HostReport, OutcomeClass};
 
 /// The reads of one answer of the usual size fit in one.
 const READ: usize = 8 * 1024;
@@ -367,10 +367,10 @@
             (_, Heard::TimedOut) => Ending::TimedOut,
             (_, Heard::Ready) => Ending::Garbled,
         };
-        let spoilt = ending.verdict() == Verdict::Spoilt;
+        let spoilt = ending.verdict() == OutcomeClass::UnusableAnswer;
         let mut note = match spoilt {
-            true => Note::default(),
-            false => Note { position: answer.position, primary: answer.primary },
+            true => HostReport::default(),
+            false => HostReport { position: answer.position, primary: answer.primary },
         };
         if matches!(job.errand, Errand::Probe) && ending == Ending::Completed {
             report(answer.text(), &mut note);
@@ -401,7 +401,7 @@
 }
 
 /// A load report's position, in Unix seconds there, and role.
-fn report(text: &str, note: &mut Note) {
+fn report(text: &str, note: &mut HostReport) {
     for (key, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         match (key.trim(), value.trim().parse::<f64>()) {
             ("x0", Ok(position)) if position.is_finite() => note.position = Some(position),
--- a/crates/sandstile-connections/tests/client_connections.rs
+++ b/crates/sandstile-connections/tests/client_connections.rs
@@ -94,13 +94,13 @@
             let mut wish = rig.hear(&whole[at..to], &mut said);
             while let Some(Wish::Ask { statement, time }) = wish {
                 assert!(time > rig.now && time <= rig.now + 0.5);
-                let stmt = ids.len() as u64 + 7;
-                rig.line.asked(stmt);
+                let statement_id = ids.len() as u64 + 7;
+                rig.line.asked(statement_id);
                 assert_eq!(rig.line.rests(), None);
                 // An answer to another statement is nobody's.
-                rig.line.answer(rig.now, stmt + 1, Answer::Aborted, &mut rig.remarks);
+                rig.line.answer(rig.now, statement_id + 1, Answer::Aborted, &mut rig.remarks);
                 assert!(rig.line.out().is_empty());
-                rig.line.answer(rig.now, stmt, Answer::Rejected(0.25), &mut rig.remarks);
+                rig.line.answer(rig.now, statement_id, Answer::Rejected(0.25), &mut rig.remarks);
                 ids.push(statement.id.clone());
                 wish = rig.flow(&mut said);
             }
@@ -161,14 +161,14 @@
                     rig.turn()
                 }
                 4 if out.is_some() => {
-                    let stmt: u64 = out.take().expect("checked");
+                    let statement_id: u64 = out.take().expect("checked");
                     let answer = match below(4) {
                         0 => Answer::Completed(b"rows".to_vec(), Some("mark".to_string())),
                         1 => Answer::Aborted,
                         2 => Answer::Unusable,
                         _ => Answer::Rejected(0.0),
                     };
-                    rig.line.answer(rig.now, stmt, answer, &mut rig.remarks);
+                    rig.line.answer(rig.now, statement_id, answer, &mut rig.remarks);
                     answered += 1;
                     assert!(!rig.line.out().is_empty(), "an answer is words");
                     rig.turn()
@@ -188,8 +188,8 @@
                     out = Some(asked);
                     assert_eq!(rig.line.due(), f64::INFINITY, "only the desk ends its time");
                 }
-                Some(Wish::Gone(stmt)) => {
-                    assert_eq!(out.take(), Some(stmt));
+                Some(Wish::Gone(statement_id)) => {
+                    assert_eq!(out.take(), Some(statement_id));
                     gone += 1;
                 }
                 None => {}
@@ -285,11 +285,11 @@
     rig.now = begun + 0.2;
     rig.line.bytes(rig.now, &statement(3)[20..]);
     rig.now = begun + 0.4;
-    for (stmt, due) in [(1, 0.5), (2, 0.7)] {
-        rig.line.answer(rig.now, stmt, Answer::Aborted, &mut rig.remarks);
+    for (statement_id, due) in [(1, 0.5), (2, 0.7)] {
+        rig.line.answer(rig.now, statement_id, Answer::Aborted, &mut rig.remarks);
         let Some(Wish::Ask { time, .. }) = rig.flow(&mut said) else { panic!("a wish") };
         assert!((time - begun - due).abs() < 1e-6, "{}", time - begun);
-        rig.line.asked(stmt + 1);
+        rig.line.asked(statement_id + 1);
     }
 }
 
@@ -312,17 +312,17 @@
     assert!(at < burst.len(), "a bound on what is held");
     rig.now = begun + 0.3;
     rig.line.answer(rig.now, 1, Answer::Aborted, &mut rig.remarks);
-    let mut stmt = 2;
+    let mut statement_id = 2;
     while let Some(Wish::Ask { time, .. }) = rig.flow(&mut said) {
-        assert!(time <= begun + 0.5 + 1e-6, "statement {stmt}: {}", time - begun);
-        rig.line.asked(stmt);
+        assert!(time <= begun + 0.5 + 1e-6, "statement {statement_id}: {}", time - begun);
+        rig.line.asked(statement_id);
         let some = rig.line.wants().min(burst.len() - at);
         rig.line.bytes(rig.now, &burst[at..at + some]);
         at += some;
-        rig.line.answer(rig.now, stmt, Answer::Aborted, &mut rig.remarks);
-        stmt += 1;
+        rig.line.answer(rig.now, statement_id, Answer::Aborted, &mut rig.remarks);
+        statement_id += 1;
     }
-    assert_eq!((stmt, at), (200, burst.len()));
+    assert_eq!((statement_id, at), (200, burst.len()));
     // All is read: what comes after a pause has its time from then.
     rig.now = begun + 1.0;
     let Some(Wish::Ask { time, .. }) = rig.hear(&statement(900), &mut said) else { panic!("a wish") };
@@ -382,11 +382,11 @@
     rig.line.asked(1);
     rig.now += 2.0;
     rig.line.answer(rig.now, 1, Answer::Aborted, &mut rig.remarks);
-    for stmt in 2..4 {
+    for statement_id in 2..4 {
         let Some(Wish::Ask { time, .. }) = rig.flow(&mut said) else { panic!("a wish") };
         assert!(time + LATE < rig.now);
-        rig.line.asked(stmt);
-        rig.line.answer(rig.now, stmt, Answer::Rejected(0.0), &mut rig.remarks);
+        rig.line.asked(statement_id);
+        rig.line.answer(rig.now, statement_id, Answer::Rejected(0.0), &mut rig.remarks);
     }
     rig.flow(&mut said);
     assert_eq!((frames(&said).1.len(), rig.remarks.as_slice()), (3, &[][..]));
--- a/crates/sandstile-connections/tests/upstream_connections.rs
+++ b/crates/sandstile-connections/tests/upstream_connections.rs
@@ -7,7 +7,7 @@
 use sandstile_connections::task::{Errand, Job, Parcel};
 use sandstile_connections::upstream_connection::{Event, Link};
 use sandstile_pgwire as pg;
-use sandstile_policy::terms::Verdict;
+use sandstile_policy::terms::OutcomeClass;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,8 +23,8 @@
     }
 }
 
-fn job(stmt: u64, until: f64) -> Job {
-    Job { errand: Errand::Statement { stmt, execution: 0, parcel: Arc::new(Words) }, until }
+fn job(statement_id: u64, until: f64) -> Job {
+    Job { errand: Errand::Statement { statement_id, execution: 0, parcel: Arc::new(Words) }, until }
 }
 
 fn greeting() -> Vec<u8> {
@@ -103,7 +103,7 @@
             words.clear();
             pg::error(&mut words, true, ["53300", "XX000"][below(2) as usize], "no", None);
         }
-        let (mut at, mut stmt, mut out, mut whole, mut ended) = (0, 0, None, false, false);
+        let (mut at, mut statement_id, mut out, mut whole, mut ended) = (0, 0, None, false, false);
         for _ in 0..80 {
             let event = match below(14) {
                 0 => {
@@ -132,10 +132,10 @@
                     now += below(200) as f64 / 1000.0;
                     link.time(now, &mut budget)
                 }
-                11 if out.is_some() && below(5) == 0 => link.withdraw((stmt, 0), &mut budget),
+                11 if out.is_some() && below(5) == 0 => link.withdraw((statement_id, 0), &mut budget),
                 12 if out.is_none() && link.idle() => {
-                    stmt += 1;
-                    (out, whole, at) = (Some(stmt), false, 0);
+                    statement_id += 1;
+                    (out, whole, at) = (Some(statement_id), false, 0);
                     words = answer(b"value");
                     match below(8) {
                         0 => words = b"no frame at all".to_vec(),
@@ -147,9 +147,9 @@
                         }
                         _ => {}
                     }
-                    link.begin(now, job(stmt, now + below(600) as f64 / 1000.0))
+                    link.begin(now, job(statement_id, now + below(600) as f64 / 1000.0))
                 }
-                13 => link.withdraw((stmt + 1, 0), &mut budget),
+                13 => link.withdraw((statement_id + 1, 0), &mut budget),
                 _ => None,
             };
             let Some(event) = event else { continue };
@@ -161,7 +161,7 @@
                         out.is_none()
                             && matches!(
                                 ending.verdict(),
-                                Verdict::ConnectFailed | Verdict::Moot | Verdict::Full
+                                OutcomeClass::ConnectFailed | OutcomeClass::NotSent | OutcomeClass::Full
                             )
                     );
                     ended = true;
@@ -172,7 +172,7 @@
                     ended = true;
                 }
                 Event::Done { job, outcome, goes_on } => {
-                    assert_eq!(out.take(), job.which().map(|(stmt, _)| stmt), "seed {seed}");
+                    assert_eq!(out.take(), job.which().map(|(statement_id, _)| statement_id), "seed {seed}");
                     seen.insert(outcome.ending);
                     let never = [Ending::WithdrawnUnsent, Ending::BrokenUnwritten];
                     assert_eq!(never.contains(&outcome.ending), !whole, "seed {seed}: {outcome:?}");
@@ -219,8 +219,8 @@
         let (mut open, mut dials, mut idle) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
         let mut busy: BTreeMap<usize, u64> = BTreeMap::new();
         let over = |job: Job, open: &mut BTreeSet<u64>| {
-            let (stmt, _) = job.which().expect("a statement");
-            assert!(open.remove(&stmt), "seed {seed}: {stmt} ended twice");
+            let (statement_id, _) = job.which().expect("a statement");
+            assert!(open.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
         };
         let has = |job: &Job| job.which().expect("a statement").0;
         let pick = |of: Vec<usize>, n: usize| of.get(n % of.len().max(1)).copied();
@@ -272,8 +272,8 @@
                 }
                 6 | 7 => {
                     let Some(link) = pick(busy.keys().copied().collect(), n) else { continue };
-                    let stmt = busy.remove(&link).expect("picked");
-                    assert!(open.remove(&stmt), "seed {seed}: {stmt} ended twice");
+                    let statement_id = busy.remove(&link).expect("picked");
+                    assert!(open.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
                     match pool.done(link, below(4) > 0, now) {
                         Free::Hand(job) => assert!(busy.insert(link, has(&job)).is_none()),
                         Free::Rest => assert!(idle.insert(link)),
@@ -281,15 +281,17 @@
                     }
                 }
                 _ => {
-                    let Some(stmt) = pick(open.iter().map(|s| *s as usize).collect(), n) else { continue };
-                    match pool.find((stmt as u64, 0)) {
+                    let Some(statement_id) = pick(open.iter().map(|s| *s as usize).collect(), n) else {
+                        continue;
+                    };
+                    match pool.find((statement_id as u64, 0)) {
                         Found::Waiting(job) => over(job, &mut open),
                         Found::Under(link) => {
-                            assert_eq!(busy.remove(&link), Some(stmt as u64));
-                            open.remove(&(stmt as u64));
+                            assert_eq!(busy.remove(&link), Some(statement_id as u64));
+                            open.remove(&(statement_id as u64));
                             assert!(matches!(pool.done(link, false, now), Free::Moved));
                         }
-                        Found::Nowhere => panic!("seed {seed}: {stmt} is out and nowhere"),
+                        Found::Nowhere => panic!("seed {seed}: {statement_id} is out and nowhere"),
                     }
                 }
             }
--- a/crates/sandstile-deployment/src/host_list.rs
+++ b/crates/sandstile-deployment/src/host_list.rs
@@ -1,11 +1,11 @@
 //! The list of database hosts, merged from whole lists and from changes.
-use crate::interner::Names;
-use sandstile_policy::terms::{Member, Readiness};
+use crate::interner::Interner;
+use sandstile_policy::terms::{ListedHost, Readiness};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One entry as discovery words it; `since` on the clock of the decisions, 0 for long ago.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct HostEntry {
     pub host: String,
     pub group: String,
     pub zone: String,
@@ -16,9 +16,9 @@
 
 /// The list as it stands. A change costs what it brings, however many hosts and groups there are.
 #[derive(Default)]
-pub struct List {
-    zones: Names,
-    members: BTreeMap<String, Member>,
+pub struct HostList {
+    zones: Interner,
+    members: BTreeMap<String, ListedHost>,
     /// Those that have left the list and are still known.
     gone: BTreeSet<String>,
     /// How many known hosts each group has.
@@ -27,7 +27,7 @@
     empty_groups: BTreeSet<usize>,
 }
 
-impl List {
+impl HostList {
     /// Drops those that are gone and that `forgotten` lets go of, and yields their names and indices.
     pub fn drop_gone(&mut self, mut forgotten: impl FnMut(usize) -> bool) -> Vec<(String, usize)> {
         let mut dropped = Vec::new();
@@ -74,23 +74,23 @@
     pub fn merge(
         &mut self,
         whole: bool,
-        entries: &[Entry],
-        hosts: &mut Names,
-        groups: &mut Names,
-    ) -> Vec<Member> {
+        entries: &[HostEntry],
+        hosts: &mut Interner,
+        groups: &mut Interner,
+    ) -> Vec<ListedHost> {
         let mut changed = BTreeMap::new();
         if whole {
             let told: BTreeSet<&str> = entries.iter().map(|entry| entry.host.as_str()).collect();
             let left = self.members.iter().filter(|(name, _)| !told.contains(name.as_str()));
-            let left =
-                left.map(|(name, member)| (name, Member { readiness: Readiness::Gone, ..member.clone() }));
+            let left = left
+                .map(|(name, member)| (name, ListedHost { readiness: Readiness::Gone, ..member.clone() }));
             changed.extend(left.map(|(name, member)| (name.clone(), member)));
         }
         for entry in entries {
-            let member = Member {
-                host: hosts.of(&entry.host),
-                group: groups.of(&entry.group),
-                zone: self.zones.of(&entry.zone),
+            let member = ListedHost {
+                host: hosts.intern(&entry.host),
+                group: groups.intern(&entry.group),
+                zone: self.zones.intern(&entry.zone),
                 primary: entry.primary,
                 since: entry.since,
                 readiness: entry.readiness,
@@ -104,7 +104,7 @@
         changed.into_values().collect()
     }
 
-    fn put(&mut self, name: &str, member: &Member) {
+    fn put(&mut self, name: &str, member: &ListedHost) {
         match member.readiness {
             Readiness::Gone => self.gone.insert(name.to_string()),
             _ => self.gone.remove(name),
--- a/crates/sandstile-deployment/src/interner.rs
+++ b/crates/sandstile-deployment/src/interner.rs
@@ -1,7 +1,7 @@
 //! Indices for ids, in the order in which they were first seen.
 use std::collections::HashMap;
 
-pub struct Names {
+pub struct Interner {
     index: HashMap<String, usize>,
     names: Vec<String>,
     most: usize,
@@ -10,19 +10,19 @@
     free: Vec<usize>,
 }
 
-impl Default for Names {
+impl Default for Interner {
     fn default() -> Self {
-        Names::bounded(usize::MAX)
+        Interner::with_limit(usize::MAX)
     }
 }
 
-impl Names {
+impl Interner {
     /// Beyond so many names, the one that came first gives its index to the new one.
-    pub fn bounded(most: usize) -> Self {
-        Names { index: HashMap::new(), names: Vec::new(), most, next: 0, free: Vec::new() }
+    pub fn with_limit(most: usize) -> Self {
+        Interner { index: HashMap::new(), names: Vec::new(), most, next: 0, free: Vec::new() }
     }
 
-    pub fn of(&mut self, name: &str) -> usize {
+    pub fn intern(&mut self, name: &str) -> usize {
         if let Some(&i) = self.index.get(name) {
             return i;
         }
--- a/crates/sandstile-deployment/src/settings.rs
+++ b/crates/sandstile-deployment/src/settings.rs
@@ -80,7 +80,7 @@
                 "zone" => DedupScope::Zone,
                 _ => DedupScope::Group,
             },
-            window: seconds(&path("windowMs"), 0.0)?,
+            dedup_window: seconds(&path("windowMs"), 0.0)?,
             consistency: match consistency.get(i).copied().unwrap_or("") {
                 "update" => Consistency::Write,
                 "own_writes" => Consistency::Session,
@@ -88,31 +88,31 @@
                 "loose" => Consistency::Any,
                 _ => Consistency::Fresh,
             },
-            bound: ages.get(i).and_then(|a| a.parse::<f64>().ok()).unwrap_or(0.0) / 1000.0,
+            max_age: ages.get(i).and_then(|a| a.parse::<f64>().ok()).unwrap_or(0.0) / 1000.0,
         });
     }
     let terms = Terms {
         workloads,
         tick: seconds("tickMs", 1.0)?,
         routers: number("peersTotal", 1.0)? as usize,
-        most_executions: number("allowed.mostTries", 1.0)? as usize,
-        may_recall: yes("allowed.mayCancel", false),
+        max_executions: number("allowed.mostTries", 1.0)? as usize,
+        may_cancel: yes("allowed.mayCancel", false),
         may_probe: yes("allowed.probes", false),
-        max_return: match yes("allowed.retryAfter", false) {
+        max_retry_after: match yes("allowed.retryAfter", false) {
             true => seconds("allowed.maxRetryAfterMs", 0.0)?,
             false => 0.0,
         },
-        on_request: word("discovery") == "on_request",
-        ask_within: seconds("rules.askWithinMs", 10_000.0)?,
+        list_on_request: word("discovery") == "on_request",
+        subscribe_within: seconds("rules.askWithinMs", 10_000.0)?,
         idle_close: seconds("allowed.idleCloseMs", 15_000.0)?,
-        drain_binds_alone: yes("rules.drainBindsAlone", false),
-        cold_from: number("rules.coldFrom", 1.0)?,
-        cold_s: seconds("rules.coldMs", 0.0)?,
-        cold_multiple: number("rules.tipMultiple", 1.0)?,
-        checked: word("specifics.guards") != "off",
-        stamped: yes("specifics.answersStamped", false),
-        marked_retries: yes("clients.marksRetry", false),
-        tokens_remembered: word("specifics.tokens") == "router",
+        only_draining_excludes: yes("rules.drainBindsAlone", false),
+        cold_initial_share: number("rules.coldFrom", 1.0)?,
+        cold_duration: seconds("rules.coldMs", 0.0)?,
+        cold_overload_multiple: number("rules.tipMultiple", 1.0)?,
+        hosts_check_reads: word("specifics.guards") != "off",
+        answers_carry_position: yes("specifics.answersStamped", false),
+        clients_mark_retries: yes("clients.marksRetry", false),
+        router_keeps_tokens: word("specifics.tokens") == "router",
     };
     Ok((names, terms))
 }
--- a/crates/sandstile-dispatcher/src/counters.rs
+++ b/crates/sandstile-dispatcher/src/counters.rs
@@ -1,5 +1,5 @@
 //! What the desk took in and answered. Read by whoever prints it, from any thread.
-use sandstile_policy::terms::{Cause, Hold};
+use sandstile_policy::terms::{FailureCause, WaitReason};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 #[derive(Default, Debug)]
@@ -47,29 +47,32 @@
     pub stalls: Count,
     /// Executions beyond a statement's first.
     pub further_executions: Count,
-    refusals: [Count; Cause::ALL.len()],
+    refusals: [Count; FailureCause::ALL.len()],
     /// Statements refused without an execution, by what they had waited for.
-    unsent: [Count; Hold::ALL.len()],
+    unsent: [Count; WaitReason::ALL.len()],
 }
 
 impl Counts {
     /// A statement was rejected or aborted for this cause.
-    pub fn refused(&self, cause: Cause) {
+    pub fn refused(&self, cause: FailureCause) {
         self.refusals[cause as usize].add();
     }
 
     /// A statement was refused that was never sent, and had waited for this.
-    pub fn refused_unsent(&self, hold: Hold) {
-        self.unsent[hold as usize].add();
+    pub fn refused_unsent(&self, wait_reason: WaitReason) {
+        self.unsent[wait_reason as usize].add();
     }
 
     /// How many were refused unsent, by what they had waited for.
     pub fn unsent(&self) -> impl Iterator<Item = (String, &Count)> {
-        Hold::ALL.into_iter().zip(&self.unsent).map(|(hold, count)| (format!("Unsent{hold:?}"), count))
+        WaitReason::ALL
+            .into_iter()
+            .zip(&self.unsent)
+            .map(|(wait_reason, count)| (format!("Unsent{wait_reason:?}"), count))
     }
 
     /// How many were rejected or aborted, by cause.
     pub fn refusals(&self) -> impl Iterator<Item = (String, &Count)> {
-        Cause::ALL.into_iter().zip(&self.refusals).map(|(cause, count)| (format!("{cause:?}"), count))
+        FailureCause::ALL.into_iter().zip(&self.refusals).map(|(cause, count)| (format!("{cause:?}"), count))
     }
 }
--- a/crates/sandstile-dispatcher/src/dispatcher.rs
+++ b/crates/sandstile-dispatcher/src/dispatcher.rs
@@ -5,11 +5,11 @@
 use crate::outcome::Ending;
 use crate::source::{Fact, Source};
 use crate::task::{Answer, Errand, Job, Parcel};
-use sandstile_deployment::host_list::List;
-use sandstile_deployment::interner::Names;
+use sandstile_deployment::host_list::HostList;
+use sandstile_deployment::interner::Interner;
 use sandstile_limits::{Entry, Limits};
 use sandstile_policy::policy::Instance;
-use sandstile_policy::terms::{Arrival, Cause, Decision, Reach};
+use sandstile_policy::terms::{Arrival, Decision, FailureCause, ReadRequirement};
 use sandstile_restart_pacing::{Door, Ramp, Stall};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -31,10 +31,10 @@
 pub struct Desk {
     policy: Instance,
     pub counts: Arc<Counts>,
-    hosts: Names,
-    groups: Names,
-    sessions: Names,
-    list: List,
+    hosts: Interner,
+    groups: Interner,
+    sessions: Interner,
+    list: HostList,
     sources: Vec<Box<dyn Source>>,
     orders: VecDeque<Order>,
     answers: VecDeque<Given>,
@@ -86,10 +86,10 @@
             decided: f64::NEG_INFINITY,
             unsent_said_at: f64::NEG_INFINITY,
             traces: false,
-            hosts: Names::default(),
-            groups: Names::default(),
-            sessions: Names::bounded(MOST_SESSIONS),
-            list: List::default(),
+            hosts: Interner::default(),
+            groups: Interner::default(),
+            sessions: Interner::with_limit(MOST_SESSIONS),
+            list: HostList::default(),
             sources: Vec::new(),
             orders: VecDeque::new(),
             answers: VecDeque::new(),
@@ -118,15 +118,15 @@
         let any = !facts.is_empty();
         for fact in facts {
             match fact {
-                Fact::List(update) => self.listed(now, update),
+                Fact::HostList(update) => self.listed(now, update),
                 Fact::Sharers(n) => {
-                    self.policy.shared_by(n);
+                    self.policy.set_router_count(n);
                     self.orders.push_back(Order::Sharers(n));
                     self.said.push(Said::Sharers(n));
                 }
                 Fact::Warned(host, age) => {
                     if let Some(host) = self.hosts.find(&host) {
-                        self.policy.warned(now, host, age);
+                        self.policy.failure_reported_by_peer(now, host, age);
                     }
                 }
             }
@@ -194,11 +194,11 @@
                 self.sources.iter_mut().for_each(|s| s.arrives(now, &asked));
                 // Groups that no list has named share one that has no members, or clients could fill the
                 // memory with names.
-                let group = self.groups.find(&asked.group).unwrap_or_else(|| self.groups.of(""));
+                let group = self.groups.find(&asked.group).unwrap_or_else(|| self.groups.intern(""));
                 if let Some((limits, most)) = &mut self.limits {
                     if limits.asked(now, asked.workload, group, asked.retry) == Entry::Later {
                         // It never reaches the decisions: nothing was sent, so trying again is harmless.
-                        let after = limits.return_after(now, *most);
+                        let after = limits.retry_after(now, *most);
                         self.counts.turned_away.add();
                         return self.turn_away(&asked, after);
                     }
@@ -209,22 +209,25 @@
                     return self.turn_away(&asked, self.longest_return);
                 }
                 if let Some((ramp, most)) = &mut self.ramp {
-                    if ramp.asked(asked.stmt) == Door::Later {
+                    if ramp.asked(asked.statement_id) == Door::Later {
                         let most = *most;
-                        let after = self.limits.as_mut().map_or(most, |(l, most)| l.return_after(now, *most));
+                        let after = self.limits.as_mut().map_or(most, |(l, most)| l.retry_after(now, *most));
                         self.counts.ramped.add();
                         return self.turn_away(&asked, after);
                     }
                 }
                 let term = self.policy.term(group);
-                let reach =
-                    self.sources.iter_mut().filter_map(|s| s.reach(now, &asked, term)).reduce(further);
+                let read_requirement = self
+                    .sources
+                    .iter_mut()
+                    .filter_map(|s| s.read_requirement(now, &asked, term))
+                    .reduce(further);
                 let arrival = Arrival {
                     workload: asked.workload,
                     group,
                     // One that has written nothing needs nothing, and is not worth a name.
                     session: asked.session.and_then(|name| match asked.writes {
-                        true => Some(self.sessions.of(&name)),
+                        true => Some(self.sessions.intern(&name)),
                         false => self.sessions.find(&name),
                     }),
                     time_left: asked.until - now,
@@ -232,7 +235,7 @@
                     // Below 0 where the clock of whoever gave the position runs ahead: the position itself stands.
                     token_age: asked.after.map(|at| now - at),
                     retry: asked.retry,
-                    reach,
+                    read_requirement,
                 };
                 let open = Open {
                     id: asked.id,
@@ -244,30 +247,30 @@
                     workload: asked.workload,
                     retry: asked.retry,
                 };
-                self.open.insert(asked.stmt, open);
-                self.policy.arrived(now, asked.stmt, &arrival);
+                self.open.insert(asked.statement_id, open);
+                self.policy.statement_arrived(now, asked.statement_id, &arrival);
             }
-            Mail::ClientGone(stmt) => {
-                if let Some(open) = self.open.get_mut(&stmt).filter(|o| o.line.is_some()) {
+            Mail::ClientGone(statement_id) => {
+                if let Some(open) = self.open.get_mut(&statement_id).filter(|o| o.line.is_some()) {
                     self.counts.clients_gone.add();
                     open.line = None;
-                    self.ending.push(stmt);
+                    self.ending.push(statement_id);
                     if let Some((ramp, _)) = &mut self.ramp {
-                        ramp.ended(stmt, false);
+                        ramp.ended(statement_id, false);
                     }
-                    self.policy.client_gone(now, stmt);
-                    self.unsend(stmt);
+                    self.policy.client_gone(now, statement_id);
+                    self.unsend(statement_id);
                 }
             }
-            Mail::Ended { stmt, execution, mut outcome } => {
-                let Some(open) = self.open.get_mut(&stmt) else { return };
+            Mail::Ended { statement_id, execution, mut outcome } => {
+                let Some(open) = self.open.get_mut(&statement_id) else { return };
                 if let (Some(term), Some(&host)) = (outcome.term, open.hosts.get(execution)) {
-                    if !self.policy.follows(host, term) {
+                    if !self.policy.record_term(host, term) {
                         // Of an older term than its group's: how far it is there says nothing.
                         outcome.note.position = None;
                     }
                 }
-                self.sources.iter_mut().for_each(|s| s.ended(now, stmt, &mut outcome));
+                self.sources.iter_mut().for_each(|s| s.ended(now, statement_id, &mut outcome));
                 if let Some(&host) = open.hosts.get(execution) {
                     let name = self.hosts.name(host);
                     self.sources.iter_mut().for_each(|s| s.met(now, name, &outcome));
@@ -276,27 +279,27 @@
                     if let Some(line) = open.line.take() {
                         self.counts.completed.add();
                         if let Some((ramp, _)) = &mut self.ramp {
-                            ramp.ended(stmt, true);
+                            ramp.ended(statement_id, true);
                         }
                         if let Some((limits, _)) = &mut self.limits {
                             limits.answered(now, open.workload, open.group, true, !open.retry);
                         }
                         let rows = std::mem::take(&mut outcome.rows);
-                        let given = Given { line, stmt, answer: Answer::Completed(rows, None) };
+                        let given = Given { line, statement_id, answer: Answer::Completed(rows, None) };
                         let mut sources = self.sources.iter_mut();
                         let given = sources.try_fold(given, |given, s| s.completed(now, &outcome, given));
                         self.answers.extend(given);
                     } else {
-                        self.sources.iter_mut().for_each(|s| s.unheard(now, stmt, &outcome));
+                        self.sources.iter_mut().for_each(|s| s.unheard(now, statement_id, &outcome));
                     }
                 }
                 let over = open.line.is_none();
-                self.ending.push(stmt);
-                self.trace(|| Said::Ended { stmt, execution, ending: outcome.ending });
-                self.policy.ended(now, stmt, execution, outcome.ending.verdict(), over, outcome.note);
+                self.ending.push(statement_id);
+                self.trace(|| Said::Ended { statement_id, execution, ending: outcome.ending });
+                self.policy.ended(now, statement_id, execution, outcome.ending.verdict(), over, outcome.note);
             }
             Mail::Probed { host, mut outcome } => {
-                if outcome.term.is_some_and(|term| !self.policy.follows(host, term)) {
+                if outcome.term.is_some_and(|term| !self.policy.record_term(host, term)) {
                     outcome.note.position = None;
                 }
                 if let Some(out) = self.probes.get_mut(&host) {
@@ -317,21 +320,21 @@
     }
 
     /// Counts and says what a statement waited for that is refused and was sent nowhere.
-    fn note_unsent(&mut self, now: f64, stmt: u64, cause: Cause) {
-        let Some(open) = self.open.get(&stmt).filter(|open| open.hosts.is_empty()) else { return };
-        let hold = self.policy.hold(stmt);
-        if let Some(hold) = hold {
-            self.counts.refused_unsent(hold);
+    fn note_unsent(&mut self, now: f64, statement_id: u64, cause: FailureCause) {
+        let Some(open) = self.open.get(&statement_id).filter(|open| open.hosts.is_empty()) else { return };
+        let wait_reason = self.policy.wait_reason(statement_id);
+        if let Some(wait_reason) = wait_reason {
+            self.counts.refused_unsent(wait_reason);
         }
         if self.traces || now >= self.unsent_said_at + UNSENT_LOG_GAP {
             self.unsent_said_at = now;
             let (id, group, waited) = (open.id.clone(), open.group, now - open.taken_at);
-            self.said.push(Said::RefusedUnsent { stmt, id, group, cause, hold, waited });
+            self.said.push(Said::RefusedUnsent { statement_id, id, group, cause, wait_reason, waited });
         }
     }
 
     fn give(&mut self, asked: &Asked, answer: Answer) {
-        self.answers.push_back(Given { line: asked.line, stmt: asked.stmt, answer });
+        self.answers.push_back(Given { line: asked.line, statement_id: asked.statement_id, answer });
     }
 
     /// It never reaches the decisions: nothing was sent, so trying again is harmless.
@@ -346,25 +349,27 @@
             stall.heard();
         }
         for (name, address) in update.addresses {
-            let host = self.hosts.of(&name);
+            let host = self.hosts.intern(&name);
             self.orders.push_back(Order::Known { host, name, address });
         }
         for entry in &update.entries {
             if self.groups.find(&entry.group).is_none() {
-                self.said.push(Said::GroupIs(self.groups.of(&entry.group), entry.group.clone()));
+                self.said.push(Said::GroupIs(self.groups.intern(&entry.group), entry.group.clone()));
             }
         }
         let list = self.list.merge(update.whole, &update.entries, &mut self.hosts, &mut self.groups);
-        self.policy.members(now, &list);
-        self.forget();
+        self.policy.update_hosts(now, &list);
+        self.forget_host();
     }
 
     /// Lets go of hosts that have left for good, and of groups that have no host left. A host with a probe out
     /// stays until the next list, or its answer would count for whoever has the index by then.
-    fn forget(&mut self) {
+    fn forget_host(&mut self) {
         let (policy, probes) = (&mut self.policy, &mut self.probes);
         probes.retain(|_, out| *out > 0);
-        for (name, host) in self.list.drop_gone(|host| !probes.contains_key(&host) && policy.forget(host)) {
+        for (name, host) in
+            self.list.drop_gone(|host| !probes.contains_key(&host) && policy.forget_host(host))
+        {
             self.orders.push_back(Order::End(host));
             self.hosts.release(&name);
             self.said.push(Said::Forgotten(host, name));
@@ -378,47 +383,50 @@
 
     fn decide(&mut self, now: f64) {
         self.decided = now;
-        self.policy.passed(now);
+        self.policy.advance_time(now);
         while let Some(decision) = self.policy.decide() {
             match decision {
-                Decision::Send { stmt, host, time_out } => {
-                    let Some(open) = self.open.get_mut(&stmt) else { continue };
-                    let errand =
-                        Errand::Statement { stmt, execution: open.hosts.len(), parcel: open.parcel.clone() };
+                Decision::Send { statement_id, host, timeout } => {
+                    let Some(open) = self.open.get_mut(&statement_id) else { continue };
+                    let errand = Errand::Statement {
+                        statement_id,
+                        execution: open.hosts.len(),
+                        parcel: open.parcel.clone(),
+                    };
                     let execution = open.hosts.len();
                     open.hosts.push(host);
                     if execution > 0 {
                         self.counts.further_executions.add();
                     }
-                    self.trace(|| Said::Sent { stmt, execution, host });
-                    self.orders.push_back(Order::Do(host, Job { errand, until: now + time_out }));
+                    self.trace(|| Said::Sent { statement_id, execution, host });
+                    self.orders.push_back(Order::Do(host, Job { errand, until: now + timeout }));
                 }
-                Decision::Reject { stmt, return_after, cause } => {
+                Decision::Reject { statement_id, retry_after, cause } => {
                     self.counts.rejected.add();
                     self.counts.refused(cause);
-                    self.trace(|| Said::Refused { stmt, cause });
-                    self.note_unsent(now, stmt, cause);
+                    self.trace(|| Said::Refused { statement_id, cause });
+                    self.note_unsent(now, statement_id, cause);
                     let after = match &mut self.limits {
-                        Some((limits, _)) => limits.return_after(now, return_after),
-                        None => return_after,
+                        Some((limits, _)) => limits.retry_after(now, retry_after),
+                        None => retry_after,
                     };
-                    self.answer(stmt, Answer::Rejected(after));
+                    self.answer(statement_id, Answer::Rejected(after));
                 }
-                Decision::Abort { stmt, cause } => {
+                Decision::Abort { statement_id, cause } => {
                     self.counts.aborted.add();
                     self.counts.refused(cause);
-                    self.trace(|| Said::Refused { stmt, cause });
-                    self.answer(stmt, Answer::Aborted);
+                    self.trace(|| Said::Refused { statement_id, cause });
+                    self.answer(statement_id, Answer::Aborted);
                 }
-                Decision::Recall { stmt, execution } => {
-                    if let Some(&host) = self.open.get(&stmt).and_then(|o| o.hosts.get(execution)) {
-                        self.orders.push_back(Order::Recall { host, stmt, execution });
+                Decision::Cancel { statement_id, execution } => {
+                    if let Some(&host) = self.open.get(&statement_id).and_then(|o| o.hosts.get(execution)) {
+                        self.orders.push_back(Order::Cancel { host, statement_id, execution });
                     }
                 }
                 Decision::Probe { host } => {
                     let name = self.hosts.name(host);
                     // Who is primary can be heard of from others; how far a host has come has to be seen.
-                    if self.policy.leaderless(host)
+                    if self.policy.group_lacks_primary(host)
                         && !self.sources.iter_mut().all(|s| s.may_probe(now, name))
                     {
                         self.counts.probes_left.add();
@@ -441,11 +449,11 @@
             }
         }
         self.answers.extend(self.given_up.drain(..));
-        for stmt in self.ending.drain(..) {
-            if !self.policy.holds(stmt) {
-                if let Some(open) = self.open.remove(&stmt) {
+        for statement_id in self.ending.drain(..) {
+            if !self.policy.is_tracked(statement_id) {
+                if let Some(open) = self.open.remove(&statement_id) {
                     self.ids.remove(&open.id);
-                    self.sources.iter_mut().for_each(|s| s.over(stmt));
+                    self.sources.iter_mut().for_each(|s| s.over(statement_id));
                 }
             }
         }
@@ -453,33 +461,33 @@
 
     /// What waits for a connection is no withdrawal on any wire, and is not begun whether executions may be
     /// withdrawn or not.
-    fn unsend(&mut self, stmt: u64) {
-        let Some(hosts) = self.open.get(&stmt).map(|o| &o.hosts) else { return };
+    fn unsend(&mut self, statement_id: u64) {
+        let Some(hosts) = self.open.get(&statement_id).map(|o| &o.hosts) else { return };
         if let (Some(&host), execution) = (hosts.last(), hosts.len().saturating_sub(1)) {
-            self.orders.push_back(Order::Unsend { host, stmt, execution });
+            self.orders.push_back(Order::Unsend { host, statement_id, execution });
         }
     }
 
-    fn answer(&mut self, stmt: u64, answer: Answer) {
-        self.ending.push(stmt);
-        self.unsend(stmt);
-        let Some(open) = self.open.get_mut(&stmt) else { return };
+    fn answer(&mut self, statement_id: u64, answer: Answer) {
+        self.ending.push(statement_id);
+        self.unsend(statement_id);
+        let Some(open) = self.open.get_mut(&statement_id) else { return };
         if let Some(line) = open.line.take() {
             if let Some((ramp, _)) = &mut self.ramp {
-                ramp.ended(stmt, false);
+                ramp.ended(statement_id, false);
             }
             if let Some((limits, _)) = &mut self.limits {
                 limits.answered(self.decided, open.workload, open.group, false, !open.retry);
             }
-            self.given_up.push(Given { line, stmt, answer });
+            self.given_up.push(Given { line, statement_id, answer });
         }
     }
 }
 
 /// Of two sources the one that asks for more is heard.
-fn further(one: Reach, other: Reach) -> Reach {
+fn further(one: ReadRequirement, other: ReadRequirement) -> ReadRequirement {
     match (one, other) {
-        (Reach::Position(a), Reach::Position(b)) => Reach::Position(a.max(b)),
-        _ => Reach::Primary,
+        (ReadRequirement::Position(a), ReadRequirement::Position(b)) => ReadRequirement::Position(a.max(b)),
+        _ => ReadRequirement::Primary,
     }
 }
--- a/crates/sandstile-dispatcher/src/messages.rs
+++ b/crates/sandstile-dispatcher/src/messages.rs
@@ -1,15 +1,15 @@
 //! What goes to the desk and what comes from it.
 use crate::outcome::{Ending, Outcome};
 use crate::task::{Answer, Job, Parcel};
-use sandstile_deployment::host_list::Entry;
-use sandstile_policy::terms::{Cause, Hold};
+use sandstile_deployment::host_list::HostEntry;
+use sandstile_policy::terms::{FailureCause, WaitReason};
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// A statement, as a front has taken it.
 pub struct Asked {
-    pub stmt: u64,
+    pub statement_id: u64,
     /// Who is to have the answer, by a number of the front's own.
     pub line: usize,
     /// As the client names it.
@@ -32,7 +32,7 @@
 pub enum Mail {
     Asked(Asked),
     ClientGone(u64),
-    Ended { stmt: u64, execution: usize, outcome: Outcome },
+    Ended { statement_id: u64, execution: usize, outcome: Outcome },
     Probed { host: usize, outcome: Outcome },
 }
 
@@ -40,7 +40,7 @@
 pub struct Update {
     pub index: u64,
     pub whole: bool,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<HostEntry>,
     pub addresses: Vec<(String, Option<SocketAddr>)>,
 }
 
@@ -48,7 +48,7 @@
 #[derive(Debug, PartialEq)]
 pub struct Given {
     pub line: usize,
-    pub stmt: u64,
+    pub statement_id: u64,
     pub answer: Answer,
 }
 
@@ -65,15 +65,15 @@
     End(usize),
     Do(usize, Job),
     Probe(usize),
-    Recall {
+    Cancel {
         host: usize,
-        stmt: u64,
+        statement_id: u64,
         execution: usize,
     },
     /// Nobody waits for this execution any more: it ends if it was not written yet, and else as it may.
     Unsend {
         host: usize,
-        stmt: u64,
+        statement_id: u64,
         execution: usize,
     },
     /// So many routers share the hosts, as far as can be said: paces follow that.
@@ -93,26 +93,26 @@
     Sharers(f64),
     /// A step of one statement, where the desk traces them.
     Sent {
-        stmt: u64,
+        statement_id: u64,
         execution: usize,
         host: usize,
     },
     Ended {
-        stmt: u64,
+        statement_id: u64,
         execution: usize,
         ending: Ending,
     },
     Refused {
-        stmt: u64,
-        cause: Cause,
+        statement_id: u64,
+        cause: FailureCause,
     },
     /// A statement was refused that had been sent nowhere, after so many seconds.
     RefusedUnsent {
-        stmt: u64,
+        statement_id: u64,
         id: String,
         group: usize,
-        cause: Cause,
-        hold: Option<Hold>,
+        cause: FailureCause,
+        wait_reason: Option<WaitReason>,
         waited: f64,
     },
 }
@@ -134,17 +134,20 @@
             Said::Storm(false, sign) => write!(f, "a storm is over: {sign}"),
             Said::StoodStill(s) => write!(f, "stood still for {s:.1} s: what is known is of before that"),
             Said::Sharers(n) => write!(f, "{n:.0} routers share the hosts"),
-            Said::Sent { stmt, execution, host } => {
-                write!(f, "statement {stmt}: execution {execution} to host {host}")
+            Said::Sent { statement_id, execution, host } => {
+                write!(f, "statement {statement_id}: execution {execution} to host {host}")
             }
-            Said::Ended { stmt, execution, ending } => {
-                write!(f, "statement {stmt}: execution {execution} ended: {ending:?}")
+            Said::Ended { statement_id, execution, ending } => {
+                write!(f, "statement {statement_id}: execution {execution} ended: {ending:?}")
             }
-            Said::RefusedUnsent { stmt, id, group, cause, hold, waited } => {
-                let hold = hold.map_or("nothing".to_string(), |hold| format!("{hold:?}"));
-                write!(f, "statement {stmt} ({id}, group {group}) refused unsent after {waited:.3} s: {cause:?}, waited for {hold}")
+            Said::RefusedUnsent { statement_id, id, group, cause, wait_reason, waited } => {
+                let wait_reason =
+                    wait_reason.map_or("nothing".to_string(), |wait_reason| format!("{wait_reason:?}"));
+                write!(f, "statement {statement_id} ({id}, group {group}) refused unsent after {waited:.3} s: {cause:?}, waited for {wait_reason}")
+            }
+            Said::Refused { statement_id, cause } => {
+                write!(f, "statement {statement_id} gets no rows: {cause:?}")
             }
-            Said::Refused { stmt, cause } => write!(f, "statement {stmt} gets no rows: {cause:?}"),
         }
     }
 }
--- a/crates/sandstile-dispatcher/src/outcome.rs
+++ b/crates/sandstile-dispatcher/src/outcome.rs
@@ -1,5 +1,5 @@
 //! Every way in which a connection to a database host, or an execution on it, can end, and what each means.
-use sandstile_policy::terms::{Note, Verdict};
+use sandstile_policy::terms::{HostReport, OutcomeClass};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ending {
@@ -87,21 +87,21 @@
     /// What the decisions are told. Not written whole means never ran; written whole and then anything but an
     /// answer means it may have run. Endings of idle connections end no execution, so nobody is told of them;
     /// were one to end an execution, nothing would have been written.
-    pub fn verdict(self) -> Verdict {
+    pub fn verdict(self) -> OutcomeClass {
         use Ending::*;
         match self {
-            Completed => Verdict::Completed,
-            Missed => Verdict::Miss,
-            TurnedAway | DialTurnedAway => Verdict::Full,
-            Failed => Verdict::Error,
+            Completed => OutcomeClass::Completed,
+            Missed => OutcomeClass::WrongHost,
+            TurnedAway | DialTurnedAway => OutcomeClass::Full,
+            Failed => OutcomeClass::Error,
             NoAddress | DialRefused | DialUnreachable | DialTimedOut | DialBroken | BrokenUnwritten => {
-                Verdict::ConnectFailed
+                OutcomeClass::ConnectFailed
             }
-            NoRoom | WithdrawnUnsent | IdleEnded | IdleExpired | IdleEvicted | Moved => Verdict::Moot,
-            Broken => Verdict::Reset,
-            Crossed | CutShort | Garbled | Unreadable => Verdict::Spoilt,
-            TimedOut => Verdict::TimedOut,
-            Withdrawn => Verdict::Cancelled,
+            NoRoom | WithdrawnUnsent | IdleEnded | IdleExpired | IdleEvicted | Moved => OutcomeClass::NotSent,
+            Broken => OutcomeClass::Reset,
+            Crossed | CutShort | Garbled | Unreadable => OutcomeClass::UnusableAnswer,
+            TimedOut => OutcomeClass::TimedOut,
+            Withdrawn => OutcomeClass::Cancelled,
         }
     }
 
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub ending: Ending,
-    pub note: Note,
+    pub note: HostReport,
     /// The term of its primary that the host follows, where hosts tell it.
     pub term: Option<u64>,
     /// The database host's bytes for the client, where it completed.
@@ -128,6 +128,6 @@
 
 impl From<Ending> for Outcome {
     fn from(ending: Ending) -> Self {
-        Outcome { ending, note: Note::default(), term: None, rows: Vec::new() }
+        Outcome { ending, note: HostReport::default(), term: None, rows: Vec::new() }
     }
 }
--- a/crates/sandstile-dispatcher/src/source.rs
+++ b/crates/sandstile-dispatcher/src/source.rs
@@ -2,11 +2,11 @@
 //! same few places, and knows nothing of the desk.
 use crate::messages::{Asked, Given, Update};
 use crate::outcome::Outcome;
-use sandstile_policy::terms::Reach;
+use sandstile_policy::terms::ReadRequirement;
 
 /// What a source has to tell the decisions.
 pub enum Fact {
-    List(Update),
+    HostList(Update),
     /// So many routers share the hosts.
     Sharers(f64),
     /// Another router met the host of this name refusing, so many seconds ago.
@@ -41,7 +41,7 @@
 
     /// It goes to the decisions: what its read has to reach by what is known here. `term` is what its group's hosts have told, 0
     /// where nothing.
-    fn reach(&mut self, _now: f64, _asked: &Asked, _term: u64) -> Option<Reach> {
+    fn read_requirement(&mut self, _now: f64, _asked: &Asked, _term: u64) -> Option<ReadRequirement> {
         None
     }
 
--- a/crates/sandstile-dispatcher/src/task.rs
+++ b/crates/sandstile-dispatcher/src/task.rs
@@ -34,7 +34,7 @@
 
 #[derive(Clone)]
 pub enum Errand {
-    Statement { stmt: u64, execution: usize, parcel: Arc<dyn Parcel> },
+    Statement { statement_id: u64, execution: usize, parcel: Arc<dyn Parcel> },
     Probe,
 }
 
@@ -53,7 +53,7 @@
     /// Statement and execution; `None` for a probe.
     pub fn which(&self) -> Option<(u64, usize)> {
         match self.errand {
-            Errand::Statement { stmt, execution, .. } => Some((stmt, execution)),
+            Errand::Statement { statement_id, execution, .. } => Some((statement_id, execution)),
             Errand::Probe => None,
         }
     }
--- a/crates/sandstile-dispatcher/tests/dispatcher.rs
+++ b/crates/sandstile-dispatcher/tests/dispatcher.rs
@@ -1,10 +1,12 @@
 //! The desk alone, with a clock that the test moves: one final answer each, in the order that the links need, on facts of several
 //! sources.
 use oorandom::Rand64;
-use sandstile_deployment::host_list::Entry;
+use sandstile_deployment::host_list::HostEntry;
 use sandstile_dispatcher::*;
 use sandstile_policy::policy::Instance;
-use sandstile_policy::terms::{Consistency, DedupScope, Effect, Note, Reach, Readiness, Terms, Workload};
+use sandstile_policy::terms::{
+    Consistency, DedupScope, Effect, HostReport, ReadRequirement, Readiness, Terms, Workload,
+};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
@@ -18,10 +20,10 @@
 fn terms() -> Terms {
     let workload = |consistency, effect| Workload {
         consistency,
-        bound: 0.0,
+        max_age: 0.0,
         effect,
         scope: DedupScope::Zone,
-        window: 0.0,
+        dedup_window: 0.0,
         slo: 0.3,
         timeout: 1.0,
         importance: 1.0,
@@ -34,12 +36,12 @@
             workload(Consistency::Session, Effect::Idempotent),
         ],
         routers: 1,
-        checked: true,
-        stamped: true,
+        hosts_check_reads: true,
+        answers_carry_position: true,
         may_probe: true,
-        may_recall: true,
-        most_executions: 3,
-        max_return: 2.0,
+        may_cancel: true,
+        max_executions: 3,
+        max_retry_after: 2.0,
         idle_close: 3600.0,
         tick: 0.005,
         ..Terms::default()
@@ -47,7 +49,7 @@
 }
 
 fn update(index: u64, hosts: &[(&str, bool)]) -> Update {
-    let entry = |(host, primary): &(&str, bool)| Entry {
+    let entry = |(host, primary): &(&str, bool)| HostEntry {
         host: host.to_string(),
         group: "1".to_string(),
         zone: String::new(),
@@ -62,7 +64,7 @@
 /// Tells what a test puts there; claims that own reads need so much.
 struct Told {
     facts: Arc<Mutex<Vec<Fact>>>,
-    reach: Option<Reach>,
+    read_requirement: Option<ReadRequirement>,
     over: Arc<Mutex<Vec<u64>>>,
     /// Another router probes.
     leaves: bool,
@@ -75,21 +77,21 @@
     fn facts(&mut self, _: f64) -> Vec<Fact> {
         std::mem::take(&mut self.facts.lock().unwrap())
     }
-    fn reach(&mut self, _: f64, asked: &Asked, _: u64) -> Option<Reach> {
-        self.reach.filter(|_| asked.workload == 2)
+    fn read_requirement(&mut self, _: f64, asked: &Asked, _: u64) -> Option<ReadRequirement> {
+        self.read_requirement.filter(|_| asked.workload == 2)
     }
     fn may_probe(&mut self, _: f64, _: &str) -> bool {
         !self.leaves
     }
-    fn over(&mut self, stmt: u64) {
-        self.over.lock().unwrap().push(stmt);
+    fn over(&mut self, statement_id: u64) {
+        self.over.lock().unwrap().push(statement_id);
     }
 }
 
-fn asked(stmt: u64, id: &str, workload: usize, now: f64) -> Mail {
+fn asked(statement_id: u64, id: &str, workload: usize, now: f64) -> Mail {
     Mail::Asked(Asked {
-        stmt,
-        line: stmt as usize + 100,
+        statement_id,
+        line: statement_id as usize + 100,
         id: id.to_string(),
         workload,
         group: "1".to_string(),
@@ -106,12 +108,17 @@
 
 type Shared<T> = Arc<Mutex<Vec<T>>>;
 
-fn desk(now: f64, reaches: &[Option<Reach>]) -> (Desk, Shared<Fact>, Shared<u64>) {
+fn desk(now: f64, reaches: &[Option<ReadRequirement>]) -> (Desk, Shared<Fact>, Shared<u64>) {
     let mut desk = Desk::new(Instance::new(&terms(), 7, now), Arc::default());
     let (facts, over) = (Shared::default(), Shared::default());
-    for (n, reach) in reaches.iter().enumerate() {
+    for (n, read_requirement) in reaches.iter().enumerate() {
         let facts = if n == 0 { Arc::clone(&facts) } else { Arc::default() };
-        desk.add(Box::new(Told { facts, reach: *reach, over: Arc::clone(&over), leaves: false }));
+        desk.add(Box::new(Told {
+            facts,
+            read_requirement: *read_requirement,
+            over: Arc::clone(&over),
+            leaves: false,
+        }));
     }
     (desk, facts, over)
 }
@@ -120,7 +127,7 @@
     let mut out = Vec::new();
     while let Some(order) = desk.next_order() {
         if let Order::Do(host, job) = order {
-            out.extend(job.which().map(|(stmt, execution)| (host, stmt, execution)));
+            out.extend(job.which().map(|(statement_id, execution)| (host, statement_id, execution)));
         }
     }
     out
@@ -134,7 +141,7 @@
         let mut chance = Rand64::new(seed);
         let mut now = 1000.0;
         let (mut desk, facts, over) = desk(now, &[None]);
-        facts.lock().unwrap().push(Fact::List(update(1, &[("a", true), ("b", false), ("c", false)])));
+        facts.lock().unwrap().push(Fact::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
         assert!(desk.pending());
         desk.ask(now);
         let (mut answers, mut gone) = (BTreeMap::<u64, usize>::new(), 0);
@@ -147,18 +154,18 @@
                     desk.take(now, asked(asked_for, &format!("i{asked_for}"), (asked_for % 3) as usize, now));
                 }
                 4 if asked_for > 0 => {
-                    let stmt = chance.rand_range(1..asked_for + 1);
+                    let statement_id = chance.rand_range(1..asked_for + 1);
                     gone += 1;
-                    desk.take(now, Mail::ClientGone(stmt));
+                    desk.take(now, Mail::ClientGone(statement_id));
                 }
                 5 => {
                     let hosts = [("a", true), ("b", false), ("c", false)];
                     let some = &hosts[..chance.rand_range(1..4) as usize];
-                    facts.lock().unwrap().push(Fact::List(update(step, some)));
+                    facts.lock().unwrap().push(Fact::HostList(update(step, some)));
                     desk.ask(now);
                 }
                 _ if !out.is_empty() => {
-                    let (host, stmt, execution) =
+                    let (host, statement_id, execution) =
                         out.swap_remove(chance.rand_range(0..out.len() as u64) as usize);
                     let endings = [
                         Ending::Completed,
@@ -170,28 +177,28 @@
                     ];
                     let ending = endings[chance.rand_range(0..6) as usize];
                     let mut outcome = Outcome::from(ending);
-                    outcome.note = Note { position: Some(now), primary: Some(host == 0) };
-                    desk.take(now, Mail::Ended { stmt, execution, outcome });
+                    outcome.note = HostReport { position: Some(now), primary: Some(host == 0) };
+                    desk.take(now, Mail::Ended { statement_id, execution, outcome });
                 }
                 _ => {}
             }
             desk.turn(now, true);
             out.extend(sent(&mut desk));
             while let Some(given) = desk.next_answer() {
-                assert_eq!(given.line, given.stmt as usize + 100);
-                *answers.entry(given.stmt).or_default() += 1;
+                assert_eq!(given.line, given.statement_id as usize + 100);
+                *answers.entry(given.statement_id).or_default() += 1;
             }
         }
         // All time is over; what is out ends unanswered.
         for _ in 0..2000 {
             now += 0.05;
-            for (_, stmt, execution) in std::mem::take(&mut out) {
-                desk.take(now, Mail::Ended { stmt, execution, outcome: Ending::TimedOut.into() });
+            for (_, statement_id, execution) in std::mem::take(&mut out) {
+                desk.take(now, Mail::Ended { statement_id, execution, outcome: Ending::TimedOut.into() });
             }
             desk.turn(now, true);
             out.extend(sent(&mut desk));
             while let Some(given) = desk.next_answer() {
-                *answers.entry(given.stmt).or_default() += 1;
+                *answers.entry(given.statement_id).or_default() += 1;
             }
             if desk.open() == 0 && out.is_empty() {
                 break;
@@ -207,22 +214,22 @@
 #[test]
 fn an_open_statements_name_is_nobody_elses() {
     let (mut desk, facts, _) = desk(1000.0, &[None]);
-    facts.lock().unwrap().push(Fact::List(update(1, &[("a", true), ("b", false)])));
+    facts.lock().unwrap().push(Fact::HostList(update(1, &[("a", true), ("b", false)])));
     desk.ask(1000.0);
     desk.take(1000.0, asked(1, "x", 0, 1000.0));
     desk.take(1000.0, asked(2, "x", 0, 1000.0));
     desk.turn(1000.0, true);
-    assert_eq!(desk.next_answer(), Some(Given { line: 102, stmt: 2, answer: Answer::Unusable }));
+    assert_eq!(desk.next_answer(), Some(Given { line: 102, statement_id: 2, answer: Answer::Unusable }));
     assert_eq!(sent(&mut desk).len(), 1);
 }
 
 /// Two sources that differ on what an own read must reach: the one that asks for more is heard, in either order.
 #[test]
 fn of_two_sources_the_more_careful_is_heard() {
-    let near = Some(Reach::Position(0.0));
-    for reaches in [[near, Some(Reach::Primary)], [Some(Reach::Primary), near]] {
+    let near = Some(ReadRequirement::Position(0.0));
+    for reaches in [[near, Some(ReadRequirement::Primary)], [Some(ReadRequirement::Primary), near]] {
         let (mut desk, facts, _) = desk(1000.0, &reaches);
-        facts.lock().unwrap().push(Fact::List(update(1, &[("a", true), ("b", false), ("c", false)])));
+        facts.lock().unwrap().push(Fact::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
         desk.ask(1000.0);
         let mut primary = None;
         while let Some(order) = desk.next_order() {
@@ -252,7 +259,7 @@
 fn a_host_that_refused_another_rests_unless_it_answered_here() {
     for answered in [false, true] {
         let (mut desk, facts, _) = desk(1000.0, &[None]);
-        facts.lock().unwrap().push(Fact::List(update(1, &[("a", true), ("b", false), ("c", false)])));
+        facts.lock().unwrap().push(Fact::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
         desk.ask(1000.0);
         let mut names = BTreeMap::new();
         while let Some(order) = desk.next_order() {
@@ -260,7 +267,7 @@
                 names.insert(name, host);
             }
         }
-        let (mut now, mut stmt, mut at_b) = (1000.0, 0, Vec::new());
+        let (mut now, mut statement_id, mut at_b) = (1000.0, 0, Vec::new());
         while now < 1002.0 {
             now += 0.02;
             if (1001.0..1001.02).contains(&now) {
@@ -269,16 +276,16 @@
                 facts.lock().unwrap().push(Fact::Warned("unheard of".to_string(), 0.0));
                 desk.ask(now);
             }
-            stmt += 1;
-            desk.take(now, asked(stmt, &format!("w{stmt}"), 0, now));
+            statement_id += 1;
+            desk.take(now, asked(statement_id, &format!("w{statement_id}"), 0, now));
             desk.turn(now, true);
-            for (host, stmt, execution) in sent(&mut desk) {
+            for (host, statement_id, execution) in sent(&mut desk) {
                 if host == names["b"] {
                     at_b.push(now);
                 }
                 let mut outcome = Outcome::from(Ending::Completed);
-                outcome.note = Note { position: Some(now), primary: Some(host == names["a"]) };
-                desk.take(now + 0.001, Mail::Ended { stmt, execution, outcome });
+                outcome.note = HostReport { position: Some(now), primary: Some(host == names["a"]) };
+                desk.take(now + 0.001, Mail::Ended { statement_id, execution, outcome });
             }
             desk.turn(now + 0.002, true);
         }
@@ -297,8 +304,8 @@
     for leaves in [false, true] {
         let mut desk = Desk::new(Instance::new(&terms(), 7, 1000.0), Arc::default());
         let facts = Shared::default();
-        facts.lock().unwrap().push(Fact::List(update(1, &[("a", false), ("b", false), ("c", false)])));
-        desk.add(Box::new(Told { facts, reach: None, over: Shared::default(), leaves }));
+        facts.lock().unwrap().push(Fact::HostList(update(1, &[("a", false), ("b", false), ("c", false)])));
+        desk.add(Box::new(Told { facts, read_requirement: None, over: Shared::default(), leaves }));
         desk.ask(1000.0);
         desk.take(1000.0, asked(1, "x", 1, 1000.0));
         let mut probes = 0;
@@ -309,10 +316,10 @@
                 probes += usize::from(matches!(order, Order::Probe(_)));
                 if let Order::Do(_, job) = order {
                     // Each says that it is no primary.
-                    let (stmt, execution) = job.which().expect("a statement");
+                    let (statement_id, execution) = job.which().expect("a statement");
                     let mut outcome = Outcome::from(Ending::Missed);
                     outcome.note.primary = Some(false);
-                    desk.take(now, Mail::Ended { stmt, execution, outcome });
+                    desk.take(now, Mail::Ended { statement_id, execution, outcome });
                 }
             }
         }
--- a/crates/sandstile-limits/src/lib.rs
+++ b/crates/sandstile-limits/src/lib.rs
@@ -77,7 +77,7 @@
 
     /// When one that is turned away is to come back: seconds from now, `most` at the most. Outside a storm that is
     /// `most`, as the decisions have it; in one, a place of its own in what is likely to be free.
-    pub fn return_after(&mut self, now: f64, most: f64) -> f64 {
+    pub fn retry_after(&mut self, now: f64, most: f64) -> f64 {
         match self.watch.storm() {
             Some(_) if most > 0.0 => self.slots.hand_out(now, most, self.rate.at(now)),
             _ => most,
--- a/crates/sandstile-limits/tests/limits.rs
+++ b/crates/sandstile-limits/tests/limits.rs
@@ -169,7 +169,7 @@
         now += 0.003;
         assert_eq!(limits.asked(now, 0, n % 5, n % 40 == 0), Entry::In);
         limits.answered(now, 0, n % 5, true, n % 40 != 0);
-        assert_eq!(limits.return_after(now, 2.0), 2.0);
+        assert_eq!(limits.retry_after(now, 2.0), 2.0);
     }
     let (mut first, mut later, mut held) = (0u32, 0u32, 0u32);
     for n in 0..10_000 {
@@ -183,7 +183,7 @@
             Entry::Later => {
                 assert!(again, "a first try always comes in");
                 held += 1;
-                let after = limits.return_after(now, 2.0);
+                let after = limits.retry_after(now, 2.0);
                 assert!((0.1..=2.0).contains(&after));
             }
         }
--- a/crates/sandstile-policy/src/policy.rs
+++ b/crates/sandstile-policy/src/policy.rs
@@ -1,6 +1,6 @@
-//! The decisions of one sandstile instance. A host of this module feeds it inputs (`members`, `arrived`,
-//! `ended`, `probed`, `client_gone`, `passed`), which only update what is known, then calls `decide` until it
-//! returns nothing, and `passed` again no later than `wake_at`. Interface types stand in `terms.rs`.
+//! The decisions of one sandstile instance. A host of this module feeds it inputs (`members`, `statement_arrived`,
+//! `ended`, `probed`, `client_gone`, `advance_time`), which only update what is known, then calls `decide` until it
+//! returns nothing, and `advance_time` again no later than `wake_at`. Interface types stand in `terms.rs`.
 //! The design (DBFarm's change numbers and round-robin, the host's class check) decides the ordinary path.
 //! Beside it stand six mechanisms:
 //! 1. primary: found from answers, list and probes; writes held and members probed while none is usable;
@@ -90,7 +90,7 @@
     margin: f64,
     share_all: f64,
     most: usize,
-    cold_s: f64,
+    cold_duration: f64,
     /// Half of the stated multiple: the other half is for sizes of work and for what only knocks.
     cold_ease: f64,
     ask_every: f64,
@@ -124,10 +124,10 @@
     pub fn new(terms: &Terms, seed: u64, now: f64) -> Self {
         let kind = |w: &Workload| Kind {
             consistency: w.consistency,
-            bound: w.bound,
+            bound: w.max_age,
             effect: w.effect,
             scope: w.scope,
-            window: w.window,
+            window: w.dedup_window,
             slo: w.slo,
             timeout: w.timeout,
             first_try: (0.0, 0),
@@ -146,17 +146,17 @@
             // What a host may hold for an instance that has yet to measure: eight in all.
             share_all: 8.0 / terms.routers.max(1) as f64,
             margin: 1.5 * terms.tick + 0.001,
-            most: terms.most_executions.max(1),
-            cold_s: terms.cold_s.max(0.001),
-            cold_ease: (terms.cold_multiple / 2.0).max(1.0),
-            ask_every: terms.ask_within / 4.0,
-            ask_at: if terms.on_request { now } else { f64::INFINITY },
+            most: terms.max_executions.max(1),
+            cold_duration: terms.cold_duration.max(0.001),
+            cold_ease: (terms.cold_overload_multiple / 2.0).max(1.0),
+            ask_every: terms.subscribe_within / 4.0,
+            ask_at: if terms.list_on_request { now } else { f64::INFINITY },
             ..Instance::default()
         }
     }
 
     /// So many routers share the hosts, as lived: what a host may hold unmeasured follows that.
-    pub fn shared_by(&mut self, routers: f64) {
+    pub fn set_router_count(&mut self, routers: f64) {
         self.share_all = 8.0 / routers.max(1.0);
     }
 
@@ -166,7 +166,7 @@
         self.ask_at = now + 0.2 + 0.3 * self.chance.0.rand_float() as f64;
     }
 
-    pub fn arrived(&mut self, now: f64, stmt: u64, a: &Arrival) {
+    pub fn statement_arrived(&mut self, now: f64, statement_id: u64, a: &Arrival) {
         self.now = now;
         let g = self.group(a.group);
         let since = if g.arrived_at > 0.0 { now - g.arrived_at } else { 0.0 };
@@ -180,17 +180,20 @@
         }
         // A try shorter than most is a later one, if a first one failed: clients that take to naming more
         // time or less must not make later tries of all the others.
-        let later = (a.retry || !self.terms.marked_retries) && a.wait < k.first_try.0 - 0.01 && k.owed >= 1.0;
+        let later =
+            (a.retry || !self.terms.clients_mark_retries) && a.wait < k.first_try.0 - 0.01 && k.owed >= 1.0;
         k.owed -= if later { 1.0 } else { 0.0 };
         let elapsed = if later { (k.timeout - a.wait).max(0.0) } else { 0.0 };
         let own = a.session.and_then(|s| self.sessions.get(s)).copied().unwrap_or_default();
         let need = match k.consistency {
-            Consistency::Session if a.reach.is_some() => match a.reach {
-                Some(Reach::Position(position)) => position,
+            Consistency::Session if a.read_requirement.is_some() => match a.read_requirement {
+                Some(ReadRequirement::Position(position)) => position,
                 _ => f64::INFINITY,
             },
-            Consistency::Session if !self.terms.tokens_remembered => a.token_age.map_or(0.0, |age| now - age),
-            Consistency::Session if !self.terms.checked => number,
+            Consistency::Session if !self.terms.router_keeps_tokens => {
+                a.token_age.map_or(0.0, |age| now - age)
+            }
+            Consistency::Session if !self.terms.hosts_check_reads => number,
             // Hosts refuse by the session's own writes, so lag memory foretells with no more than those.
             Consistency::Session => own.written.min(number),
             _ => 0.0,
@@ -200,7 +203,7 @@
             group: a.group,
             session: a.session,
             need,
-            strict: k.consistency == Consistency::Session && a.reach.is_some(),
+            strict: k.consistency == Consistency::Session && a.read_requirement.is_some(),
             slo_at: now + k.slo - elapsed,
             half: now + 0.5 * a.time_left,
             end: now + a.time_left,
@@ -209,31 +212,39 @@
             later,
             ..Statement::default()
         };
-        self.statements.insert(stmt, s);
+        self.statements.insert(statement_id, s);
         // Through the waiting ones, or a fresh statement would take the place of one worth more.
-        self.group(a.group).waiting.push(stmt);
+        self.group(a.group).waiting.push(statement_id);
         self.waiting.insert(a.group);
         self.touched.insert(a.group);
     }
 
-    pub fn client_gone(&mut self, now: f64, stmt: u64) {
+    pub fn client_gone(&mut self, now: f64, statement_id: u64) {
         self.now = now;
-        if let Some(s) = self.statements.get_mut(&stmt).filter(|s| !s.answered) {
+        if let Some(s) = self.statements.get_mut(&statement_id).filter(|s| !s.answered) {
             s.answered = true;
             self.kinds[s.workload].owed += if s.later { 0.0 } else { 3.0 };
         }
-        self.due.push_back(stmt);
+        self.due.push_back(statement_id);
     }
 
-    pub fn ended(&mut self, now: f64, stmt: u64, execution: usize, verdict: Verdict, over: bool, note: Note) {
-        use Verdict::*;
+    pub fn ended(
+        &mut self,
+        now: f64,
+        statement_id: u64,
+        execution: usize,
+        verdict: OutcomeClass,
+        over: bool,
+        note: HostReport,
+    ) {
+        use OutcomeClass::*;
         self.now = now;
-        let Some(s) = self.statements.get_mut(&stmt) else { return };
-        self.due.push_back(stmt);
+        let Some(s) = self.statements.get_mut(&statement_id) else { return };
+        self.due.push_back(statement_id);
         s.answered |= over;
         let Some(e) = s.executions.get_mut(execution).filter(|e| e.ended.is_none()) else { return };
         e.ended = Some(now);
-        e.may_have_run = !matches!(verdict, Full | ConnectFailed | Moot | Miss);
+        e.may_have_run = !matches!(verdict, Full | ConnectFailed | NotSent | WrongHost);
         let (index, sent, took, group, may_have_run) =
             (e.host, e.sent, now - e.sent, s.group, e.may_have_run);
         let kind = &mut self.kinds[s.workload];
@@ -243,9 +254,9 @@
         let turn = self.groups[group].turn();
         let mut restarted = false;
         let host = &mut self.hosts[index];
-        host.open.retain(|o| *o != (sent, stmt));
+        host.open.retain(|o| *o != (sent, statement_id));
         let heard = host.answered_at;
-        let answered = matches!(verdict, Completed | Error | Full | Miss);
+        let answered = matches!(verdict, Completed | Error | Full | WrongHost);
         if answered {
             (host.answered_at, host.mute) = (now, false);
             let failures = std::mem::take(&mut host.unreachable_times);
@@ -284,7 +295,7 @@
                 (host.strikes, host.rests_until) = (0, host.rests_until.min(now));
                 host.meter.roll(now, true);
                 host.ghosts.retain(|until| *until > now);
-                let told = self.terms.checked && !s.strict;
+                let told = self.terms.hosts_check_reads && !s.strict;
                 host.reached = host.reached.max(if told { need } else { 0.0 });
             }
             // A withdrawal may stop nothing: a place freed at once would let leaving clients fill the hosts.
@@ -292,9 +303,9 @@
                 host.crowd = host.crowd.max((took / kind.base).min(10.0));
                 host.ghosts.push(now + STUCK * kind.usual);
             }
-            Miss if !write => {
+            WrongHost if !write => {
                 host.missed_at = now;
-                host.stood = if self.terms.stamped { host.stood } else { (need - 0.1, now) };
+                host.stood = if self.terms.answers_carry_position { host.stood } else { (need - 0.1, now) };
             }
             ConnectFailed => {
                 host.unreachable_since = host.unreachable_since.or(Some(now));
@@ -313,7 +324,7 @@
                 own.written = own.written.max(now + STUCK * usual);
             }
         }
-        s.errors += i32::from(matches!(verdict, Error | Spoilt) && !foreign);
+        s.errors += i32::from(matches!(verdict, Error | UnusableAnswer) && !foreign);
         self.touched.insert(group);
         let group = &mut self.groups[group];
         if let Some(p) = note.position {
@@ -338,7 +349,7 @@
         }
     }
 
-    pub fn probed(&mut self, now: f64, host: usize, ok: bool, note: Note) {
+    pub fn probed(&mut self, now: f64, host: usize, ok: bool, note: HostReport) {
         self.now = now;
         let Some(h) = self.hosts.get_mut(host).filter(|_| ok) else { return };
         if h.unreachable_since.is_some() {
@@ -359,7 +370,7 @@
 
     /// Another instance met this host refusing, so many seconds ago: it rests for a first time, unless it has
     /// answered here since. No more comes of another's word; only what is seen here has a host used again.
-    pub fn warned(&mut self, now: f64, host: usize, age: f64) {
+    pub fn failure_reported_by_peer(&mut self, now: f64, host: usize, age: f64) {
         self.now = now;
         let Some(h) = self.hosts.get_mut(host) else { return };
         if h.rests_until <= now && h.answered_at < now - age {
@@ -368,14 +379,14 @@
     }
 
     /// Whether probes of this host look for a primary that its group lacks.
-    pub fn leaderless(&self, host: usize) -> bool {
+    pub fn group_lacks_primary(&self, host: usize) -> bool {
         let primary = self.hosts.get(host).and_then(|h| self.groups.get(h.group)).and_then(|g| g.primary);
         primary.is_none_or(|p| self.hosts[p].mute)
     }
 
     /// A host told which term of its group's primary it follows. Positions of different terms can't be
     /// compared: a new one voids all that was heard under the last; `false` where this host lags behind.
-    pub fn follows(&mut self, host: usize, term: u64) -> bool {
+    pub fn record_term(&mut self, host: usize, term: u64) -> bool {
         let Some(group) = self.hosts.get(host).map(|h| h.group) else { return false };
         if term > self.group(group).term {
             self.groups[group].term = term;
@@ -391,21 +402,21 @@
         self.groups.get(group).map_or(0, |g| g.term)
     }
 
-    pub fn passed(&mut self, now: f64) {
+    pub fn advance_time(&mut self, now: f64) {
         self.now = now;
         while self.looks.peek().is_some_and(|Reverse((t, _))| f64::from_bits(*t) <= now) {
-            self.due.extend(self.looks.pop().map(|Reverse((_, stmt))| stmt));
+            self.due.extend(self.looks.pop().map(|Reverse((_, statement_id))| statement_id));
         }
         self.touched.extend(&self.waiting);
     }
 
-    pub fn holds(&self, stmt: u64) -> bool {
-        self.statements.contains_key(&stmt)
+    pub fn is_tracked(&self, statement_id: u64) -> bool {
+        self.statements.contains_key(&statement_id)
     }
 
     /// What this statement waits for, where it has not been sent anywhere yet.
-    pub fn hold(&self, stmt: u64) -> Option<Hold> {
-        self.statements.get(&stmt).filter(|s| s.executions.is_empty()).and_then(|s| s.hold)
+    pub fn wait_reason(&self, statement_id: u64) -> Option<WaitReason> {
+        self.statements.get(&statement_id).filter(|s| s.executions.is_empty()).and_then(|s| s.wait_reason)
     }
 
     pub fn wake_at(&self) -> Option<f64> {
@@ -419,8 +430,8 @@
             self.ask_at = self.now + self.ask_every;
             return Some(Decision::Subscribe);
         }
-        while let Some(&stmt) = self.due.front() {
-            if let Some(decision) = self.consider(stmt) {
+        while let Some(&statement_id) = self.due.front() {
+            if let Some(decision) = self.consider(statement_id) {
                 return Some(decision);
             }
             self.due.pop_front();
@@ -435,7 +446,7 @@
             // The newest first among equals: in a crowd the oldest would be sent just too late to be in time.
             order.sort_by_cached_key(|id| Reverse((self.density(*id).to_bits(), *id)));
             self.groups[g].waiting = order.clone();
-            if let Some(decision) = order.into_iter().find_map(|stmt| self.consider(stmt)) {
+            if let Some(decision) = order.into_iter().find_map(|statement_id| self.consider(statement_id)) {
                 self.touched.insert(g);
                 return Some(decision);
             }
@@ -464,8 +475,8 @@
     }
 
     /// Importance per work, falling to the late share once the SLO time is over.
-    fn density(&self, stmt: u64) -> f64 {
-        let s = &self.statements[&stmt];
+    fn density(&self, statement_id: u64) -> f64 {
+        let s = &self.statements[&statement_id];
         let k = &self.kinds[s.workload];
         let late = if self.now > s.slo_at - 0.5 * k.usual { k.late_share } else { 1.0 };
         k.importance * late * if s.retry { 0.5 } else { 1.0 } / k.usual
@@ -483,7 +494,7 @@
             }
             let execution = s.executions.len() - 1;
             let recalled = std::mem::replace(&mut s.executions[execution].recalled, true);
-            return (!recalled).then_some(Decision::Recall { stmt: id, execution });
+            return (!recalled).then_some(Decision::Cancel { statement_id: id, execution });
         }
         let last = self.given_up_at(id);
         let s = self.statements.get_mut(&id)?;
@@ -496,13 +507,13 @@
         let spent = k.late_share == 0.0 && !open && k.effect == Effect::Idempotent;
         let no_more = match () {
             () if open => None,
-            () if s.errors >= 2 => Some(Cause::ErrorsRepeated),
-            () if s.executions.len() >= self.most => Some(Cause::ExecutionsSpent),
-            () if now >= k.repeat_by(s) - self.margin => Some(Cause::RepeatWindowOver),
+            () if s.errors >= 2 => Some(FailureCause::ErrorsRepeated),
+            () if s.executions.len() >= self.most => Some(FailureCause::ExecutionsSpent),
+            () if now >= k.repeat_by(s) - self.margin => Some(FailureCause::RepeatWindowOver),
             () => None,
         };
-        let over = (now >= last).then_some(Cause::TimeOver);
-        let worthless = (spent && now > worth_until).then_some(Cause::SloOver);
+        let over = (now >= last).then_some(FailureCause::TimeOver);
+        let worthless = (spent && now > worth_until).then_some(FailureCause::SloOver);
         if let Some(cause) = over.or(worthless).or(no_more) {
             return Some(self.answer(id, cause));
         }
@@ -534,9 +545,9 @@
         if let Some(host) = self.pick(id).or_else(|| self.trial(id)) {
             return Some(self.send(id, host));
         }
-        let hold = self.held_by(id);
+        let wait_reason = self.held_by(id);
         let s = self.statements.get_mut(&id)?;
-        s.hold = Some(hold);
+        s.wait_reason = Some(wait_reason);
         if !std::mem::replace(&mut s.waiting, true) {
             self.groups[s.group].waiting.push(id);
             self.waiting.insert(s.group);
@@ -545,22 +556,22 @@
     }
 
     /// Why nothing was picked for this statement just now.
-    fn held_by(&self, id: u64) -> Hold {
+    fn held_by(&self, id: u64) -> WaitReason {
         let s = &self.statements[&id];
         let k = &self.kinds[s.workload];
-        let any_replica = self.terms.checked && !s.strict;
+        let any_replica = self.terms.hosts_check_reads && !s.strict;
         if any_replica && !matches!(k.consistency, Consistency::Write | Consistency::Fresh) {
-            return Hold::ReplicasBusy;
+            return WaitReason::ReplicasBusy;
         }
         let Some(primary) = self.groups[s.group].primary.filter(|p| self.sendable(&self.hosts[*p])) else {
-            return Hold::PrimaryUnknown;
+            return WaitReason::PrimaryUnknown;
         };
         let h = &self.hosts[primary];
         match () {
-            () if h.mute => Hold::PrimarySilent,
-            () if h.rests_until > self.now => Hold::PrimaryResting,
-            () if !self.lawful(s, primary) => Hold::PrimaryBarred,
-            () => Hold::PrimaryFull,
+            () if h.mute => WaitReason::PrimarySilent,
+            () if h.rests_until > self.now => WaitReason::PrimaryResting,
+            () if !self.lawful(s, primary) => WaitReason::PrimaryBarred,
+            () => WaitReason::PrimaryFull,
         }
     }
 
@@ -582,7 +593,7 @@
     }
 
     /// The one place that gives a final answer; a rejection promises that trying again is harmless.
-    fn answer(&mut self, id: u64, cause: Cause) -> Decision {
+    fn answer(&mut self, id: u64, cause: FailureCause) -> Decision {
         let s = self.statements.get_mut(&id).expect("a statement under consideration");
         s.answered = true;
         self.due.push_back(id);
@@ -591,9 +602,9 @@
         let may_have_run = s.executions.iter().any(|e| e.may_have_run);
         let repeats = k.effect == Effect::Deduplicated && k.scope == DedupScope::All;
         if k.effect == Effect::Idempotent || repeats || !may_have_run {
-            return Decision::Reject { stmt: id, return_after: self.terms.max_return, cause };
+            return Decision::Reject { statement_id: id, retry_after: self.terms.max_retry_after, cause };
         }
-        Decision::Abort { stmt: id, cause }
+        Decision::Abort { statement_id: id, cause }
     }
 
     /// The one place that sends.
@@ -602,12 +613,12 @@
         let s = self.statements.get_mut(&id).expect("a statement under consideration");
         s.waiting = false;
         let repeat_by = self.kinds[s.workload].repeat_by(s) - self.margin;
-        let (recalled, pool) = (!self.terms.may_recall, self.groups[s.group].pool(index));
+        let (recalled, pool) = (!self.terms.may_cancel, self.groups[s.group].pool(index));
         (self.pools[pool].held, self.pools[pool].sent) = (self.pools[pool].held + 1, now);
         let execution = Execution { host: index, pool, sent: now, ended: None, may_have_run: true, recalled };
         s.executions.push(execution);
         // A repeat that waits for a connection is given up before it could come too late to be dropped.
-        let (time_out, turn) = (s.end.min(repeat_by) - now, self.groups[s.group].turn());
+        let (timeout, turn) = (s.end.min(repeat_by) - now, self.groups[s.group].turn());
         let usual = self.kinds[s.workload].usual;
         if let Some(session) = s.session.filter(|_| self.kinds[s.workload].writes()) {
             self.sessions.resize(self.sessions.len().max(session + 1), Session::default());
@@ -623,12 +634,12 @@
             h.rest(now, turn, 0);
         }
         h.meter.roll(now, false);
-        Decision::Send { stmt: id, host: index, time_out }
+        Decision::Send { statement_id: id, host: index, timeout }
     }
 
     fn sendable(&self, h: &Host) -> bool {
         h.listed == Readiness::Active
-            || (self.terms.drain_binds_alone && h.listed == Readiness::Gone && !h.seen_draining)
+            || (self.terms.only_draining_excludes && h.listed == Readiness::Gone && !h.seen_draining)
     }
 
     /// Guards the rules at the point of choice: list, cold share, and the effect of what may have run.
@@ -642,7 +653,7 @@
         let in_time = self.now < k.repeat_by(s) - self.margin;
         let warm = self.share(h) >= 1.0 || h.credit >= 1.0;
         // Where hosts do not check, only one that list or answer calls primary surely holds the present.
-        let current = self.terms.checked || k.consistency != Consistency::Fresh || h.maybe_primary;
+        let current = self.terms.hosts_check_reads || k.consistency != Consistency::Fresh || h.maybe_primary;
         let sure = !s.strict || h.reached >= s.need || h.maybe_primary;
         current
             && sure
@@ -687,13 +698,13 @@
             Consistency::Bounded => now - k.bound,
             // A write that is out for longer than such take may have lost its answer, and nobody can say
             // where it stands in the log: the primary alone.
-            Consistency::Session if !self.terms.checked && own.out > 0 && now > own.answer_by => {
+            Consistency::Session if !self.terms.hosts_check_reads && own.out > 0 && now > own.answer_by => {
                 f64::INFINITY
             }
-            Consistency::Session if !self.terms.checked => s.need.max(own.written),
+            Consistency::Session if !self.terms.hosts_check_reads => s.need.max(own.written),
             _ => s.need,
         };
-        let checked = self.terms.checked && !s.strict;
+        let hosts_check_reads = self.terms.hosts_check_reads && !s.strict;
         let (n, last) = (g.members.len(), s.executions.len() + 1 >= self.most);
         let (mut behind, mut best, mut full, mut unknown, mut up) = (None, 0.0, false, false, false);
         // While hosts refuse connections, one that answered lately most likely has a line open still.
@@ -721,7 +732,7 @@
             let m = g.members[at];
             let h = &self.hosts[m];
             let ready = ready(m);
-            let known = checked || h.reached >= least;
+            let known = hosts_check_reads || h.reached >= least;
             let foretold = h.stood.0 + CATCH_UP * (now - h.stood.1);
             (unknown, up) =
                 (unknown || (!known && least.is_finite()), up || (foretold >= least && Some(m) != primary));
@@ -748,14 +759,15 @@
         let g = &self.groups[s.group];
         if let Some(p) = primary {
             let h = &self.hosts[p];
-            let usable = !h.mute && !tried(p, 0.0) && self.lawful(s, p) && (checked || h.maybe_primary);
+            let usable =
+                !h.mute && !tried(p, 0.0) && self.lawful(s, p) && (hosts_check_reads || h.maybe_primary);
             // The primary's room belongs to the writes, as far as they are worth more for their work.
             let share = (k.density() / self.densest(true)).min(1.0) * if full { 0.5 } else { 0.8 };
             if usable && self.room(p, s.workload, share) {
                 return Some(p);
             }
         }
-        if !full && behind.is_none() && s.executions.is_empty() && checked && n > 0 {
+        if !full && behind.is_none() && s.executions.is_empty() && hosts_check_reads && n > 0 {
             // All replicas rest: one must still be asked, or a group of sick hosts would never be heard of.
             let ask = |m: &usize| self.hosts[*m].open.len() < 2 && self.lawful(s, *m);
             let found = (0..n).map(|i| g.members[(g.cursor + i) % n]).find(ask);
@@ -773,7 +785,7 @@
             g.probe_at = self.now + 0.2 + 0.2 * self.chance.0.rand_float() as f64;
             // A primary that answers no statement here, but probes as what it is, is not lost: the others
             // have nothing to tell (positions come with answers); it is asked again once it has rested.
-            let tells = self.terms.checked && self.terms.stamped;
+            let tells = self.terms.hosts_check_reads && self.terms.answers_carry_position;
             let stands = |p: &usize| tells && self.hosts[*p].claimed_at > self.now - STANDS;
             match g.primary.filter(stands) {
                 Some(p)
--- a/crates/sandstile-policy/src/policy/listing.rs
+++ b/crates/sandstile-policy/src/policy/listing.rs
@@ -13,7 +13,7 @@
 impl Instance {
     /// Entries of the list that are new or have changed, sorted by id; all others stand. Hosts that left it are handed
     /// as gone.
-    pub fn members(&mut self, now: f64, changed: &[Member]) {
+    pub fn update_hosts(&mut self, now: f64, changed: &[ListedHost]) {
         self.now = now;
         // The answer to a call already made: the subscription stands until the service says otherwise.
         self.ask_at = if self.ask_at > now { f64::INFINITY } else { self.ask_at };
@@ -29,7 +29,7 @@
         self.bound_pools();
     }
 
-    fn enlist(&mut self, member: &Member) {
+    fn enlist(&mut self, member: &ListedHost) {
         let index = member.host;
         if self.hosts.len() <= index {
             self.hosts.resize(index + 1, Host::unknown());
@@ -51,7 +51,8 @@
             // A machine that replaces another is behind by seconds and cold, whatever it answers first.
             // Credit begins where it would stand in the long run: of hundreds of routers each earns one
             // in the whole cold time, and none knows who is primary. The rest is for two probes.
-            let lucky = f64::from(self.chance.0.rand_float()) < self.cold_ease * self.terms.cold_from;
+            let lucky =
+                f64::from(self.chance.0.rand_float()) < self.cold_ease * self.terms.cold_initial_share;
             let credit = if lucky { 1.0 } else { 0.2 };
             (host.fresh_since, host.credit, host.seen_draining, host.mute) = (started, credit, false, false);
         }
@@ -104,7 +105,7 @@
     }
 
     /// Forgets a host that has left for good, once no statement reckons with it: its index may be given anew.
-    pub fn forget(&mut self, index: usize) -> bool {
+    pub fn forget_host(&mut self, index: usize) -> bool {
         let host = &self.hosts[index];
         let left = host.listed == Readiness::Gone && (host.mute || !self.sendable(host));
         let forgotten = left && host.executions == 0;
--- a/crates/sandstile-policy/src/policy/pacing.rs
+++ b/crates/sandstile-policy/src/policy/pacing.rs
@@ -51,11 +51,11 @@
     pub(super) fn trial(&self, id: u64) -> Option<usize> {
         let s = &self.statements[&id];
         let k = &self.kinds[s.workload];
-        let arrived = 2.0 * s.half - s.end;
+        let statement_arrived = 2.0 * s.half - s.end;
         let worthless = k.late_share == 0.0 && k.effect == Effect::Idempotent;
         let until = if worthless { k.worth_until(s).min(s.end) } else { s.end };
-        let quarter = (TRIAL_SHARE * (until - arrived)).max(0.0);
-        if !s.executions.is_empty() || self.now < arrived + quarter {
+        let quarter = (TRIAL_SHARE * (until - statement_arrived)).max(0.0);
+        if !s.executions.is_empty() || self.now < statement_arrived + quarter {
             return None;
         }
         let group = &self.groups[s.group];
@@ -64,9 +64,9 @@
         if matches!(k.consistency, Consistency::Write | Consistency::Fresh) {
             return primary;
         }
-        let checked = |m: &usize| self.terms.checked && Some(*m) != group.primary;
-        let mut replicas = group.members.iter().copied().filter(checked);
-        let certain = |p: &usize| self.terms.checked || self.hosts[*p].maybe_primary;
+        let hosts_check_reads = |m: &usize| self.terms.hosts_check_reads && Some(*m) != group.primary;
+        let mut replicas = group.members.iter().copied().filter(hosts_check_reads);
+        let certain = |p: &usize| self.terms.hosts_check_reads || self.hosts[*p].maybe_primary;
         replicas.find(usable).or(primary.filter(certain))
     }
 
--- a/crates/sandstile-policy/src/policy/slow_start.rs
+++ b/crates/sandstile-policy/src/policy/slow_start.rs
@@ -20,7 +20,7 @@
 impl Instance {
     /// Its start has been told or found out.
     pub(super) fn becomes_cold(&mut self, index: usize) {
-        let warm_at = self.hosts[index].fresh_since + self.cold_s;
+        let warm_at = self.hosts[index].fresh_since + self.cold_duration;
         if warm_at <= self.now {
             return;
         }
@@ -97,7 +97,7 @@
 
     /// The share of its capacity that a host may be taken to have; the list tells its start.
     pub(super) fn share(&self, h: &Host) -> f64 {
-        let age = (self.now - h.fresh_since) / self.cold_s;
-        (self.terms.cold_from + (1.0 - self.terms.cold_from) * age).clamp(0.0, 1.0)
+        let age = (self.now - h.fresh_since) / self.cold_duration;
+        (self.terms.cold_initial_share + (1.0 - self.terms.cold_initial_share) * age).clamp(0.0, 1.0)
     }
 }
--- a/crates/sandstile-policy/src/state.rs
+++ b/crates/sandstile-policy/src/state.rs
@@ -39,7 +39,7 @@
     pub answered: bool,
     pub waiting: bool,
     /// What it waited for when it was last considered and not sent.
-    pub hold: Option<Hold>,
+    pub wait_reason: Option<WaitReason>,
     /// When it is looked at next.
     pub look: f64,
     pub retry: bool,
@@ -128,8 +128,8 @@
     }
 
     /// How many of those that wait stood before this one when they were last put in order.
-    pub fn ahead(&self, stmt: u64) -> f64 {
-        self.waiting.iter().position(|w| *w == stmt).unwrap_or(0) as f64
+    pub fn ahead(&self, statement_id: u64) -> f64 {
+        self.waiting.iter().position(|w| *w == statement_id).unwrap_or(0) as f64
     }
 
     /// The pool of a member: 0 for replicas, 1 for primaries.
--- a/crates/sandstile-policy/src/terms.rs
+++ b/crates/sandstile-policy/src/terms.rs
@@ -35,9 +35,9 @@
     pub late_share: f64,
     pub effect: Effect,
     pub scope: DedupScope,
-    pub window: f64,
+    pub dedup_window: f64,
     pub consistency: Consistency,
-    pub bound: f64,
+    pub max_age: f64,
 }
 
 /// The terms of a deployment, as handed to an instance at its start.
@@ -47,27 +47,27 @@
     pub tick: f64,
     /// Instances that share the database hosts, this one among them.
     pub routers: usize,
-    pub most_executions: usize,
-    pub may_recall: bool,
+    pub max_executions: usize,
+    pub may_cancel: bool,
     pub may_probe: bool,
     /// 0 where a rejection cannot name a time.
-    pub max_return: f64,
-    pub on_request: bool,
-    pub ask_within: f64,
+    pub max_retry_after: f64,
+    pub list_on_request: bool,
+    pub subscribe_within: f64,
     /// An idle connection is closed after so long.
     pub idle_close: f64,
-    pub drain_binds_alone: bool,
-    pub cold_from: f64,
-    pub cold_s: f64,
+    pub only_draining_excludes: bool,
+    pub cold_initial_share: f64,
+    pub cold_duration: f64,
     /// A cold host falls over when sent this many times what it can do.
-    pub cold_multiple: f64,
+    pub cold_overload_multiple: f64,
     /// Database hosts judge a read's class themselves.
-    pub checked: bool,
+    pub hosts_check_reads: bool,
     /// Every answer carries a position.
-    pub stamped: bool,
-    pub tokens_remembered: bool,
+    pub answers_carry_position: bool,
+    pub router_keeps_tokens: bool,
     /// Clients flag their later tries.
-    pub marked_retries: bool,
+    pub clients_mark_retries: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -79,7 +79,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct ListedHost {
     pub host: usize,
     pub group: usize,
     pub zone: usize,
@@ -102,12 +102,12 @@
     pub token_age: Option<f64>,
     pub retry: bool,
     /// What a session's read must reach, where whoever hosts the decisions knows better than the terms have it.
-    pub reach: Option<Reach>,
+    pub read_requirement: Option<ReadRequirement>,
 }
 
 /// Only a host that is known to have come so far may serve the read, whatever hosts check themselves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Reach {
+pub enum ReadRequirement {
     /// On the instance's clock.
     Position(f64),
     /// Nobody can tell how far: the primary alone.
@@ -115,7 +115,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum OutcomeClass {
     Completed,
     Error,
     Full,
@@ -123,22 +123,22 @@
     ConnectFailed,
     Reset,
     /// No answer that can be read, by no fault of the host's: it may have run, and nothing is learnt of the host.
-    Spoilt,
+    UnusableAnswer,
     Cancelled,
-    Moot,
-    Miss,
+    NotSent,
+    WrongHost,
 }
 
 /// What an answer or a probe tells of its database host; the position is a time on the instance's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Note {
+pub struct HostReport {
     pub position: Option<f64>,
     pub primary: Option<bool>,
 }
 
 /// Why a statement gets no rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum FailureCause {
     /// Its time is over.
     TimeOver,
     /// It can't be answered within its SLO time any more, and a later answer is worth nothing.
@@ -151,20 +151,20 @@
     RepeatWindowOver,
 }
 
-impl Cause {
+impl FailureCause {
     /// All causes, in the order of their declaration.
-    pub const ALL: [Cause; 5] = [
-        Cause::TimeOver,
-        Cause::SloOver,
-        Cause::ExecutionsSpent,
-        Cause::ErrorsRepeated,
-        Cause::RepeatWindowOver,
+    pub const ALL: [FailureCause; 5] = [
+        FailureCause::TimeOver,
+        FailureCause::SloOver,
+        FailureCause::ExecutionsSpent,
+        FailureCause::ErrorsRepeated,
+        FailureCause::RepeatWindowOver,
     ];
 }
 
 /// What a statement waits for that has no execution under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hold {
+pub enum WaitReason {
     /// Nobody knows the group's primary.
     PrimaryUnknown,
     /// The primary has stopped answering.
@@ -179,24 +179,24 @@
     ReplicasBusy,
 }
 
-impl Hold {
+impl WaitReason {
     /// All of them, in the order of their declaration.
-    pub const ALL: [Hold; 6] = [
-        Hold::PrimaryUnknown,
-        Hold::PrimarySilent,
-        Hold::PrimaryResting,
-        Hold::PrimaryFull,
-        Hold::PrimaryBarred,
-        Hold::ReplicasBusy,
+    pub const ALL: [WaitReason; 6] = [
+        WaitReason::PrimaryUnknown,
+        WaitReason::PrimarySilent,
+        WaitReason::PrimaryResting,
+        WaitReason::PrimaryFull,
+        WaitReason::PrimaryBarred,
+        WaitReason::ReplicasBusy,
     ];
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    Send { stmt: u64, host: usize, time_out: f64 },
-    Reject { stmt: u64, return_after: f64, cause: Cause },
-    Abort { stmt: u64, cause: Cause },
-    Recall { stmt: u64, execution: usize },
+    Send { statement_id: u64, host: usize, timeout: f64 },
+    Reject { statement_id: u64, retry_after: f64, cause: FailureCause },
+    Abort { statement_id: u64, cause: FailureCause },
+    Cancel { statement_id: u64, execution: usize },
     Probe { host: usize },
     Subscribe,
     Log(String),
--- a/crates/sandstile-policy/tests/rules.rs
+++ b/crates/sandstile-policy/tests/rules.rs
@@ -6,9 +6,9 @@
 use sandstile_policy::terms::*;
 use simulation::{terms, World, HOSTS};
 
-fn verdict(n: usize) -> Verdict {
-    use Verdict::*;
-    [Completed, Miss, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot, Spoilt][n]
+fn verdict(n: usize) -> OutcomeClass {
+    use OutcomeClass::*;
+    [Completed, WrongHost, Error, Full, TimedOut, ConnectFailed, Reset, Cancelled, NotSent, UnusableAnswer][n]
 }
 
 fn rules_hold(flags: u16, inputs: Vec<(u8, u16)>) -> bool {
@@ -23,10 +23,10 @@
                 let sent: Vec<(u64, usize)> =
                     w.open.iter().flat_map(|(id, o)| (0..o.sent.len()).map(|e| (*id, e))).collect();
                 if !sent.is_empty() {
-                    let (stmt, e) = sent[sent.len() - 1 - n % sent.len().min(12)];
+                    let (statement_id, e) = sent[sent.len() - 1 - n % sent.len().min(12)];
                     let verdict = verdict(if n.is_multiple_of(3) { 0 } else { n / 3 % 10 });
                     let role = [None, Some(true), Some(false)][n / 7 % 3];
-                    w.end(stmt, e, verdict, role, (n % 40) as f64 / 20.0);
+                    w.end(statement_id, e, verdict, role, (n % 40) as f64 / 20.0);
                 }
             }
             11 => {
@@ -39,11 +39,11 @@
                 w.relist();
             }
             12 => {
-                let position = w.terms.stamped.then_some(w.now - (n % 30) as f64 / 10.0);
+                let position = w.terms.answers_carry_position.then_some(w.now - (n % 30) as f64 / 10.0);
                 if let Some(p) = position.filter(|_| !n.is_multiple_of(5)) {
                     w.reached[n % HOSTS] = w.reached[n % HOSTS].max(p);
                 }
-                let note = Note { position, primary: Some(n.is_multiple_of(3)) };
+                let note = HostReport { position, primary: Some(n.is_multiple_of(3)) };
                 w.policy.probed(w.now, n % HOSTS, !n.is_multiple_of(5), note);
             }
             13 => {
@@ -76,9 +76,9 @@
 #[test]
 fn reads_rotate_over_replicas_and_writes_go_to_the_primary() {
     let mut w = World::new(terms(0b110_0111), 7);
-    let hosts: Vec<usize> = (0..4).map(|_| w.serve(0, Verdict::Completed, Some(false))).collect();
+    let hosts: Vec<usize> = (0..4).map(|_| w.serve(0, OutcomeClass::Completed, Some(false))).collect();
     assert!(in_turn(&hosts), "{hosts:?}");
-    assert_eq!(w.serve(2, Verdict::Completed, Some(true)), 2);
+    assert_eq!(w.serve(2, OutcomeClass::Completed, Some(true)), 2);
 }
 
 fn in_turn(hosts: &[usize]) -> bool {
@@ -88,7 +88,7 @@
 /// Hundreds of routers that all began with the first member met there with all of their first reads.
 #[test]
 fn routers_do_not_begin_in_step() {
-    let first = |seed| World::new(terms(0b110_0111), seed).serve(0, Verdict::Completed, Some(false));
+    let first = |seed| World::new(terms(0b110_0111), seed).serve(0, OutcomeClass::Completed, Some(false));
     let hosts: std::collections::BTreeSet<usize> = (0..20).map(first).collect();
     assert_eq!(hosts.len(), 4);
 }
@@ -99,7 +99,7 @@
     let read = w.arrive(1, 1.0);
     for execution in 0..4 {
         w.step(0.005);
-        w.end(read, execution, Verdict::Miss, Some(false), 2.0);
+        w.end(read, execution, OutcomeClass::WrongHost, Some(false), 2.0);
     }
     w.step(0.005);
     let hosts: Vec<usize> = w.sends().iter().map(|s| s.1).collect();
@@ -108,11 +108,11 @@
 
 #[test]
 fn a_write_that_may_have_run_is_aborted_at_once_and_never_resent() {
-    for verdict in [Verdict::Error, Verdict::Spoilt, Verdict::Reset] {
+    for verdict in [OutcomeClass::Error, OutcomeClass::UnusableAnswer, OutcomeClass::Reset] {
         let mut w = World::new(terms(0b110_0111), 7);
         w.serve(2, verdict, Some(true));
         w.step(0.005);
-        assert!(w.decisions.iter().any(|d| matches!(d, Decision::Abort { stmt: 0, .. })));
+        assert!(w.decisions.iter().any(|d| matches!(d, Decision::Abort { statement_id: 0, .. })));
         assert_eq!(w.sends().len(), 1);
     }
 }
@@ -121,16 +121,16 @@
 #[test]
 fn a_spoilt_answer_rests_no_host() {
     let mut w = World::new(terms(0b110_0111), 7);
-    assert_eq!(w.serve(2, Verdict::Spoilt, None), 2);
-    assert_eq!(w.serve(2, Verdict::Completed, Some(true)), 2);
+    assert_eq!(w.serve(2, OutcomeClass::UnusableAnswer, None), 2);
+    assert_eq!(w.serve(2, OutcomeClass::Completed, Some(true)), 2);
     let read = w.arrive(0, 1.0);
     w.step(0.005);
     let first = w.sends().last().expect("a send").1;
-    w.end(read, 0, Verdict::Spoilt, None, 0.0);
+    w.end(read, 0, OutcomeClass::UnusableAnswer, None, 0.0);
     w.step(0.005);
     let second = w.sends().last().expect("another execution").1;
-    w.end(read, 1, Verdict::Completed, Some(false), 0.0);
-    let hosts: Vec<usize> = (0..3).map(|_| w.serve(0, Verdict::Completed, Some(false))).collect();
+    w.end(read, 1, OutcomeClass::Completed, Some(false), 0.0);
+    let hosts: Vec<usize> = (0..3).map(|_| w.serve(0, OutcomeClass::Completed, Some(false))).collect();
     assert!(second != first && hosts.contains(&first), "{first} {second} {hosts:?}");
 }
 
@@ -141,18 +141,18 @@
     let read = w.arrive(0, 1.0);
     w.step(0.005);
     let host = w.sends().last().expect("a send").1;
-    assert!(!w.policy.forget(host), "it is active");
+    assert!(!w.policy.forget_host(host), "it is active");
     w.list[host].readiness = Readiness::Gone;
     w.relist();
-    assert!(!w.policy.forget(host), "a read is out there");
-    w.end(read, 0, Verdict::Completed, Some(false), 0.0);
+    assert!(!w.policy.forget_host(host), "a read is out there");
+    w.end(read, 0, OutcomeClass::Completed, Some(false), 0.0);
     w.step(0.005);
-    assert!(w.policy.forget(host));
-    let hosts: Vec<usize> = (0..4).map(|_| w.serve(0, Verdict::Completed, Some(false))).collect();
+    assert!(w.policy.forget_host(host));
+    let hosts: Vec<usize> = (0..4).map(|_| w.serve(0, OutcomeClass::Completed, Some(false))).collect();
     assert!(!hosts.contains(&host), "{hosts:?}");
     w.list[host].readiness = Readiness::Active;
     w.relist();
-    let hosts: Vec<usize> = (0..4).map(|_| w.serve(0, Verdict::Completed, Some(false))).collect();
+    let hosts: Vec<usize> = (0..4).map(|_| w.serve(0, OutcomeClass::Completed, Some(false))).collect();
     assert!(hosts.contains(&host), "{hosts:?}");
 }
 
@@ -162,12 +162,12 @@
     let write = w.arrive(2, 1.0);
     for execution in 0..3 {
         w.step(0.005);
-        w.end(write, execution, Verdict::Miss, Some(false), 0.0);
+        w.end(write, execution, OutcomeClass::WrongHost, Some(false), 0.0);
     }
     w.step(0.005);
     assert_eq!(w.sends().len(), 3);
     assert!(w.decisions.iter().any(|d| matches!(d, Decision::Probe { .. })));
-    w.policy.probed(w.now, 4, true, Note { position: None, primary: Some(true) });
+    w.policy.probed(w.now, 4, true, HostReport { position: None, primary: Some(true) });
     w.step(0.02);
     assert_eq!(w.sends().last(), Some(&(write, 4)));
 }
@@ -180,7 +180,7 @@
         w.step(0.005);
     }
     let mute = w.sends()[0].1;
-    assert!((0..4).all(|_| w.serve(4, Verdict::Completed, Some(false)) != mute));
+    assert!((0..4).all(|_| w.serve(4, OutcomeClass::Completed, Some(false)) != mute));
 }
 
 /// Cancelled at the SLO time, a read came back as a fresh try and its work was done anew.
@@ -192,7 +192,7 @@
         w.step(0.005);
     }
     assert!(!w.decisions.iter().any(|d| matches!(d, Decision::Reject { .. })));
-    w.end(read, 0, Verdict::Completed, Some(false), 0.0);
+    w.end(read, 0, OutcomeClass::Completed, Some(false), 0.0);
     w.step(0.005);
 }
 
@@ -216,10 +216,10 @@
     let reads: Vec<u64> = (0..16).map(|_| w.arrive(4, 1.0)).collect();
     w.step(0.005);
     assert_eq!(w.sends().len(), 16, "four on each of four replicas");
-    for stmt in reads {
-        w.policy.client_gone(w.now, stmt);
-        w.open.get_mut(&stmt).expect("arrived").over = true;
-        w.end(stmt, 0, Verdict::Cancelled, None, 0.0);
+    for statement_id in reads {
+        w.policy.client_gone(w.now, statement_id);
+        w.open.get_mut(&statement_id).expect("arrived").over = true;
+        w.end(statement_id, 0, OutcomeClass::Cancelled, None, 0.0);
     }
     w.arrive(4, 1.0);
     w.step(0.005);
@@ -236,9 +236,9 @@
     let newest = w.arrive(4, 1.0);
     w.step(0.005);
     let sent = w.sends().len();
-    let (stmt, _) = w.sends()[0];
-    assert_eq!(stmt, first[29]);
-    w.end(stmt, 0, Verdict::Completed, Some(false), 0.0);
+    let (statement_id, _) = w.sends()[0];
+    assert_eq!(statement_id, first[29]);
+    w.end(statement_id, 0, OutcomeClass::Completed, Some(false), 0.0);
     w.step(0.005);
     assert_eq!(w.sends()[sent].0, newest);
 }
@@ -252,9 +252,9 @@
         (m.group, m.since) = (m.host % 2, if m.host % 2 == 1 { w.now } else { 0.0 });
     }
     w.relist();
-    let _: Vec<usize> = (0..40).map(|_| w.serve(4, Verdict::Completed, Some(false))).collect();
+    let _: Vec<usize> = (0..40).map(|_| w.serve(4, OutcomeClass::Completed, Some(false))).collect();
     w.group = 1;
-    assert_eq!(w.serve(4, Verdict::Completed, Some(false)) % 2, 1);
+    assert_eq!(w.serve(4, OutcomeClass::Completed, Some(false)) % 2, 1);
 }
 
 /// A few clients that named more time made all ordinary tries look late, and all were rejected unsent.
@@ -275,7 +275,7 @@
         );
         w.step(0.005);
         assert!(w.sends().iter().any(|s| s.0 == read), "statement {n} was sent");
-        w.end(read, 0, Verdict::Completed, Some(false), 0.0);
+        w.end(read, 0, OutcomeClass::Completed, Some(false), 0.0);
     }
 }
 
@@ -302,7 +302,7 @@
     assert_eq!(w.sends()[0].1, 2);
     assert!(w.decisions.contains(&Decision::Probe { host: 0 }));
     w.reached[0] = w.now - 0.1;
-    w.policy.probed(w.now, 0, true, Note { position: Some(w.now - 0.1), primary: Some(false) });
+    w.policy.probed(w.now, 0, true, HostReport { position: Some(w.now - 0.1), primary: Some(false) });
     w.arrive(0, 1.0);
     w.step(0.005);
     assert_eq!(w.sends()[1].1, 0);
@@ -312,9 +312,9 @@
 #[test]
 fn a_host_that_answers_without_a_role_is_foreign_and_gets_nothing_more() {
     let mut w = World::new(terms(0b110_0111), 7);
-    let hosts: Vec<usize> = (0..4).map(|_| w.serve(4, Verdict::Completed, Some(false))).collect();
-    assert_eq!(w.serve(4, Verdict::Error, None), hosts[0]);
-    assert!((0..8).all(|_| w.serve(4, Verdict::Completed, Some(false)) != hosts[0]));
+    let hosts: Vec<usize> = (0..4).map(|_| w.serve(4, OutcomeClass::Completed, Some(false))).collect();
+    assert_eq!(w.serve(4, OutcomeClass::Error, None), hosts[0]);
+    assert!((0..8).all(|_| w.serve(4, OutcomeClass::Completed, Some(false)) != hosts[0]));
 }
 
 /// Statements that nothing can serve went through all their executions at every host.
@@ -324,7 +324,7 @@
     let read = w.arrive(4, 1.0);
     for execution in 0..2 {
         w.step(0.005);
-        w.end(read, execution, Verdict::Error, Some(false), 0.0);
+        w.end(read, execution, OutcomeClass::Error, Some(false), 0.0);
     }
     w.step(0.005);
     assert_eq!(w.sends().len(), 2);
@@ -335,10 +335,10 @@
 #[test]
 fn a_mute_primary_gets_no_write_until_a_probe_finds_it() {
     let mut w = World::new(terms(0b110_0111), 7);
-    w.serve(2, Verdict::ConnectFailed, None);
+    w.serve(2, OutcomeClass::ConnectFailed, None);
     w.step(0.4);
     assert_eq!(w.sends().len(), 1, "held beyond the rest");
-    w.policy.probed(w.now, 2, true, Note { position: None, primary: Some(true) });
+    w.policy.probed(w.now, 2, true, HostReport { position: None, primary: Some(true) });
     w.step(0.02);
     assert_eq!(w.sends().last(), Some(&(0, 2)));
 }
@@ -348,7 +348,7 @@
 fn a_crowded_host_loses_its_turn_however_seldom_turns_come() {
     let mut w = World::new(Terms { routers: 400, ..terms(0b110_0111) }, 7);
     let serve = |w: &mut World| {
-        let host = w.serve(4, Verdict::Completed, Some(false));
+        let host = w.serve(4, OutcomeClass::Completed, Some(false));
         w.step(1.0);
         host
     };
@@ -357,7 +357,7 @@
     w.step(0.005);
     let jammed = w.sends().last().expect("the read was sent").1;
     w.step(0.9);
-    w.end(read, 0, Verdict::Completed, Some(false), 0.0);
+    w.end(read, 0, OutcomeClass::Completed, Some(false), 0.0);
     assert!((0..4).all(|_| serve(&mut w) != jammed), "its next turn is lost");
 }
 
@@ -375,13 +375,13 @@
         for execution in 0..2 {
             w.step(0.005);
             if w.sends().last().is_some_and(|s| *s != (read, 2)) {
-                w.end(read, execution, Verdict::Miss, Some(false), 5.0);
+                w.end(read, execution, OutcomeClass::WrongHost, Some(false), 5.0);
             }
         }
         w.step(0.005);
         let there = w.sends()[sent..].iter().any(|s| s.1 == 2);
         if there {
-            w.end(read, w.sends().len() - sent - 1, Verdict::Completed, Some(true), 0.0);
+            w.end(read, w.sends().len() - sent - 1, OutcomeClass::Completed, Some(true), 0.0);
         }
         there
     };
@@ -393,7 +393,7 @@
         let write = w.arrive(2, 1.0);
         w.step(0.005);
         w.step(0.6);
-        w.end(write, 0, Verdict::Completed, Some(true), 0.0);
+        w.end(write, 0, OutcomeClass::Completed, Some(true), 0.0);
     }
     w.group = 0;
     assert!(!spilled(&mut w), "late answers keep reads off");
@@ -407,7 +407,7 @@
         let mut w = World::new(terms(0b110_0111), 3);
         w.now += 100.0;
         w.list[0].since = w.now + step;
-        w.policy.members(w.now, &w.list);
+        w.policy.update_hosts(w.now, &w.list);
         // Held against the true start.
         w.list[0].since = w.now;
         w.step(later);
@@ -415,8 +415,8 @@
         for _ in 0..60 {
             w.arrive(4, 1.0);
             w.step(0.005);
-            let (stmt, _) = *w.sends().last().expect("a send");
-            w.end(stmt, 0, Verdict::Completed, Some(false), 0.0);
+            let (statement_id, _) = *w.sends().last().expect("a send");
+            w.end(statement_id, 0, OutcomeClass::Completed, Some(false), 0.0);
         }
         w.sends()[before..].iter().filter(|s| s.1 == 0).count()
     };
@@ -437,20 +437,20 @@
         w.list[0].since = w.now;
         w.relist();
         for _ in 0..rounds {
-            let (stmt, before) = (w.arrive(4, 1.0), w.sends().len());
+            let (statement_id, before) = (w.arrive(4, 1.0), w.sends().len());
             w.step(0.005);
             if w.sends().len() > before {
-                w.end(stmt, 0, verdict, Some(false), 0.0);
+                w.end(statement_id, 0, verdict, Some(false), 0.0);
             }
         }
         w.sends().iter().filter(|s| s.1 == 0).count()
     };
     let all = |verdict, rounds| -> Vec<usize> { (0..60).map(|seed| cold(verdict, seed, rounds)).collect() };
-    let first: usize = all(Verdict::Error, 60).iter().sum();
-    assert!(all(Verdict::Error, 60).iter().all(|n| *n <= 1));
+    let first: usize = all(OutcomeClass::Error, 60).iter().sum();
+    assert!(all(OutcomeClass::Error, 60).iter().all(|n| *n <= 1));
     // Half of the multiple times the cold share: 0.3 of 60.
     assert!((9..=27).contains(&first), "{first}");
-    assert!(all(Verdict::Completed, 60).iter().sum::<usize>() > 2 * first);
+    assert!(all(OutcomeClass::Completed, 60).iter().sum::<usize>() > 2 * first);
 }
 
 /// The first answers after a start came late from a crowd; from then on each read was given up unsent, and no answer ever
@@ -462,14 +462,14 @@
         kind.late_share = 0.0;
     }
     w.policy = Instance::new(&w.terms, 7, w.now);
-    w.policy.members(w.now, &w.list);
+    w.policy.update_hosts(w.now, &w.list);
     for _ in 0..200 {
-        let stmt = w.arrive(4, 1.0);
+        let statement_id = w.arrive(4, 1.0);
         w.step(0.005);
         w.step(0.385);
-        if w.open[&stmt].sent.iter().any(|s| s.ended.is_none()) {
-            let last = w.open[&stmt].sent.len() - 1;
-            w.end(stmt, last, Verdict::Completed, Some(false), 0.0);
+        if w.open[&statement_id].sent.iter().any(|s| s.ended.is_none()) {
+            let last = w.open[&statement_id].sent.len() - 1;
+            w.end(statement_id, last, OutcomeClass::Completed, Some(false), 0.0);
         }
         w.step(0.005);
     }
@@ -481,9 +481,9 @@
         w.arrive(4, 1.0);
         w.step(0.005);
         // Whichever was sent, for those that wait are sent as well.
-        for (stmt, ..) in w.sends()[before..].to_vec() {
-            let last = w.open[&stmt].sent.len() - 1;
-            w.end(stmt, last, Verdict::Completed, Some(false), 0.0);
+        for (statement_id, ..) in w.sends()[before..].to_vec() {
+            let last = w.open[&statement_id].sent.len() - 1;
+            w.end(statement_id, last, OutcomeClass::Completed, Some(false), 0.0);
             served += 1;
         }
         w.step(0.02);
@@ -501,10 +501,10 @@
         w.list.iter_mut().for_each(|m| m.since = w.now);
         w.relist();
         for _ in 0..100 {
-            let (stmt, before) = (w.arrive(4, 0.05), w.sends().len());
+            let (statement_id, before) = (w.arrive(4, 0.05), w.sends().len());
             w.step(0.005);
-            if w.sends().len() > before && w.sends().last().is_some_and(|s| s.0 == stmt) {
-                w.end(stmt, 0, Verdict::Completed, Some(false), 0.0);
+            if w.sends().len() > before && w.sends().last().is_some_and(|s| s.0 == statement_id) {
+                w.end(statement_id, 0, OutcomeClass::Completed, Some(false), 0.0);
                 served += 1;
             }
             w.step(0.005);
@@ -517,10 +517,10 @@
 #[test]
 fn while_hosts_refuse_connections_those_that_answered_lately_go_first() {
     let mut w = World::new(terms(0b110_0111), 7);
-    let host = w.serve(4, Verdict::Completed, Some(false));
-    w.serve(4, Verdict::ConnectFailed, None);
+    let host = w.serve(4, OutcomeClass::Completed, Some(false));
+    w.serve(4, OutcomeClass::ConnectFailed, None);
     w.step(1.1);
-    assert!((0..4).all(|_| w.serve(4, Verdict::Completed, Some(false)) == host));
+    assert!((0..4).all(|_| w.serve(4, OutcomeClass::Completed, Some(false)) == host));
 }
 
 /// Seen on sockets: in a burst, late writes waited to the end of their time at full primaries, most of them in vain.
@@ -531,7 +531,7 @@
         let write = w.arrive(2, 1.0);
         w.step(0.005);
         w.step(0.15);
-        w.end(write, 0, Verdict::Completed, Some(true), 0.0);
+        w.end(write, 0, OutcomeClass::Completed, Some(true), 0.0);
     }
     let writes: Vec<u64> = (0..20).map(|_| w.arrive(2, 2.0)).collect();
     w.step(0.005);
@@ -551,7 +551,7 @@
 /// hosts check reads themselves; nobody's word, the primary alone.
 #[test]
 fn a_stated_reach_keeps_reads_from_replicas_that_are_not_known_to_have_come_so_far() {
-    let own = |reach| Arrival {
+    let own = |read_requirement| Arrival {
         workload: 1,
         group: 0,
         session: None,
@@ -559,9 +559,9 @@
         wait: 0.5,
         token_age: None,
         retry: false,
-        reach: Some(reach),
+        read_requirement: Some(read_requirement),
     };
-    for checked in [true, false] {
+    for hosts_check_reads in [true, false] {
         let consistency = [Consistency::Write, Consistency::Session];
         let workload = |c: &Consistency| Workload {
             slo: 0.2,
@@ -570,28 +570,28 @@
             late_share: 0.0,
             effect: if *c == Consistency::Write { Effect::NonIdempotent } else { Effect::Idempotent },
             scope: DedupScope::Group,
-            window: 0.0,
+            dedup_window: 0.0,
             consistency: *c,
-            bound: 0.0,
+            max_age: 0.0,
         };
         let terms = Terms {
             workloads: consistency.iter().map(workload).collect(),
             tick: 0.005,
             routers: 1,
-            most_executions: 4,
+            max_executions: 4,
             may_probe: true,
-            checked,
-            stamped: true,
-            tokens_remembered: true,
-            cold_multiple: 4.0,
-            cold_from: 1.0,
+            hosts_check_reads,
+            answers_carry_position: true,
+            router_keeps_tokens: true,
+            cold_overload_multiple: 4.0,
+            cold_initial_share: 1.0,
             idle_close: 30.0,
-            ask_within: 10.0,
+            subscribe_within: 10.0,
             ..Terms::default()
         };
         let now = 1000.0;
         let mut policy = Instance::new(&terms, 5, now);
-        let member = |host: usize| Member {
+        let member = |host: usize| ListedHost {
             host,
             group: 0,
             zone: 0,
@@ -599,40 +599,43 @@
             since: 0.0,
             readiness: Readiness::Active,
         };
-        policy.members(now, &[member(0), member(1), member(2)]);
+        policy.update_hosts(now, &[member(0), member(1), member(2)]);
         for host in 0..3 {
-            assert!(policy.follows(host, 1));
-            let note = Note { position: Some(990.0 + host as f64), primary: Some(host == 0) };
+            assert!(policy.record_term(host, 1));
+            let note = HostReport { position: Some(990.0 + host as f64), primary: Some(host == 0) };
             policy.probed(now, host, true, note);
         }
         assert_eq!(policy.term(0), 1);
-        let sends = |policy: &mut Instance, stmt: u64, reach| {
+        let sends = |policy: &mut Instance, statement_id: u64, read_requirement| {
             let mut hosts = Vec::new();
             for n in 0..6 {
-                let stmt = stmt + n;
-                policy.arrived(now, stmt, &own(reach));
-                policy.passed(now);
+                let statement_id = statement_id + n;
+                policy.statement_arrived(now, statement_id, &own(read_requirement));
+                policy.advance_time(now);
                 while let Some(decision) = policy.decide() {
-                    if let Decision::Send { stmt, host, .. } = decision {
+                    if let Decision::Send { statement_id, host, .. } = decision {
                         hosts.push(host);
-                        let note = Note { position: None, primary: Some(host == 0) };
-                        policy.ended(now, stmt, 0, Verdict::Completed, true, note);
+                        let note = HostReport { position: None, primary: Some(host == 0) };
+                        policy.ended(now, statement_id, 0, OutcomeClass::Completed, true, note);
                     }
                 }
-                policy.passed(now);
+                policy.advance_time(now);
                 while policy.decide().is_some() {}
             }
             hosts
         };
         // Host 1 stands at 991, host 2 at 992.
-        assert!(sends(&mut policy, 100, Reach::Position(991.5)).iter().all(|h| *h == 2), "{checked}");
-        assert_eq!(sends(&mut policy, 200, Reach::Primary), [0; 6], "{checked}");
-        assert_eq!(sends(&mut policy, 300, Reach::Position(995.0)), [0; 6], "{checked}");
-        let any = sends(&mut policy, 400, Reach::Position(0.0));
-        assert!(any.contains(&1) && any.contains(&2), "{checked} {any:?}");
+        assert!(
+            sends(&mut policy, 100, ReadRequirement::Position(991.5)).iter().all(|h| *h == 2),
+            "{hosts_check_reads}"
+        );
+        assert_eq!(sends(&mut policy, 200, ReadRequirement::Primary), [0; 6], "{hosts_check_reads}");
+        assert_eq!(sends(&mut policy, 300, ReadRequirement::Position(995.0)), [0; 6], "{hosts_check_reads}");
+        let any = sends(&mut policy, 400, ReadRequirement::Position(0.0));
+        assert!(any.contains(&1) && any.contains(&2), "{hosts_check_reads} {any:?}");
         // A new term: what was heard under the last is void, and a host of the old one is known to lag.
-        assert!(policy.follows(0, 2) && !policy.follows(2, 1));
-        assert_eq!(sends(&mut policy, 500, Reach::Position(991.5)), [0; 6], "{checked}");
+        assert!(policy.record_term(0, 2) && !policy.record_term(2, 1));
+        assert_eq!(sends(&mut policy, 500, ReadRequirement::Position(991.5)), [0; 6], "{hosts_check_reads}");
     }
 }
 
@@ -642,25 +645,25 @@
 fn a_sessions_read_behind_a_write_of_unknown_end_goes_where_that_write_is() {
     // Hosts that check nothing, stamp their answers and leave tokens to the router.
     let mut w = World::new(terms(0b1100_0011), 7);
-    w.serve(2, Verdict::Completed, Some(true));
+    w.serve(2, OutcomeClass::Completed, Some(true));
     for _ in 0..8 {
-        w.serve(4, Verdict::Completed, Some(false));
+        w.serve(4, OutcomeClass::Completed, Some(false));
     }
     let write = w.arrive(2, 1.0);
     w.step(0.005);
     // Not while it takes no longer than others, or each write would send its session's reads to the primary.
-    assert_ne!(w.serve(1, Verdict::Completed, Some(false)), 2, "as long as writes take");
+    assert_ne!(w.serve(1, OutcomeClass::Completed, Some(false)), 2, "as long as writes take");
     w.step(0.12);
-    assert_eq!(w.serve(1, Verdict::Completed, Some(true)), 2, "while it is out");
-    w.end(write, 0, Verdict::Spoilt, None, 0.0);
+    assert_eq!(w.serve(1, OutcomeClass::Completed, Some(true)), 2, "while it is out");
+    w.end(write, 0, OutcomeClass::UnusableAnswer, None, 0.0);
     w.step(0.005);
-    assert_eq!(w.serve(1, Verdict::Completed, Some(true)), 2, "once its answer is lost");
+    assert_eq!(w.serve(1, OutcomeClass::Completed, Some(true)), 2, "once its answer is lost");
     // What a replica tells of a time well behind that is enough again.
     w.step(0.9);
     for _ in 0..8 {
-        w.serve(4, Verdict::Completed, Some(false));
+        w.serve(4, OutcomeClass::Completed, Some(false));
     }
-    assert_ne!(w.serve(1, Verdict::Completed, Some(false)), 2, "not for ever");
+    assert_ne!(w.serve(1, OutcomeClass::Completed, Some(false)), 2, "not for ever");
 }
 
 /// Once no repeat can be dropped any more nothing is left to wait for: it is told at once, and not near its time.
@@ -670,15 +673,17 @@
     let write = w.arrive(3, 1.0);
     w.step(0.005);
     w.step(0.1);
-    w.end(write, 0, Verdict::Spoilt, None, 0.0);
+    w.end(write, 0, OutcomeClass::UnusableAnswer, None, 0.0);
     w.step(0.005);
     // The repeat is out for as long as the window lasts, and then over.
-    let Some(Decision::Send { time_out, .. }) = w.decisions.last().cloned() else { panic!("a repeat") };
-    assert!(time_out < 0.4, "{time_out}");
-    w.step(time_out);
-    w.end(write, 1, Verdict::TimedOut, None, 0.0);
+    let Some(Decision::Send { timeout, .. }) = w.decisions.last().cloned() else { panic!("a repeat") };
+    assert!(timeout < 0.4, "{timeout}");
+    w.step(timeout);
+    w.end(write, 1, OutcomeClass::TimedOut, None, 0.0);
     w.step(0.005);
-    assert!(matches!(w.decisions.last(), Some(Decision::Abort { stmt, .. }) if *stmt == write));
+    assert!(
+        matches!(w.decisions.last(), Some(Decision::Abort { statement_id, .. }) if *statement_id == write)
+    );
 }
 
 /// Reads of any age go where the others can't: a replica that refused one takes them, and the same one first, so that
@@ -689,17 +694,17 @@
     let read = w.arrive(0, 1.0);
     w.step(0.005);
     let lagging = w.sends().last().expect("a send").1;
-    w.end(read, 0, Verdict::Miss, Some(false), 3.0);
+    w.end(read, 0, OutcomeClass::WrongHost, Some(false), 3.0);
     w.step(0.005);
-    w.end(read, 1, Verdict::Completed, Some(false), 0.0);
-    let hosts: Vec<usize> = (0..3).map(|_| w.serve(4, Verdict::Completed, Some(false))).collect();
+    w.end(read, 1, OutcomeClass::Completed, Some(false), 0.0);
+    let hosts: Vec<usize> = (0..3).map(|_| w.serve(4, OutcomeClass::Completed, Some(false))).collect();
     assert_eq!(hosts, [lagging; 3]);
     // Not for ever: a spell of lag ends, and the rotation is the design's.
     for _ in 0..60 {
         w.step(0.5);
-        w.serve(4, Verdict::Completed, Some(false));
+        w.serve(4, OutcomeClass::Completed, Some(false));
     }
-    let hosts: Vec<usize> = (0..4).map(|_| w.serve(4, Verdict::Completed, Some(false))).collect();
+    let hosts: Vec<usize> = (0..4).map(|_| w.serve(4, OutcomeClass::Completed, Some(false))).collect();
     assert!(in_turn(&hosts), "{hosts:?}");
 }
 
@@ -714,11 +719,11 @@
         w.decisions.iter().filter_map(probe).collect()
     };
     let mut w = World::new(terms(0b110_0111), 7);
-    w.serve(2, Verdict::ConnectFailed, None);
+    w.serve(2, OutcomeClass::ConnectFailed, None);
     w.step(0.005);
     assert_eq!(probed(&w).len(), HOSTS, "all are asked while it may be lost");
     for host in 0..HOSTS {
-        w.policy.probed(w.now, host, true, Note { position: Some(w.now), primary: Some(host == 2) });
+        w.policy.probed(w.now, host, true, HostReport { position: Some(w.now), primary: Some(host == 2) });
     }
     for _ in 0..100 {
         w.step(0.005);
@@ -732,20 +737,20 @@
     let mut w = World::new(terms(0b110_0100), 3);
     for _ in 0..4 {
         w.step(3.0);
-        w.serve(2, Verdict::Completed, Some(true));
+        w.serve(2, OutcomeClass::Completed, Some(true));
     }
     // Slow once, for a connection had to be made: the host counts as crowded, and is spared for rotations.
     let slow = w.arrive(2, 1.0);
     w.step(0.005);
     w.step(0.5);
-    w.end(slow, 0, Verdict::Completed, Some(true), 0.0);
+    w.end(slow, 0, OutcomeClass::Completed, Some(true), 0.0);
     for _ in 0..3 {
-        let stmt = w.arrive(2, 1.0);
+        let statement_id = w.arrive(2, 1.0);
         for _ in 0..100 {
             w.step(0.005);
         }
-        assert!(w.sends().iter().any(|sent| sent.0 == stmt), "held for half of its time");
-        w.end(stmt, 0, Verdict::Completed, Some(true), 0.0);
+        assert!(w.sends().iter().any(|sent| sent.0 == statement_id), "held for half of its time");
+        w.end(statement_id, 0, OutcomeClass::Completed, Some(true), 0.0);
     }
 }
 
@@ -756,18 +761,18 @@
     let slow = w.arrive(2, 1.0);
     w.step(0.005);
     w.step(0.5);
-    w.end(slow, 0, Verdict::Completed, Some(true), 0.0);
+    w.end(slow, 0, OutcomeClass::Completed, Some(true), 0.0);
     // Crowded by that, the primary is spared; one more goes out for trial just before half of the next one's time.
     let first = w.arrive(2, 1.0);
     let write = w.arrive(2, 1.0);
     for _ in 0..60 {
         w.step(0.005);
     }
-    let sent = |w: &World, stmt: u64| w.sends().iter().any(|sent| sent.0 == stmt);
+    let sent = |w: &World, statement_id: u64| w.sends().iter().any(|sent| sent.0 == statement_id);
     let early = if sent(&w, first) { first } else { write };
     let other = if early == first { write } else { first };
     assert!(sent(&w, early) && !sent(&w, other), "one of them is tried");
-    w.end(early, 0, Verdict::Completed, Some(true), 0.0);
+    w.end(early, 0, OutcomeClass::Completed, Some(true), 0.0);
     for _ in 0..80 {
         w.step(0.005);
     }
@@ -780,17 +785,17 @@
     let mut w = World::new(terms(0b110_0111), 7);
     for _ in 0..4 {
         w.step(3.0);
-        w.serve(2, Verdict::Completed, Some(true));
+        w.serve(2, OutcomeClass::Completed, Some(true));
     }
     w.step(3.0);
-    w.serve(2, Verdict::ConnectFailed, None);
+    w.serve(2, OutcomeClass::ConnectFailed, None);
     let write = w.arrive(2, 1.0);
     w.step(0.005);
     for _ in 0..80 {
         w.step(0.005);
     }
     assert!(w.decisions.contains(&Decision::Probe { host: 2 }), "its rest keeps no probe from it");
-    w.policy.probed(w.now, 2, true, Note { position: None, primary: Some(true) });
+    w.policy.probed(w.now, 2, true, HostReport { position: None, primary: Some(true) });
     w.step(0.005);
     assert!(w.sends().contains(&(write, 2)), "reached, it is used at once");
 }
@@ -799,14 +804,14 @@
 #[test]
 fn a_completed_trial_ends_the_rest_of_its_host() {
     let mut w = World::new(terms(0b110_0111), 7);
-    w.serve(2, Verdict::Completed, Some(true));
-    w.serve(2, Verdict::ConnectFailed, None);
+    w.serve(2, OutcomeClass::Completed, Some(true));
+    w.serve(2, OutcomeClass::ConnectFailed, None);
     w.step(0.4);
-    w.policy.probed(w.now, 2, true, Note { position: None, primary: Some(true) });
+    w.policy.probed(w.now, 2, true, HostReport { position: None, primary: Some(true) });
     w.step(0.005);
-    w.end(1, 1, Verdict::Completed, Some(true), 0.0);
+    w.end(1, 1, OutcomeClass::Completed, Some(true), 0.0);
     for _ in 0..3 {
-        w.serve(2, Verdict::Completed, Some(true));
+        w.serve(2, OutcomeClass::Completed, Some(true));
     }
 }
 
@@ -814,12 +819,12 @@
 #[test]
 fn one_failed_connection_makes_no_host_cold_however_long_ago_it_was() {
     let mut w = World::new(terms(0b110_0111), 7);
-    w.serve(2, Verdict::Completed, Some(true));
-    w.serve(2, Verdict::ConnectFailed, None);
+    w.serve(2, OutcomeClass::Completed, Some(true));
+    w.serve(2, OutcomeClass::ConnectFailed, None);
     w.step(3.0);
-    w.policy.probed(w.now, 2, true, Note { position: None, primary: Some(true) });
+    w.policy.probed(w.now, 2, true, HostReport { position: None, primary: Some(true) });
     for _ in 0..3 {
-        w.serve(2, Verdict::Completed, Some(true));
+        w.serve(2, OutcomeClass::Completed, Some(true));
         w.step(0.1);
     }
 }
@@ -828,7 +833,7 @@
 #[test]
 fn a_read_that_only_a_silent_primary_may_serve_has_it_probed() {
     let mut w = World::new(terms(0b110_0111), 7);
-    w.serve(2, Verdict::ConnectFailed, None);
+    w.serve(2, OutcomeClass::ConnectFailed, None);
     w.step(0.6);
     w.step(0.6);
     let probes = |w: &World| w.decisions.iter().filter(|d| matches!(d, Decision::Probe { .. })).count();
@@ -841,10 +846,10 @@
         wait: 1.0,
         token_age: None,
         retry: false,
-        reach: Some(Reach::Primary),
+        read_requirement: Some(ReadRequirement::Primary),
     };
-    w.policy.arrived(w.now, 77, &arrival);
-    w.policy.passed(w.now);
+    w.policy.statement_arrived(w.now, 77, &arrival);
+    w.policy.advance_time(w.now);
     while let Some(decision) = w.policy.decide() {
         w.decisions.push(decision);
     }
--- a/crates/sandstile-restart-pacing/src/admission_ramp.rs
+++ b/crates/sandstile-restart-pacing/src/admission_ramp.rs
@@ -30,7 +30,7 @@
 }
 
 impl Ramp {
-    pub fn asked(&mut self, stmt: u64) -> Door {
+    pub fn asked(&mut self, statement_id: u64) -> Door {
         if self.over {
             return Door::In;
         }
@@ -38,13 +38,13 @@
             self.calm = 0;
             return Door::Later;
         }
-        self.under_way.insert(stmt);
+        self.under_way.insert(statement_id);
         Door::In
     }
 
     /// A statement that came in has its end.
-    pub fn ended(&mut self, stmt: u64, completed: bool) {
-        if self.over || !self.under_way.remove(&stmt) || !completed {
+    pub fn ended(&mut self, statement_id: u64, completed: bool) {
+        if self.over || !self.under_way.remove(&statement_id) || !completed {
             return;
         }
         self.window += 1.0;
--- a/crates/sandstile-restart-pacing/tests/pacing.rs
+++ b/crates/sandstile-restart-pacing/tests/pacing.rs
@@ -193,12 +193,12 @@
     fn holds(seed: u64) -> bool {
         let mut chance = Rand64::new(u128::from(seed));
         let (mut ramp, mut inside, mut completed) = (Ramp::default(), Vec::new(), 0usize);
-        for stmt in 0..20_000u64 {
+        for statement_id in 0..20_000u64 {
             if ramp.over() {
                 return ramp.held() == 0;
             }
-            match ramp.asked(stmt) {
-                Door::In => inside.push(stmt),
+            match ramp.asked(statement_id) {
+                Door::In => inside.push(statement_id),
                 // It lets in as many as it has seen answered, and eight.
                 Door::Later if inside.len() < 8 => return false,
                 Door::Later => {}
@@ -207,9 +207,9 @@
                 return false;
             }
             while !inside.is_empty() && chance.rand_range(0..3) > 0 {
-                let stmt = inside.swap_remove(chance.rand_range(0..inside.len() as u64) as usize);
+                let statement_id = inside.swap_remove(chance.rand_range(0..inside.len() as u64) as usize);
                 let done = chance.rand_range(0..5) > 0;
-                ramp.ended(stmt, done);
+                ramp.ended(statement_id, done);
                 completed += usize::from(done);
             }
         }
@@ -219,9 +219,9 @@
     quickcheck::QuickCheck::new().tests(100).quickcheck(holds as fn(u64) -> bool);
     // Where nothing completes nobody is let in beyond the first, for ever.
     let mut ramp = Ramp::default();
-    for stmt in 0..1000 {
-        if ramp.asked(stmt) == Door::In {
-            ramp.ended(stmt, false);
+    for statement_id in 0..1000 {
+        if ramp.asked(statement_id) == Door::In {
+            ramp.ended(statement_id, false);
         }
     }
     assert!(!ramp.over());
--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -181,9 +181,9 @@
 
     pub fn answer(&mut self, given: Given, context: &mut LoopContext) {
         if let Some(seat) = self.seats.get_mut(given.line) {
-            debug!(context.log, "answered"; "client" => seat.number, "statement" => given.stmt,
+            debug!(context.log, "answered"; "client" => seat.number, "statement" => given.statement_id,
                 "with" => given.answer.name());
-            seat.line.answer(context.clock.now(), given.stmt, given.answer, &mut self.remarks);
+            seat.line.answer(context.clock.now(), given.statement_id, given.answer, &mut self.remarks);
             self.run(given.line, context);
         }
     }
@@ -307,7 +307,7 @@
                     debug!(context.log, "asked"; "client" => seat.number, "statement" => self.asked, "id" => &statement.id,
                         "reads" => seat.reads, "time_left_s" => format!("{:.3}", time - now));
                     self.desk.send(Mail::Asked(Asked {
-                        stmt: self.asked,
+                        statement_id: self.asked,
                         line: key,
                         id: statement.id.clone(),
                         workload: statement.workload,
@@ -420,7 +420,7 @@
 }
 
 fn gone(wish: Option<Wish>, desk: &MailboxSender<Mail>) {
-    if let Some(Wish::Gone(stmt)) = wish {
-        desk.send(Mail::ClientGone(stmt));
+    if let Some(Wish::Gone(statement_id)) = wish {
+        desk.send(Mail::ClientGone(statement_id));
     }
 }
--- a/crates/sandstile-router/src/hosts.rs
+++ b/crates/sandstile-router/src/hosts.rs
@@ -147,8 +147,12 @@
                 let until = context.clock.now() + self.dial_limit;
                 self.begin(host, Job { errand: Errand::Probe, until }, context);
             }
-            Order::Recall { host, stmt, execution } => self.recall(host, (stmt, execution), true, context),
-            Order::Unsend { host, stmt, execution } => self.recall(host, (stmt, execution), false, context),
+            Order::Cancel { host, statement_id, execution } => {
+                self.recall(host, (statement_id, execution), true, context)
+            }
+            Order::Unsend { host, statement_id, execution } => {
+                self.recall(host, (statement_id, execution), false, context)
+            }
             Order::Sharers(n) => {
                 if let Some(dials) = &mut self.dials {
                     dials.shared_by(n);
@@ -614,7 +618,9 @@
     fn report(&mut self, host: usize, job: Job, outcome: Outcome, context: &LoopContext) {
         self.ended(host, outcome.ending, context);
         self.desk.send(match job.errand {
-            Errand::Statement { stmt, execution, .. } => Mail::Ended { stmt, execution, outcome },
+            Errand::Statement { statement_id, execution, .. } => {
+                Mail::Ended { statement_id, execution, outcome }
+            }
             Errand::Probe => Mail::Probed { host, outcome },
         });
     }
--- a/crates/sandstile-router/src/known_hosts.rs
+++ b/crates/sandstile-router/src/known_hosts.rs
@@ -1,6 +1,6 @@
 //! The list as discovery has told it so far. What it tells anew becomes the entries that differ, in pieces that the
 //! carrier takes one by one between its clients: a whole list of thousands of hosts is no work of one turn.
-use sandstile_deployment::host_list::Entry;
+use sandstile_deployment::host_list::HostEntry;
 use sandstile_dispatcher::Update;
 use sandstile_policy::terms::Readiness;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 
 #[derive(Clone, PartialEq)]
 struct Told {
-    entry: Entry,
+    entry: HostEntry,
     address: Option<SocketAddr>,
 }
 
@@ -49,7 +49,7 @@
 }
 
 fn gone(host: &Told) -> Told {
-    let entry = Entry { readiness: Readiness::Gone, ..host.entry.clone() };
+    let entry = HostEntry { readiness: Readiness::Gone, ..host.entry.clone() };
     Told { entry, address: None }
 }
 
--- a/crates/sandstile-router/src/lists.rs
+++ b/crates/sandstile-router/src/lists.rs
@@ -1,6 +1,6 @@
 //! Reads the lists of discovery and of the configuration.
 use crate::pg;
-use sandstile_deployment::host_list::{readiness, Entry};
+use sandstile_deployment::host_list::{readiness, HostEntry};
 use sandstile_dispatcher::Update;
 use sandstile_policy::terms::Readiness;
 use serde_json::Value;
@@ -28,7 +28,7 @@
     Ok((update, wrong))
 }
 
-fn entry(item: &Value) -> Result<(Entry, Option<SocketAddr>), String> {
+fn entry(item: &Value) -> Result<(HostEntry, Option<SocketAddr>), String> {
     let host = item["name"].as_str().ok_or("an entry without a name")?.to_string();
     let word = item["status"].as_str().unwrap_or("");
     let readiness = readiness(word).ok_or_else(|| format!("{host}: status '{word}'"))?;
@@ -38,7 +38,7 @@
         Value::String(group) => group.clone(),
         other => other.to_string(),
     };
-    let entry = Entry {
+    let entry = HostEntry {
         host,
         group,
         zone: item["zone"].as_str().unwrap_or("").to_string(),
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -10,7 +10,7 @@
 use sandstile_dispatcher::{Ending, Outcome};
 use sandstile_durable_state::{Folder, Opened, Shelf};
 use sandstile_membership_view::{may, About, View, Way};
-use sandstile_policy::terms::Verdict;
+use sandstile_policy::terms::OutcomeClass;
 use sandstile_probe_sharing::{Duties, Told, Warnings};
 use sandstile_replicated_state::catchup::{believe, Belief, Standing};
 use sandstile_replicated_state::fact::Said;
@@ -280,7 +280,7 @@
             self.warnings.answered(now, host);
         }
         match outcome.ending.verdict() {
-            Verdict::ConnectFailed | Verdict::Reset | Verdict::Full => {
+            OutcomeClass::ConnectFailed | OutcomeClass::Reset | OutcomeClass::Full => {
                 if self.refused.len() >= MOST_HOSTS {
                     self.refused.clear();
                 }
@@ -289,7 +289,7 @@
                     self.keeper.say(now, Kind::Refuses, host, 1, "");
                 }
             }
-            Verdict::Completed if self.refused.remove(host).is_some() => {
+            OutcomeClass::Completed if self.refused.remove(host).is_some() => {
                 self.keeper.say(now, Kind::Refuses, host, 0, "");
             }
             _ => {}
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -78,8 +78,8 @@
         told: BTreeSet::new(),
         returning: charter.restart_pacing.as_ref().map(|_| Lists::new(launch.seed)),
         // Where lists are asked for, what has not been asked for in 6 s counts as told.
-        longest_pause: match launch.terms.on_request {
-            true => Duration::from_secs_f64(launch.terms.ask_within.clamp(0.3, 6.0) / 3.0),
+        longest_pause: match launch.terms.list_on_request {
+            true => Duration::from_secs_f64(launch.terms.subscribe_within.clamp(0.3, 6.0) / 3.0),
             false => discovery::PAUSE,
         },
         chance: Rand32::new(launch.seed),
@@ -90,7 +90,7 @@
     let policy = Instance::new(&launch.terms, launch.seed, clock.now());
     let mut desk = Desk::new(policy, counters.desk.clone());
     desk.traces = log.is_debug_enabled();
-    desk.add(Box::new(Inlet::new(listed, Fact::List)));
+    desk.add(Box::new(Inlet::new(listed, Fact::HostList)));
     let mut words = None;
     if let Some(plan) = &charter.sessions {
         let (post, word_box) = posts.inlet::<SessionMessage>();
@@ -116,7 +116,7 @@
         desk.add(Box::new(seen));
         words = Some(post);
     }
-    let policy_returns = launch.terms.max_return;
+    let policy_returns = launch.terms.max_retry_after;
     desk.limits = charter
         .limits
         .as_ref()
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -12,7 +12,7 @@
 use sandstile_exchange::Heard;
 use sandstile_journal::pace::Pace;
 use sandstile_journal::{Found, Journal, Wrong};
-use sandstile_policy::terms::Reach;
+use sandstile_policy::terms::ReadRequirement;
 use sandstile_sessions::floor::{Floor, Ground};
 use sandstile_sessions::mark::{Mark, Seen, Term};
 use sandstile_sessions::store::{Bounds, Key, Store};
@@ -35,11 +35,11 @@
 }
 
 impl Wish {
-    fn reach(&self) -> Option<Reach> {
+    fn read_requirement(&self) -> Option<ReadRequirement> {
         self.floor.map(|floor| match floor {
-            Floor::Known(position) => Reach::Position(position),
-            Floor::Unknown(_) => Reach::Primary,
-            Floor::Nothing => Reach::Position(0.0),
+            Floor::Known(position) => ReadRequirement::Position(position),
+            Floor::Unknown(_) => ReadRequirement::Primary,
+            Floor::Nothing => ReadRequirement::Position(0.0),
         })
     }
 }
@@ -388,23 +388,23 @@
         self.kept.iter_mut().for_each(|kept| kept.met(now, host, outcome));
     }
 
-    fn reach(&mut self, now: f64, asked: &Asked, term: u64) -> Option<Reach> {
+    fn read_requirement(&mut self, now: f64, asked: &Asked, term: u64) -> Option<ReadRequirement> {
         let wish = self.asked(now, asked, term)?;
-        let reach = wish.reach();
-        self.wishes.insert(asked.stmt, wish);
-        reach
+        let read_requirement = wish.read_requirement();
+        self.wishes.insert(asked.statement_id, wish);
+        read_requirement
     }
 
-    fn ended(&mut self, _: f64, stmt: u64, outcome: &mut Outcome) {
-        if let Some(wish) = self.wishes.remove(&stmt) {
+    fn ended(&mut self, _: f64, statement_id: u64, outcome: &mut Outcome) {
+        if let Some(wish) = self.wishes.remove(&statement_id) {
             self.verify(&wish, outcome);
-            self.wishes.insert(stmt, wish);
+            self.wishes.insert(statement_id, wish);
         }
     }
 
     /// The answer takes the session's mark along, once what durability asks for is done.
     fn completed(&mut self, now: f64, outcome: &Outcome, mut given: Given) -> Option<Given> {
-        let Some(wish) = self.wishes.remove(&given.stmt) else { return Some(given) };
+        let Some(wish) = self.wishes.remove(&given.statement_id) else { return Some(given) };
         let seen = self.remember(now, &wish, outcome);
         if let Answer::Completed(_, token) = &mut given.answer {
             *token = Self::mark(&wish, outcome).and_then(|mark| {
@@ -417,20 +417,20 @@
         }
         self.led(now, &wish, outcome);
         let key = wish.key;
-        self.wishes.insert(given.stmt, wish);
+        self.wishes.insert(given.statement_id, wish);
         self.put_down(key, seen, Some(given))
     }
 
     /// A write completed whose client has left: nobody was told, and yet it may come again and ask.
-    fn unheard(&mut self, now: f64, stmt: u64, outcome: &Outcome) {
-        let Some(wish) = self.wishes.remove(&stmt) else { return };
+    fn unheard(&mut self, now: f64, statement_id: u64, outcome: &Outcome) {
+        let Some(wish) = self.wishes.remove(&statement_id) else { return };
         let seen = self.remember(now, &wish, outcome);
         self.put_down(wish.key, seen, None);
-        self.wishes.insert(stmt, wish);
+        self.wishes.insert(statement_id, wish);
     }
 
-    fn over(&mut self, stmt: u64) {
-        self.wishes.remove(&stmt);
+    fn over(&mut self, statement_id: u64) {
+        self.wishes.remove(&statement_id);
     }
 }
 
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -1,8 +1,8 @@
 //! Random bytes and pieces through the codecs and the mapping of endings, each from a fixed seed.
 use crossbeam_channel::RecvTimeoutError;
 use quickcheck::{Gen, QuickCheck, Testable};
-use sandstile_deployment::{host_list, interner::Names, settings};
-use sandstile_policy::terms::{Readiness, Verdict};
+use sandstile_deployment::{host_list, interner::Interner, settings};
+use sandstile_policy::terms::{OutcomeClass, Readiness};
 use sandstile_router::budget::{Budget, Claim, Holder};
 use sandstile_router::discovery::Chunks;
 use sandstile_router::lists;
@@ -129,7 +129,13 @@
 fn endings_after_the_last_written_byte_never_pass_for_never_ran() {
     use Ending::*;
     let never_ran = |e: &Ending| {
-        matches!(e.verdict(), Verdict::Full | Verdict::ConnectFailed | Verdict::Moot | Verdict::Miss)
+        matches!(
+            e.verdict(),
+            OutcomeClass::Full
+                | OutcomeClass::ConnectFailed
+                | OutcomeClass::NotSent
+                | OutcomeClass::WrongHost
+        )
     };
     let written = [Completed, Failed, Broken, Crossed, CutShort, Garbled, Unreadable, TimedOut, Withdrawn];
     assert!(ALL.iter().all(|e| never_ran(e) != written.contains(e)));
@@ -175,7 +181,8 @@
         update.entries.iter().map(|e| (e.host.as_str(), e.readiness, e.primary, e.since)).collect();
     assert_eq!(states, [("a", Readiness::Draining, false, 0.0), ("c", Readiness::Active, true, 1.5)]);
     assert!(read("{}").is_err() && read(r#"{"index":1,"snapshot":true}"#).is_err());
-    let (mut kept, mut hosts, mut groups) = (host_list::List::default(), Names::default(), Names::default());
+    let (mut kept, mut hosts, mut groups) =
+        (host_list::HostList::default(), Interner::default(), Interner::default());
     assert_eq!(kept.merge(false, &update.entries, &mut hosts, &mut groups).len(), 2);
     let gone = kept.merge(true, &update.entries[..1], &mut hosts, &mut groups);
     assert_eq!(
@@ -192,14 +199,14 @@
 
 #[test]
 fn names_keep_their_index_and_bounded_ones_give_the_oldest_away() {
-    let mut names = Names::bounded(2);
-    assert_eq!(["a", "b", "a", "c", "b", "a"].map(|n| names.of(n)), [0, 1, 0, 0, 1, 1]);
+    let mut names = Interner::with_limit(2);
+    assert_eq!(["a", "b", "a", "c", "b", "a"].map(|n| names.intern(n)), [0, 1, 0, 0, 1, 1]);
     assert_eq!((names.find("b"), names.find("a"), names.name(0)), (None, Some(1), "c"));
-    let mut names = Names::default();
-    assert_eq!(["a", "b", "c"].map(|n| names.of(n)), [0, 1, 2]);
+    let mut names = Interner::default();
+    assert_eq!(["a", "b", "c"].map(|n| names.intern(n)), [0, 1, 2]);
     names.release("b");
     names.release_index(0);
-    assert_eq!(["c", "d", "e", "f"].map(|n| names.of(n)), [2, 0, 1, 3]);
+    assert_eq!(["c", "d", "e", "f"].map(|n| names.intern(n)), [2, 0, 1, 3]);
 }
 
 #[test]
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -266,7 +266,7 @@
         Order::Known { host: 0, name: "s-0".to_string(), address: Some(primary.address) },
         &mut context,
     );
-    let errand = Errand::Statement { stmt: 7, execution: 0, parcel: std::sync::Arc::new(Text) };
+    let errand = Errand::Statement { statement_id: 7, execution: 0, parcel: std::sync::Arc::new(Text) };
     hosts.order(Order::Do(0, Job { errand, until: clock.now() + 5.0 }), &mut context);
     let mut events = mio::Events::with_capacity(16);
     // Until the statement is written: from then on nothing is told of the socket any more.
@@ -292,7 +292,7 @@
         primary.count() == 1
     });
     wait_for("the answer in the socket", || primary.answered.load(SeqCst) == 1);
-    hosts.order(Order::Recall { host: 0, stmt: 7, execution: 0 }, &mut context);
+    hosts.order(Order::Cancel { host: 0, statement_id: 7, execution: 0 }, &mut context);
     match mail.try_recv() {
         Some(Mail::Ended { outcome: Outcome { ending, .. }, .. }) => {
             assert_eq!(ending, sandstile_dispatcher::Ending::Completed);
--- a/crates/sandstile-simulation/src/instance_driver.rs
+++ b/crates/sandstile-simulation/src/instance_driver.rs
@@ -2,7 +2,7 @@
 //! does behind sockets; `Mind::direct` decides nothing and asks the primary, as clients without a router would.
 use sandstile_fleet::event::{Answer, Ask, Input};
 use sandstile_policy::policy::Instance;
-use sandstile_policy::terms::{Arrival, Decision, Member, Note, Verdict};
+use sandstile_policy::terms::{Arrival, Decision, HostReport, ListedHost, OutcomeClass};
 use sandstile_restart_pacing::{Came, Dials, When};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -146,9 +146,9 @@
         self.conns.contains_key(&conn)
     }
 
-    pub fn listed(&mut self, now: f64, list: &[Member]) {
+    pub fn listed(&mut self, now: f64, list: &[ListedHost]) {
         if let Decider::Module(policy) = &mut self.decider {
-            policy.members(now, list);
+            policy.update_hosts(now, list);
         }
         for host in list.iter().map(|m| m.host) {
             let at_once = self.dials.as_ref().map_or(0, Dials::at_once);
@@ -159,11 +159,11 @@
         self.decide(now);
     }
 
-    pub fn arrived(&mut self, now: f64, wanted: Wanted) {
-        let stmt = self.next;
+    pub fn statement_arrived(&mut self, now: f64, wanted: Wanted) {
+        let statement_id = self.next;
         self.next += 1;
         let open = Open { wanted: wanted.clone(), answered: false, hosts: Vec::new() };
-        self.open.insert(stmt, open);
+        self.open.insert(statement_id, open);
         let direct = match &mut self.decider {
             Decider::Module(policy) => {
                 let arrival = Arrival {
@@ -174,15 +174,15 @@
                     wait: wanted.wait,
                     token_age: None,
                     retry: false,
-                    reach: None,
+                    read_requirement: None,
                 };
-                policy.arrived(now, stmt, &arrival);
+                policy.statement_arrived(now, statement_id, &arrival);
                 None
             }
             Decider::Direct(primaries) => Some(primaries[wanted.group]),
         };
         if let Some(host) = direct {
-            self.send(now, host, stmt, now + wanted.wait);
+            self.send(now, host, statement_id, now + wanted.wait);
         }
         self.decide(now);
     }
@@ -233,7 +233,7 @@
             if now < job.until && self.wants(job) {
                 return self.say(conn, job);
             }
-            self.told(now, host, job, Verdict::Moot, Note::default());
+            self.told(now, host, job, OutcomeClass::NotSent, HostReport::default());
         }
         self.rest(conn);
     }
@@ -260,7 +260,7 @@
             }
         }
         for (host, job) in over {
-            self.told(now, host, job, Verdict::Moot, Note::default());
+            self.told(now, host, job, OutcomeClass::NotSent, HostReport::default());
         }
         if self.turn_at <= now {
             self.turn_at = f64::INFINITY;
@@ -275,12 +275,12 @@
         self.decide(now);
     }
 
-    fn send(&mut self, now: f64, host: usize, stmt: u64, until: f64) {
-        let Some(open) = self.open.get_mut(&stmt) else { return };
+    fn send(&mut self, now: f64, host: usize, statement_id: u64, until: f64) {
+        let Some(open) = self.open.get_mut(&statement_id) else { return };
         let execution = open.hosts.len();
         open.hosts.push(host);
         self.sent += 1;
-        self.begin(now, host, Job { which: Some((stmt, execution)), until });
+        self.begin(now, host, Job { which: Some((statement_id, execution)), until });
     }
 
     fn begin(&mut self, now: f64, host: usize, job: Job) {
@@ -301,10 +301,10 @@
     fn say(&mut self, conn: u64, job: Job) {
         let input = match job.which {
             None => Input::Report,
-            Some((stmt, _)) => {
-                let wanted = &self.open[&stmt].wanted;
+            Some((statement_id, _)) => {
+                let wanted = &self.open[&statement_id].wanted;
                 Input::Statement(Ask {
-                    id: format!("{}-{stmt}", conn % self.stride),
+                    id: format!("{}-{statement_id}", conn % self.stride),
                     workload: wanted.workload,
                     wait: wanted.wait,
                     after: None,
@@ -327,7 +327,7 @@
         } else if let Doing::Rising(job) = c.doing {
             if now >= job.until || !self.wants(job) {
                 self.rest(conn);
-                self.over(now, conn, job, Verdict::Moot, Note::default());
+                self.over(now, conn, job, OutcomeClass::NotSent, HostReport::default());
             } else {
                 self.say(conn, job);
             }
@@ -337,7 +337,8 @@
 
     /// Whether a job is still wanted: its statement may have been answered while it was dialled for.
     fn wants(&self, job: Job) -> bool {
-        job.which.is_none_or(|(stmt, _)| self.open.get(&stmt).is_some_and(|open| !open.answered))
+        job.which
+            .is_none_or(|(statement_id, _)| self.open.get(&statement_id).is_some_and(|open| !open.answered))
     }
 
     fn rest(&mut self, conn: u64) {
@@ -347,7 +348,7 @@
     }
 
     /// The connection is no more, by whoever's doing.
-    pub fn lost(&mut self, now: f64, conn: u64, rising: Verdict, busy: Verdict) {
+    pub fn lost(&mut self, now: f64, conn: u64, rising: OutcomeClass, busy: OutcomeClass) {
         let Some(c) = self.conns.remove(&conn) else { return };
         match c.doing {
             Doing::Idle => {
@@ -355,7 +356,7 @@
                     idle.retain(|other| *other != conn);
                 }
             }
-            Doing::Rising(job) => self.told(now, c.host, job, rising, Note::default()),
+            Doing::Rising(job) => self.told(now, c.host, job, rising, HostReport::default()),
             Doing::Paced(since) => {
                 let late = now >= since + self.dial_limit - 1e-9;
                 self.dialled(now, c.host, if late { Came::Late } else { Came::Refused });
@@ -364,12 +365,12 @@
                 let waiting = self.waiting.entry(c.host).or_default();
                 if waiting.len() > left {
                     if let Some((_, job)) = waiting.pop_front() {
-                        self.told(now, c.host, job, rising, Note::default());
+                        self.told(now, c.host, job, rising, HostReport::default());
                     }
                 }
                 self.want(now, c.host);
             }
-            Doing::Busy(job) => self.told(now, c.host, job, busy, Note::default()),
+            Doing::Busy(job) => self.told(now, c.host, job, busy, HostReport::default()),
         }
         self.decide(now);
     }
@@ -377,21 +378,22 @@
     pub fn answered(&mut self, now: f64, conn: u64, answer: &Answer) {
         let Some(c) = self.conns.get(&conn) else { return };
         let Doing::Busy(job) = c.doing else { return };
-        let noted = |primary: bool, position: f64| Note { position: Some(position), primary: Some(primary) };
+        let noted =
+            |primary: bool, position: f64| HostReport { position: Some(position), primary: Some(primary) };
         let (verdict, note) = match answer {
-            Answer::Row { primary, position, .. } => (Verdict::Completed, noted(*primary, *position)),
-            Answer::Report { primary, position, .. } => (Verdict::Completed, noted(*primary, *position)),
+            Answer::Row { primary, position, .. } => (OutcomeClass::Completed, noted(*primary, *position)),
+            Answer::Report { primary, position, .. } => (OutcomeClass::Completed, noted(*primary, *position)),
             Answer::Error { code, primary, position, .. } => {
                 let verdict = match *code {
-                    "25006" | "72000" => Verdict::Miss,
-                    "53300" => Verdict::Full,
-                    _ => Verdict::Error,
+                    "25006" | "72000" => OutcomeClass::WrongHost,
+                    "53300" => OutcomeClass::Full,
+                    _ => OutcomeClass::Error,
                 };
                 (verdict, noted(*primary, *position))
             }
-            Answer::Spoilt { .. } => (Verdict::Spoilt, Note::default()),
+            Answer::Spoilt { .. } => (OutcomeClass::UnusableAnswer, HostReport::default()),
         };
-        if verdict == Verdict::Spoilt {
+        if verdict == OutcomeClass::UnusableAnswer {
             let host = c.host;
             self.conns.remove(&conn);
             self.acts.push(Act::Leave(conn));
@@ -407,28 +409,28 @@
         self.decide(now);
     }
 
-    fn over(&mut self, now: f64, conn: u64, job: Job, verdict: Verdict, note: Note) {
+    fn over(&mut self, now: f64, conn: u64, job: Job, verdict: OutcomeClass, note: HostReport) {
         let host = self.conns[&conn].host;
         self.told(now, host, job, verdict, note);
     }
 
-    fn told(&mut self, now: f64, host: usize, job: Job, verdict: Verdict, note: Note) {
-        let Some((stmt, execution)) = job.which else {
+    fn told(&mut self, now: f64, host: usize, job: Job, verdict: OutcomeClass, note: HostReport) {
+        let Some((statement_id, execution)) = job.which else {
             if let Decider::Module(policy) = &mut self.decider {
-                policy.probed(now, host, verdict == Verdict::Completed, note);
+                policy.probed(now, host, verdict == OutcomeClass::Completed, note);
             }
             return;
         };
-        let Some(open) = self.open.get_mut(&stmt) else { return };
-        if verdict == Verdict::Completed && !open.answered {
+        let Some(open) = self.open.get_mut(&statement_id) else { return };
+        if verdict == OutcomeClass::Completed && !open.answered {
             open.answered = true;
             self.acts.push(Act::Answer { key: open.wanted.key, answer: Final::Completed });
         }
         let over = open.answered;
-        self.ending.insert(stmt);
+        self.ending.insert(statement_id);
         match &mut self.decider {
-            Decider::Module(policy) => policy.ended(now, stmt, execution, verdict, over, note),
-            Decider::Direct(_) => self.give(stmt, Final::Aborted),
+            Decider::Module(policy) => policy.ended(now, statement_id, execution, verdict, over, note),
+            Decider::Direct(_) => self.give(statement_id, Final::Aborted),
         }
     }
 
@@ -436,11 +438,11 @@
     pub fn timed_out(&mut self, now: f64, conn: u64, at: f64) {
         let Some(c) = self.conns.get(&conn) else { return };
         let (rising, busy) = match c.doing {
-            Doing::Rising(_) => (Verdict::ConnectFailed, Verdict::Moot),
+            Doing::Rising(_) => (OutcomeClass::ConnectFailed, OutcomeClass::NotSent),
             Doing::Paced(since) if since + self.dial_limit <= at + 1e-9 => {
-                (Verdict::ConnectFailed, Verdict::Moot)
+                (OutcomeClass::ConnectFailed, OutcomeClass::NotSent)
             }
-            Doing::Busy(job) if job.until <= at => (Verdict::Moot, Verdict::TimedOut),
+            Doing::Busy(job) if job.until <= at => (OutcomeClass::NotSent, OutcomeClass::TimedOut),
             // The alarm of a job that was answered long ago.
             _ => return,
         };
@@ -448,26 +450,30 @@
         self.lost(now, conn, rising, busy);
     }
 
-    fn give(&mut self, stmt: u64, answer: Final) {
-        if let Some(open) = self.open.get_mut(&stmt).filter(|open| !open.answered) {
+    fn give(&mut self, statement_id: u64, answer: Final) {
+        if let Some(open) = self.open.get_mut(&statement_id).filter(|open| !open.answered) {
             open.answered = true;
             self.acts.push(Act::Answer { key: open.wanted.key, answer });
         }
-        self.ending.insert(stmt);
+        self.ending.insert(statement_id);
     }
 
     fn decide(&mut self, now: f64) {
         let mut decisions = Vec::new();
         if let Decider::Module(policy) = &mut self.decider {
-            policy.passed(now);
+            policy.advance_time(now);
             decisions.extend(std::iter::from_fn(|| policy.decide()));
         }
         for decision in decisions {
             match decision {
-                Decision::Send { stmt, host, time_out } => self.send(now, host, stmt, now + time_out),
-                Decision::Reject { stmt, return_after, .. } => self.give(stmt, Final::Rejected(return_after)),
-                Decision::Abort { stmt, .. } => self.give(stmt, Final::Aborted),
-                Decision::Recall { stmt, execution } => self.recall(now, (stmt, execution)),
+                Decision::Send { statement_id, host, timeout } => {
+                    self.send(now, host, statement_id, now + timeout)
+                }
+                Decision::Reject { statement_id, retry_after, .. } => {
+                    self.give(statement_id, Final::Rejected(retry_after))
+                }
+                Decision::Abort { statement_id, .. } => self.give(statement_id, Final::Aborted),
+                Decision::Cancel { statement_id, execution } => self.recall(now, (statement_id, execution)),
                 Decision::Probe { host } => {
                     self.probes += 1;
                     self.begin(now, host, Job { which: None, until: now + self.dial_limit });
@@ -475,13 +481,13 @@
                 Decision::Log(_) | Decision::Subscribe => {}
             }
         }
-        for stmt in std::mem::take(&mut self.ending) {
-            let holds = match &self.decider {
-                Decider::Module(policy) => policy.holds(stmt),
+        for statement_id in std::mem::take(&mut self.ending) {
+            let is_tracked = match &self.decider {
+                Decider::Module(policy) => policy.is_tracked(statement_id),
                 Decider::Direct(_) => false,
             };
-            if !holds {
-                self.open.remove(&stmt);
+            if !is_tracked {
+                self.open.remove(&statement_id);
             }
         }
     }
@@ -499,18 +505,18 @@
                 }
             }
             if let Some((host, job)) = found {
-                self.told(now, host, job, Verdict::Moot, Note::default());
+                self.told(now, host, job, OutcomeClass::NotSent, HostReport::default());
             }
             return;
         };
         self.acts.push(Act::Leave(conn));
         let c = self.conns.remove(&conn).expect("found just now");
         let (job, verdict) = match c.doing {
-            Doing::Rising(job) => (job, Verdict::Moot),
-            Doing::Busy(job) => (job, Verdict::Cancelled),
+            Doing::Rising(job) => (job, OutcomeClass::NotSent),
+            Doing::Busy(job) => (job, OutcomeClass::Cancelled),
             Doing::Idle | Doing::Paced(_) => return,
         };
-        self.told(now, c.host, job, verdict, Note::default());
+        self.told(now, c.host, job, verdict, HostReport::default());
     }
 
     /// Statements that are not over.
--- a/crates/sandstile-simulation/src/world.rs
+++ b/crates/sandstile-simulation/src/world.rs
@@ -3,7 +3,7 @@
 use crate::EPOCH;
 use sandstile_fleet::event::{Event, Input, Output, Readiness as Listed};
 use sandstile_fleet::Fleet;
-use sandstile_policy::terms::{Member, Readiness, Verdict};
+use sandstile_policy::terms::{ListedHost, OutcomeClass, Readiness};
 use sandstile_timers::Heap;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +23,7 @@
     /// A connection's time is up.
     Conn { router: usize, conn: u64 },
     /// Every router hears of a change of the list.
-    Told(Vec<Member>),
+    Told(Vec<ListedHost>),
 }
 
 pub struct World {
@@ -100,7 +100,7 @@
         self.now
     }
 
-    fn list(&self) -> Vec<Member> {
+    fn list(&self) -> Vec<ListedHost> {
         (0..self.fleet.hosts())
             .filter_map(|host| {
                 let listing = self.fleet.listing(host);
@@ -110,7 +110,7 @@
                     Listed::Leaving => Readiness::Draining,
                     Listed::Left => Readiness::Gone,
                 };
-                Some(Member {
+                Some(ListedHost {
                     host,
                     group,
                     zone: 0,
@@ -177,7 +177,7 @@
             for (router, wanted) in clients.due(now) {
                 match self.away.contains(&router) {
                     true => clients.answered(now, wanted.key, Final::Rejected(0.0)),
-                    false => self.mind(router).arrived(now, wanted),
+                    false => self.mind(router).statement_arrived(now, wanted),
                 }
             }
             // What has just happened to a router may have moved the time at which it wants to look.
@@ -221,7 +221,7 @@
                 match act {
                     Act::Dial { conn, host, until } => {
                         if self.down.contains(&host) {
-                            let refused = Verdict::ConnectFailed;
+                            let refused = OutcomeClass::ConnectFailed;
                             self.mind(router).lost(now, conn, refused, refused);
                             continue;
                         }
@@ -271,13 +271,15 @@
                         self.mind(router).greeted(now, conn);
                     }
                 }
-                Output::TurnAway { conn, .. } => self.drop_conn(conn, Verdict::Full, Verdict::Full),
+                Output::TurnAway { conn, .. } => self.drop_conn(conn, OutcomeClass::Full, OutcomeClass::Full),
                 Output::Answer { conn, answer } => {
                     if let Some(&(router, _)) = self.owners.get(&conn) {
                         self.mind(router).answered(now, conn, &answer);
                     }
                 }
-                Output::Close { conn } => self.drop_conn(conn, Verdict::ConnectFailed, Verdict::Spoilt),
+                Output::Close { conn } => {
+                    self.drop_conn(conn, OutcomeClass::ConnectFailed, OutcomeClass::UnusableAnswer)
+                }
                 Output::Down { host } => {
                     self.down.insert(host);
                     self.silent.remove(&host);
@@ -313,7 +315,7 @@
         any
     }
 
-    fn drop_conn(&mut self, conn: u64, rising: Verdict, busy: Verdict) {
+    fn drop_conn(&mut self, conn: u64, rising: OutcomeClass, busy: OutcomeClass) {
         let Some(&(router, _)) = self.owners.get(&conn) else { return };
         self.forget(conn);
         let now = self.now;
@@ -322,7 +324,7 @@
 
     fn reset(&mut self, host: usize) {
         for conn in self.by_host.remove(&host).unwrap_or_default() {
-            self.drop_conn(conn, Verdict::ConnectFailed, Verdict::Reset);
+            self.drop_conn(conn, OutcomeClass::ConnectFailed, OutcomeClass::Reset);
         }
     }
 }
--- a/crates/sandstile-simulation/tests/world.rs
+++ b/crates/sandstile-simulation/tests/world.rs
@@ -63,9 +63,9 @@
         late_share: 0.5,
         effect,
         scope: DedupScope::Group,
-        window: 0.0,
+        dedup_window: 0.0,
         consistency,
-        bound: 0.0,
+        max_age: 0.0,
     };
     Terms {
         workloads: vec![
@@ -74,15 +74,15 @@
         ],
         tick: 0.001,
         routers,
-        most_executions: 4,
-        may_recall: true,
+        max_executions: 4,
+        may_cancel: true,
         may_probe: true,
-        max_return: 1.0,
+        max_retry_after: 1.0,
         idle_close: 3600.0,
-        cold_multiple: 4.0,
-        checked: true,
-        stamped: true,
-        tokens_remembered: true,
+        cold_overload_multiple: 4.0,
+        hosts_check_reads: true,
+        answers_carry_position: true,
+        router_keeps_tokens: true,
         ..Terms::default()
     }
 }
--- a/crates/sandstile-simulator-adapter/src/instance.rs
+++ b/crates/sandstile-simulator-adapter/src/instance.rs
@@ -1,7 +1,7 @@
 //! One hosted instance: its ids and their indices, its timer, and the calls into the decisions.
 use crate::wire::Fields;
-use sandstile_deployment::host_list::{Entry, List};
-use sandstile_deployment::interner::Names;
+use sandstile_deployment::host_list::{HostEntry, HostList};
+use sandstile_deployment::interner::Interner;
 use sandstile_deployment::settings;
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::*;
@@ -15,10 +15,10 @@
     policy: Instance,
     workloads: HashMap<String, usize>,
     base: f64,
-    hosts: Names,
-    groups: Names,
-    sessions: Names,
-    list: List,
+    hosts: Interner,
+    groups: Interner,
+    sessions: Interner,
+    list: HostList,
     calls: HashMap<String, u64>,
     open: HashMap<u64, String>,
     next: u64,
@@ -39,10 +39,10 @@
             policy: Instance::new(&terms, seed, now),
             workloads: names.into_iter().zip(0..).collect(),
             base: EPOCH + zero / 1000.0,
-            hosts: Names::default(),
-            groups: Names::default(),
-            sessions: Names::default(),
-            list: List::default(),
+            hosts: Interner::default(),
+            groups: Interner::default(),
+            sessions: Interner::default(),
+            list: HostList::default(),
             calls: HashMap::new(),
             open: HashMap::new(),
             next: 0,
@@ -58,7 +58,7 @@
         now: f64,
         name: &str,
         fields: &mut Fields,
-        sheets: &BTreeMap<u64, Vec<Entry>>,
+        sheets: &BTreeMap<u64, Vec<HostEntry>>,
     ) -> Result<(), String> {
         match name {
             "MEMBERS" => {
@@ -77,8 +77,8 @@
                     return Err(fields.wrong("the number of a LIST sent before"));
                 };
                 let list = self.list.merge(whole, lines, &mut self.hosts, &mut self.groups);
-                self.policy.members(now, &list);
-                self.list.drop_gone(|host| self.policy.forget(host));
+                self.policy.update_hosts(now, &list);
+                self.list.drop_gone(|host| self.policy.forget_host(host));
             }
             "INGRESS" => {
                 let call = fields.text("a request id")?;
@@ -87,16 +87,16 @@
                     return Err(fields.wrong("a class of the settings"));
                 };
                 fields.maybe("a tenant")?;
-                let session = fields.maybe("a session")?.map(|s| self.sessions.of(s));
+                let session = fields.maybe("a session")?.map(|s| self.sessions.intern(s));
                 let time_left = fields.seconds("the time left")?;
                 fields.maybe("a hint")?;
-                let group = self.groups.of(fields.text("a group")?);
+                let group = self.groups.intern(fields.text("a group")?);
                 let token = fields.maybe_seconds("a token")?.filter(|t| *t > 0.0);
                 let retry = fields.flag("a retry mark")?;
-                let stmt = self.next;
+                let statement_id = self.next;
                 self.next += 1;
-                self.calls.insert(call.to_string(), stmt);
-                self.open.insert(stmt, call.to_string());
+                self.calls.insert(call.to_string(), statement_id);
+                self.open.insert(statement_id, call.to_string());
                 let arrival = Arrival {
                     workload,
                     group,
@@ -105,24 +105,24 @@
                     wait: time_left,
                     token_age: token,
                     retry,
-                    reach: None,
+                    read_requirement: None,
                 };
-                self.policy.arrived(now, stmt, &arrival);
+                self.policy.statement_arrived(now, statement_id, &arrival);
             }
             "SETTLED" => {
                 let call = fields.text("a request id")?;
                 let execution = fields.whole("an attempt's number")? as usize;
                 fields.text("a database host")?;
                 let verdict = match fields.text("an outcome")? {
-                    "ok" => Verdict::Completed,
-                    "error" => Verdict::Error,
-                    "full" => Verdict::Full,
-                    "timeout" => Verdict::TimedOut,
-                    "connect_failed" => Verdict::ConnectFailed,
-                    "reset" => Verdict::Reset,
-                    "cancelled" => Verdict::Cancelled,
-                    "moot" => Verdict::Moot,
-                    "miss" => Verdict::Miss,
+                    "ok" => OutcomeClass::Completed,
+                    "error" => OutcomeClass::Error,
+                    "full" => OutcomeClass::Full,
+                    "timeout" => OutcomeClass::TimedOut,
+                    "connect_failed" => OutcomeClass::ConnectFailed,
+                    "reset" => OutcomeClass::Reset,
+                    "cancelled" => OutcomeClass::Cancelled,
+                    "moot" => OutcomeClass::NotSent,
+                    "miss" => OutcomeClass::WrongHost,
                     _ => return Err(fields.wrong("an outcome")),
                 };
                 fields.maybe("a latency")?;
@@ -134,23 +134,23 @@
                     2 => Some(false),
                     _ => None,
                 };
-                if let Some(&stmt) = self.calls.get(call) {
-                    let note = Note { position, primary };
-                    self.ending.push(stmt);
-                    self.policy.ended(now, stmt, execution, verdict, over, note);
+                if let Some(&statement_id) = self.calls.get(call) {
+                    let note = HostReport { position, primary };
+                    self.ending.push(statement_id);
+                    self.policy.ended(now, statement_id, execution, verdict, over, note);
                 }
             }
             "VANISHED" => {
-                if let Some(&stmt) = self.calls.get(fields.text("a request id")?) {
-                    self.ending.push(stmt);
-                    self.policy.client_gone(now, stmt);
+                if let Some(&statement_id) = self.calls.get(fields.text("a request id")?) {
+                    self.ending.push(statement_id);
+                    self.policy.client_gone(now, statement_id);
                 }
             }
             "STATUS_BACK" => {
-                let host = self.hosts.of(fields.text("a database host")?);
+                let host = self.hosts.intern(fields.text("a database host")?);
                 let ok = fields.text("a result")? == "ok";
                 fields.maybe("a latency")?;
-                let mut note = Note::default();
+                let mut note = HostReport::default();
                 let report = if fields.at_end() { None } else { fields.maybe("a load report")? };
                 for (key, value) in report.unwrap_or("").split(',').filter_map(|p| p.split_once(':')) {
                     let value: f64 = value.parse().map_err(|_| fields.wrong("a load report"))?;
@@ -174,32 +174,32 @@
     }
 
     pub fn reply(&mut self, who: &str, now: f64, out: &mut impl Write) -> io::Result<()> {
-        self.policy.passed(now);
+        self.policy.advance_time(now);
         while let Some(decision) = self.policy.decide() {
             match decision {
-                Decision::Send { stmt, host, time_out } => {
-                    let (call, host) = (&self.open[&stmt], self.hosts.name(host));
-                    writeln!(out, "ISSUE {who} {call} {host} {:.3}", time_out * 1000.0)?;
+                Decision::Send { statement_id, host, timeout } => {
+                    let (call, host) = (&self.open[&statement_id], self.hosts.name(host));
+                    writeln!(out, "ISSUE {who} {call} {host} {:.3}", timeout * 1000.0)?;
                 }
-                Decision::Reject { stmt, return_after, .. } => {
-                    self.ending.push(stmt);
-                    writeln!(out, "TURN_AWAY {who} {} {:.3}", self.open[&stmt], return_after * 1000.0)?
+                Decision::Reject { statement_id, retry_after, .. } => {
+                    self.ending.push(statement_id);
+                    writeln!(out, "TURN_AWAY {who} {} {:.3}", self.open[&statement_id], retry_after * 1000.0)?
                 }
-                Decision::Abort { stmt, .. } => {
-                    self.ending.push(stmt);
-                    writeln!(out, "END_FAILED {who} {}", self.open[&stmt])?
+                Decision::Abort { statement_id, .. } => {
+                    self.ending.push(statement_id);
+                    writeln!(out, "END_FAILED {who} {}", self.open[&statement_id])?
                 }
-                Decision::Recall { stmt, execution } => {
-                    writeln!(out, "RECALL {who} {} {execution}", self.open[&stmt])?
+                Decision::Cancel { statement_id, execution } => {
+                    writeln!(out, "RECALL {who} {} {execution}", self.open[&statement_id])?
                 }
                 Decision::Probe { host } => writeln!(out, "PING {who} {}", self.hosts.name(host))?,
                 Decision::Subscribe => writeln!(out, "KEEP_INFORMED {who} 1")?,
                 Decision::Log(line) => writeln!(out, "EMIT {who} {line}")?,
             }
         }
-        for stmt in self.ending.drain(..) {
-            if !self.policy.holds(stmt) {
-                if let Some(call) = self.open.remove(&stmt) {
+        for statement_id in self.ending.drain(..) {
+            if !self.policy.is_tracked(statement_id) {
+                if let Some(call) = self.open.remove(&statement_id) {
                     self.calls.remove(&call);
                 }
             }
--- a/crates/sandstile-simulator-adapter/src/main.rs
+++ b/crates/sandstile-simulator-adapter/src/main.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use instance::{Hosted, EPOCH};
-use sandstile_deployment::host_list::Entry;
+use sandstile_deployment::host_list::HostEntry;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
@@ -23,7 +23,7 @@
 /// Answers batches until the input ends.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut hosted: BTreeMap<String, Hosted> = BTreeMap::new();
-    let mut sheets: BTreeMap<u64, Vec<Entry>> = BTreeMap::new();
+    let mut sheets: BTreeMap<u64, Vec<HostEntry>> = BTreeMap::new();
     let mut number = 0usize;
     let mut text = String::new();
     let mut now = None;
--- a/crates/sandstile-simulator-adapter/src/wire.rs
+++ b/crates/sandstile-simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's lines: fields in order, each read with a plain message on what was expected.
 use crate::instance::EPOCH;
-use sandstile_deployment::host_list::{readiness, Entry};
+use sandstile_deployment::host_list::{readiness, HostEntry};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -84,7 +84,7 @@
 }
 
 /// One entry of a list, in the order of the wire.
-pub fn entry(fields: &mut Fields) -> Result<Entry, String> {
+pub fn entry(fields: &mut Fields) -> Result<HostEntry, String> {
     if fields.text("HOST")? != "HOST" {
         return Err(fields.wrong("HOST"));
     }
@@ -96,5 +96,5 @@
     let host = fields.text("a database host")?.to_string();
     let word = fields.text("a readiness")?;
     let readiness = readiness(word).ok_or_else(|| fields.wrong("active, leaving or left"))?;
-    Ok(Entry { primary, since: since.map_or(0.0, |since| EPOCH + since), zone, group, host, readiness })
+    Ok(HostEntry { primary, since: since.map_or(0.0, |since| EPOCH + since), zone, group, host, readiness })
 }
