--- a/crates/sandstile-deployment/src/host_list.rs
+++ b/crates/sandstile-deployment/src/host_list.rs
@@ -1,9 +1,10 @@
-//! The list of database hosts, merged from whole lists and from changes.
+//! The list of database hosts, merged from complete lists and from changes.
 use crate::interner::Interner;
 use sandstile_policy::terms::{ListedHost, Readiness};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One entry as discovery words it; `since` on the clock of the decisions, 0 for long ago.
+/// One list entry as received from discovery; `since` is the host's start on the clock of the decisions, 0
+/// for long ago.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostEntry {
     pub host: String,
@@ -14,63 +15,65 @@
     pub readiness: Readiness,
 }
 
-/// The list as it stands. A change costs what it brings, however many hosts and groups there are.
+/// The current list. The cost of a change depends on its size only, not on the number of hosts and groups.
 #[derive(Default)]
 pub struct HostList {
     zones: Interner,
     members: BTreeMap<String, ListedHost>,
-    /// Those that have left the list and are still known.
+    /// Hosts that have left the list and are not forgotten yet.
     gone: BTreeSet<String>,
-    /// How many known hosts each group has.
-    sizes: BTreeMap<usize, usize>,
+    /// Number of known hosts per group.
+    group_sizes: BTreeMap<usize, usize>,
     /// Groups that have lost their last host.
     empty_groups: BTreeSet<usize>,
 }
 
 impl HostList {
-    /// Drops those that are gone and that `forgotten` lets go of, and yields their names and indices.
-    pub fn drop_gone(&mut self, mut forgotten: impl FnMut(usize) -> bool) -> Vec<(String, usize)> {
+    /// Drops the hosts that have left the list and for which `try_forget` returns `true`; returns their names
+    /// and indices.
+    pub fn drop_gone(&mut self, mut try_forget: impl FnMut(usize) -> bool) -> Vec<(String, usize)> {
         let mut dropped = Vec::new();
         for name in std::mem::take(&mut self.gone) {
             let Some(member) = self.members.get(&name) else { continue };
             let (host, group) = (member.host, member.group);
-            if !forgotten(host) {
+            if !try_forget(host) {
                 self.gone.insert(name);
                 continue;
             }
             self.members.remove(&name);
-            self.leave(group);
+            self.remove_from_group(group);
             dropped.push((name, host));
         }
         dropped
     }
 
-    /// Drops the groups without hosts that `forgotten` lets go of, and yields them.
-    pub fn drop_empty_groups(&mut self, mut forgotten: impl FnMut(usize) -> bool) -> Vec<usize> {
+    /// Drops the groups without hosts for which `try_forget` returns `true`; returns their indices.
+    pub fn drop_empty_groups(&mut self, mut try_forget: impl FnMut(usize) -> bool) -> Vec<usize> {
         let dropped: Vec<usize> =
-            self.empty_groups.iter().copied().filter(|group| forgotten(*group)).collect();
+            self.empty_groups.iter().copied().filter(|group| try_forget(*group)).collect();
         for group in &dropped {
             self.empty_groups.remove(group);
         }
         dropped
     }
 
-    fn join(&mut self, group: usize) {
-        *self.sizes.entry(group).or_default() += 1;
+    fn add_to_group(&mut self, group: usize) {
+        *self.group_sizes.entry(group).or_default() += 1;
         self.empty_groups.remove(&group);
     }
 
-    fn leave(&mut self, group: usize) {
-        let Some(size) = self.sizes.get_mut(&group) else { return };
+    fn remove_from_group(&mut self, group: usize) {
+        let Some(size) = self.group_sizes.get_mut(&group) else { return };
         *size -= 1;
         if *size == 0 {
-            self.sizes.remove(&group);
+            self.group_sizes.remove(&group);
             self.empty_groups.insert(group);
         }
     }
 
-    /// The members that are new or have changed, sorted by host id, as the decisions want them. What a whole list leaves out is gone, and
-    /// stays known until dropped.
+    /// Merges entries and returns the hosts that are new or have changed, sorted by host index, as the
+    /// decisions expect them. A host that a complete list leaves out is gone, but remains known until it is
+    /// dropped.
     pub fn merge(
         &mut self,
         whole: bool,
@@ -80,11 +83,11 @@
     ) -> Vec<ListedHost> {
         let mut changed = BTreeMap::new();
         if whole {
-            let told: BTreeSet<&str> = entries.iter().map(|entry| entry.host.as_str()).collect();
-            let left = self.members.iter().filter(|(name, _)| !told.contains(name.as_str()));
-            let left = left
+            let listed_names: BTreeSet<&str> = entries.iter().map(|entry| entry.host.as_str()).collect();
+            let left_hosts = self.members.iter().filter(|(name, _)| !listed_names.contains(name.as_str()));
+            let left_hosts = left_hosts
                 .map(|(name, member)| (name, ListedHost { readiness: Readiness::Gone, ..member.clone() }));
-            changed.extend(left.map(|(name, member)| (name.clone(), member)));
+            changed.extend(left_hosts.map(|(name, member)| (name.clone(), member)));
         }
         for entry in entries {
             let member = ListedHost {
@@ -99,12 +102,12 @@
         }
         changed.retain(|name, member| self.members.get(name) != Some(member));
         for (name, member) in &changed {
-            self.put(name, member);
+            self.insert_host(name, member);
         }
         changed.into_values().collect()
     }
 
-    fn put(&mut self, name: &str, member: &ListedHost) {
+    fn insert_host(&mut self, name: &str, member: &ListedHost) {
         match member.readiness {
             Readiness::Gone => self.gone.insert(name.to_string()),
             _ => self.gone.remove(name),
@@ -114,15 +117,15 @@
             return;
         }
         if let Some(former) = former {
-            self.leave(former);
+            self.remove_from_group(former);
         }
-        self.join(member.group);
+        self.add_to_group(member.group);
     }
 }
 
-/// `None` where discovery uses a word that nobody has agreed on.
-pub fn readiness(word: &str) -> Option<Readiness> {
-    match word {
+/// Readiness for a status of discovery; `None` for an unknown status.
+pub fn readiness(status: &str) -> Option<Readiness> {
+    match status {
         "active" => Some(Readiness::Active),
         "leaving" => Some(Readiness::Draining),
         "left" => Some(Readiness::Gone),
--- a/crates/sandstile-deployment/src/interner.rs
+++ b/crates/sandstile-deployment/src/interner.rs
@@ -1,13 +1,13 @@
-//! Indices for ids, in the order in which they were first seen.
+//! Maps ids to small indices, in the order of first use.
 use std::collections::HashMap;
 
 pub struct Interner {
     index: HashMap<String, usize>,
     names: Vec<String>,
-    most: usize,
-    next: usize,
-    /// Released, to be given anew.
-    free: Vec<usize>,
+    limit: usize,
+    next_index: usize,
+    /// Released indices, to be reused.
+    free_indices: Vec<usize>,
 }
 
 impl Default for Interner {
@@ -17,38 +17,38 @@
 }
 
 impl Interner {
-    /// Beyond so many names, the one that came first gives its index to the new one.
-    pub fn with_limit(most: usize) -> Self {
-        Interner { index: HashMap::new(), names: Vec::new(), most, next: 0, free: Vec::new() }
+    /// Holds at most `limit` names. Beyond that, a new name takes the index of the oldest one.
+    pub fn with_limit(limit: usize) -> Self {
+        Interner { index: HashMap::new(), names: Vec::new(), limit, next_index: 0, free_indices: Vec::new() }
     }
 
     pub fn intern(&mut self, name: &str) -> usize {
-        if let Some(&i) = self.index.get(name) {
-            return i;
+        if let Some(&index) = self.index.get(name) {
+            return index;
         }
-        let at = self.free.pop().unwrap_or_else(|| {
-            self.next += 1;
-            (self.next - 1) % self.most
+        let index = self.free_indices.pop().unwrap_or_else(|| {
+            self.next_index += 1;
+            (self.next_index - 1) % self.limit
         });
-        if at == self.names.len() {
+        if index == self.names.len() {
             self.names.push(name.to_string());
         } else {
-            let old = std::mem::replace(&mut self.names[at], name.to_string());
-            self.index.remove(&old);
+            let replaced_name = std::mem::replace(&mut self.names[index], name.to_string());
+            self.index.remove(&replaced_name);
         }
-        self.index.insert(name.to_string(), at);
-        at
+        self.index.insert(name.to_string(), index);
+        index
     }
 
-    /// Forgets what has left for good; its index goes to a later one. For names without a bound.
+    /// Removes a name that is no longer needed; its index is reused. Only for interners without a limit.
     pub fn release(&mut self, name: &str) {
-        if let Some(at) = self.index.remove(name) {
-            self.names[at].clear();
-            self.free.push(at);
+        if let Some(index) = self.index.remove(name) {
+            self.names[index].clear();
+            self.free_indices.push(index);
         }
     }
 
-    /// As `release`, by index.
+    /// Like `release`, by index.
     pub fn release_index(&mut self, index: usize) {
         let name = self.names[index].clone();
         if self.find(&name) == Some(index) {
--- a/crates/sandstile-deployment/src/lib.rs
+++ b/crates/sandstile-deployment/src/lib.rs
@@ -1,5 +1,6 @@
-//! What every host of the decisions takes in alike, whatever its protocol: the terms of a deployment, ids
-//! turned into small indices, and the list of database hosts as it now stands. It decides nothing.
+//! Input handling shared by all programs that embed the routing decisions, independent of the protocol: the
+//! settings of a deployment, interning of ids as small indices, and the current list of database hosts. It
+//! makes no decisions.
 pub mod host_list;
 pub mod interner;
 pub mod settings;
