--- a/crates/sandstile-simulator-adapter/src/main.rs
+++ b/crates/sandstile-simulator-adapter/src/main.rs
@@ -1,9 +1,9 @@
-//! Hosts instances of the sandstile decisions on the simulator's wire: decodes events into calls, encodes
-//! decisions into actions, and maps ids to small indices at the door. It decides nothing.
+//! Runs instances of the sandstile decisions on the simulator's line protocol: decodes events into calls,
+//! encodes decisions as actions, and maps ids to small indices at this boundary. It makes no decisions.
 mod instance;
 mod wire;
 
-use instance::{Hosted, EPOCH};
+use instance::{HostedInstance, EPOCH};
 use sandstile_deployment::host_list::HostEntry;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
@@ -22,78 +22,81 @@
 
 /// Answers batches until the input ends.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut hosted: BTreeMap<String, Hosted> = BTreeMap::new();
-    let mut sheets: BTreeMap<u64, Vec<HostEntry>> = BTreeMap::new();
-    let mut number = 0usize;
-    let mut text = String::new();
+    let mut instances: BTreeMap<String, HostedInstance> = BTreeMap::new();
+    let mut host_lists: BTreeMap<u64, Vec<HostEntry>> = BTreeMap::new();
+    let mut line_number = 0usize;
+    let mut line = String::new();
     let mut now = None;
-    let mut touched: Vec<String> = Vec::new();
-    while read(&mut input, &mut text, &mut number)? {
-        let mut fields = Fields::new(&text, number);
-        let name = fields.text("a message name")?;
-        let Some(clock) = now else {
-            if name == "SYNC" {
+    let mut changed: Vec<String> = Vec::new();
+    while read_line(&mut input, &mut line, &mut line_number)? {
+        let mut fields = Fields::new(&line, line_number);
+        let message = fields.required("a message name")?;
+        let Some(batch_time) = now else {
+            if message == "SYNC" {
                 now = Some(EPOCH + fields.seconds("the clock")?);
                 continue;
             }
-            if name.is_empty() {
+            if message.is_empty() {
                 continue;
             }
-            return Err(fields.wrong("SYNC before any event"));
+            return Err(fields.error("SYNC before any event"));
         };
-        match name {
+        match message {
             "COMMIT" => {
-                touched.sort();
-                touched.dedup();
-                for who in touched.drain(..) {
-                    if let Some(instance) = hosted.get_mut(&who) {
-                        instance.reply(&who, clock, &mut output).map_err(|e| e.to_string())?;
+                changed.sort();
+                changed.dedup();
+                for instance_id in changed.drain(..) {
+                    if let Some(instance) = instances.get_mut(&instance_id) {
+                        instance
+                            .write_decisions(&instance_id, batch_time, &mut output)
+                            .map_err(|e| e.to_string())?;
                     }
                 }
                 writeln!(output, "YIELD").and_then(|()| output.flush()).map_err(|e| e.to_string())?;
                 now = None;
             }
             "LIST" => {
-                let sheet = fields.whole("a list number")?;
-                let count = fields.whole("a count of entries")?;
-                let mut lines = Vec::new();
+                let list_number = fields.integer("a list number")?;
+                let count = fields.integer("a count of entries")?;
+                let mut entries = Vec::new();
                 for _ in 0..count {
-                    if !read(&mut input, &mut text, &mut number)? {
-                        return Err(format!("line {number}: expected HOST, found the end of input"));
+                    if !read_line(&mut input, &mut line, &mut line_number)? {
+                        return Err(format!("line {line_number}: expected HOST, found the end of input"));
                     }
-                    lines.push(wire::entry(&mut Fields::new(&text, number))?);
+                    entries.push(wire::host_entry(&mut Fields::new(&line, line_number))?);
                 }
-                sheets.insert(sheet, lines);
+                host_lists.insert(list_number, entries);
             }
             "PROVISION" => {
-                let who = fields.text("an instance")?.to_string();
-                let seed = fields.whole("a seed")?;
-                hosted.insert(who.clone(), Hosted::start(clock, seed, &mut fields)?);
-                touched.push(who);
+                let instance_id = fields.required("an instance")?.to_string();
+                let seed = fields.integer("a seed")?;
+                instances.insert(instance_id.clone(), HostedInstance::start(batch_time, seed, &mut fields)?);
+                changed.push(instance_id);
             }
             "CRASH_NOW" => {
-                hosted.remove(fields.text("an instance")?);
+                instances.remove(fields.required("an instance")?);
             }
             _ => {
-                let who = fields.text("an instance")?.to_string();
-                let Some(instance) = hosted.get_mut(&who) else {
-                    return Err(fields.wrong("an instance that was provisioned"));
+                let instance_id = fields.required("an instance")?.to_string();
+                let Some(instance) = instances.get_mut(&instance_id) else {
+                    return Err(fields.error("an instance that was provisioned"));
                 };
-                instance.event(clock, name, &mut fields, &sheets)?;
-                touched.push(who);
+                instance.handle_event(batch_time, message, &mut fields, &host_lists)?;
+                changed.push(instance_id);
             }
         }
     }
     match now {
-        Some(_) => Err(format!("line {number}: expected COMMIT, found the end of input")),
+        Some(_) => Err(format!("line {line_number}: expected COMMIT, found the end of input")),
         None => Ok(()),
     }
 }
 
-fn read(input: &mut impl BufRead, text: &mut String, number: &mut usize) -> Result<bool, String> {
-    text.clear();
-    *number += 1;
-    let got = input.read_line(text).map_err(|e| format!("line {number}: expected UTF-8 text: {e}"))?;
-    text.truncate(text.trim_end_matches(['\n', '\r']).len());
-    Ok(got > 0)
+fn read_line(input: &mut impl BufRead, line: &mut String, line_number: &mut usize) -> Result<bool, String> {
+    line.clear();
+    *line_number += 1;
+    let bytes_read =
+        input.read_line(line).map_err(|e| format!("line {line_number}: expected UTF-8 text: {e}"))?;
+    line.truncate(line.trim_end_matches(['\n', '\r']).len());
+    Ok(bytes_read > 0)
 }
--- a/crates/sandstile-simulator-adapter/src/wire.rs
+++ b/crates/sandstile-simulator-adapter/src/wire.rs
@@ -1,100 +1,100 @@
-//! The wire's lines: fields in order, each read with a plain message on what was expected.
+//! Parses the lines of the wire protocol field by field; each error says what was expected.
 use crate::instance::EPOCH;
 use sandstile_deployment::host_list::{readiness, HostEntry};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
 pub struct Fields<'a> {
-    rest: Option<&'a str>,
-    number: usize,
-    found: &'a str,
+    remaining: Option<&'a str>,
+    line_number: usize,
+    last_field: &'a str,
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(line: &'a str, number: usize) -> Self {
-        Fields { rest: Some(line), number, found: "" }
+    pub fn new(line: &'a str, line_number: usize) -> Self {
+        Fields { remaining: Some(line), line_number, last_field: "" }
     }
 
-    pub fn wrong(&self, expected: &str) -> String {
-        format!("line {}: expected {expected}, found '{}'", self.number, self.found)
+    pub fn error(&self, expected: &str) -> String {
+        format!("line {}: expected {expected}, found '{}'", self.line_number, self.last_field)
     }
 
-    /// The next field; `None` where it is absent.
-    pub fn maybe(&mut self, what: &str) -> Result<Option<&'a str>, String> {
-        let Some(rest) = self.rest else {
-            self.found = "the end of the line";
-            return Err(self.wrong(what));
+    /// The next field; `None` if it is `-` (absent).
+    pub fn optional(&mut self, expected: &str) -> Result<Option<&'a str>, String> {
+        let Some(remaining) = self.remaining else {
+            self.last_field = "the end of the line";
+            return Err(self.error(expected));
         };
-        let (field, rest) = match rest.split_once(' ') {
-            Some((field, rest)) => (field, Some(rest)),
-            None => (rest, None),
+        let (field, remaining) = match remaining.split_once(' ') {
+            Some((field, remaining)) => (field, Some(remaining)),
+            None => (remaining, None),
         };
-        (self.rest, self.found) = (rest, field);
+        (self.remaining, self.last_field) = (remaining, field);
         Ok((field != "-").then_some(field))
     }
 
     pub fn at_end(&self) -> bool {
-        self.rest.is_none()
+        self.remaining.is_none()
     }
 
-    pub fn text(&mut self, what: &str) -> Result<&'a str, String> {
-        self.maybe(what)?.ok_or_else(|| self.wrong(what))
+    pub fn required(&mut self, expected: &str) -> Result<&'a str, String> {
+        self.optional(expected)?.ok_or_else(|| self.error(expected))
     }
 
-    fn parsed<T: FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
-        match self.maybe(what)? {
+    fn parsed<T: FromStr>(&mut self, expected: &str) -> Result<Option<T>, String> {
+        match self.optional(expected)? {
             None => Ok(None),
-            Some(field) => field.parse().map(Some).map_err(|_| self.wrong(what)),
+            Some(field) => field.parse().map(Some).map_err(|_| self.error(expected)),
         }
     }
 
-    pub fn whole(&mut self, what: &str) -> Result<u64, String> {
-        self.parsed(what)?.ok_or_else(|| self.wrong(what))
+    pub fn integer(&mut self, expected: &str) -> Result<u64, String> {
+        self.parsed(expected)?.ok_or_else(|| self.error(expected))
     }
 
-    pub fn maybe_whole(&mut self, what: &str) -> Result<Option<u64>, String> {
-        self.parsed(what)
+    pub fn optional_integer(&mut self, expected: &str) -> Result<Option<u64>, String> {
+        self.parsed(expected)
     }
 
-    /// Milliseconds on the wire, seconds inside; `None` where absent.
-    pub fn maybe_seconds(&mut self, what: &str) -> Result<Option<f64>, String> {
-        match self.parsed::<f64>(what)? {
-            Some(ms) if !ms.is_finite() => Err(self.wrong(what)),
+    /// Converts milliseconds on the wire to seconds; `None` if absent.
+    pub fn optional_seconds(&mut self, expected: &str) -> Result<Option<f64>, String> {
+        match self.parsed::<f64>(expected)? {
+            Some(ms) if !ms.is_finite() => Err(self.error(expected)),
             ms => Ok(ms.map(|ms| ms / 1000.0)),
         }
     }
 
-    pub fn seconds(&mut self, what: &str) -> Result<f64, String> {
-        self.maybe_seconds(what)?.ok_or_else(|| self.wrong(what))
+    pub fn seconds(&mut self, expected: &str) -> Result<f64, String> {
+        self.optional_seconds(expected)?.ok_or_else(|| self.error(expected))
     }
 
-    pub fn flag(&mut self, what: &str) -> Result<bool, String> {
-        match self.maybe(what)? {
+    pub fn flag(&mut self, expected: &str) -> Result<bool, String> {
+        match self.optional(expected)? {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(_) => Err(self.wrong(what)),
+            Some(_) => Err(self.error(expected)),
         }
     }
 
-    /// All that is left of the line, as path=value pairs.
+    /// The rest of the line, as path=value pairs.
     pub fn pairs(&mut self) -> BTreeMap<String, String> {
-        let pairs = self.rest.take().unwrap_or("").split(' ').filter_map(|p| p.split_once('='));
+        let pairs = self.remaining.take().unwrap_or("").split(' ').filter_map(|p| p.split_once('='));
         pairs.map(|(path, value)| (path.to_string(), value.to_string())).collect()
     }
 }
 
-/// One entry of a list, in the order of the wire.
-pub fn entry(fields: &mut Fields) -> Result<HostEntry, String> {
-    if fields.text("HOST")? != "HOST" {
-        return Err(fields.wrong("HOST"));
+/// Parses one entry of a host list.
+pub fn host_entry(fields: &mut Fields) -> Result<HostEntry, String> {
+    if fields.required("HOST")? != "HOST" {
+        return Err(fields.error("HOST"));
     }
-    let primary = fields.maybe_seconds("a role")?.is_some_and(|n| n > 0.0);
-    fields.maybe("a share")?;
-    let since = fields.maybe_seconds("a start time")?.filter(|since| *since > 0.0);
-    let zone = fields.maybe("a zone")?.unwrap_or("").to_string();
-    let group = fields.whole("a group")?.to_string();
-    let host = fields.text("a database host")?.to_string();
-    let word = fields.text("a readiness")?;
-    let readiness = readiness(word).ok_or_else(|| fields.wrong("active, leaving or left"))?;
+    let primary = fields.optional_seconds("a role")?.is_some_and(|n| n > 0.0);
+    fields.optional("a share")?;
+    let since = fields.optional_seconds("a start time")?.filter(|since| *since > 0.0);
+    let zone = fields.optional("a zone")?.unwrap_or("").to_string();
+    let group = fields.integer("a group")?.to_string();
+    let host = fields.required("a database host")?.to_string();
+    let status = fields.required("a readiness")?;
+    let readiness = readiness(status).ok_or_else(|| fields.error("active, leaving or left"))?;
     Ok(HostEntry { primary, since: since.map_or(0.0, |since| EPOCH + since), zone, group, host, readiness })
 }
