--- a/crates/sandstile-connections/src/budget.rs
+++ b/crates/sandstile-connections/src/budget.rs
@@ -5,14 +5,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Holder {
-    Link,
+    UpstreamConnection,
     /// A client that has yet to ask something.
-    Stranger,
-    Client,
+    NewClientConnection,
+    ClientConnection,
 }
 
 /// The record that something is idle.
-pub type Rest = (Holder, u64);
+pub type IdleKey = (Holder, u64);
 
 /// What a wish for a descriptor comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 }
 
 /// Connections beyond all others that may be held to refuse their statements.
-pub const REFUSALS: usize = 4;
+pub const MAX_REFUSED_CONNECTIONS: usize = 4;
 
 #[derive(Debug)]
 pub struct Budget {
@@ -47,7 +47,7 @@
     clients: usize,
     refused: usize,
     long: usize,
-    idle: BTreeMap<Rest, usize>,
+    idle: BTreeMap<IdleKey, usize>,
     /// Clients among the idle.
     resting: usize,
     next: u64,
@@ -71,7 +71,7 @@
     }
 
     /// Clients and hosts can make each connection hold a long frame; not all of them at once.
-    pub fn room(&mut self, bytes: usize) -> bool {
+    pub fn reserve_bytes(&mut self, bytes: usize) -> bool {
         let fits = self.long + bytes <= self.most_long;
         if fits {
             self.long += bytes;
@@ -79,13 +79,13 @@
         fits
     }
 
-    pub fn give_back(&mut self, bytes: usize) {
+    pub fn release_bytes(&mut self, bytes: usize) {
         self.long -= bytes;
     }
 
     /// One value takes no more than an eighth of the room, as it comes and as it goes on: what says to be longer
     /// could not be passed on, whether it is true or not.
-    pub fn longest_value(&self) -> usize {
+    pub fn max_value_bytes(&self) -> usize {
         self.most_long / 16
     }
 
@@ -99,7 +99,7 @@
     }
 
     fn crowd(&self, holder: Holder) -> bool {
-        holder != Holder::Link && self.clients >= self.most_clients
+        holder != Holder::UpstreamConnection && self.clients >= self.most_clients
     }
 
     fn full(&self, holder: Holder) -> bool {
@@ -107,13 +107,13 @@
     }
 
     /// The idle one that would go for this one.
-    fn helps(&self, holder: Holder) -> Option<Rest> {
-        let from = if self.crowd(holder) { Holder::Stranger } else { Holder::Link };
+    fn helps(&self, holder: Holder) -> Option<IdleKey> {
+        let from = if self.crowd(holder) { Holder::NewClientConnection } else { Holder::UpstreamConnection };
         self.idle.range((from, 0)..).next().map(|(key, _)| *key)
     }
 
     /// Whether one could be had now, if need be in place of an idle one.
-    pub fn could(&self, holder: Holder) -> bool {
+    pub fn can_claim(&self, holder: Holder) -> bool {
         !self.full(holder) || self.helps(holder).is_some()
     }
 
@@ -124,7 +124,7 @@
             return Claim::Granted;
         }
         match self.helps(holder) {
-            Some(key) => Claim::Evict(key.0, self.strike(key).expect("on record")),
+            Some(key) => Claim::Evict(key.0, self.remove_idle(key).expect("on record")),
             None => Claim::Full,
         }
     }
@@ -134,31 +134,31 @@
     pub fn admission(&self, serves: bool, refuses: bool) -> Admission {
         let spare = self.links + self.clients < self.most || self.idle_link().is_some();
         match () {
-            () if serves && spare && self.below_bound() => Admission::Serve,
-            () if refuses && self.refused < REFUSALS => Admission::Refuse,
+            () if serves && spare && self.clients_below_limit() => Admission::Serve,
+            () if refuses && self.refused < MAX_REFUSED_CONNECTIONS => Admission::Refuse,
             () => Admission::Wait,
         }
     }
 
     /// Whether clients may hold more, as long as what links leave: a quarter of all is for links.
-    pub fn below_bound(&self) -> bool {
+    pub fn clients_below_limit(&self) -> bool {
         self.clients < self.most - self.most / 4
     }
 
     /// A descriptor for a client beyond the clients' share, where `admission` says so.
     pub fn claim_beyond_share(&mut self) -> Claim {
         if self.links + self.clients < self.most {
-            self.take(Holder::Client);
+            self.take(Holder::ClientConnection);
             return Claim::Granted;
         }
         match self.idle_link() {
-            Some(key) => Claim::Evict(key.0, self.strike(key).expect("on record")),
+            Some(key) => Claim::Evict(key.0, self.remove_idle(key).expect("on record")),
             None => Claim::Full,
         }
     }
 
-    fn idle_link(&self) -> Option<Rest> {
-        self.idle.range(..(Holder::Stranger, 0)).next().map(|(key, _)| *key)
+    fn idle_link(&self) -> Option<IdleKey> {
+        self.idle.range(..(Holder::NewClientConnection, 0)).next().map(|(key, _)| *key)
     }
 
     /// Counts a connection that is held to refuse its statement.
@@ -173,47 +173,47 @@
     /// Counts one that is held already.
     pub fn take(&mut self, holder: Holder) {
         match holder {
-            Holder::Link => self.links += 1,
+            Holder::UpstreamConnection => self.links += 1,
             _ => self.clients += 1,
         }
     }
 
     pub fn release(&mut self, holder: Holder) {
         match holder {
-            Holder::Link => self.links -= 1,
+            Holder::UpstreamConnection => self.links -= 1,
             _ => self.clients -= 1,
         }
     }
 
     /// Clients share what they may hold here: where more than a quarter rests, the oldest goes for each that comes,
     /// or a crowd that asks nothing would leave the others no connection.
-    pub fn surplus(&mut self) -> Option<usize> {
+    pub fn take_surplus_client(&mut self) -> Option<usize> {
         if self.resting <= self.most_clients / 4 {
             return None;
         }
-        let key = self.idle.range((Holder::Stranger, 0)..).next().map(|(key, _)| *key)?;
-        self.strike(key)
+        let key = self.idle.range((Holder::NewClientConnection, 0)..).next().map(|(key, _)| *key)?;
+        self.remove_idle(key)
     }
 
     /// The oldest idle one, where the platform gives fewer descriptors than were promised.
-    pub fn oldest(&mut self) -> Option<(Holder, usize)> {
+    pub fn take_oldest_idle(&mut self) -> Option<(Holder, usize)> {
         let key = *self.idle.keys().next()?;
-        self.strike(key).map(|line| (key.0, line))
+        self.remove_idle(key).map(|line| (key.0, line))
     }
 
     /// Puts on record that this line is idle, last in its kind.
-    pub fn rests(&mut self, holder: Holder, line: usize) -> Rest {
+    pub fn mark_idle(&mut self, holder: Holder, line: usize) -> IdleKey {
         self.next += 1;
         let key = (holder, self.next);
         self.idle.insert(key, line);
-        self.resting += usize::from(holder != Holder::Link);
+        self.resting += usize::from(holder != Holder::UpstreamConnection);
         key
     }
 
     /// Strikes a record out; `None` where it was told to go already.
-    pub fn strike(&mut self, key: Rest) -> Option<usize> {
+    pub fn remove_idle(&mut self, key: IdleKey) -> Option<usize> {
         let line = self.idle.remove(&key)?;
-        self.resting -= usize::from(key.0 != Holder::Link);
+        self.resting -= usize::from(key.0 != Holder::UpstreamConnection);
         Some(line)
     }
 }
--- a/crates/sandstile-connections/src/close_reason.rs
+++ b/crates/sandstile-connections/src/close_reason.rs
@@ -2,7 +2,7 @@
 
 /// Every way in which a client's connection can end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Closing {
+pub enum CloseReason {
     /// The client closed it between statements.
     ClientClosed,
     /// The client closed it while a statement of its was out.
@@ -28,8 +28,8 @@
 }
 
 /// All of them, in the order of their declaration.
-pub const ALL: [Closing; 11] = {
-    use Closing::*;
+pub const ALL: [CloseReason; 11] = {
+    use CloseReason::*;
     [
         ClientClosed,
         ClientClosedAsking,
@@ -45,10 +45,10 @@
     ]
 };
 
-impl Closing {
+impl CloseReason {
     /// Part of a good day, and no cause for a line of log.
     pub fn ordinary(self) -> bool {
-        use Closing::*;
+        use CloseReason::*;
         matches!(self, ClientClosed | ClientTerminated | ClientRested | ClientEvicted | ClientDismissed)
     }
 }
--- a/crates/sandstile-connections/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -7,9 +7,9 @@
 
 /// What becomes of a job.
 #[derive(Debug)]
-pub enum Step {
+pub enum Placement {
     /// This link takes it, once the socket has been looked at.
-    Hand(usize, Job),
+    Assign(usize, Job),
     /// It waits; one more link is to be dialled at this address and made known by `dialled`.
     Dial(SocketAddr),
     /// It ends here.
@@ -18,19 +18,19 @@
 
 /// What becomes of a link that is free.
 #[derive(Debug)]
-pub enum Free {
-    Hand(Job),
-    Rest,
+pub enum NextUse {
+    Assign(Job),
+    Idle,
     /// The host has another address by now.
     Moved,
 }
 
 /// Where an execution was found that is to be withdrawn.
 #[derive(Debug)]
-pub enum Found {
+pub enum Lookup {
     Waiting(Job),
-    Under(usize),
-    Nowhere,
+    Running(usize),
+    NotFound,
 }
 
 #[derive(Debug, Default)]
@@ -58,7 +58,7 @@
 
     /// The host's address as the list now has it: the idle links of the former one are to be closed.
     /// `None` where it has not changed.
-    pub fn moved(&mut self, address: SocketAddr) -> Option<Vec<usize>> {
+    pub fn set_address(&mut self, address: SocketAddr) -> Option<Vec<usize>> {
         if self.address == Some(address) {
             return None;
         }
@@ -67,18 +67,18 @@
     }
 
     /// A job comes.
-    pub fn begin(&mut self, job: Job) -> Step {
+    pub fn begin(&mut self, job: Job) -> Placement {
         if let Some((link, _)) = self.idle.pop() {
             return self.hand(link, self.address_no, job);
         }
-        let Some(address) = self.address else { return Step::End(job, Ending::NoAddress) };
+        let Some(address) = self.address else { return Placement::End(job, Ending::NoAddress) };
         self.wanting = Some(job);
-        Step::Dial(address)
+        Placement::Dial(address)
     }
 
-    fn hand(&mut self, link: usize, address_no: u64, job: Job) -> Step {
+    fn hand(&mut self, link: usize, address_no: u64, job: Job) -> Placement {
         self.busy.insert(link, (address_no, job.which()));
-        Step::Hand(link, job)
+        Placement::Assign(link, job)
     }
 
     /// The dial that was asked for last, under its name.
@@ -90,50 +90,50 @@
     }
 
     /// A link that was handed a job had ended unseen: the job takes another.
-    pub fn stale(&mut self, link: usize) {
+    pub fn remove_stale(&mut self, link: usize) {
         self.busy.remove(&link);
     }
 
-    pub fn find(&mut self, which: (u64, usize)) -> Found {
+    pub fn find(&mut self, which: (u64, usize)) -> Lookup {
         if let Some(at) = self.waiting.iter().position(|(_, job)| job.is(which)) {
             let (_, job) = self.waiting.remove(at).expect("found just now");
-            return Found::Waiting(job);
+            return Lookup::Waiting(job);
         }
         let under = self.busy.iter().find(|(_, (_, does))| *does == Some(which));
-        under.map_or(Found::Nowhere, |(link, _)| Found::Under(*link))
+        under.map_or(Lookup::NotFound, |(link, _)| Lookup::Running(*link))
     }
 
     /// A dial is up.
-    pub fn up(&mut self, link: usize, now: f64) -> Free {
+    pub fn dial_succeeded(&mut self, link: usize, now: f64) -> NextUse {
         match self.dials.remove(&link) {
             Some(address_no) => self.free(link, address_no, now),
-            None => Free::Moved,
+            None => NextUse::Moved,
         }
     }
 
     /// A link's job is done.
-    pub fn done(&mut self, link: usize, goes_on: bool, now: f64) -> Free {
-        match self.busy.remove(&link).filter(|_| goes_on) {
+    pub fn task_done(&mut self, link: usize, reusable: bool, now: f64) -> NextUse {
+        match self.busy.remove(&link).filter(|_| reusable) {
             Some((address_no, _)) => self.free(link, address_no, now),
-            None => Free::Moved,
+            None => NextUse::Moved,
         }
     }
 
     /// A link with nothing to do takes what waits longest, or rests.
-    fn free(&mut self, link: usize, address_no: u64, now: f64) -> Free {
+    fn free(&mut self, link: usize, address_no: u64, now: f64) -> NextUse {
         if address_no != self.address_no {
-            return Free::Moved;
+            return NextUse::Moved;
         }
         if let Some((_, job)) = self.waiting.pop_front() {
             self.busy.insert(link, (address_no, job.which()));
-            return Free::Hand(job);
+            return NextUse::Assign(job);
         }
         self.idle.push((link, now));
-        Free::Rest
+        NextUse::Idle
     }
 
     /// A dial less: its own job ends with it, if there are now fewer dials than jobs that wait.
-    pub fn undialled(&mut self, link: usize) -> Option<Job> {
+    pub fn dial_failed(&mut self, link: usize) -> Option<Job> {
         self.dials.remove(&link);
         if self.waiting.len() <= self.dials.len() {
             return None;
@@ -143,17 +143,17 @@
     }
 
     /// An idle link has ended or is told to go.
-    pub fn left(&mut self, link: usize) {
+    pub fn idle_closed(&mut self, link: usize) {
         self.idle.retain(|(other, _)| *other != link);
     }
 
     /// The idle link that has rested longest and since when.
-    pub fn oldest(&self) -> Option<(usize, f64)> {
+    pub fn oldest_idle(&self) -> Option<(usize, f64)> {
         self.idle.first().copied()
     }
 
     /// Links and dials of this host.
-    pub fn links(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn connections(&self) -> impl Iterator<Item = usize> + '_ {
         let idle = self.idle.iter().map(|(link, _)| *link);
         idle.chain(self.busy.keys().copied()).chain(self.dials.keys().copied())
     }
--- a/crates/sandstile-connections/src/statement.rs
+++ b/crates/sandstile-connections/src/statement.rs
@@ -25,7 +25,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum StatementError {
     NoComment,
     Comment,
     Id,
@@ -35,16 +35,16 @@
     After,
 }
 
-impl Wrong {
+impl StatementError {
     pub fn text(&self) -> &'static str {
         match self {
-            Wrong::NoComment => "the statement begins with no comment",
-            Wrong::Comment => "unreadable comment",
-            Wrong::Id => "missing or unusable id",
-            Wrong::Workload => "unknown workload in c",
-            Wrong::Wait => "missing or unreadable d",
-            Wrong::Group => "missing cluster",
-            Wrong::After => "unreadable after",
+            StatementError::NoComment => "the statement begins with no comment",
+            StatementError::Comment => "unreadable comment",
+            StatementError::Id => "missing or unusable id",
+            StatementError::Workload => "unknown workload in c",
+            StatementError::Wait => "missing or unreadable d",
+            StatementError::Group => "missing cluster",
+            StatementError::After => "unreadable after",
         }
     }
 }
@@ -64,24 +64,25 @@
 const LONGEST_MARK: usize = 128;
 
 /// `query` is the text of a Query message without its closing zero.
-pub fn read(query: Vec<u8>, workloads: &[Workload]) -> Result<Statement, Wrong> {
-    let start = query.iter().position(|b| !b.is_ascii_whitespace()).ok_or(Wrong::NoComment)?;
+pub fn read(query: Vec<u8>, workloads: &[Workload]) -> Result<Statement, StatementError> {
+    let start = query.iter().position(|b| !b.is_ascii_whitespace()).ok_or(StatementError::NoComment)?;
     if !query[start..].starts_with(b"/*") {
-        return Err(Wrong::NoComment);
+        return Err(StatementError::NoComment);
     }
     let (pairs, rest) = fields(&query, start + 2)?;
     let find = |name: &str| pairs.iter().find(|(n, _)| n == name).map(|(_, at)| at.clone());
     let text = |at: Range<usize>| std::str::from_utf8(&query[at]).unwrap_or("");
-    let id = find("id").map(text).filter(|id| (1..=LONGEST_ID).contains(&id.len())).ok_or(Wrong::Id)?;
-    let class = find("c").map(text).ok_or(Wrong::Workload)?;
-    let workload = workloads.iter().position(|w| w.name == class).ok_or(Wrong::Workload)?;
-    let wait_at = find("d").ok_or(Wrong::Wait)?;
+    let id =
+        find("id").map(text).filter(|id| (1..=LONGEST_ID).contains(&id.len())).ok_or(StatementError::Id)?;
+    let class = find("c").map(text).ok_or(StatementError::Workload)?;
+    let workload = workloads.iter().position(|w| w.name == class).ok_or(StatementError::Workload)?;
+    let wait_at = find("d").ok_or(StatementError::Wait)?;
     // Of a last try nothing may be left: it is told so like any other whose time is up.
     let wait = whole_ms(text(wait_at.clone())).filter(|ms| *ms <= LONGEST_MS);
-    let group = find("cluster").map(text).filter(|g| !g.is_empty()).ok_or(Wrong::Group)?;
+    let group = find("cluster").map(text).filter(|g| !g.is_empty()).ok_or(StatementError::Group)?;
     let after = match find("after").map(text) {
         None => None,
-        Some(ms) => Some(whole_ms(ms).ok_or(Wrong::After)?),
+        Some(ms) => Some(whole_ms(ms).ok_or(StatementError::After)?),
     };
     let session = workloads[workload].sessions.then(|| quoted(&query[rest..])).flatten();
     let session = session.map(|name| String::from_utf8_lossy(name).into_owned());
@@ -95,7 +96,7 @@
         group,
         session,
         writes: workloads[workload].writes,
-        wait: wait.ok_or(Wrong::Wait)? as f64 / 1000.0,
+        wait: wait.ok_or(StatementError::Wait)? as f64 / 1000.0,
         after: after.filter(|ms| *ms > 0).map(|ms| ms as f64 / 1000.0),
         retry,
         mark,
@@ -112,10 +113,10 @@
 type Pairs = Vec<(String, Range<usize>)>;
 
 /// Names and the places of their values up to the comment's end, and the place behind it.
-fn fields(query: &[u8], mut at: usize) -> Result<(Pairs, usize), Wrong> {
+fn fields(query: &[u8], mut at: usize) -> Result<(Pairs, usize), StatementError> {
     let mut pairs = Vec::new();
     let until = |from: usize, stop: &dyn Fn(u8) -> bool| {
-        query[from..].iter().position(|b| stop(*b)).map(|n| from + n).ok_or(Wrong::Comment)
+        query[from..].iter().position(|b| stop(*b)).map(|n| from + n).ok_or(StatementError::Comment)
     };
     loop {
         at = until(at, &|b| !b.is_ascii_whitespace() && b != b',')?;
@@ -124,9 +125,9 @@
         }
         let equals = until(at, &|b| b == b'=' || b == b'*' || b == b',')?;
         if query[equals] != b'=' {
-            return Err(Wrong::Comment);
+            return Err(StatementError::Comment);
         }
-        let name = std::str::from_utf8(&query[at..equals]).map_err(|_| Wrong::Comment)?.trim();
+        let name = std::str::from_utf8(&query[at..equals]).map_err(|_| StatementError::Comment)?.trim();
         let value = match query.get(equals + 1) {
             Some(quote @ (b'\'' | b'"')) => {
                 let end = until(equals + 2, &|b| b == *quote)?;
@@ -155,7 +156,7 @@
         let ms = ((wait * 1000.0).floor().max(1.0) as u64).to_string();
         let (before, after) = (&self.query[..self.wait_at.start], &self.query[self.wait_at.end..]);
         let mut out = Vec::with_capacity(self.query.len() + 16);
-        pg::put(&mut out, b'Q', &[before, ms.as_bytes(), after, b"\0"]);
+        pg::write_frame(&mut out, b'Q', &[before, ms.as_bytes(), after, b"\0"]);
         out
     }
 }
--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -9,7 +9,7 @@
 /// The reads of one answer of the usual size fit in one.
 const READ: usize = 8 * 1024;
 
-/// What has happened to a link. After `Failed`, `Over` and a `Done` that does not go on, the link has ended: its
+/// What has happened to a link. After `Failed`, `IdleClosed` and a `Done` that does not go on, the link has ended: its
 /// socket is to be closed before anybody hears of it, or an execution would still be out beside the next.
 #[derive(Debug)]
 pub enum Event {
@@ -20,10 +20,10 @@
     Done {
         job: Job,
         outcome: Outcome,
-        goes_on: bool,
+        reusable: bool,
     },
     /// It ended while it had nothing to do.
-    Over(Ending),
+    IdleClosed(Ending),
 }
 
 /// Bytes that came and are not yet taken, frame by frame.
@@ -39,10 +39,10 @@
     /// it is longer than there is room for.
     fn end(&mut self, at: usize, budget: &mut Budget) -> Result<Option<usize>, BadFrame> {
         let begun = &self.buf[at..];
-        pg::plausible(begun, budget.longest_value())?;
-        let end = pg::end(begun, usize::MAX)?;
-        if let Some(long) = end.filter(|end| *end > 2 * pg::USUAL_VALUE && self.room == 0) {
-            if !budget.room(2 * long) {
+        pg::check_plausible(begun, budget.max_value_bytes())?;
+        let end = pg::frame_end(begun, usize::MAX)?;
+        if let Some(long) = end.filter(|end| *end > 2 * pg::TYPICAL_VALUE_BYTES && self.room == 0) {
+            if !budget.reserve_bytes(2 * long) {
                 return Err(BadFrame("no room"));
             }
             self.room = 2 * long;
@@ -81,14 +81,14 @@
         self.buf.is_empty()
     }
 
-    fn wants(&self) -> usize {
-        let end = pg::end(&self.buf, usize::MAX).ok().flatten().unwrap_or(0);
-        end.saturating_sub(self.buf.len()).clamp(READ, pg::USUAL_VALUE)
+    fn wanted_bytes(&self) -> usize {
+        let end = pg::frame_end(&self.buf, usize::MAX).ok().flatten().unwrap_or(0);
+        end.saturating_sub(self.buf.len()).clamp(READ, pg::TYPICAL_VALUE_BYTES)
     }
 
     fn clear(&mut self, budget: &mut Budget) {
         self.buf = Vec::new();
-        budget.give_back(std::mem::take(&mut self.room));
+        budget.release_bytes(std::mem::take(&mut self.room));
     }
 }
 
@@ -129,7 +129,7 @@
 }
 
 #[derive(Debug)]
-pub struct Link {
+pub struct UpstreamConnection {
     state: State,
     inbox: Inbox,
     out: Vec<u8>,
@@ -140,11 +140,11 @@
     pause: f64,
 }
 
-impl Link {
+impl UpstreamConnection {
     /// One that is wanted: it is up by `until` or not at all. `pause` is how many seconds an answer that has begun
     /// may take to go on.
-    pub fn wanted(until: f64, pause: f64) -> Self {
-        Link {
+    pub fn new(until: f64, pause: f64) -> Self {
+        UpstreamConnection {
             state: State::Queued { until },
             inbox: Inbox::default(),
             out: Vec::new(),
@@ -162,7 +162,7 @@
     }
 
     /// It begins only now, after it waited for its turn: the host is to have all of its time.
-    pub fn dialled_by(&mut self, by: f64) {
+    pub fn dialled_with_deadline(&mut self, by: f64) {
         if let State::Queued { .. } = self.state {
             self.state = State::Dialling { until: by };
         }
@@ -171,7 +171,7 @@
     /// The connection is up: the greeting goes out.
     pub fn connected(&mut self) {
         if let State::Dialling { until } = self.state {
-            self.say(pg::hello());
+            self.say(pg::startup_message());
             self.state = State::Greeting { until };
         }
     }
@@ -204,17 +204,17 @@
     }
 
     /// How many bytes may come now. What a host says before it has heard a statement whole waits in the socket.
-    pub fn wants(&self) -> usize {
+    pub fn wanted_bytes(&self) -> usize {
         match self.state {
             State::Queued { .. } | State::Dialling { .. } | State::Ended => 0,
-            _ if !self.out().is_empty() => 0,
+            _ if !self.pending_output().is_empty() => 0,
             State::Idle => 1,
-            _ => self.inbox.wants(),
+            _ => self.inbox.wanted_bytes(),
         }
     }
 
     /// What waits to be written.
-    pub fn out(&self) -> &[u8] {
+    pub fn pending_output(&self) -> &[u8] {
         &self.out[self.written..]
     }
 
@@ -235,7 +235,7 @@
     pub fn begin(&mut self, now: f64, job: Job) -> Option<Event> {
         if !self.idle() || now >= job.until {
             let outcome = Ending::WithdrawnUnsent.into();
-            return Some(Event::Done { job, outcome, goes_on: self.idle() });
+            return Some(Event::Done { job, outcome, reusable: self.idle() });
         }
         let message = match &job.errand {
             Errand::Statement { parcel, .. } => parcel.message(job.until - now),
@@ -251,7 +251,7 @@
         None
     }
 
-    pub fn bytes(&mut self, now: f64, bytes: &[u8], budget: &mut Budget) -> Option<Event> {
+    pub fn receive(&mut self, now: f64, bytes: &[u8], budget: &mut Budget) -> Option<Event> {
         match &mut self.state {
             State::Greeting { .. } => {
                 self.inbox.buf.extend_from_slice(bytes);
@@ -274,7 +274,7 @@
             }
             State::Idle => {
                 self.state = State::Ended;
-                Some(Event::Over(Ending::IdleEnded))
+                Some(Event::IdleClosed(Ending::IdleEnded))
             }
             State::Busy(busy) => {
                 self.inbox.buf.extend_from_slice(bytes);
@@ -297,7 +297,7 @@
             State::Busy(_) => self.done(Heard::Closed, budget),
             State::Idle => {
                 self.state = State::Ended;
-                Some(Event::Over(Ending::IdleEnded))
+                Some(Event::IdleClosed(Ending::IdleEnded))
             }
             State::Queued { .. } | State::Dialling { .. } | State::Greeting { .. } => {
                 self.state = State::Ended;
@@ -307,7 +307,7 @@
         }
     }
 
-    /// When `time` has something to do; infinite where never.
+    /// When `handle_deadline` has something to do; infinite where never.
     pub fn due(&self) -> f64 {
         match &self.state {
             State::Queued { until } | State::Dialling { until } | State::Greeting { until } => *until,
@@ -317,7 +317,7 @@
     }
 
     /// What has come is to be handed in first: what came while this machine had to wait for its core counts.
-    pub fn time(&mut self, now: f64, budget: &mut Budget) -> Option<Event> {
+    pub fn handle_deadline(&mut self, now: f64, budget: &mut Budget) -> Option<Event> {
         if now < self.due() {
             return None;
         }
@@ -355,9 +355,9 @@
         let State::Busy(busy) = std::mem::replace(&mut self.state, State::Ended) else { return None };
         let Busy { job, answer, more_by } = *busy;
         let ending = match (&answer.stage, heard) {
-            (_, Heard::Withdrawn) if !self.out().is_empty() => Ending::WithdrawnUnsent,
+            (_, Heard::Withdrawn) if !self.pending_output().is_empty() => Ending::WithdrawnUnsent,
             (_, Heard::Withdrawn) => Ending::Withdrawn,
-            _ if !self.out().is_empty() => Ending::BrokenUnwritten,
+            _ if !self.pending_output().is_empty() => Ending::BrokenUnwritten,
             (_, Heard::Nonsense) => Ending::Garbled,
             (Stage::Whole, _) => Ending::Completed,
             (Stage::Failed(code), _) => crate::sqlstate::ending(code),
@@ -375,14 +375,14 @@
         if matches!(job.errand, Errand::Probe) && ending == Ending::Completed {
             report(answer.text(), &mut note);
         }
-        let goes_on = heard == Heard::Ready && self.inbox.is_empty() && ending != Ending::Garbled;
+        let reusable = heard == Heard::Ready && self.inbox.is_empty() && ending != Ending::Garbled;
         let term = answer.timeline.filter(|_| !spoilt);
         self.inbox.clear(budget);
         self.used = true;
-        if goes_on {
+        if reusable {
             self.state = State::Idle;
         }
-        Some(Event::Done { job, outcome: Outcome { ending, note, term, rows: answer.rows }, goes_on })
+        Some(Event::Done { job, outcome: Outcome { ending, note, term, rows: answer.rows }, reusable })
     }
 }
 
--- a/crates/sandstile-connections/tests/upstream_connections.rs
+++ b/crates/sandstile-connections/tests/upstream_connections.rs
@@ -3,9 +3,9 @@
 use oorandom::Rand64;
 use sandstile_connections::budget::Budget;
 use sandstile_connections::outcome::Ending;
-use sandstile_connections::pool::{Found, Free, Pool, Step};
+use sandstile_connections::pool::{Lookup, NextUse, Placement, Pool};
 use sandstile_connections::task::{Errand, Job, Parcel};
-use sandstile_connections::upstream_connection::{Event, Link};
+use sandstile_connections::upstream_connection::{Event, UpstreamConnection};
 use sandstile_pgwire as pg;
 use sandstile_policy::terms::OutcomeClass;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
 
 fn greeting() -> Vec<u8> {
     let mut out = Vec::new();
-    pg::welcome(&mut out);
+    pg::startup_response(&mut out);
     out
 }
 
@@ -45,16 +45,16 @@
 const PAUSE: f64 = 0.25;
 
 fn budget() -> Budget {
-    Budget::new(64, 32, 32 * pg::MOST_FRAME)
+    Budget::new(64, 32, 32 * pg::MAX_FRAME_BYTES)
 }
 
 /// A link that is up, at this time.
-fn up(now: f64, budget: &mut Budget) -> Link {
-    let mut link = Link::wanted(now + PAUSE, PAUSE);
+fn up(now: f64, budget: &mut Budget) -> UpstreamConnection {
+    let mut link = UpstreamConnection::new(now + PAUSE, PAUSE);
     link.dialled();
     link.connected();
-    link.wrote(link.out().len());
-    assert!(matches!(link.bytes(now, &greeting(), budget), Some(Event::Up)));
+    link.wrote(link.pending_output().len());
+    assert!(matches!(link.receive(now, &greeting(), budget), Some(Event::Up)));
     link
 }
 
@@ -72,15 +72,15 @@
             let (mut budget, now) = (budget(), 100.0);
             let mut link = up(now, &mut budget);
             assert!(link.begin(now, job(1, now + 1.0)).is_none());
-            link.wrote(link.out().len());
+            link.wrote(link.pending_output().len());
             let (mut at, mut done) = (0, None);
             while at < words.len() {
                 assert!(done.is_none());
                 let to = at.saturating_add(*step).min(words.len());
-                done = link.bytes(now, &words[at..to], &mut budget);
+                done = link.receive(now, &words[at..to], &mut budget);
                 at = to;
             }
-            let Some(Event::Done { outcome, goes_on: true, .. }) = done else { panic!("{done:?}") };
+            let Some(Event::Done { outcome, reusable: true, .. }) = done else { panic!("{done:?}") };
             assert_eq!((outcome.ending, outcome.note.primary), (Ending::Completed, Some(false)));
             assert_eq!(outcome.note.position, Some(1_700_000_000.123));
             assert!(outcome.rows.windows(value.len().max(1)).any(|w| w == value) || value.is_empty());
@@ -97,7 +97,7 @@
         let mut chance = Rand64::new(seed);
         let mut below = |n: u64| chance.rand_range(0..n);
         let (mut budget, mut now) = (budget(), 100.0);
-        let mut link = Link::wanted(now + PAUSE, PAUSE);
+        let mut link = UpstreamConnection::new(now + PAUSE, PAUSE);
         let mut words = greeting();
         if below(12) == 0 {
             words.clear();
@@ -115,22 +115,22 @@
                     None
                 }
                 2 if below(8) == 0 => link.failed(Ending::DialRefused),
-                3 | 4 if !link.out().is_empty() => {
-                    let all = link.out().len() as u64;
+                3 | 4 if !link.pending_output().is_empty() => {
+                    let all = link.pending_output().len() as u64;
                     link.wrote(1 + below(all + all / 2).min(all - 1) as usize);
-                    whole = out.is_some() && link.out().is_empty();
+                    whole = out.is_some() && link.pending_output().is_empty();
                     None
                 }
-                5..=8 if link.wants() > 0 && at < words.len() => {
-                    let to = (at + 1 + below(60) as usize).min(words.len()).min(at + link.wants());
-                    let event = link.bytes(now, &words[at..to], &mut budget);
+                5..=8 if link.wanted_bytes() > 0 && at < words.len() => {
+                    let to = (at + 1 + below(60) as usize).min(words.len()).min(at + link.wanted_bytes());
+                    let event = link.receive(now, &words[at..to], &mut budget);
                     at = to;
                     event
                 }
                 9 if below(6) == 0 => link.closed(&mut budget),
                 10 => {
                     now += below(200) as f64 / 1000.0;
-                    link.time(now, &mut budget)
+                    link.handle_deadline(now, &mut budget)
                 }
                 11 if out.is_some() && below(5) == 0 => link.withdraw((statement_id, 0), &mut budget),
                 12 if out.is_none() && link.idle() => {
@@ -167,19 +167,19 @@
                     ended = true;
                     seen.insert(ending);
                 }
-                Event::Over(ending) => {
+                Event::IdleClosed(ending) => {
                     assert!(out.is_none() && ending == Ending::IdleEnded);
                     ended = true;
                 }
-                Event::Done { job, outcome, goes_on } => {
+                Event::Done { job, outcome, reusable } => {
                     assert_eq!(out.take(), job.which().map(|(statement_id, _)| statement_id), "seed {seed}");
                     seen.insert(outcome.ending);
                     let never = [Ending::WithdrawnUnsent, Ending::BrokenUnwritten];
                     assert_eq!(never.contains(&outcome.ending), !whole, "seed {seed}: {outcome:?}");
-                    assert_eq!(goes_on, link.idle());
+                    assert_eq!(reusable, link.idle());
                     let rows = outcome.rows.windows(5).any(|w| w == b"value");
                     assert!(rows || outcome.ending != Ending::Completed, "a value is never made up");
-                    ended = !goes_on;
+                    ended = !reusable;
                 }
             }
         }
@@ -228,7 +228,7 @@
             let n = below(1000);
             match below(9) {
                 0 => {
-                    let gone = pool.moved(addresses[below(2)]);
+                    let gone = pool.set_address(addresses[below(2)]);
                     for link in gone.into_iter().flatten() {
                         assert!(idle.remove(&link));
                     }
@@ -239,21 +239,21 @@
                     let mut wanted = Some(job(stmts, now + 1.0));
                     while let Some(job) = wanted.take() {
                         match pool.begin(job) {
-                            Step::Hand(link, job) if below(6) == 0 => {
+                            Placement::Assign(link, job) if below(6) == 0 => {
                                 // It had ended unseen.
                                 assert!(idle.remove(&link));
-                                pool.stale(link);
+                                pool.remove_stale(link);
                                 wanted = Some(job);
                             }
-                            Step::Hand(link, job) => {
+                            Placement::Assign(link, job) => {
                                 assert!(idle.remove(&link) && busy.insert(link, has(&job)).is_none());
                             }
-                            Step::Dial(_) => {
+                            Placement::Dial(_) => {
                                 next += 1;
                                 pool.dialled(next);
                                 dials.insert(next);
                             }
-                            Step::End(job, ending) => {
+                            Placement::End(job, ending) => {
                                 assert_eq!(ending, Ending::NoAddress);
                                 over(job, &mut open);
                             }
@@ -263,21 +263,23 @@
                 4 | 5 => {
                     let Some(link) = pick(dials.iter().copied().collect(), n) else { continue };
                     dials.remove(&link);
-                    let free = if below(4) == 0 { Free::Moved } else { pool.up(link, now) };
+                    let free = if below(4) == 0 { NextUse::Moved } else { pool.dial_succeeded(link, now) };
                     match free {
-                        Free::Hand(job) => assert!(busy.insert(link, has(&job)).is_none()),
-                        Free::Rest => assert!(idle.insert(link)),
-                        Free::Moved => pool.undialled(link).into_iter().for_each(|job| over(job, &mut open)),
+                        NextUse::Assign(job) => assert!(busy.insert(link, has(&job)).is_none()),
+                        NextUse::Idle => assert!(idle.insert(link)),
+                        NextUse::Moved => {
+                            pool.dial_failed(link).into_iter().for_each(|job| over(job, &mut open))
+                        }
                     }
                 }
                 6 | 7 => {
                     let Some(link) = pick(busy.keys().copied().collect(), n) else { continue };
                     let statement_id = busy.remove(&link).expect("picked");
                     assert!(open.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
-                    match pool.done(link, below(4) > 0, now) {
-                        Free::Hand(job) => assert!(busy.insert(link, has(&job)).is_none()),
-                        Free::Rest => assert!(idle.insert(link)),
-                        Free::Moved => {}
+                    match pool.task_done(link, below(4) > 0, now) {
+                        NextUse::Assign(job) => assert!(busy.insert(link, has(&job)).is_none()),
+                        NextUse::Idle => assert!(idle.insert(link)),
+                        NextUse::Moved => {}
                     }
                 }
                 _ => {
@@ -285,21 +287,21 @@
                         continue;
                     };
                     match pool.find((statement_id as u64, 0)) {
-                        Found::Waiting(job) => over(job, &mut open),
-                        Found::Under(link) => {
+                        Lookup::Waiting(job) => over(job, &mut open),
+                        Lookup::Running(link) => {
                             assert_eq!(busy.remove(&link), Some(statement_id as u64));
                             open.remove(&(statement_id as u64));
-                            assert!(matches!(pool.done(link, false, now), Free::Moved));
+                            assert!(matches!(pool.task_done(link, false, now), NextUse::Moved));
                         }
-                        Found::Nowhere => panic!("seed {seed}: {statement_id} is out and nowhere"),
+                        Lookup::NotFound => panic!("seed {seed}: {statement_id} is out and nowhere"),
                     }
                 }
             }
             assert!(pool.waiting() <= dials.len(), "seed {seed}: a job that waits for nothing");
             assert_eq!(open.len(), pool.waiting() + busy.len(), "seed {seed}");
-            let links: BTreeSet<usize> = pool.links().collect();
+            let connections: BTreeSet<usize> = pool.connections().collect();
             let ours: BTreeSet<usize> = idle.iter().chain(&dials).chain(busy.keys()).copied().collect();
-            assert_eq!(links, ours, "seed {seed}");
+            assert_eq!(connections, ours, "seed {seed}");
         }
     }
 }
--- a/crates/sandstile-emulator/src/protocol.rs
+++ b/crates/sandstile-emulator/src/protocol.rs
@@ -114,10 +114,10 @@
         1 => out.extend_from_slice(b"D\xb2\xd0\x5e\x0a\0\x01\xb2\xd0\x5e\0value"),
         // A row whose length does not fit its value.
         2 => {
-            pg::put(out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
+            pg::write_frame(out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
             out.extend_from_slice(b"D\0\0\x01\xf4\0\x01\0\0\0\x05value");
         }
         // A description, and then nothing more.
-        _ => pg::put(out, b'T', &[b"\0\x01payload\0", &[0; 18]]),
+        _ => pg::write_frame(out, b'T', &[b"\0\x01payload\0", &[0; 18]]),
     }
 }
--- a/crates/sandstile-emulator/src/run.rs
+++ b/crates/sandstile-emulator/src/run.rs
@@ -157,7 +157,7 @@
 struct Conn {
     stream: TcpStream,
     host: usize,
-    ear: pg::Ear,
+    ear: pg::MessageReader,
     out: Vec<u8>,
     sent: usize,
     close_when_sent: bool,
@@ -685,7 +685,7 @@
             }
             match output {
                 Output::Greet { conn } => {
-                    self.put(conn as usize, pg::welcome);
+                    self.put(conn as usize, pg::startup_response);
                 }
                 Output::TurnAway { conn, code } => {
                     self.put(conn as usize, |out| pg::error(out, true, code, "no more connections", None));
@@ -824,7 +824,7 @@
                 if writable {
                     self.flush(token);
                 }
-                self.hear(token)?;
+                self.receive(token)?;
             }
             Some(Place::Line) => self.line(token, writable)?,
             _ => {}
@@ -847,7 +847,7 @@
             let conn = Conn {
                 stream,
                 host,
-                ear: pg::Ear::default(),
+                ear: pg::MessageReader::default(),
                 out: Vec::new(),
                 sent: 0,
                 close_when_sent: false,
@@ -861,7 +861,7 @@
         Ok(())
     }
 
-    fn hear(&mut self, token: usize) -> io::Result<()> {
+    fn receive(&mut self, token: usize) -> io::Result<()> {
         let mut bytes = [0; 4096];
         loop {
             let pieces = self.director.as_ref().is_some_and(Director::looks_for_parts);
@@ -872,7 +872,7 @@
                     self.lose(token);
                     return self.settle();
                 }
-                Ok(n) => c.ear.hear(&bytes[..n]),
+                Ok(n) => c.ear.receive(&bytes[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
@@ -901,10 +901,10 @@
     /// A statement has come in part: cues may wait for just that.
     fn part(&mut self, token: usize) -> io::Result<()> {
         let Some(c) = self.conns.get_mut(&token).filter(|c| !c.part_told) else { return Ok(()) };
-        if c.ear.waiting() == 0 || !self.director.as_ref().is_some_and(Director::looks_for_parts) {
+        if c.ear.buffered_bytes() == 0 || !self.director.as_ref().is_some_and(Director::looks_for_parts) {
             return Ok(());
         }
-        let Some(workload) = protocol::workload_of_part(c.ear.begun(), &self.workloads) else {
+        let Some(workload) = protocol::workload_of_part(c.ear.incomplete_message(), &self.workloads) else {
             return Ok(());
         };
         c.part_told = true;
@@ -915,21 +915,21 @@
         self.settle()
     }
 
-    fn heard(&mut self, token: usize, heard: pg::Heard) -> io::Result<()> {
+    fn heard(&mut self, token: usize, heard: pg::ClientMessage) -> io::Result<()> {
         let now = self.clock.now();
         let Some(c) = self.conns.get_mut(&token) else { return Ok(()) };
         let host = c.host;
         c.part_told = false;
         match heard {
-            pg::Heard::Begin => self.fleet.input(now, token as u64, Input::Connect { host }),
-            pg::Heard::Encrypt => self.put(token, |out| out.push(b'N')),
-            pg::Heard::Cancel | pg::Heard::Terminate => self.lose(token),
-            pg::Heard::Other(_) => {
+            pg::ClientMessage::Begin => self.fleet.input(now, token as u64, Input::Connect { host }),
+            pg::ClientMessage::Encrypt => self.put(token, |out| out.push(b'N')),
+            pg::ClientMessage::Cancel | pg::ClientMessage::Terminate => self.lose(token),
+            pg::ClientMessage::Other(_) => {
                 self.put(token, |out| pg::error(out, true, "0A000", "simple queries only", None));
                 self.close_when_sent(token);
                 self.lose(token);
             }
-            pg::Heard::Query(text) => match protocol::read(&text, &self.workloads) {
+            pg::ClientMessage::Query(text) => match protocol::read(&text, &self.workloads) {
                 Query::Statement(ask) => {
                     c.workload = Some(ask.workload);
                     self.fleet.input(now, token as u64, Input::Statement(ask));
@@ -956,7 +956,7 @@
                 pg::ready(out);
             }
             Query::Ignored(tag) => {
-                pg::done(out, tag);
+                pg::command_complete(out, tag);
                 pg::ready(out);
             }
             Query::Report => {
--- a/crates/sandstile-emulator/tests/hosts.rs
+++ b/crates/sandstile-emulator/tests/hosts.rs
@@ -98,7 +98,7 @@
         let stream = TcpStream::connect_timeout(&address, PATIENCE).expect("a host that listens");
         stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
         let mut link = Link { stream, buf: Vec::new() };
-        link.stream.write_all(&pg::hello()).expect("a host that reads");
+        link.stream.write_all(&pg::startup_message()).expect("a host that reads");
         assert_eq!(link.answer(), Got::Nothing);
         link
     }
@@ -127,7 +127,7 @@
                     }
                 }
             }
-            if pg::plausible(&self.buf, 1 << 20).is_err() {
+            if pg::check_plausible(&self.buf, 1 << 20).is_err() {
                 return Got::Nonsense;
             }
             let mut bytes = [0; 4096];
--- a/crates/sandstile-experiment/src/plan.rs
+++ b/crates/sandstile-experiment/src/plan.rs
@@ -65,7 +65,7 @@
 impl Experiment {
     pub fn read(file: &str, text: &str) -> Result<Experiment, Vec<Problem>> {
         let source = Source::new(file, text);
-        let read = source.parse().map(|body| experiment(&Section::of(&source, &body), text));
+        let read = source.parse().map(|body| experiment(&Section::root(&source, &body), text));
         let problems = source.problems();
         match read {
             Some(experiment) if problems.is_empty() => Ok(experiment),
@@ -116,23 +116,23 @@
             return_s: s.optional_number("return_ms", 0.0..60_000.0).map(|ms| ms / 1000.0),
             retries: count("retries", 10.0),
             routers: count("routers", 64.0).map(|n| n.max(1)),
-            sessions: s.has("sessions").then(|| s.word("sessions", &words, Some(off))),
+            sessions: s.has("sessions").then(|| s.choice("sessions", &words, Some(off))),
             pace: s.text("pace"),
-            limits: s.has("limits").then(|| s.yes("limits", false)),
-            members: s.has("members").then(|| s.yes("members", false)),
-            share: s.has("share").then(|| s.yes("share", false)),
+            limits: s.has("limits").then(|| s.boolean("limits", false)),
+            members: s.has("members").then(|| s.boolean("members", false)),
+            share: s.has("share").then(|| s.boolean("share", false)),
             load: s.number("load", 0.01..100.0, 1.0),
         });
         s.finish();
     }
     if arms.len() < 2 {
         let hint = Some("arm \"NAME\" { … }, the first is what others are held against".to_string());
-        file.source().wrong(0, "an experiment has two arms or more", hint);
+        file.source().problem(0, "an experiment has two arms or more", hint);
     }
     let pairs = file.count("pairs", 1.0..1000.0, 12);
     let experiment = Experiment {
-        title: file.needed_text("title"),
-        script: file.needed_text("script"),
+        title: file.required_text("title"),
+        script: file.required_text("script"),
         seed: file.number("seed", 0.0..9e15, 1.0) as u64,
         arms,
         pairs,
--- a/crates/sandstile-hcl/src/lib.rs
+++ b/crates/sandstile-hcl/src/lib.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    pub fn wrong(&self, at: usize, what: impl Into<String>, hint: Option<String>) {
+    pub fn problem(&self, at: usize, what: impl Into<String>, hint: Option<String>) {
         let before = &self.text[..at.min(self.text.len())];
         let line = before.matches('\n').count() + 1;
         let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
@@ -90,7 +90,7 @@
 }
 
 impl<'a> Section<'a> {
-    pub fn of(source: &'a Source<'a>, body: &'a Body) -> Self {
+    pub fn root(source: &'a Source<'a>, body: &'a Body) -> Self {
         let (what, name, taken) = ("the file".to_string(), String::new(), RefCell::default());
         Section { source, body, what, name, at: 0, taken }
     }
@@ -100,13 +100,13 @@
         let kind = block.ident.as_str();
         let name = block.labels.first().map_or(String::new(), |l| l.as_str().to_string());
         if block.labels.len() > 1 {
-            source.wrong(at, format!("{kind} has more than one name"), None);
+            source.problem(at, format!("{kind} has more than one name"), None);
         }
         if labelled && name.is_empty() {
-            source.wrong(at, format!("{kind} has no name"), Some(format!("{kind} \"NAME\" {{ … }}")));
+            source.problem(at, format!("{kind} has no name"), Some(format!("{kind} \"NAME\" {{ … }}")));
         }
         if !labelled && !name.is_empty() {
-            source.wrong(at, format!("{kind} takes no name"), None);
+            source.problem(at, format!("{kind} takes no name"), None);
         }
         let what = if name.is_empty() { kind.to_string() } else { format!("{kind} \"{name}\"") };
         Section { source, body: &block.body, what, name, at, taken: RefCell::default() }
@@ -125,7 +125,7 @@
         for block in blocks {
             let section = Section::block(self.source, block, labelled);
             if labelled && !names.insert(section.name.clone()) {
-                self.source.wrong(section.at, format!("a second {}", section.what), None);
+                self.source.problem(section.at, format!("a second {}", section.what), None);
             }
             found.push(section);
         }
@@ -133,10 +133,10 @@
     }
 
     /// The one block of this kind, if there is one.
-    pub fn only(&self, kind: &str) -> Option<Section<'a>> {
+    pub fn optional_block(&self, kind: &str) -> Option<Section<'a>> {
         let mut blocks = self.blocks(kind, false);
         if let Some(second) = blocks.get(1) {
-            self.source.wrong(second.at, format!("a second {kind}"), None);
+            self.source.problem(second.at, format!("a second {kind}"), None);
         }
         (!blocks.is_empty()).then(|| blocks.swap_remove(0))
     }
@@ -152,16 +152,16 @@
     }
 
     /// Where the key's value stands; the section's place where it is absent.
-    pub fn place(&self, key: &str) -> usize {
+    pub fn offset_of(&self, key: &str) -> usize {
         self.body.get_attribute(key).map_or(self.at, |a| start(a.value.span().or(a.key.span())))
     }
 
-    pub fn wrong(&self, key: &str, what: impl Into<String>, hint: Option<String>) {
-        self.source.wrong(self.place(key), what, hint);
+    pub fn problem(&self, key: &str, what: impl Into<String>, hint: Option<String>) {
+        self.source.problem(self.offset_of(key), what, hint);
     }
 
     fn missing(&self, key: &str) {
-        self.source.wrong(self.at, format!("{} lacks {key}", self.what), None);
+        self.source.problem(self.at, format!("{} lacks {key}", self.what), None);
     }
 
     pub fn optional_number(&self, key: &str, range: Range<f64>) -> Option<f64> {
@@ -170,11 +170,11 @@
             Some(n) if n >= range.start && n <= range.end => Some(n),
             Some(n) => {
                 let wanted = format!("{} to {}", range.start, range.end);
-                self.source.wrong(at, format!("{key} is {n}"), Some(format!("wanted: {wanted}")));
+                self.source.problem(at, format!("{key} is {n}"), Some(format!("wanted: {wanted}")));
                 None
             }
             None => {
-                self.source.wrong(at, format!("{key} is no number"), None);
+                self.source.problem(at, format!("{key} is no number"), None);
                 None
             }
         }
@@ -184,7 +184,7 @@
         self.optional_number(key, range).unwrap_or(default)
     }
 
-    pub fn needed_number(&self, key: &str, range: Range<f64>) -> f64 {
+    pub fn required_number(&self, key: &str, range: Range<f64>) -> f64 {
         let least = range.start;
         if !self.has(key) {
             self.missing(key);
@@ -200,15 +200,15 @@
     pub fn count(&self, key: &str, range: Range<f64>, default: usize) -> usize {
         let n = self.number(key, range, default as f64);
         if n.fract() != 0.0 {
-            self.wrong(key, format!("{key} is no whole number"), None);
+            self.problem(key, format!("{key} is no whole number"), None);
         }
         n as usize
     }
 
-    pub fn yes(&self, key: &str, default: bool) -> bool {
+    pub fn boolean(&self, key: &str, default: bool) -> bool {
         let Some((value, at)) = self.value(key) else { return default };
         value.as_bool().unwrap_or_else(|| {
-            self.source.wrong(at, format!("{key} is neither true nor false"), None);
+            self.source.problem(at, format!("{key} is neither true nor false"), None);
             default
         })
     }
@@ -217,12 +217,12 @@
         let (value, at) = self.value(key)?;
         let text = value.as_str().map(str::to_string);
         if text.is_none() {
-            self.source.wrong(at, format!("{key} is no text"), Some("in double quotes".to_string()));
+            self.source.problem(at, format!("{key} is no text"), Some("in double quotes".to_string()));
         }
         text
     }
 
-    pub fn needed_text(&self, key: &str) -> String {
+    pub fn required_text(&self, key: &str) -> String {
         if !self.has(key) {
             self.missing(key);
         }
@@ -230,7 +230,7 @@
     }
 
     /// One of a few words.
-    pub fn word<T: Copy>(&self, key: &str, words: &[(&str, T)], default: Option<T>) -> T {
+    pub fn choice<T: Copy>(&self, key: &str, words: &[(&str, T)], default: Option<T>) -> T {
         if default.is_none() && !self.has(key) {
             self.missing(key);
         }
@@ -240,7 +240,7 @@
             return *value;
         }
         let all: Vec<&str> = words.iter().map(|(w, _)| *w).collect();
-        self.wrong(key, format!("{key} = \"{text}\""), Some(hint(&text, &all)));
+        self.problem(key, format!("{key} = \"{text}\""), Some(hint(&text, &all)));
         fallback
     }
 
@@ -255,7 +255,7 @@
             }
             _ => {
                 let wanted = format!("wanted: a list of numbers from {} to {}", range.start, range.end);
-                self.source.wrong(at, format!("{key} is no usable list"), Some(wanted));
+                self.source.problem(at, format!("{key} is no usable list"), Some(wanted));
                 None
             }
         }
@@ -268,7 +268,7 @@
         match items {
             Some(Some(all)) if !all.is_empty() => Some(all),
             _ => {
-                self.source.wrong(
+                self.source.problem(
                     at,
                     format!("{key} is no list of texts"),
                     Some("[\"a\", \"b\"]".to_string()),
@@ -292,7 +292,7 @@
         let found = names.iter().position(|n| n == text);
         if found.is_none() {
             let all: Vec<&str> = names.iter().map(String::as_str).collect();
-            self.wrong(key, format!("no {what} is named \"{text}\""), Some(hint(text, &all)));
+            self.problem(key, format!("no {what} is named \"{text}\""), Some(hint(text, &all)));
         }
         found
     }
@@ -308,7 +308,7 @@
             };
             if !taken.contains(key) {
                 let what = format!("{} knows no {key}", self.what);
-                self.source.wrong(at, what, Some(hint(key, &known)));
+                self.source.problem(at, what, Some(hint(key, &known)));
             }
         }
     }
@@ -322,10 +322,10 @@
 }
 
 /// The nearest of what would do, or all of it.
-fn hint(word: &str, words: &[&str]) -> String {
-    let near = words.iter().map(|w| (distance(word, w), w)).min();
+fn hint(choice: &str, words: &[&str]) -> String {
+    let near = words.iter().map(|w| (distance(choice, w), w)).min();
     match near {
-        Some((d, w)) if d <= 2 || d * 3 <= word.len() => format!("did you mean {w}?"),
+        Some((d, w)) if d <= 2 || d * 3 <= choice.len() => format!("did you mean {w}?"),
         _ => format!("one of: {}", words.join(", ")),
     }
 }
--- a/crates/sandstile-lab/src/clients.rs
+++ b/crates/sandstile-lab/src/clients.rs
@@ -422,7 +422,7 @@
             let left = self.clock.until(until).max(Duration::from_millis(1));
             let mut stream = TcpStream::connect_timeout(&door.address, left)?;
             stream.set_nodelay(true)?;
-            stream.write_all(&pg::hello())?;
+            stream.write_all(&pg::startup_message())?;
             Ok(stream)
         };
         match up() {
--- a/crates/sandstile-lab/src/processes.rs
+++ b/crates/sandstile-lab/src/processes.rs
@@ -381,7 +381,7 @@
 fn greets(address: SocketAddr) -> io::Result<()> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_millis(200))?;
     stream.set_read_timeout(Some(Duration::from_millis(500)))?;
-    let mut bytes = pg::hello();
+    let mut bytes = pg::startup_message();
     pg::query(&mut bytes, b"");
     stream.write_all(&bytes)?;
     let (mut buf, mut piece) = (Vec::new(), [0; 1024]);
--- a/crates/sandstile-lab/src/scale_out.rs
+++ b/crates/sandstile-lab/src/scale_out.rs
@@ -52,7 +52,7 @@
     pub fn read(file: &str, text: &str) -> Result<Experiment, Vec<Problem>> {
         let source = Source::new(file, text);
         let read = source.parse().map(|body| {
-            let s = Section::of(&source, &body);
+            let s = Section::root(&source, &body);
             let figures = s.blocks("figure", true);
             let figures = figures.iter().map(|f| {
                 let figure = Figure {
@@ -65,24 +65,24 @@
                         .into_iter()
                         .map(|n| n as usize)
                         .collect(),
-                    sockets: f.yes("sockets", false),
+                    sockets: f.boolean("sockets", false),
                 };
                 if figure.workers.is_empty() {
-                    f.wrong("workers", "no numbers of clients", Some("workers = [50, 100]".to_string()));
+                    f.problem("workers", "no numbers of clients", Some("workers = [50, 100]".to_string()));
                 }
                 f.finish();
                 figure
             });
             let experiment = Experiment {
                 figures: figures.collect(),
-                title: s.needed_text("title"),
+                title: s.required_text("title"),
                 seed: s.count("seed", 0.0..1e15, 1) as u64,
                 seconds: s.number("seconds", 1.0..3600.0, 60.0),
                 warm: s.number("warm_s", 0.0..600.0, 10.0),
                 wait: s.number("wait_s", 0.1..600.0, 20.0),
                 writes: s.number("writes", 0.0..1.0, 0.2),
-                read_work: s.needed_number("read_ms", 0.01..10_000.0) / 1e3,
-                write_work: s.needed_number("write_ms", 0.01..10_000.0) / 1e3,
+                read_work: s.required_number("read_ms", 0.01..10_000.0) / 1e3,
+                write_work: s.required_number("write_ms", 0.01..10_000.0) / 1e3,
                 cores: s.count("cores", 1.0..64.0, 2),
                 routers: s.count("routers", 1.0..100.0, 1),
             };
--- a/crates/sandstile-load/src/engine.rs
+++ b/crates/sandstile-load/src/engine.rs
@@ -152,7 +152,7 @@
         });
         match made {
             Ok(stream) => {
-                let (out, answer) = (pg::hello(), pg::Answer::default());
+                let (out, answer) = (pg::startup_message(), pg::Answer::default());
                 let buf = Vec::new();
                 self.conns[at] =
                     Some(Conn { stream, target, buf, out, sent: 0, greeted: false, answer, open: None });
--- a/crates/sandstile-load/tests/latency.rs
+++ b/crates/sandstile-load/tests/latency.rs
@@ -24,18 +24,18 @@
 
 fn talk(mut stream: TcpStream, count: &AtomicU64, delay: &dyn Fn(u64) -> Duration) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    let (mut ear, mut bytes) = (pg::Ear::default(), [0; 4096]);
+    let (mut ear, mut bytes) = (pg::MessageReader::default(), [0; 4096]);
     loop {
         let n = stream.read(&mut bytes)?;
         if n == 0 {
             return Ok(());
         }
-        ear.hear(&bytes[..n]);
+        ear.receive(&bytes[..n]);
         while let Ok(Some(heard)) = ear.message() {
             let mut out = Vec::new();
             match heard {
-                pg::Heard::Begin => pg::welcome(&mut out),
-                pg::Heard::Query(_) => {
+                pg::ClientMessage::Begin => pg::startup_response(&mut out),
+                pg::ClientMessage::Query(_) => {
                     thread::sleep(delay(count.fetch_add(1, SeqCst)));
                     pg::row(&mut out, b"value");
                     pg::ready(&mut out);
--- a/crates/sandstile-pgwire/src/answer.rs
+++ b/crates/sandstile-pgwire/src/answer.rs
@@ -1,5 +1,5 @@
 //! Folding the frames that answer one query.
-use crate::frame::{be32, put, BadFrame};
+use crate::frame::{be32, write_frame, BadFrame};
 use std::ops::Range;
 
 /// The SQLSTATE of an ErrorResponse's body.
@@ -68,7 +68,7 @@
             _ => return Err(BadFrame("answer out of order")),
         };
         self.stage = next;
-        put(&mut self.rows, tag, &[body]);
+        write_frame(&mut self.rows, tag, &[body]);
         Ok(false)
     }
 
--- a/crates/sandstile-pgwire/src/backend.rs
+++ b/crates/sandstile-pgwire/src/backend.rs
@@ -1,23 +1,23 @@
 //! What the serving side says: greetings, rows, errors, parameters.
-use crate::frame::put;
+use crate::frame::write_frame;
 
 /// The greeting to a client: admitted, and ready.
-pub fn welcome(out: &mut Vec<u8>) {
-    put(out, b'R', &[&0i32.to_be_bytes()]);
+pub fn startup_response(out: &mut Vec<u8>) {
+    write_frame(out, b'R', &[&0i32.to_be_bytes()]);
     for (name, value) in [("server_encoding", "UTF8"), ("client_encoding", "UTF8"), ("DateStyle", "ISO")] {
-        put(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
+        write_frame(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
     }
     // No statement is cancelled by key, so the key says nothing.
-    put(out, b'K', &[&[0; 8]]);
+    write_frame(out, b'K', &[&[0; 8]]);
     ready(out);
 }
 
 pub fn ready(out: &mut Vec<u8>) {
-    put(out, b'Z', &[b"I"]);
+    write_frame(out, b'Z', &[b"I"]);
 }
 
 pub fn empty_query(out: &mut Vec<u8>) {
-    put(out, b'I', &[]);
+    write_frame(out, b'I', &[]);
     ready(out);
 }
 
@@ -31,26 +31,26 @@
         body.extend_from_slice(value);
         body.push(0);
     }
-    put(out, b'E', &[&body, b"\0"]);
+    write_frame(out, b'E', &[&body, b"\0"]);
 }
 
 /// One value as the answer to a query, without what closes it: RowDescription, DataRow, CommandComplete.
 pub fn row(out: &mut Vec<u8>, value: &[u8]) {
     // Column 0 of no table, bytea (type 17) in binary form.
     let column = [&[0; 6][..], &17u32.to_be_bytes(), &(-1i16).to_be_bytes(), &(-1i32).to_be_bytes(), &[0, 1]];
-    put(out, b'T', &[b"\0\x01payload\0", &column.concat()]);
-    put(out, b'D', &[&[0, 1], &(value.len() as u32).to_be_bytes(), value]);
-    put(out, b'C', &[b"SELECT 1\0"]);
+    write_frame(out, b'T', &[b"\0\x01payload\0", &column.concat()]);
+    write_frame(out, b'D', &[&[0, 1], &(value.len() as u32).to_be_bytes(), value]);
+    write_frame(out, b'C', &[b"SELECT 1\0"]);
 }
 
 /// A ParameterStatus.
 pub fn parameter(out: &mut Vec<u8>, name: &str, value: &str) {
-    put(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
+    write_frame(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
 }
 
 /// CommandComplete alone, for commands that yield no row and have no effect here.
-pub fn done(out: &mut Vec<u8>, tag: &str) {
-    put(out, b'C', &[tag.as_bytes(), b"\0"]);
+pub fn command_complete(out: &mut Vec<u8>, tag: &str) {
+    write_frame(out, b'C', &[tag.as_bytes(), b"\0"]);
 }
 
 /// The word that answers and lists use for a role.
--- a/crates/sandstile-pgwire/src/frame.rs
+++ b/crates/sandstile-pgwire/src/frame.rs
@@ -2,13 +2,13 @@
 use std::ops::Range;
 
 /// A value of 64 KiB as hexadecimal digits in a query, its statement and comment beside it.
-pub const MOST_FRAME: usize = 2 * 64 * 1024 + 16 * 1024;
+pub const MAX_FRAME_BYTES: usize = 2 * 64 * 1024 + 16 * 1024;
 /// Values as the protocol's page has them; longer ones come all the same, and pass while there is room.
-pub const USUAL_VALUE: usize = 64 * 1024;
+pub const TYPICAL_VALUE_BYTES: usize = 64 * 1024;
 /// Names, texts and codes beside the values.
 const MOST_WORDS: usize = 8 * 1024;
 /// A startup message holds a few short names; PostgreSQL itself takes no longer ones.
-pub const MOST_STARTUP: usize = 10_000;
+pub const MAX_STARTUP_BYTES: usize = 10_000;
 
 pub(crate) const PROTOCOL_3: i32 = 3 << 16;
 const CANCEL: i32 = 80_877_102;
@@ -36,7 +36,7 @@
     if buf.len() < 4 {
         return Ok(None);
     }
-    let length = usize::try_from(be32(buf)).ok().filter(|n| (8..=MOST_STARTUP).contains(n));
+    let length = usize::try_from(be32(buf)).ok().filter(|n| (8..=MAX_STARTUP_BYTES).contains(n));
     let length = length.ok_or(BadFrame("startup length"))?;
     if buf.len() < length {
         return Ok(None);
@@ -53,12 +53,12 @@
 
 /// The next frame's tag and the place of its body; `None` until it is whole.
 pub fn frame(buf: &[u8]) -> Result<Option<(u8, Range<usize>)>, BadFrame> {
-    let head = end(buf, MOST_FRAME)?;
+    let head = frame_end(buf, MAX_FRAME_BYTES)?;
     Ok(head.filter(|end| buf.len() >= *end).map(|end| (buf[0], 5..end)))
 }
 
 /// Where the frame that begins here ends; `None` until its length has come.
-pub fn end(buf: &[u8], most: usize) -> Result<Option<usize>, BadFrame> {
+pub fn frame_end(buf: &[u8], most: usize) -> Result<Option<usize>, BadFrame> {
     let Some(length) = buf.get(1..5).map(be32) else { return Ok(None) };
     let length = usize::try_from(length).ok().filter(|n| (4..=most).contains(n));
     Ok(Some(1 + length.ok_or(BadFrame("frame length"))?))
@@ -66,10 +66,10 @@
 
 /// Whether a database host can have begun a frame like this. Guards against waiting for the rest of what never
 /// was a frame: noise whose length happens to be small, or a row longer or shorter than its value.
-pub fn plausible(buf: &[u8], longest_value: usize) -> Result<(), BadFrame> {
+pub fn check_plausible(buf: &[u8], longest_value: usize) -> Result<(), BadFrame> {
     let Some(tag) = buf.first() else { return Ok(()) };
     let most = match tag {
-        b'D' => 4 + 6 + longest_value.max(USUAL_VALUE),
+        b'D' => 4 + 6 + longest_value.max(TYPICAL_VALUE_BYTES),
         b'T' | b'C' | b'S' | b'E' | b'N' | b'A' | b'R' => MOST_WORDS,
         b'K' => 12,
         b'Z' => 5,
@@ -87,7 +87,7 @@
 }
 
 /// A frame of one tag round its body.
-pub fn put(out: &mut Vec<u8>, tag: u8, parts: &[&[u8]]) {
+pub fn write_frame(out: &mut Vec<u8>, tag: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|p| p.len()).sum::<usize>();
     out.push(tag);
     out.extend_from_slice(&(length as u32).to_be_bytes());
--- a/crates/sandstile-pgwire/src/lib.rs
+++ b/crates/sandstile-pgwire/src/lib.rs
@@ -6,8 +6,9 @@
 mod frontend;
 
 pub use answer::{field, role, sqlstate, Answer, Stage};
-pub use backend::{done, empty_query, error, mode, parameter, ready, row, welcome};
+pub use backend::{command_complete, empty_query, error, mode, parameter, ready, row, startup_response};
 pub use frame::{
-    end, frame, plausible, put, startup, BadFrame, Startup, MOST_FRAME, MOST_STARTUP, USUAL_VALUE,
+    check_plausible, frame, frame_end, startup, write_frame, BadFrame, Startup, MAX_FRAME_BYTES,
+    MAX_STARTUP_BYTES, TYPICAL_VALUE_BYTES,
 };
-pub use frontend::{hello, query, terminate, Ear, Heard};
+pub use frontend::{query, startup_message, terminate, ClientMessage, MessageReader};
--- a/crates/sandstile-pgwire/tests/frames.rs
+++ b/crates/sandstile-pgwire/tests/frames.rs
@@ -15,20 +15,20 @@
 fn what_is_asked_is_heard_however_it_is_cut() {
     fn holds(texts: Vec<Vec<u8>>, piece: u8) -> bool {
         let texts: Vec<Vec<u8>> = texts.iter().map(|t| text(t)).collect();
-        let mut bytes = pg::hello();
+        let mut bytes = pg::startup_message();
         texts.iter().for_each(|t| pg::query(&mut bytes, t));
         pg::terminate(&mut bytes);
-        let (mut ear, mut heard) = (pg::Ear::default(), Vec::new());
+        let (mut ear, mut heard) = (pg::MessageReader::default(), Vec::new());
         for part in bytes.chunks(usize::from(piece) + 1) {
-            ear.hear(part);
+            ear.receive(part);
             while let Some(what) = ear.message().expect("own frames") {
                 heard.push(what);
             }
         }
-        let mut want = vec![pg::Heard::Begin];
-        want.extend(texts.into_iter().map(pg::Heard::Query));
-        want.push(pg::Heard::Terminate);
-        heard == want && ear.waiting() == 0
+        let mut want = vec![pg::ClientMessage::Begin];
+        want.extend(texts.into_iter().map(pg::ClientMessage::Query));
+        want.push(pg::ClientMessage::Terminate);
+        heard == want && ear.buffered_bytes() == 0
     }
     check().quickcheck(holds as fn(Vec<Vec<u8>>, u8) -> bool);
 }
@@ -55,7 +55,7 @@
             let (answer, ready) = fold(&bytes[..cut]);
             assert!(!ready);
             assert_eq!(answer.stage == pg::Stage::Whole, cut >= rows);
-            pg::plausible(&bytes[..cut], usize::MAX).expect("a host can say so");
+            pg::check_plausible(&bytes[..cut], usize::MAX).expect("a host can say so");
         }
         let (answer, ready) = fold(&bytes);
         ready
@@ -69,20 +69,20 @@
 /// Noise is refused or waited for, and never makes anybody panic or hold more than the longest frame.
 #[test]
 fn noise_is_refused_without_a_panic() {
-    fn holds(noise: Vec<u8>, begun: bool) -> bool {
-        let mut ear = pg::Ear::default();
-        if begun {
-            ear.hear(&pg::hello());
-            assert_eq!(ear.message(), Ok(Some(pg::Heard::Begin)));
+    fn holds(noise: Vec<u8>, incomplete_message: bool) -> bool {
+        let mut ear = pg::MessageReader::default();
+        if incomplete_message {
+            ear.receive(&pg::startup_message());
+            assert_eq!(ear.message(), Ok(Some(pg::ClientMessage::Begin)));
         }
-        ear.hear(&noise);
+        ear.receive(&noise);
         while let Ok(Some(_)) = ear.message() {}
-        let _ = pg::plausible(&noise, 1 << 20);
+        let _ = pg::check_plausible(&noise, 1 << 20);
         let _ = pg::sqlstate(&noise);
-        ear.waiting() <= noise.len()
+        ear.buffered_bytes() <= noise.len()
     }
     check().tests(2000).quickcheck(holds as fn(Vec<u8>, bool) -> bool);
-    for length in [i32::MIN, -1, 0, 3, pg::MOST_FRAME as i32 + 1, i32::MAX] {
+    for length in [i32::MIN, -1, 0, 3, pg::MAX_FRAME_BYTES as i32 + 1, i32::MAX] {
         let frame = [&b"Q"[..], &length.to_be_bytes(), b"x"].concat();
         assert!(pg::frame(&frame).is_err(), "{length}");
     }
--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -1,7 +1,7 @@
 //! The clients' connections: their sockets beside their state machines of `sandstile-connections`.
-use crate::budget::{Holder, Rest};
-use crate::client_connection::{Around, Client, Remark, Wish};
-use crate::close_reason::Closing;
+use crate::budget::{Holder, IdleKey};
+use crate::client_connection::{ClientAction, ClientConnection, ClientContext, ClientEvent};
+use crate::close_reason::CloseReason;
 use crate::loop_context::{LoopContext, TURN};
 use crate::mailbox::MailboxSender;
 use crate::rate::Limiter;
@@ -23,16 +23,16 @@
     /// Reads that brought bytes.
     reads: u64,
     /// Why the router closes it, where it is not the line's own doing.
-    closing: Option<Closing>,
+    close_reason: Option<CloseReason>,
     /// The error number that a read or a write failed with.
     error: Option<i32>,
-    line: Client,
+    line: ClientConnection,
     wire: Wire,
     queued: bool,
     /// The time of the timer that stands for it.
     armed: f64,
     /// Its record in the budget, and the spell of waiting that this stands for.
-    idle: Option<(Rest, u64)>,
+    idle: Option<(IdleKey, u64)>,
     /// The spell of waiting that it is in, and since when.
     resting: Option<((Holder, u64), f64)>,
     /// Told to go: it does so as soon as it waits, and a last look found nothing more.
@@ -46,7 +46,7 @@
 
 impl Seat {
     fn rests_as_stranger(&self) -> bool {
-        self.resting.is_some_and(|((holder, _), _)| holder == Holder::Stranger)
+        self.resting.is_some_and(|((holder, _), _)| holder == Holder::NewClientConnection)
     }
 }
 
@@ -57,16 +57,16 @@
     seats: Slab<Seat>,
     workloads: Vec<Workload>,
     desk: MailboxSender<Mail>,
-    remarks: Vec<Remark>,
+    client_events: Vec<ClientEvent>,
     /// Connections that rest and have asked nothing yet.
     resting_strangers: usize,
     /// Statements taken so far, which names the next.
-    asked: u64,
+    submitted: u64,
     /// From now on each that rests is to go.
     dismissed: bool,
     /// Connections accepted so far, which names the next.
     accepted: u64,
-    unusual: Limiter<Closing>,
+    unusual: Limiter<CloseReason>,
     unread: Limiter<()>,
 }
 
@@ -81,9 +81,9 @@
             seats: Slab::new(),
             workloads,
             desk,
-            remarks: Vec::new(),
+            client_events: Vec::new(),
             resting_strangers: 0,
-            asked: 0,
+            submitted: 0,
             dismissed: false,
             accepted: 0,
             unusual: Limiter::default(),
@@ -129,9 +129,9 @@
             number,
             accepted_at: now,
             reads: 0,
-            closing: None,
+            close_reason: None,
             error: None,
-            line: Client::waiting_since(waited_since, now),
+            line: ClientConnection::waiting_since(waited_since, now),
             wire,
             queued: false,
             armed: f64::INFINITY,
@@ -183,7 +183,7 @@
         if let Some(seat) = self.seats.get_mut(given.line) {
             debug!(context.log, "answered"; "client" => seat.number, "statement" => given.statement_id,
                 "with" => given.answer.name());
-            seat.line.answer(context.clock.now(), given.statement_id, given.answer, &mut self.remarks);
+            seat.line.answer(context.clock.now(), given.statement_id, given.answer, &mut self.client_events);
             self.run(given.line, context);
         }
     }
@@ -191,13 +191,13 @@
     /// Tells one that waits to go. What has come from it by now is still read and answered.
     pub fn leave(&mut self, key: usize, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key) else { return };
-        let why = if self.dismissed { Closing::ClientDismissed } else { Closing::ClientEvicted };
-        (seat.leaves, seat.looked, seat.closing) = (true, true, Some(why));
+        let why = if self.dismissed { CloseReason::ClientDismissed } else { CloseReason::ClientEvicted };
+        (seat.leaves, seat.looked, seat.close_reason) = (true, true, Some(why));
         seat.wire.look();
         self.run(key, context);
         let Some(seat) = self.seats.get_mut(key).filter(|_| !self.dismissed) else { return };
         if seat.line.unanswered_bytes() > 0 {
-            seat.line.turn_away(context.clock.now());
+            seat.line.refuse_command(context.clock.now());
             self.run(key, context);
         }
     }
@@ -218,12 +218,12 @@
         for _ in 0..TURN {
             let now = context.clock.now();
             let mut moved = false;
-            if seat.wire.ending() && seat.line.asks() {
+            if seat.wire.ending() && seat.line.awaits_answer() {
                 // Gone, though commands before its end may still be unread for want of room.
                 gone(seat.line.closed(), &self.desk);
                 break;
             }
-            match seat.wire.write(seat.line.out()) {
+            match seat.wire.write(seat.line.pending_output()) {
                 Moved::Bytes(put) => {
                     seat.line.wrote(put);
                     seat.wire.moved(now);
@@ -232,24 +232,24 @@
                 Moved::Later => seat.wire.moved(now),
                 Moved::Ended => {}
                 Moved::Broken(error) => {
-                    (seat.error, seat.closing) = (error, Some(Closing::ClientBroken));
+                    (seat.error, seat.close_reason) = (error, Some(CloseReason::ClientBroken));
                     gone(seat.line.closed(), &self.desk);
                     break;
                 }
                 Moved::Nothing => {}
             }
-            let wants = seat.line.wants().min(context.scratch.len());
-            if seat.wire.readable() && wants > 0 {
+            let wanted_bytes = seat.line.wanted_bytes().min(context.scratch.len());
+            if seat.wire.readable() && wanted_bytes > 0 {
                 seat.unread = false;
             }
-            match seat.wire.read(&mut context.scratch[..wants]) {
+            match seat.wire.read(&mut context.scratch[..wanted_bytes]) {
                 Moved::Bytes(got) => {
                     seat.reads += 1;
                     if seat.wire.unannounced() {
                         context.counters.found_by_look.add();
                     }
                     seat.wire.moved(now);
-                    seat.line.bytes_since(context.events_since.min(now), now, &context.scratch[..got]);
+                    seat.line.receive_since(context.events_since.min(now), now, &context.scratch[..got]);
                     moved = true;
                 }
                 Moved::Ended => {
@@ -257,7 +257,7 @@
                     break;
                 }
                 Moved::Broken(error) => {
-                    (seat.error, seat.closing) = (error, Some(Closing::ClientBroken));
+                    (seat.error, seat.close_reason) = (error, Some(CloseReason::ClientBroken));
                     gone(seat.line.closed(), &self.desk);
                     break;
                 }
@@ -265,7 +265,7 @@
                     seat.unread = true;
                     seat.wire.moved(now);
                 }
-                Moved::Nothing if wants > 0 => seat.line.drained(),
+                Moved::Nothing if wanted_bytes > 0 => seat.line.read_would_block(),
                 Moved::Nothing => {}
             }
             if seat.unread && seat.line.due() <= now {
@@ -273,48 +273,49 @@
                 more = false;
                 break;
             }
-            let remarks = &mut self.remarks;
-            let mut around = Around { budget: &mut context.budget, workloads: &self.workloads, remarks };
-            match seat.line.turn(now, &mut around) {
-                Some(Wish::Ask { statement, time }) if seat.wire.ending() => {
+            let client_events = &mut self.client_events;
+            let mut client_context =
+                ClientContext { budget: &mut context.budget, workloads: &self.workloads, client_events };
+            match seat.line.advance(now, &mut client_context) {
+                Some(ClientAction::Submit { statement, deadline }) if seat.wire.ending() => {
                     // Asked before its client left: nobody reads an answer, so nothing is to begin for it.
                     context.counters.read_too_late.add();
                     if self.unread.admits(now, ()) {
                         info!(context.log, "a statement was read only with its client's end";
                             "client" => seat.number, "id" => &statement.id, "reads" => seat.reads,
-                            "time_left_s" => format!("{:.3}", time - now),
+                            "time_left_s" => format!("{:.3}", deadline - now),
                             "connected_s" => format!("{:.3}", now - seat.accepted_at));
                     }
                     seat.line.closed();
                     break;
                 }
-                Some(Wish::Ask { statement, .. }) if seat.refused => {
-                    self.asked += 1;
-                    seat.line.asked(self.asked);
+                Some(ClientAction::Submit { statement, .. }) if seat.refused => {
+                    self.submitted += 1;
+                    seat.line.submitted(self.submitted);
                     context.counters.refused_for_room.add();
                     debug!(context.log, "refused for want of descriptors"; "client" => seat.number, "id" => &statement.id);
-                    seat.line.answer(now, self.asked, Answer::Rejected(0.0), &mut self.remarks);
-                    (seat.leaves, seat.closing) = (true, Some(Closing::ClientEvicted));
+                    seat.line.answer(now, self.submitted, Answer::Rejected(0.0), &mut self.client_events);
+                    (seat.leaves, seat.close_reason) = (true, Some(CloseReason::ClientEvicted));
                     moved = true;
                 }
-                Some(Wish::Ask { statement, time }) => {
-                    self.asked += 1;
-                    seat.line.asked(self.asked);
-                    if self.asked == 1 {
+                Some(ClientAction::Submit { statement, deadline }) => {
+                    self.submitted += 1;
+                    seat.line.submitted(self.submitted);
+                    if self.submitted == 1 {
                         info!(context.log, "first statement read"; "client" => seat.number, "id" => &statement.id,
                             "reads" => seat.reads, "connected_s" => format!("{:.3}", now - seat.accepted_at));
                     }
-                    debug!(context.log, "asked"; "client" => seat.number, "statement" => self.asked, "id" => &statement.id,
-                        "reads" => seat.reads, "time_left_s" => format!("{:.3}", time - now));
+                    debug!(context.log, "asked"; "client" => seat.number, "statement" => self.submitted, "id" => &statement.id,
+                        "reads" => seat.reads, "time_left_s" => format!("{:.3}", deadline - now));
                     self.desk.send(Mail::Asked(Asked {
-                        statement_id: self.asked,
+                        statement_id: self.submitted,
                         line: key,
                         id: statement.id.clone(),
                         workload: statement.workload,
                         group: statement.group.clone(),
                         session: statement.session.clone(),
                         writes: statement.writes,
-                        until: time,
+                        until: deadline,
                         wait: statement.wait,
                         after: statement.after,
                         retry: statement.retry,
@@ -323,19 +324,19 @@
                     }));
                     moved = true;
                 }
-                wish => gone(wish, &self.desk),
+                action => gone(action, &self.desk),
             }
-            more = moved || (seat.wire.writable() && !seat.line.out().is_empty());
+            more = moved || (seat.wire.writable() && !seat.line.pending_output().is_empty());
             if seat.line.ended() || !more {
                 break;
             }
         }
-        for remark in self.remarks.drain(..) {
-            match remark {
-                Remark::Rested => context.counters.rested.add(),
-                Remark::EmptyQuery => context.counters.empty_queries.add(),
-                Remark::Forsaken => context.counters.forsaken.add(),
-                Remark::BadInput(what) => {
+        for client_event in self.client_events.drain(..) {
+            match client_event {
+                ClientEvent::IdleTimeout => context.counters.rested.add(),
+                ClientEvent::EmptyQuery => context.counters.empty_queries.add(),
+                ClientEvent::AnswerTimeout => context.counters.forsaken.add(),
+                ClientEvent::BadInput(what) => {
                     context.counters.bad_input.add();
                     debug!(context.log, "bad input: {what}");
                 }
@@ -347,10 +348,10 @@
     /// Puts on record what the line is now: gone, idle, armed, or with more to do.
     fn settle(&mut self, key: usize, more: bool, context: &mut LoopContext) {
         let seat = &mut self.seats[key];
-        let rests = seat.line.rests();
+        let idle_period = seat.line.idle_period();
         // As the router ends, a command that has begun is waited for, its time allowing: it may be whole by the close.
         let begun = self.dismissed && seat.line.unanswered_bytes() > 0;
-        let leaves = (seat.leaves || self.dismissed) && rests.is_some() && !more && !begun;
+        let leaves = (seat.leaves || self.dismissed) && idle_period.is_some() && !more && !begun;
         // A last look that failed proves nothing: its socket is looked at again in its own time.
         let looks = leaves && !seat.unread;
         if seat.line.ended() || (looks && seat.looked) {
@@ -360,12 +361,12 @@
             seat.wire.look();
         }
         seat.looked = leaves;
-        if seat.resting.map(|(spell, _)| spell) != rests {
+        if seat.resting.map(|(spell, _)| spell) != idle_period {
             if let Some((rest, _)) = seat.idle.take() {
-                context.budget.strike(rest);
+                context.budget.remove_idle(rest);
             }
             self.resting_strangers -= usize::from(seat.rests_as_stranger());
-            seat.resting = rests.map(|spell| (spell, context.clock.now()));
+            seat.resting = idle_period.map(|spell| (spell, context.clock.now()));
             self.resting_strangers += usize::from(seat.rests_as_stranger());
         }
         let own = if seat.unread { f64::INFINITY } else { seat.line.due() };
@@ -373,7 +374,7 @@
         if let (Some(((holder, spell), since)), None) = (seat.resting, seat.idle) {
             // One that has only just come to wait may be about to ask: it is not closed for another's sake.
             if context.clock.now() >= since + SETTLED {
-                seat.idle = Some((context.budget.rests(holder, key), spell));
+                seat.idle = Some((context.budget.mark_idle(holder, key), spell));
             } else {
                 due = due.min(since + SETTLED);
             }
@@ -390,9 +391,9 @@
     /// Counts why a connection ends, and logs it: each where all is logged, else the unusual ones, at most one of a
     /// kind in a second.
     fn log_closing(&mut self, seat: &Seat, context: &LoopContext) {
-        let broken = seat.closing == Some(Closing::ClientBroken);
+        let broken = seat.close_reason == Some(CloseReason::ClientBroken);
         let own_end = seat.line.ended() && !broken;
-        let why = seat.closing.filter(|_| !own_end).unwrap_or(seat.line.closing());
+        let why = seat.close_reason.filter(|_| !own_end).unwrap_or(seat.line.close_reason());
         context.counters.closed(why);
         let now = context.clock.now();
         debug!(context.log, "client closed: {why:?}"; "client" => seat.number, "answered" => seat.line.answered());
@@ -408,19 +409,19 @@
         self.resting_strangers -= usize::from(seat.rests_as_stranger());
         self.log_closing(&seat, context);
         if let Some((rest, _)) = seat.idle {
-            context.budget.strike(rest);
+            context.budget.remove_idle(rest);
         }
         seat.line.release(&mut context.budget);
         seat.wire.close(&context.registry);
         match seat.refused {
             true => context.budget.release_refused(),
-            false => context.budget.release(Holder::Client),
+            false => context.budget.release(Holder::ClientConnection),
         }
     }
 }
 
-fn gone(wish: Option<Wish>, desk: &MailboxSender<Mail>) {
-    if let Some(Wish::Gone(statement_id)) = wish {
+fn gone(action: Option<ClientAction>, desk: &MailboxSender<Mail>) {
+    if let Some(ClientAction::Abandon(statement_id)) = action {
         desk.send(Mail::ClientGone(statement_id));
     }
 }
--- a/crates/sandstile-router/src/counters.rs
+++ b/crates/sandstile-router/src/counters.rs
@@ -1,5 +1,5 @@
 //! What the router took in, sent and answered; printed on SIGUSR1 and at the end.
-use crate::close_reason::{self, Closing};
+use crate::close_reason::{self, CloseReason};
 use crate::outcome::{self, Ending};
 use sandstile_dispatcher::{Count, Counts};
 use std::fmt;
@@ -58,7 +58,7 @@
         self.endings[ending as usize].add();
     }
 
-    pub fn closed(&self, closing: Closing) {
+    pub fn closed(&self, closing: CloseReason) {
         self.closings[closing as usize].add();
     }
 }
--- a/crates/sandstile-router/src/event_loop.rs
+++ b/crates/sandstile-router/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::budget::{Admission, Budget, Claim, Holder};
 use crate::clients::Clients;
 use crate::clock::Clock;
-use crate::close_reason::Closing;
+use crate::close_reason::CloseReason;
 use crate::control::ControlSocket;
 use crate::counters::Counters;
 use crate::errno::AcceptFailure;
@@ -321,7 +321,7 @@
             }
             while !self.yields_to_queue()
                 && self.hosts.wanting(self.context.clock.now())
-                && self.claim(Holder::Link)
+                && self.claim(Holder::UpstreamConnection)
             {
                 if self.hosts.dial(&mut self.context) == Dialled::DescriptorsSpent {
                     self.make_room();
@@ -370,7 +370,7 @@
         loop {
             match self.context.budget.claim(holder) {
                 Claim::Granted => return true,
-                Claim::Evict(Holder::Link, key) => {
+                Claim::Evict(Holder::UpstreamConnection, key) => {
                     self.hosts.leave(key, Ending::IdleEvicted, &mut self.context);
                 }
                 Claim::Evict(_, key) => self.clients.leave(key, &mut self.context),
@@ -390,7 +390,7 @@
 
     /// Whether one more client can be taken in now, be it to refuse its statement.
     fn has_room(&self, now: f64) -> bool {
-        let fits = self.unserved.is_some() || self.context.budget.could(Holder::Client);
+        let fits = self.unserved.is_some() || self.context.budget.can_claim(Holder::ClientConnection);
         fits || self.admission(now) != Admission::Wait
     }
 
@@ -408,7 +408,7 @@
     /// Whether the next descriptor that comes free is for what waits in the queue, and not for a link.
     fn yields_to_queue(&self) -> bool {
         let overdue = self.context.clock.now() >= self.listener.overdue_at();
-        let serves = !self.clients.has_resting_strangers() && self.context.budget.below_bound();
+        let serves = !self.clients.has_resting_strangers() && self.context.budget.clients_below_limit();
         overdue && serves && self.listener.is_open()
     }
 
@@ -439,9 +439,9 @@
             Accepted::Connection(stream, waited_since) => {
                 self.context.counters.connections.add();
                 self.context.counters.longest_accept_wait_ms.at_least_ms(now - waited_since);
-                let refused =
-                    !self.claim(Holder::Client) && self.claim_beyond_share(now) == Admission::Refuse;
-                if let Some(key) = self.context.budget.surplus() {
+                let refused = !self.claim(Holder::ClientConnection)
+                    && self.claim_beyond_share(now) == Admission::Refuse;
+                if let Some(key) = self.context.budget.take_surplus_client() {
                     self.clients.leave(key, &mut self.context);
                 }
                 Some(Unserved { stream, waited_since, give_up_at: now + SETUP_PATIENCE, refused })
@@ -467,7 +467,7 @@
             Admission::Refuse => self.context.budget.take_refused(),
             Admission::Serve => self.claim_in_place_of_links(),
             // Those that were to go had just asked something: it is one more for a moment.
-            Admission::Wait => self.context.budget.take(Holder::Client),
+            Admission::Wait => self.context.budget.take(Holder::ClientConnection),
         }
         admission
     }
@@ -477,7 +477,7 @@
             match self.context.budget.claim_beyond_share() {
                 Claim::Granted => return,
                 Claim::Evict(_, key) => self.hosts.leave(key, Ending::IdleEvicted, &mut self.context),
-                Claim::Full => return self.context.budget.take(Holder::Client),
+                Claim::Full => return self.context.budget.take(Holder::ClientConnection),
             }
         }
     }
@@ -495,8 +495,10 @@
 
     /// The oldest idle connection goes: the platform gives fewer descriptors than were promised.
     fn make_room(&mut self) {
-        match self.context.budget.oldest() {
-            Some((Holder::Link, key)) => self.hosts.leave(key, Ending::IdleEvicted, &mut self.context),
+        match self.context.budget.take_oldest_idle() {
+            Some((Holder::UpstreamConnection, key)) => {
+                self.hosts.leave(key, Ending::IdleEvicted, &mut self.context)
+            }
             Some((_, key)) => self.clients.leave(key, &mut self.context),
             None => {}
         }
@@ -517,9 +519,9 @@
         } else {
             match refused {
                 true => self.context.budget.release_refused(),
-                false => self.context.budget.release(Holder::Client),
+                false => self.context.budget.release(Holder::ClientConnection),
             }
-            self.context.counters.closed(Closing::ClientSetupFailed);
+            self.context.counters.closed(CloseReason::ClientSetupFailed);
             warn!(self.context.log, "client not served: {error}");
         }
     }
--- a/crates/sandstile-router/src/hosts.rs
+++ b/crates/sandstile-router/src/hosts.rs
@@ -1,15 +1,15 @@
 //! The database hosts: for each the pool of its links, and for each link its socket beside its state machine.
-use crate::budget::{Holder, Rest};
+use crate::budget::{Holder, IdleKey};
 use crate::counters::Counters;
 use crate::dialling::{dial_ending, is_up};
 use crate::errno::{accept_failure, is_local, AcceptFailure};
 use crate::loop_context::{LoopContext, TURN};
 use crate::mailbox::MailboxSender;
 use crate::outcome::{Ending, Outcome};
-use crate::pool::{Found, Free, Pool, Step};
+use crate::pool::{Lookup, NextUse, Placement, Pool};
 use crate::socket::{Moved, Wire};
 use crate::task::{Errand, Job};
-use crate::upstream_connection::{Event, Link};
+use crate::upstream_connection::{Event, UpstreamConnection};
 use mio::net::TcpStream;
 use mio::Token;
 use sandstile_dispatcher::{Mail, Order};
@@ -31,11 +31,11 @@
 
 struct Seat {
     host: usize,
-    line: Link,
+    line: UpstreamConnection,
     wire: Option<Wire>,
     queued: bool,
     armed: f64,
-    idle: Option<Rest>,
+    idle: Option<IdleKey>,
     /// When its dial began, while that is under way and somebody counts.
     began: Option<f64>,
     wanted_at: f64,
@@ -133,8 +133,8 @@
         match order {
             Order::Known { host, name, address } => self.known(host, &name, address, context),
             Order::End(host) => {
-                let links: Vec<usize> = self.host(host).pool.links().collect();
-                links.into_iter().for_each(|key| self.close(key, context));
+                let connections: Vec<usize> = self.host(host).pool.connections().collect();
+                connections.into_iter().for_each(|key| self.close(key, context));
                 self.hosts[host] = None;
                 self.counters.hosts.less();
                 if let Some(dials) = &mut self.dials {
@@ -175,11 +175,11 @@
         }
         let Some(address) = address else { return };
         let known_before = self.host(host).pool.has_address();
-        let Some(links) = self.host(host).pool.moved(address) else { return };
+        let Some(connections) = self.host(host).pool.set_address(address) else { return };
         if known_before {
             info!(self.host(host).log, "address is {address}");
         }
-        for key in links {
+        for key in connections {
             self.counters.ended(Ending::Moved);
             self.close(key, context);
         }
@@ -191,7 +191,7 @@
     /// One more link is to be dialled.
     fn want(&mut self, host: usize, address: SocketAddr, context: &LoopContext) {
         self.counters.dialled.add();
-        let line = Link::wanted(context.clock.now() + self.dial_limit, self.dial_limit);
+        let line = UpstreamConnection::new(context.clock.now() + self.dial_limit, self.dial_limit);
         let (armed, idle, began, held) = (f64::INFINITY, None, None, false);
         let wanted_at = context.clock.now();
         let (wire, queued, local_until) = (None, false, None);
@@ -205,21 +205,21 @@
     fn begin(&mut self, host: usize, mut job: Job, context: &mut LoopContext) {
         loop {
             match self.host(host).pool.begin(job) {
-                Step::Hand(key, handed) => {
+                Placement::Assign(key, handed) => {
                     self.wake(key, context);
                     if self.quiet(key) {
                         return self.hand(key, handed, context);
                     }
-                    self.host(host).pool.stale(key);
+                    self.host(host).pool.remove_stale(key);
                     self.counters.ended(Ending::IdleEnded);
                     self.close(key, context);
                     job = handed;
                 }
-                Step::Dial(address) => {
+                Placement::Dial(address) => {
                     self.want(host, address, context);
                     return;
                 }
-                Step::End(job, ending) => return self.report(host, job, ending.into(), context),
+                Placement::End(job, ending) => return self.report(host, job, ending.into(), context),
             }
         }
     }
@@ -231,7 +231,7 @@
     /// Strikes an idle link's record out.
     fn wake(&mut self, key: usize, context: &mut LoopContext) {
         if let Some(rest) = self.seats[key].idle.take() {
-            context.budget.strike(rest);
+            context.budget.remove_idle(rest);
         }
     }
 
@@ -248,8 +248,8 @@
     /// Ends an execution that waits for a link, and, where `sent` says so, one that is under way.
     fn recall(&mut self, host: usize, which: (u64, usize), sent: bool, context: &mut LoopContext) {
         match self.host(host).pool.find(which) {
-            Found::Waiting(job) => self.report(host, job, Ending::WithdrawnUnsent.into(), context),
-            Found::Under(key) if sent => {
+            Lookup::Waiting(job) => self.report(host, job, Ending::WithdrawnUnsent.into(), context),
+            Lookup::Running(key) if sent => {
                 // An answer that has come by now counts: nobody has to wonder then whether it ran.
                 if let Some(wire) = &mut self.seats[key].wire {
                     wire.look();
@@ -260,7 +260,7 @@
                     self.events.push_back((key, event));
                 }
             }
-            Found::Under(_) | Found::Nowhere => {}
+            Lookup::Running(_) | Lookup::NotFound => {}
         }
     }
 
@@ -337,7 +337,7 @@
             }
         }
         if let Some(dials) = &mut self.dials {
-            seat.line.dialled_by(now + self.dial_limit);
+            seat.line.dialled_with_deadline(now + self.dial_limit);
             seat.began = Some(now);
             dials.began(now, seat.host);
         } else {
@@ -351,7 +351,7 @@
                 Dialled::Begun
             }
             Err(e) => {
-                context.budget.release(Holder::Link);
+                context.budget.release(Holder::UpstreamConnection);
                 let event = seat.line.failed(dial_ending(&e));
                 self.events.extend(event.map(|event| (key, event)));
                 self.act(context);
@@ -368,7 +368,7 @@
         error: &std::io::Error,
         context: &mut LoopContext,
     ) -> Dialled {
-        context.budget.release(Holder::Link);
+        context.budget.release(Holder::UpstreamConnection);
         context.counters.dials_repeated.add();
         let host = self.seats[key].host;
         debug!(self.host(host).log, "dialled again soon: {error}");
@@ -415,7 +415,7 @@
             }
             self.run(key, context);
             if let Some(seat) = self.seats.get_mut(key) {
-                if let Some(event) = seat.line.time(context.clock.now(), &mut context.budget) {
+                if let Some(event) = seat.line.handle_deadline(context.clock.now(), &mut context.budget) {
                     self.events.push_back((key, event));
                 }
             }
@@ -433,7 +433,7 @@
             return;
         };
         h.armed = f64::INFINITY;
-        while let Some((key, _)) = self.host(host).pool.oldest().filter(|(_, since)| *since <= before) {
+        while let Some((key, _)) = self.host(host).pool.oldest_idle().filter(|(_, since)| *since <= before) {
             self.leave(key, Ending::IdleExpired, context);
         }
         self.arm_host(host, context);
@@ -442,7 +442,7 @@
     fn arm_host(&mut self, host: usize, context: &mut LoopContext) {
         let limit = self.rest_limit;
         let h = self.host(host);
-        let due = h.pool.oldest().map_or(f64::INFINITY, |(_, since)| since + limit);
+        let due = h.pool.oldest_idle().map_or(f64::INFINITY, |(_, since)| since + limit);
         if due < h.armed {
             h.armed = due;
             context.timers.push(due, Token(HOSTS + host));
@@ -463,7 +463,7 @@
         let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.line.idle()) else { return };
         seat.line.leave();
         let host = seat.host;
-        self.host(host).pool.left(key);
+        self.host(host).pool.idle_closed(key);
         self.counters.ended(ending);
         self.close(key, context);
     }
@@ -471,12 +471,12 @@
     fn close(&mut self, key: usize, context: &mut LoopContext) {
         let Some(mut seat) = self.seats.try_remove(key) else { return };
         if let Some(rest) = seat.idle {
-            context.budget.strike(rest);
+            context.budget.remove_idle(rest);
         }
         seat.line.release(&mut context.budget);
         if let Some(wire) = seat.wire {
             wire.close(&context.registry);
-            context.budget.release(Holder::Link);
+            context.budget.release(Holder::UpstreamConnection);
         }
     }
 
@@ -503,7 +503,7 @@
                 };
             }
             let mut moved = false;
-            match wire.write(seat.line.out()) {
+            match wire.write(seat.line.pending_output()) {
                 Moved::Bytes(put) => {
                     seat.line.wrote(put);
                     wire.moved(context.clock.now());
@@ -514,15 +514,15 @@
                 Moved::Nothing => {}
             }
             if event.is_none() {
-                let wants = seat.line.wants().min(context.scratch.len());
-                match wire.read(&mut context.scratch[..wants]) {
+                let wanted_bytes = seat.line.wanted_bytes().min(context.scratch.len());
+                match wire.read(&mut context.scratch[..wanted_bytes]) {
                     Moved::Bytes(got) => {
                         let now = context.clock.now();
                         if wire.unannounced() {
                             context.counters.found_by_look.add();
                         }
                         wire.moved(now);
-                        event = seat.line.bytes(now, &context.scratch[..got], &mut context.budget);
+                        event = seat.line.receive(now, &context.scratch[..got], &mut context.budget);
                         moved = true;
                     }
                     Moved::Later => wire.moved(context.clock.now()),
@@ -556,30 +556,30 @@
                 Event::Up => {
                     self.dialled(key, None, context.clock.now());
                     if self.quiet(key) {
-                        let free = self.host(host).pool.up(key, context.clock.now());
+                        let free = self.host(host).pool.dial_succeeded(key, context.clock.now());
                         self.freed(host, key, free, true, context);
                     } else {
-                        self.undialled(host, key, Ending::DialBroken, context);
+                        self.dial_failed(host, key, Ending::DialBroken, context);
                     }
                 }
-                Event::Failed(ending) => self.undialled(host, key, ending, context),
-                Event::Over(ending) => {
-                    self.host(host).pool.left(key);
+                Event::Failed(ending) => self.dial_failed(host, key, ending, context),
+                Event::IdleClosed(ending) => {
+                    self.host(host).pool.idle_closed(key);
                     self.counters.ended(ending);
                     self.close(key, context);
                 }
-                Event::Done { job, outcome, goes_on } => {
+                Event::Done { job, outcome, reusable } => {
                     // With more behind the answer than belongs to it, it is of no use to what waits.
-                    let spoilt = goes_on && self.host(host).pool.waiting() > 0 && !self.quiet(key);
+                    let spoilt = reusable && self.host(host).pool.waiting() > 0 && !self.quiet(key);
                     if spoilt {
                         self.counters.ended(Ending::IdleEnded);
                     }
-                    let goes_on = goes_on && !spoilt;
-                    if !goes_on {
+                    let reusable = reusable && !spoilt;
+                    if !reusable {
                         self.close(key, context);
                     }
                     // The pool first: a further execution for this host is to find the link free.
-                    let free = self.host(host).pool.done(key, goes_on, context.clock.now());
+                    let free = self.host(host).pool.task_done(key, reusable, context.clock.now());
                     self.report(host, job, outcome, context);
                     self.freed(host, key, free, false, context);
                 }
@@ -588,15 +588,15 @@
     }
 
     /// A link with nothing to do has been given something, rests, or is of no use any more.
-    fn freed(&mut self, host: usize, key: usize, free: Free, fresh: bool, context: &mut LoopContext) {
+    fn freed(&mut self, host: usize, key: usize, free: NextUse, fresh: bool, context: &mut LoopContext) {
         match free {
-            Free::Hand(job) => self.hand(key, job, context),
-            Free::Rest => {
-                self.seats[key].idle = Some(context.budget.rests(Holder::Link, key));
+            NextUse::Assign(job) => self.hand(key, job, context),
+            NextUse::Idle => {
+                self.seats[key].idle = Some(context.budget.mark_idle(Holder::UpstreamConnection, key));
                 self.arm_host(host, context);
             }
-            Free::Moved if fresh => self.undialled(host, key, Ending::Moved, context),
-            Free::Moved => {
+            NextUse::Moved if fresh => self.dial_failed(host, key, Ending::Moved, context),
+            NextUse::Moved => {
                 if self.seats.contains(key) {
                     self.counters.ended(Ending::Moved);
                     self.close(key, context);
@@ -606,10 +606,10 @@
     }
 
     /// A dial less.
-    fn undialled(&mut self, host: usize, key: usize, ending: Ending, context: &mut LoopContext) {
+    fn dial_failed(&mut self, host: usize, key: usize, ending: Ending, context: &mut LoopContext) {
         self.dialled(key, Some(ending), context.clock.now());
         self.close(key, context);
-        match self.host(host).pool.undialled(key) {
+        match self.host(host).pool.dial_failed(key) {
             Some(job) => self.report(host, job, ending.into(), context),
             None => self.ended(host, ending, context),
         }
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -126,40 +126,40 @@
     pub fn read(name: &str, text: &str) -> Result<LocalConfig, String> {
         let source = Source::new(name, text);
         let charter = source.parse().map(|body| {
-            let file = Section::of(&source, &body);
-            let sessions = file.only("sessions").map(|s| sessions(&s));
-            let recording = file.only("recording").and_then(|r| {
+            let file = Section::root(&source, &body);
+            let sessions = file.optional_block("sessions").map(|s| sessions(&s));
+            let recording = file.optional_block("recording").and_then(|r| {
                 let plan = Recording {
-                    file: PathBuf::from(r.needed_text("file")),
+                    file: PathBuf::from(r.required_text("file")),
                     max_bytes: r.count("most_mb", 1.0..1_000_000.0, 256) as u64 * 1024 * 1024,
                 };
-                let on = r.yes("on", true);
+                let on = r.boolean("on", true);
                 r.finish();
                 on.then_some(plan)
             });
-            let limits = file.only("limits").and_then(|l| {
+            let limits = file.optional_block("limits").and_then(|l| {
                 let usual = sandstile_limits::Terms::default();
                 let terms = sandstile_limits::Terms {
                     later_tries: l.number("later_tries", 0.0..10.0, usual.later_tries),
                     false_alarms: l.number("false_alarms_a_day", 0.000_001..1000.0, usual.false_alarms),
                     returning: l.number("returning", 0.01..1.0, usual.returning),
                 };
-                let on = l.yes("on", true);
+                let on = l.boolean("on", true);
                 l.finish();
                 on.then_some(terms)
             });
-            let restart_pacing = file.only("return").and_then(|r| {
+            let restart_pacing = file.optional_block("return").and_then(|r| {
                 let usual = sandstile_restart_pacing::Terms::default();
                 let terms = sandstile_restart_pacing::Terms {
-                    pace: r.word("pace", &sandstile_restart_pacing::PACES, Some(usual.pace)),
-                    ramp: r.yes("ramp", usual.ramp),
+                    pace: r.choice("pace", &sandstile_restart_pacing::PACES, Some(usual.pace)),
+                    ramp: r.boolean("ramp", usual.ramp),
                     stall_s: r.ms("stall_ms", 0.0..60_000.0, usual.stall_s),
                 };
-                let on = r.yes("on", true);
+                let on = r.boolean("on", true);
                 r.finish();
                 on.then_some(terms)
             });
-            let members = file.only("members").and_then(|m| members(&m));
+            let members = file.optional_block("members").and_then(|m| members(&m));
             file.finish();
             LocalConfig { sessions: sessions.flatten(), recording, limits, restart_pacing, members }
         });
@@ -174,67 +174,67 @@
 fn address(s: &Section, key: &str, text: &str) -> Option<SocketAddr> {
     let address = text.parse().ok();
     if address.is_none() {
-        s.wrong(key, format!("\"{text}\" is no address"), Some("ADDRESS:PORT".to_string()));
+        s.problem(key, format!("\"{text}\" is no address"), Some("ADDRESS:PORT".to_string()));
     }
     address
 }
 
 fn members(m: &Section) -> Option<Members> {
-    let on = m.yes("on", true);
-    let listen = address(m, "listen", &m.needed_text("listen"));
+    let on = m.boolean("on", true);
+    let listen = address(m, "listen", &m.required_text("listen"));
     let advertise = m.text("advertise").and_then(|text| address(m, "advertise", &text));
     if advertise.or(listen).is_some_and(|at| at.ip().is_unspecified()) {
         let hint = Some("advertise = \"ADDRESS:PORT\"".to_string());
-        m.wrong("listen", "nobody can be found at this address", hint);
+        m.problem("listen", "nobody can be found at this address", hint);
     }
     let seeds = m.texts("seeds").unwrap_or_default();
     let plan = listen.map(|listen| Members {
         listen,
         advertise: advertise.unwrap_or(listen),
         seeds: seeds.iter().filter_map(|s| address(m, "seeds", s)).collect(),
-        keys: PathBuf::from(m.needed_text("keys")),
+        keys: PathBuf::from(m.required_text("keys")),
         zone: m.text("zone").unwrap_or_default(),
         control: m.text("control").map(PathBuf::from),
-        share: m.yes("share", false),
+        share: m.boolean("share", false),
         period: m.ms("period_ms", 50.0..60_000.0, 0.25),
     });
     if plan.as_ref().is_some_and(|p| p.zone.len() > sandstile_membership::wire::LONGEST_ZONE) {
-        m.wrong("zone", "a zone's name has 32 bytes at most", None);
+        m.problem("zone", "a zone's name has 32 bytes at most", None);
     }
     m.finish();
     plan.filter(|_| on)
 }
 
 fn sessions(s: &Section) -> Option<Sessions> {
-    let on = s.yes("on", true);
-    let exchange = s.only("exchange").map(|e| {
+    let on = s.boolean("on", true);
+    let exchange = s.optional_block("exchange").map(|e| {
         let address = |key: &str, text: &str| address(&e, key, text);
-        let listen = address("listen", &e.needed_text("listen"));
+        let listen = address("listen", &e.required_text("listen"));
         let peers = e.texts("peers").unwrap_or_default();
         let peers = peers.iter().filter_map(|p| address("peers", p)).collect();
         e.finish();
         if !s.has("keys") {
-            s.source().wrong(e.at, "exchange goes with keys", Some("keys = \"FILE\"".to_string()));
+            s.source().problem(e.at, "exchange goes with keys", Some("keys = \"FILE\"".to_string()));
         }
         listen.map(|listen| Exchange { listen, peers })
     });
-    let state = s.only("state").and_then(|t| {
+    let state = s.optional_block("state").and_then(|t| {
         let plan = State {
             dir: t.text("dir").map(PathBuf::from),
             witness: t.text("witness").map(PathBuf::from),
             control: t.text("control").map(PathBuf::from),
-            together: t.yes("learn_together", false),
+            together: t.boolean("learn_together", false),
         };
         if plan.witness.is_some() && plan.dir.is_none() {
-            t.wrong("witness", "witness goes with dir", Some("dir = \"FOLDER\"".to_string()));
+            t.problem("witness", "witness goes with dir", Some("dir = \"FOLDER\"".to_string()));
         }
         if exchange.is_none() {
-            s.source().wrong(t.at, "state goes with exchange", Some("exchange { }".to_string()));
+            s.source().problem(t.at, "state goes with exchange", Some("exchange { }".to_string()));
         }
         if s.has("journal") {
-            s.wrong("journal", "journal and state both keep marks: one of them", None);
+            s.problem("journal", "journal and state both keep marks: one of them", None);
         }
-        let on = t.yes("on", true);
+        let on = t.boolean("on", true);
         t.finish();
         on.then_some(plan)
     });
@@ -245,8 +245,8 @@
         token_lasts: s.number("token_lasts_s", 1.0..31_536_000.0, 86_400.0),
         skew: s.ms("skew_ms", 0.0..600_000.0, 1.0),
         horizon: s.number("replicas_lag_at_most_s", 1.0..86_400.0, 300.0),
-        stay: s.yes("sessions_stay", false),
-        unmarked_as_before: s.word("without_mark", &[("primary", false), ("as-before", true)], Some(false)),
+        stay: s.boolean("sessions_stay", false),
+        unmarked_as_before: s.choice("without_mark", &[("primary", false), ("as-before", true)], Some(false)),
         exact: s.count("remembered", 16.0..10_000_000.0, 1 << 16),
         cells: s.count("sketch_cells", 16.0..268_435_456.0, 1 << 18),
         journal: s.text("journal").map(PathBuf::from),
@@ -256,16 +256,16 @@
             Some("every") => Durability::Every(s.ms("every_ms", 1.0..60_000.0, 0.1)),
             Some(other) => {
                 let all = Some("one of: before-answer, every, none".to_string());
-                s.wrong("durability", format!("durability = \"{other}\""), all);
+                s.problem("durability", format!("durability = \"{other}\""), all);
                 Durability::None
             }
         },
     };
     if s.has("every_ms") && !matches!(plan.durability, Durability::Every(_)) {
-        s.wrong("every_ms", "every_ms goes with durability = \"every\"", None);
+        s.problem("every_ms", "every_ms goes with durability = \"every\"", None);
     }
     if s.has("durability") && plan.journal.is_none() {
-        s.wrong("durability", "durability goes with journal", Some("journal = \"FILE\"".to_string()));
+        s.problem("durability", "durability goes with journal", Some("journal = \"FILE\"".to_string()));
     }
     s.finish();
     on.then_some(plan)
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -1,5 +1,5 @@
 //! Builds the actors of one router, and takes them down in order.
-use crate::budget::{Budget, REFUSALS};
+use crate::budget::{Budget, MAX_REFUSED_CONNECTIONS};
 use crate::clock::Clock;
 use crate::counters::Counters;
 use crate::discovery::{self, DiscoveryAgent, Watcher};
@@ -55,11 +55,11 @@
     wishes: &mut Wishes,
 ) -> Result<(), String> {
     let clock = Clock::anchor();
-    let most = launch.sockets.saturating_sub(OWN_DESCRIPTORS + REFUSALS).max(4);
+    let most = launch.sockets.saturating_sub(OWN_DESCRIPTORS + MAX_REFUSED_CONNECTIONS).max(4);
     // Clients hold at most a third of the descriptors for statements, each with a link beside it. Some more may
     // come and go. Half of the memory is for long frames.
     let most_clients = (launch.sockets / 3 + OWN_DESCRIPTORS).min(most / 2).max(2);
-    let budget = Budget::new(most, most_clients, (launch.memory / 2).max(4 * pg::MOST_FRAME));
+    let budget = Budget::new(most, most_clients, (launch.memory / 2).max(4 * pg::MAX_FRAME_BYTES));
     let posts = errno::retry_transient(Posts::open).map_err(|e| format!("readiness: {e}"))?;
     let charges = posts.charges.clone();
     let (lists, listed) = posts.inlet::<Update>();
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -10,7 +10,7 @@
 use sandstile_router::outcome::{Ending, ALL};
 use sandstile_router::pg::{self, Answer, Stage};
 use sandstile_router::sqlstate;
-use sandstile_router::statement::{self, Workload, Wrong};
+use sandstile_router::statement::{self, StatementError, Workload};
 use sandstile_router::task::Parcel;
 use std::thread;
 use std::time::Duration;
@@ -52,7 +52,7 @@
 fn a_frame_comes_back_as_it_was_put_however_it_is_cut() {
     fn back(tag: u8, body: Vec<u8>, rest: Vec<u8>) -> bool {
         let mut out = Vec::new();
-        pg::put(&mut out, tag, &[&body]);
+        pg::write_frame(&mut out, tag, &[&body]);
         let whole = out.len();
         let early = (0..whole).all(|n| pg::frame(&out[..n]) == Ok(None));
         out.extend_from_slice(&rest);
@@ -85,7 +85,7 @@
         let mut wanted = Vec::new();
         let wait = f64::from(wait) / 1000.0 + 0.0004;
         let ms = ((wait * 1000.0) as u64).max(1);
-        pg::put(&mut wanted, b'Q', &[&with(&ms.to_string()), b"\0"]);
+        pg::write_frame(&mut wanted, b'Q', &[&with(&ms.to_string()), b"\0"]);
         statement.message(wait) == wanted
             && statement.workload == 1
             && statement.group == "7"
@@ -96,12 +96,12 @@
     }
     holds(passes as fn(Vec<u8>, u16, u16, Vec<u8>, bool) -> bool);
     let wrong = |text: &str| statement::read(text.as_bytes().to_vec(), &workloads()).err();
-    assert_eq!(wrong("/* id=1,c=look,d=5 */ SELECT 1"), Some(Wrong::Group));
-    assert_eq!(wrong("/* id=1,c=look,d=-5,cluster=3 */ SELECT 1"), Some(Wrong::Wait));
-    assert_eq!(wrong("/* id=1,c=look,d=5,cluster=3,after=x */ SELECT 1"), Some(Wrong::After));
-    assert_eq!(wrong("/* c,d=5,cluster=3 */ SELECT 1"), Some(Wrong::Comment));
-    assert_eq!(wrong("/* c=look,d=5,cluster=3 */ SELECT 1"), Some(Wrong::Id));
-    assert_eq!(wrong(""), Some(Wrong::NoComment));
+    assert_eq!(wrong("/* id=1,c=look,d=5 */ SELECT 1"), Some(StatementError::Group));
+    assert_eq!(wrong("/* id=1,c=look,d=-5,cluster=3 */ SELECT 1"), Some(StatementError::Wait));
+    assert_eq!(wrong("/* id=1,c=look,d=5,cluster=3,after=x */ SELECT 1"), Some(StatementError::After));
+    assert_eq!(wrong("/* c,d=5,cluster=3 */ SELECT 1"), Some(StatementError::Comment));
+    assert_eq!(wrong("/* c=look,d=5,cluster=3 */ SELECT 1"), Some(StatementError::Id));
+    assert_eq!(wrong(""), Some(StatementError::NoComment));
 }
 
 #[test]
@@ -222,36 +222,39 @@
 fn a_crowd_that_rests_leaves_room_for_those_who_ask() {
     let mut budget = Budget::new(20, 8, 0);
     let kinds = [
-        Holder::Link,
-        Holder::Client,
-        Holder::Stranger,
-        Holder::Stranger,
-        Holder::Client,
-        Holder::Client,
-        Holder::Client,
+        Holder::UpstreamConnection,
+        Holder::ClientConnection,
+        Holder::NewClientConnection,
+        Holder::NewClientConnection,
+        Holder::ClientConnection,
+        Holder::ClientConnection,
+        Holder::ClientConnection,
     ];
     for (line, holder) in kinds.into_iter().enumerate() {
-        budget.rests(holder, line);
+        budget.mark_idle(holder, line);
     }
     let told: Vec<_> = (0..7)
         .filter_map(|_| {
-            assert_eq!(budget.claim(Holder::Client), Claim::Granted);
-            budget.surplus()
+            assert_eq!(budget.claim(Holder::ClientConnection), Claim::Granted);
+            budget.take_surplus_client()
         })
         .collect();
     assert_eq!(told, [2, 3, 1, 4]);
-    assert_eq!(budget.claim(Holder::Client), Claim::Granted);
-    assert_eq!(budget.claim(Holder::Client), Claim::Evict(Holder::Client, 5));
+    assert_eq!(budget.claim(Holder::ClientConnection), Claim::Granted);
+    assert_eq!(budget.claim(Holder::ClientConnection), Claim::Evict(Holder::ClientConnection, 5));
     for _ in 0..12 {
-        assert_eq!(budget.claim(Holder::Link), Claim::Granted);
+        assert_eq!(budget.claim(Holder::UpstreamConnection), Claim::Granted);
     }
-    assert_eq!(budget.claim(Holder::Link), Claim::Evict(Holder::Link, 0));
-    assert!(budget.could(Holder::Link));
-    assert_eq!(budget.claim(Holder::Link), Claim::Evict(Holder::Client, 6));
-    assert_eq!((budget.could(Holder::Link), budget.claim(Holder::Link)), (false, Claim::Full));
-    budget.release(Holder::Client);
-    assert_eq!(budget.claim(Holder::Link), Claim::Granted);
-    assert!(!budget.room(1));
+    assert_eq!(budget.claim(Holder::UpstreamConnection), Claim::Evict(Holder::UpstreamConnection, 0));
+    assert!(budget.can_claim(Holder::UpstreamConnection));
+    assert_eq!(budget.claim(Holder::UpstreamConnection), Claim::Evict(Holder::ClientConnection, 6));
+    assert_eq!(
+        (budget.can_claim(Holder::UpstreamConnection), budget.claim(Holder::UpstreamConnection)),
+        (false, Claim::Full)
+    );
+    budget.release(Holder::ClientConnection);
+    assert_eq!(budget.claim(Holder::UpstreamConnection), Claim::Granted);
+    assert!(!budget.reserve_bytes(1));
 }
 
 /// Mail that came before its reader first looked, while it sleeps, and the end of the last that could write.
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -271,13 +271,13 @@
     let mut events = mio::Events::with_capacity(16);
     // Until the statement is written: from then on nothing is told of the socket any more.
     wait_for("the statement at its host", || {
-        if context.budget.claim(sandstile_router::budget::Holder::Link)
+        if context.budget.claim(sandstile_router::budget::Holder::UpstreamConnection)
             == sandstile_router::budget::Claim::Granted
         {
             if hosts.wanting(clock.now()) {
                 hosts.dial(&mut context);
             } else {
-                context.budget.release(sandstile_router::budget::Holder::Link);
+                context.budget.release(sandstile_router::budget::Holder::UpstreamConnection);
             }
         }
         if primary.count() == 0 {
--- a/crates/sandstile-router/tests/program.rs
+++ b/crates/sandstile-router/tests/program.rs
@@ -22,7 +22,7 @@
     std::io::Read::read_exact(&mut client.stream, &mut byte).expect("a byte");
     assert_eq!(byte[0], b'N');
     // The startup with the first query right behind it, split in an odd place.
-    let mut bytes = pg::hello();
+    let mut bytes = pg::startup_message();
     let asked = read(800);
     bytes.extend_from_slice(&query(&asked));
     client.send(&bytes[..37]);
@@ -104,7 +104,7 @@
 fn spoilt_answers_are_told_early_teach_nothing_and_are_never_passed_on() {
     let row = |value: &[u8], length: u32| {
         let mut out = Vec::new();
-        pg::put(&mut out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
+        pg::write_frame(&mut out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
         let body = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
         out.extend_from_slice(&[&[b'D'][..], &length.to_be_bytes(), &body].concat());
         out
@@ -567,12 +567,13 @@
         .replace("\"sockets\":64", "\"sockets\":1024");
     let router = Router::start(&roomy);
     let mut half = Vec::new();
-    pg::put(&mut half, b'Q', &[&vec![b'x'; pg::MOST_FRAME - 4]]);
-    half.truncate(pg::MOST_FRAME - 9);
+    pg::write_frame(&mut half, b'Q', &[&vec![b'x'; pg::MAX_FRAME_BYTES - 4]]);
+    half.truncate(pg::MAX_FRAME_BYTES - 9);
     let mut flood: Vec<Client> = (0..560).map(|_| Client::connect(router.address)).collect();
     for client in &mut flood {
         // The oldest may have had to go by then.
-        let _ = std::io::Write::write_all(&mut client.stream, &[pg::hello(), half.clone()].concat());
+        let _ =
+            std::io::Write::write_all(&mut client.stream, &[pg::startup_message(), half.clone()].concat());
     }
     assert_eq!(value(&router.client().ask(&write(1500))), b"primary");
     let status = std::fs::read_to_string(format!("/proc/{}/status", router.child.id())).expect("a process");
--- a/crates/sandstile-router/tests/readiness.rs
+++ b/crates/sandstile-router/tests/readiness.rs
@@ -101,7 +101,7 @@
 #[test]
 fn an_end_and_a_reload_in_the_midst_of_everything_lose_nothing() {
     let mut half = Vec::new();
-    pg::put(&mut half, b'T', &[b"\0\x01payload\0", &[0; 18]]);
+    pg::write_frame(&mut half, b'T', &[b"\0\x01payload\0", &[0; 18]]);
     let (primary, replica) = (
         Host::scripted(true, &[HostReply::Slow(400, b"first")]),
         Host::scripted(false, &[HostReply::Raw(half.leak())]),
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -143,7 +143,7 @@
     );
     let mut stream = TcpStream::connect(router.address).expect("a router");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
-    let mut bytes = pg::hello();
+    let mut bytes = pg::startup_message();
     pg::query(&mut bytes, text.as_bytes());
     stream.write_all(&bytes).expect("a router that reads");
     let (mut buf, mut answer, mut greeted, mut token) = (Vec::new(), pg::Answer::default(), false, None);
--- a/crates/sandstile-router/tests/stand_ins/mod.rs
+++ b/crates/sandstile-router/tests/stand_ins/mod.rs
@@ -62,16 +62,16 @@
 }
 
 fn row(value: &[u8], primary: bool, out: &mut Vec<u8>) {
-    pg::put(out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
-    pg::put(out, b'D', &[&[0, 1], &(value.len() as u32).to_be_bytes(), value]);
-    pg::put(out, b'C', &[b"SELECT 1\0"]);
+    pg::write_frame(out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
+    pg::write_frame(out, b'D', &[&[0, 1], &(value.len() as u32).to_be_bytes(), value]);
+    pg::write_frame(out, b'C', &[b"SELECT 1\0"]);
     close(primary, out);
 }
 
 fn close(primary: bool, out: &mut Vec<u8>) {
     let mode: &[u8] = if primary { b"read-write" } else { b"read-only" };
-    pg::put(out, b'S', &[b"mode\0", mode, b"\0"]);
-    pg::put(out, b'S', &[b"wal_time\0", b"1700000000123\0"]);
+    pg::write_frame(out, b'S', &[b"mode\0", mode, b"\0"]);
+    pg::write_frame(out, b'S', &[b"wal_time\0", b"1700000000123\0"]);
     pg::ready(out);
 }
 
@@ -146,7 +146,7 @@
                 pg::error(&mut out, true, code, "no", None);
                 return stream.write_all(&out);
             }
-            pg::welcome(&mut out);
+            pg::startup_response(&mut out);
         }
         let before = queries.lock().expect("queries").len();
         while let Some((tag, body)) = pg::frame(&buf).expect("a frame") {
@@ -422,7 +422,7 @@
     }
 
     pub fn greet(&mut self) {
-        self.send(&pg::hello());
+        self.send(&pg::startup_message());
         assert!(self.answer().ready);
     }
 
@@ -430,7 +430,7 @@
         let mut got = Got::default();
         loop {
             let whole = |buf: &[u8]| {
-                pg::end(buf, 1 << 24).expect("frames of the protocol").filter(|end| buf.len() >= *end)
+                pg::frame_end(buf, 1 << 24).expect("frames of the protocol").filter(|end| buf.len() >= *end)
             };
             while let Some(end) = whole(&self.buf) {
                 let (tag, body) = (self.buf[0], self.buf[5..end].to_vec());
@@ -470,7 +470,7 @@
 
 pub fn query(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    pg::put(&mut out, b'Q', &[text.as_bytes(), b"\0"]);
+    pg::write_frame(&mut out, b'Q', &[text.as_bytes(), b"\0"]);
     out
 }
 
--- a/crates/sandstile-router/tests/system_calls.rs
+++ b/crates/sandstile-router/tests/system_calls.rs
@@ -26,7 +26,7 @@
     let mut client = Client::connect(router.address);
     client.stream.set_read_timeout(Some(Duration::from_secs(4))).expect("a limit");
     let began = Instant::now();
-    client.send(&[pg::hello(), query(text)].concat());
+    client.send(&[pg::startup_message(), query(text)].concat());
     assert!(client.answer().ready, "no greeting");
     let got = client.answer();
     (got, began.elapsed())
@@ -261,7 +261,7 @@
     let clients: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = Client::connect(router.address);
-            client.send(&[pg::hello(), query(&read(2500))].concat());
+            client.send(&[pg::startup_message(), query(&read(2500))].concat());
             client
         })
         .collect();
@@ -281,7 +281,7 @@
     let router = router_under(&[short], &primary, &[&replica]);
     let mut client = Client::connect(router.address);
     std::thread::sleep(Duration::from_millis(1_800));
-    client.send(&[pg::hello(), query(&read(2500))].concat());
+    client.send(&[pg::startup_message(), query(&read(2500))].concat());
     let got = client.answer();
     assert!(got.ready || got.code.is_some(), "closed unread");
 }
--- a/crates/sandstile-router/tests/waiting.rs
+++ b/crates/sandstile-router/tests/waiting.rs
@@ -25,7 +25,7 @@
     let busy: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = Client::connect(router.address);
-            client.send(&[sandstile_router::pg::hello(), query(&read(2000))].concat());
+            client.send(&[sandstile_router::pg::startup_message(), query(&read(2000))].concat());
             client
         })
         .collect();
@@ -35,7 +35,7 @@
             let address = router.address;
             thread::spawn(move || {
                 let mut client = Client::connect(address);
-                client.send(&[sandstile_router::pg::hello(), query(&read(400))].concat());
+                client.send(&[sandstile_router::pg::startup_message(), query(&read(400))].concat());
                 let begun = Instant::now();
                 let greeted = client.answer();
                 (greeted, client.answer(), begun.elapsed())
--- a/crates/sandstile-scenario/src/script.rs
+++ b/crates/sandstile-scenario/src/script.rs
@@ -226,19 +226,19 @@
     ) -> Result<Script, Vec<Problem>> {
         let source = Source::new(file, text);
         let Some(body) = source.parse() else { return Err(source.problems()) };
-        let whole = Section::of(&source, &body);
+        let whole = Section::root(&source, &body);
         let named = whole.text("fleet").map(|name| (shared(&name), name));
         let (named, fetched) = match named {
             Some((Ok(text), name)) => (name, Some(text)),
             Some((Err(why), name)) => {
-                whole.wrong("fleet", format!("fleet = \"{name}\": {why}"), None);
+                whole.problem("fleet", format!("fleet = \"{name}\": {why}"), None);
                 return Err(source.problems());
             }
             None => (String::new(), None),
         };
         let other = fetched.as_ref().map(|text| Source::new(&named, text));
         let other_body = other.as_ref().and_then(Source::parse);
-        let other = other.as_ref().zip(other_body.as_ref()).map(|(s, b)| (s, Section::of(s, b)));
+        let other = other.as_ref().zip(other_body.as_ref()).map(|(s, b)| (s, Section::root(s, b)));
         let script = script(&whole, other.as_ref().map(|(_, section)| section));
         let mut problems = source.problems();
         problems.extend(other.iter().flat_map(|(source, _)| source.problems()));
@@ -302,18 +302,18 @@
         all.extend(file.blocks(kind, true));
         all
     };
-    let only = |kind: &str| {
-        let other = shared.and_then(|s| s.only(kind));
-        file.only(kind).or(other)
+    let optional_block = |kind: &str| {
+        let other = shared.and_then(|s| s.optional_block(kind));
+        file.optional_block(kind).or(other)
     };
-    let title = file.needed_text("title");
-    let seconds = file.needed_number("seconds", 1.0..LONG);
+    let title = file.required_text("title");
+    let seconds = file.required_number("seconds", 1.0..LONG);
     let quick = file.number("quick", 1.0..LONG, seconds.min(30.0));
     let settle = file.number("settle", 0.0..LONG, seconds * 0.05);
     let seed = file.number("seed", 0.0..9e15, 1.0) as u64;
     let discovery_delay = file.ms("discovery_delay_ms", 0.0..60_000.0, 0.02);
-    let guarded = file.yes("guards", true);
-    let tokens = file.word(
+    let guarded = file.boolean("guards", true);
+    let tokens = file.choice(
         "tokens",
         &[("remembered", Tokens::Remembered), ("carried", Tokens::Carried)],
         Some(Tokens::Remembered),
@@ -339,7 +339,7 @@
         ("workload", workloads.is_empty()),
     ] {
         if empty {
-            file.source().wrong(
+            file.source().problem(
                 0,
                 format!("the file has no {what}"),
                 Some(format!("{what} \"NAME\" {{ … }}")),
@@ -349,46 +349,46 @@
     let streams = blocks("traffic");
     let streams = streams.iter().map(|s| stream(s, &workload_names, &group_names)).collect();
     let plan = Plan { seed, kinds, nodes, groups, workloads, tokens, guarded };
-    let clients = only("clients");
+    let clients = optional_block("clients");
     let clients = clients.map_or(Clients::usual(), |s| {
         let clients = Clients {
             retries: s.count("retries", 0.0..10.0, 2),
             pause: s.ms("pause_ms", 0.0..60_000.0, 0.1),
             connections: s.count("connections", 1.0..2000.0, 128),
             crowd: s.count("crowd", 0.0..2000.0, 0),
-            ignore_return: s.yes("ignore_return", false),
-            pinned: s.yes("pinned", false),
+            ignore_return: s.boolean("ignore_return", false),
+            pinned: s.boolean("pinned", false),
         };
         s.finish();
         clients
     });
-    let routers = only("routers").map_or(Routers::usual(), |s| {
+    let routers = optional_block("routers").map_or(Routers::usual(), |s| {
         let routers = Routers {
             count: s.count("count", 1.0..64.0, 2),
             memory_mb: s.count("memory_mb", 16.0..65_536.0, 192),
             sockets: s.count("sockets", 64.0..65_536.0, 1024),
             apart: s.ms("apart_ms", 0.0..60_000.0, 0.0),
             pace: s.text("pace"),
-            limits: s.yes("limits", false),
-            members: s.yes("members", false),
-            share: s.yes("share", false),
+            limits: s.boolean("limits", false),
+            members: s.boolean("members", false),
+            share: s.boolean("share", false),
         };
         s.finish();
         routers
     });
-    let allowed = only("allowed").map_or_else(Allowed::usual, |s| {
+    let allowed = optional_block("allowed").map_or_else(Allowed::usual, |s| {
         let usual = Allowed::usual();
         let allowed = Allowed {
             executions: s.count("executions", 1.0..16.0, usual.executions),
-            recall: s.yes("recall", usual.recall),
-            probes: s.yes("probes", usual.probes),
+            recall: s.boolean("recall", usual.recall),
+            probes: s.boolean("probes", usual.probes),
             return_s: s.ms("return_ms", 0.0..60_000.0, usual.return_s),
             dial_s: s.ms("dial_ms", 10.0..10_000.0, usual.dial_s),
         };
         s.finish();
         allowed
     });
-    let rules = only("rules").map_or(Rules { grace: 1.0, slack: 0.05 }, |s| {
+    let rules = optional_block("rules").map_or(Rules { grace: 1.0, slack: 0.05 }, |s| {
         let rules =
             Rules { grace: s.ms("grace_ms", 0.0..60_000.0, 1.0), slack: s.ms("slack_ms", 0.0..1000.0, 0.05) };
         s.finish();
@@ -405,8 +405,8 @@
         ("state", Remembering { state: true, ..exchange }),
         ("together", Remembering { state: true, together: true, ..exchange }),
     ];
-    let sessions = file.word("sessions", &words, Some(off));
-    let planted = file.yes("planted", false);
+    let sessions = file.choice("sessions", &words, Some(off));
+    let planted = file.boolean("planted", false);
     let cues = cues(file, &plan, &group_names, &workload_names, &node_names, routers.count, seconds);
     file.finish();
     if let Some(shared) = shared {
@@ -462,7 +462,7 @@
     let usual = MachineKind::standard(&s.name);
     let kind = MachineKind {
         cores: s.numbers("cores", 0.01..100.0).unwrap_or(usual.cores),
-        discipline: s.word(
+        discipline: s.choice(
             "discipline",
             &[("sharing", Discipline::Sharing), ("queue", Discipline::Queue)],
             Some(usual.discipline),
@@ -473,7 +473,7 @@
         tip_multiple: s.number("tip_multiple", 1.0..1000.0, usual.tip_multiple),
         tip_s: s.number("tip_s", 0.01..60.0, usual.tip_s),
         restart_s: s.number("restart_s", 0.01..3600.0, usual.restart_s),
-        stops_when_left: s.yes("stops_when_left", usual.stops_when_left),
+        stops_when_left: s.boolean("stops_when_left", usual.stops_when_left),
         connections: s.count("connections", 1.0..10_000.0, usual.connections),
         idle_s: s.number("idle_s", 0.05..86_400.0, usual.idle_s),
         setup_work: s.ms("setup_work_ms", 0.0..1000.0, usual.setup_work),
@@ -488,14 +488,14 @@
 fn group(s: &Section, nodes: &[String]) -> Group {
     let names = s.texts("nodes").unwrap_or_default();
     if !s.has("nodes") {
-        s.wrong("nodes", format!("{} lacks nodes", s.what), Some("the first primary first".to_string()));
+        s.problem("nodes", format!("{} lacks nodes", s.what), Some("the first primary first".to_string()));
     }
     let found: Vec<usize> = names.iter().filter_map(|n| s.find("nodes", "node", n, nodes)).collect();
     let mut once = found.clone();
     once.sort_unstable();
     once.dedup();
     if once.len() < found.len() {
-        s.wrong("nodes", "one node stands twice in a group", None);
+        s.problem("nodes", "one node stands twice in a group", None);
     }
     let apply = s.ms("apply_ms", 0.0..10_000.0, 0.0005);
     let group = Group {
@@ -513,7 +513,7 @@
 }
 
 fn workload(s: &Section) -> (Workload, Terms) {
-    let consistency = s.word(
+    let consistency = s.choice(
         "consistency",
         &[
             ("write", Consistency::Write),
@@ -528,7 +528,7 @@
         Consistency::Write => Effect::NonIdempotent,
         _ => Effect::Idempotent,
     };
-    let effect = s.word(
+    let effect = s.choice(
         "effect",
         &[
             ("idempotent", Effect::Idempotent),
@@ -538,10 +538,10 @@
         Some(usual),
     );
     if consistency == Consistency::Bounded && !s.has("bound_ms") {
-        s.wrong("consistency", "a bounded read lacks bound_ms", None);
+        s.problem("consistency", "a bounded read lacks bound_ms", None);
     }
     let bound_s = s.ms("bound_ms", 0.0..3_600_000.0, 1.0);
-    let mean = s.needed_number("work_ms", 0.0..60_000.0) / 1000.0;
+    let mean = s.required_number("work_ms", 0.0..60_000.0) / 1000.0;
     let sigma = s.optional_number("sigma", 0.0..3.0);
     let spread = s.text("spread").unwrap_or_else(|| "exponential".to_string());
     let work = match spread.as_str() {
@@ -550,17 +550,17 @@
         "lognormal" => Work::LogNormal { mean, sigma: sigma.unwrap_or(1.0) },
         other => {
             let all = Some("one of: fixed, exponential, lognormal".to_string());
-            s.wrong("spread", format!("spread = \"{other}\""), all);
+            s.problem("spread", format!("spread = \"{other}\""), all);
             Work::Fixed(mean)
         }
     };
     if sigma.is_some() && spread != "lognormal" {
-        s.wrong("sigma", "sigma goes with spread = \"lognormal\"", None);
+        s.problem("sigma", "sigma goes with spread = \"lognormal\"", None);
     }
-    let slo = s.needed_number("slo_ms", 1.0..86_400_000.0) / 1000.0;
-    let timeout = s.needed_number("timeout_ms", 1.0..86_400_000.0) / 1000.0;
+    let slo = s.required_number("slo_ms", 1.0..86_400_000.0) / 1000.0;
+    let timeout = s.required_number("timeout_ms", 1.0..86_400_000.0) / 1000.0;
     if slo > timeout {
-        s.wrong("slo_ms", "slo_ms is beyond timeout_ms", None);
+        s.problem("slo_ms", "slo_ms is beyond timeout_ms", None);
     }
     let terms = Terms {
         slo,
@@ -573,7 +573,7 @@
     let name = s.name.clone();
     if name.is_empty() || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_') {
         let hint = Some("letters, digits, - and _".to_string());
-        s.source().wrong(s.at, format!("\"{name}\" is no name for a workload"), hint);
+        s.source().problem(s.at, format!("\"{name}\" is no name for a workload"), hint);
     }
     (Workload { name, effect, consistency, bound_s, work, value_bytes }, terms)
 }
@@ -586,9 +586,9 @@
     };
     let mut jumps = Vec::new();
     for j in s.blocks("jump", false) {
-        let at = j.needed_number("at", 0.0..LONG);
+        let at = j.required_number("at", 0.0..LONG);
         let lasts = j.number("for", 0.0..LONG, LONG);
-        let times = j.needed_number("times", 0.0..1000.0);
+        let times = j.required_number("times", 0.0..1000.0);
         jumps.push(Jump { at, lasts, times, ramp: j.number("ramp", 0.0..LONG, 0.0) });
         j.finish();
     }
@@ -598,7 +598,7 @@
         name: s.name.clone(),
         workload,
         groups: chosen,
-        rate: s.needed_number("rate", 0.001..1_000_000.0),
+        rate: s.required_number("rate", 0.001..1_000_000.0),
         sessions: s.count("sessions", 1.0..1e9, 1000),
         jumps,
         then: then.map(|w| (w, think)),
@@ -645,14 +645,14 @@
         push(s, Act::Fault { kind, target, lasts });
     }
     for s in &agents {
-        let kind = s.needed_text("kind");
+        let kind = s.required_text("kind");
         let kind = match kind.as_str() {
             "silent" => AgentFault::Silent,
             "move" => AgentFault::Move,
-            "delay" => AgentFault::Delay(s.needed_number("delay_ms", 0.0..60_000.0) / 1000.0),
+            "delay" => AgentFault::Delay(s.required_number("delay_ms", 0.0..60_000.0) / 1000.0),
             other => {
                 let all = Some("one of: silent, delay, move".to_string());
-                s.wrong("kind", format!("kind = \"{other}\""), all);
+                s.problem("kind", format!("kind = \"{other}\""), all);
                 AgentFault::Silent
             }
         };
@@ -662,17 +662,17 @@
     for s in &restarts {
         let whom = whom(s, routers);
         let blow = Blow::Restart {
-            kill: s.word("kind", &[("term", false), ("kill", true)], None),
+            kill: s.choice("kind", &[("term", false), ("kill", true)], None),
             back: s.number("back", 0.0..3600.0, 1.0),
-            state: s.word("state", &STATES, Some(State::Kept)),
+            state: s.choice("state", &STATES, Some(State::Kept)),
         };
         let spread = s.number("spread", 0.0..3600.0, 0.0);
         push(s, Act::Process { whom, blow, spread });
     }
     for s in &stops {
-        let (whom, lasts) = (whom(s, routers), s.needed_number("for", 0.01..3600.0));
+        let (whom, lasts) = (whom(s, routers), s.required_number("for", 0.01..3600.0));
         let blow = match s.has("of_the_time") {
-            true => Blow::Slow { share: s.needed_number("of_the_time", 0.01..0.99), lasts },
+            true => Blow::Slow { share: s.required_number("of_the_time", 0.01..0.99), lasts },
             false => Blow::Stop { lasts },
         };
         let spread = s.number("spread", 0.0..3600.0, 0.0);
@@ -684,8 +684,8 @@
     }
     let field = Field { plan, groups, routers };
     for s in &links {
-        let ends = |key: &str| field.pick(s, key, &s.needed_text(key));
-        let (from, to, one_way) = (ends("from"), ends("to"), s.yes("one_way", false));
+        let ends = |key: &str| field.pick(s, key, &s.required_text(key));
+        let (from, to, one_way) = (ends("from"), ends("to"), s.boolean("one_way", false));
         let (strike, lasts) = (strike(s), lasts(s));
         if let (Some(from), Some(to)) = (from, to) {
             push(s, Act::Link { at: Where::Between { from, to, one_way }, strike, lasts });
@@ -695,7 +695,7 @@
         let sides = s.texts("sides").unwrap_or_default();
         if sides.len() < 2 {
             let hint = "sides = [\"router:0-3 zone:a\", \"router:4-7 zone:b\"]";
-            s.wrong("sides", "a partition has two sides or more", Some(hint.to_string()));
+            s.problem("sides", "a partition has two sides or more", Some(hint.to_string()));
         }
         let sides: Vec<Pick> = sides.iter().filter_map(|text| field.pick(s, "sides", text)).collect();
         let lasts = lasts(s);
@@ -716,7 +716,7 @@
         let pick = match Pick::read(text) {
             Ok(pick) => pick,
             Err(why) => {
-                s.wrong(key, why, None);
+                s.problem(key, why, None);
                 return None;
             }
         };
@@ -729,7 +729,7 @@
         });
         if pick.highest().is_some_and(|n| n >= self.routers) {
             let hint = Some(format!("there are {}, counted from 0", self.routers));
-            s.wrong(key, format!("\"{text}\": no such router"), hint);
+            s.problem(key, format!("\"{text}\": no such router"), hint);
         }
         known.then_some(pick)
     }
@@ -739,21 +739,21 @@
 fn whom(s: &Section, routers: usize) -> Whom {
     if s.has("share") {
         if s.has("router") {
-            s.wrong("share", format!("{} has both router and share", s.what), None);
+            s.problem("share", format!("{} has both router and share", s.what), None);
         }
-        return Whom::Share(s.needed_number("share", 0.0..1.0));
+        return Whom::Share(s.required_number("share", 0.0..1.0));
     }
-    let number = s.needed_number("router", 0.0..63.0) as usize;
+    let number = s.required_number("router", 0.0..63.0) as usize;
     if number >= routers {
         let hint = Some(format!("there are {routers}, counted from 0"));
-        s.wrong("router", format!("no router {number}"), hint);
+        s.problem("router", format!("no router {number}"), hint);
     }
     Whom::One(number)
 }
 
 fn strike(s: &Section) -> Strike {
-    let share = || s.needed_number("share", 0.0..1.0);
-    let kind = s.needed_text("kind");
+    let share = || s.required_number("share", 0.0..1.0);
+    let kind = s.required_text("kind");
     match kind.as_str() {
         "cut" => Strike::Cut,
         "reset" => Strike::Reset,
@@ -761,14 +761,14 @@
         "reorder" => Strike::Reorder(share()),
         "duplicate" => Strike::Duplicate(share()),
         "spoil" => Strike::Spoil(share()),
-        "rate" => Strike::Rate(s.needed_number("bytes_s", 1.0..1e12)),
+        "rate" => Strike::Rate(s.required_number("bytes_s", 1.0..1e12)),
         "delay" => Strike::Delay {
-            by: s.needed_number("delay_ms", 0.0..60_000.0) / 1000.0,
+            by: s.required_number("delay_ms", 0.0..60_000.0) / 1000.0,
             jitter: s.ms("jitter_ms", 0.0..60_000.0, 0.0),
         },
         other => {
             let all = "cut, reset, loss, delay, rate, spoil, reorder, duplicate";
-            s.wrong("kind", format!("kind = \"{other}\""), Some(format!("one of: {all}")));
+            s.problem("kind", format!("kind = \"{other}\""), Some(format!("one of: {all}")));
             Strike::Cut
         }
     }
@@ -776,14 +776,14 @@
 
 fn lasts(s: &Section) -> f64 {
     match s.has("for") {
-        true => s.needed_number("for", 0.001..LONG),
+        true => s.required_number("for", 0.001..LONG),
         false => f64::INFINITY,
     }
 }
 
 fn fault(s: &Section) -> Kind {
-    let kind = s.needed_text("kind");
-    let share = || s.needed_number("share", 0.0..1.0);
+    let kind = s.required_text("kind");
+    let share = || s.required_number("share", 0.0..1.0);
     match kind.as_str() {
         "pause" => Kind::Pause,
         "hang" => Kind::Hang,
@@ -797,12 +797,12 @@
         "spoilt" => Kind::Spoilt(share()),
         "neighbour" => Kind::Neighbour(share()),
         "refuse_connections" => Kind::RefuseConnections,
-        "slow_connections" => Kind::SlowConnections(s.needed_number("delay_ms", 0.0..60_000.0) / 1000.0),
-        "early_close" => Kind::EarlyClose(s.needed_number("idle_ms", 1.0..600_000.0) / 1000.0),
+        "slow_connections" => Kind::SlowConnections(s.required_number("delay_ms", 0.0..60_000.0) / 1000.0),
+        "early_close" => Kind::EarlyClose(s.required_number("idle_ms", 1.0..600_000.0) / 1000.0),
         other => {
             let all = "pause, hang, slow, slow_replay, crash, lost, drain, replace, fast_errors, spoilt, \
                        neighbour, refuse_connections, slow_connections, early_close";
-            s.wrong("kind", format!("kind = \"{other}\""), Some(format!("one of: {all}")));
+            s.problem("kind", format!("kind = \"{other}\""), Some(format!("one of: {all}")));
             Kind::Pause
         }
     }
@@ -810,7 +810,7 @@
 
 /// `host:NAME`, `node:NAME`, `primary:GROUP`, `replica:GROUP:N` or `group:GROUP`.
 fn target(s: &Section, names: &Names) -> Target {
-    let text = s.needed_text("on");
+    let text = s.required_text("on");
     let mut words = text.split(':');
     let (kind, name) = (words.next().unwrap_or(""), words.next().unwrap_or("").to_string());
     let number = words.next();
@@ -834,7 +834,7 @@
         }
         _ => {
             let forms = "host:NAME, node:NAME, primary:GROUP, replica:GROUP:N or group:GROUP";
-            s.wrong("on", format!("on = \"{text}\""), Some(forms.to_string()));
+            s.problem("on", format!("on = \"{text}\""), Some(forms.to_string()));
             None
         }
     };
@@ -846,23 +846,23 @@
     let (at, when) = (s.optional_number("at", 0.0..LONG), s.text("when"));
     let plus = s.ms("plus_ms", 0.0..600_000.0, 0.0);
     if at.is_some_and(|at| at > names.seconds) {
-        s.wrong("at", "at lies behind the end", Some(format!("seconds = {}", names.seconds)));
+        s.problem("at", "at lies behind the end", Some(format!("seconds = {}", names.seconds)));
     }
     match (at, when) {
         (Some(at), None) if !s.has("plus_ms") => Trigger::At(at),
         (None, Some(text)) => Trigger::After(when_of(s, &text, names), plus),
         (Some(_), None) => {
-            s.wrong("plus_ms", "plus_ms goes with when", None);
+            s.problem("plus_ms", "plus_ms goes with when", None);
             Trigger::At(0.0)
         }
         (Some(_), Some(_)) => {
-            s.wrong("when", format!("{} has both at and when", s.what), None);
+            s.problem("when", format!("{} has both at and when", s.what), None);
             Trigger::At(0.0)
         }
         (None, None) => {
             if !s.has("at") {
                 let hint = Some("at = SECONDS, or when = \"EVENT\"".to_string());
-                s.source().wrong(s.at, format!("{} lacks at or when", s.what), hint);
+                s.source().problem(s.at, format!("{} lacks at or when", s.what), hint);
             }
             Trigger::At(0.0)
         }
@@ -876,22 +876,22 @@
     let known = |what: &str, of: &[String]| s.find("when", what, &name, of);
     let itself = || {
         if name == s.name {
-            s.wrong("when", format!("{} waits for itself", s.what), None);
+            s.problem("when", format!("{} waits for itself", s.what), None);
         }
     };
     match (words.first().copied().unwrap_or(""), words.len(), nth) {
-        (word @ ("begins" | "ends" | "announced"), 2, _) => {
+        (choice @ ("begins" | "ends" | "announced"), 2, _) => {
             known("fault, agent or restart", &names.faults);
             itself();
-            match word {
+            match choice {
                 "begins" => When::Begins(name),
                 "ends" => When::Ends(name),
                 _ => When::Announced(name),
             }
         }
-        (word @ ("arriving" | "begun" | "ran" | "half_said"), 3, Some(nth)) => {
+        (choice @ ("arriving" | "begun" | "ran" | "half_said"), 3, Some(nth)) => {
             let workload = known("workload", names.workloads).unwrap_or(0);
-            match word {
+            match choice {
                 "arriving" => When::Arriving(workload, nth),
                 "begun" => When::Begun(workload, nth),
                 "ran" => When::Ran(workload, nth),
@@ -905,7 +905,7 @@
         _ => {
             let forms = "begins:NAME, ends:NAME, announced:NAME, arriving:WORKLOAD:N, begun:WORKLOAD:N, \
                          ran:WORKLOAD:N, half_said:WORKLOAD:N or primary:GROUP:N";
-            s.wrong("when", format!("when = \"{text}\""), Some(forms.to_string()));
+            s.problem("when", format!("when = \"{text}\""), Some(forms.to_string()));
             When::Begins(name)
         }
     }
--- a/crates/sandstile-soak/src/client.rs
+++ b/crates/sandstile-soak/src/client.rs
@@ -107,7 +107,7 @@
             ),
         };
         let text = format!("/* id={id},c={class},d={wait_ms},cluster={} */ {verb}", group + 1);
-        let mut bytes = if open.fresh { pg::hello() } else { Vec::new() };
+        let mut bytes = if open.fresh { pg::startup_message() } else { Vec::new() };
         pg::query(&mut bytes, text.as_bytes());
         // A statement that was not written whole was not taken.
         if self.write(&mut open.stream, &bytes).is_err() {
@@ -163,7 +163,8 @@
         let mut greeting = open.fresh;
         let (mut code, mut any, mut bytes) = (None, false, [0; 4096]);
         loop {
-            while let Some(end) = pg::end(&open.buf, 1 << 20).ok().flatten().filter(|e| open.buf.len() >= *e)
+            while let Some(end) =
+                pg::frame_end(&open.buf, 1 << 20).ok().flatten().filter(|e| open.buf.len() >= *e)
             {
                 let tag = open.buf[0];
                 let error =
--- a/crates/sandstile-soak/src/host.rs
+++ b/crates/sandstile-soak/src/host.rs
@@ -141,7 +141,7 @@
                 buf.drain(..length);
                 greeted = true;
                 let mut out = Vec::new();
-                pg::welcome(&mut out);
+                pg::startup_response(&mut out);
                 self.say(stream, &out)?;
             }
             while let Some((tag, body)) = pg::frame(&buf).map_err(wrong)? {
@@ -221,17 +221,17 @@
     fn row(&self, out: &mut Vec<u8>) {
         let position = self.position().to_string();
         let value = position.as_bytes();
-        pg::put(out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
-        pg::put(out, b'D', &[&[0, 1], &(value.len() as u32).to_be_bytes(), value]);
-        pg::put(out, b'C', &[b"SELECT 1\0"]);
+        pg::write_frame(out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
+        pg::write_frame(out, b'D', &[&[0, 1], &(value.len() as u32).to_be_bytes(), value]);
+        pg::write_frame(out, b'C', &[b"SELECT 1\0"]);
         self.end(out);
     }
 
     fn end(&self, out: &mut Vec<u8>) {
         let mode: &[u8] = if self.is_primary() { b"read-write" } else { b"read-only" };
-        pg::put(out, b'S', &[b"mode\0", mode, b"\0"]);
-        pg::put(out, b'S', &[b"timeline\0", b"1\0"]);
-        pg::put(out, b'S', &[b"wal_time\0", self.position().to_string().as_bytes(), b"\0"]);
+        pg::write_frame(out, b'S', &[b"mode\0", mode, b"\0"]);
+        pg::write_frame(out, b'S', &[b"timeline\0", b"1\0"]);
+        pg::write_frame(out, b'S', &[b"wal_time\0", self.position().to_string().as_bytes(), b"\0"]);
         pg::ready(out);
     }
 
--- a/crates/sandstile-soak/src/run.rs
+++ b/crates/sandstile-soak/src/run.rs
@@ -417,7 +417,7 @@
 /// Whether a router answers an empty query.
 fn answers(at: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_millis(200)) else { return false };
-    let mut bytes = pg::hello();
+    let mut bytes = pg::startup_message();
     pg::query(&mut bytes, b"");
     let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
     if stream.write_all(&bytes).is_err() {
