--- a/crates/sandstile-connections/src/budget.rs
+++ b/crates/sandstile-connections/src/budget.rs
@@ -1,41 +1,43 @@
-//! One budget of descriptors for clients and links, and one of memory for long commands and long values. What is
-//! idle is on record here, so that the oldest can be told to go when a descriptor is wanted: links first, for a
-//! client's connection costs the client a new one, and clients that have asked nothing before those that have.
+//! One budget of descriptors for client and upstream connections, and one of memory for long commands and
+//! long values. Idle connections are registered here, so that the oldest one can be evicted when a descriptor
+//! is needed. Upstream connections are evicted first, because closing a client connection costs the client a
+//! new one; among client connections those that have not sent a statement yet come first.
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Holder {
     UpstreamConnection,
-    /// A client that has yet to ask something.
+    /// A client connection that has not sent a statement yet.
     NewClientConnection,
     ClientConnection,
 }
 
-/// The record that something is idle.
+/// Identifies the entry of an idle connection.
 pub type IdleKey = (Holder, u64);
 
-/// What a wish for a descriptor comes to.
+/// The result of claiming a descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
     Granted,
-    /// This idle one, of this kind, is to go first; it is off the record. Ask again then.
+    /// This idle connection, held by this kind of holder, has to be closed first; its entry is already
+    /// removed. Claim again afterwards.
     Evict(Holder, usize),
-    /// Nothing is free and nothing idle: wait until something is.
+    /// No descriptor is free and no connection is idle: wait until one is.
     Full,
 }
 
-/// What becomes of a connection that has waited for a while and that no room is made for.
+/// What happens to an accepted connection that has waited for a while without a free descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is served beyond the clients' share.
+    /// Serve it beyond the clients' share.
     Serve,
-    /// Its statement is refused at once, and it goes.
+    /// Refuse its statement at once and close it.
     Refuse,
-    /// It waits on.
+    /// It keeps waiting.
     Wait,
 }
 
-/// Connections beyond all others that may be held to refuse their statements.
+/// How many connections may be held beyond the budget in order to refuse their statements.
 pub const MAX_REFUSED_CONNECTIONS: usize = 4;
 
 #[derive(Debug)]
@@ -48,13 +50,14 @@
     refused: usize,
     long: usize,
     idle: BTreeMap<IdleKey, usize>,
-    /// Clients among the idle.
+    /// Number of idle client connections.
     resting: usize,
     next: u64,
 }
 
 impl Budget {
-    /// Descriptors in all and for clients, and bytes for long frames.
+    /// `max` descriptors in all, of which clients may hold `max_clients`, and `max_long_bytes` for long
+    /// frames.
     pub fn new(most: usize, most_clients: usize, most_long: usize) -> Self {
         Budget {
             most,
@@ -70,7 +73,8 @@
         }
     }
 
-    /// Clients and hosts can make each connection hold a long frame; not all of them at once.
+    /// Reserves memory for a long frame, if there is room. Clients and hosts can make any connection hold a
+    /// long frame, but not all of them at once.
     pub fn reserve_bytes(&mut self, bytes: usize) -> bool {
         let fits = self.long + bytes <= self.most_long;
         if fits {
@@ -83,8 +87,9 @@
         self.long -= bytes;
     }
 
-    /// One value takes no more than an eighth of the room, as it comes and as it goes on: what says to be longer
-    /// could not be passed on, whether it is true or not.
+    /// The longest value that is accepted. A value is reserved twice, as it arrives and as it is forwarded,
+    /// and so takes at most an eighth of the memory. A longer one could not be forwarded, whether or not its
+    /// length field is true.
     pub fn max_value_bytes(&self) -> usize {
         self.most_long / 16
     }
@@ -93,7 +98,7 @@
         self.clients
     }
 
-    /// Links, clients and bytes held.
+    /// Upstream connections, client connections and bytes held.
     pub fn held(&self) -> (usize, usize, usize) {
         (self.links, self.clients, self.long)
     }
@@ -106,18 +111,18 @@
         self.crowd(holder) || self.links + self.clients >= self.most
     }
 
-    /// The idle one that would go for this one.
+    /// The idle connection that would be evicted for this holder.
     fn helps(&self, holder: Holder) -> Option<IdleKey> {
         let from = if self.crowd(holder) { Holder::NewClientConnection } else { Holder::UpstreamConnection };
         self.idle.range((from, 0)..).next().map(|(key, _)| *key)
     }
 
-    /// Whether one could be had now, if need be in place of an idle one.
+    /// Whether a descriptor could be claimed now, if necessary by evicting an idle connection.
     pub fn can_claim(&self, holder: Holder) -> bool {
         !self.full(holder) || self.helps(holder).is_some()
     }
 
-    /// Wants a descriptor; where it is granted it is counted until `release`.
+    /// Claims a descriptor. If granted, it is counted until `release`.
     pub fn claim(&mut self, holder: Holder) -> Claim {
         if !self.full(holder) {
             self.take(holder);
@@ -129,8 +134,9 @@
         }
     }
 
-    /// What becomes of a connection that has waited for long while nobody rests. `refuses` where it has waited for too long
-    /// to wait on, `serves` where those that are in are busy and nobody who has asked nothing is about to make room.
+    /// What happens to a connection that has waited for a descriptor while no connection became idle.
+    /// `may_refuse`: it has waited too long to keep waiting. `may_serve`: the connections that are being
+    /// served are busy, and none that has not sent a statement is about to make room.
     pub fn admission(&self, serves: bool, refuses: bool) -> Admission {
         let spare = self.links + self.clients < self.most || self.idle_link().is_some();
         match () {
@@ -140,12 +146,13 @@
         }
     }
 
-    /// Whether clients may hold more, as long as what links leave: a quarter of all is for links.
+    /// Whether clients may hold more descriptors, provided that upstream connections leave some free. A
+    /// quarter of all descriptors is reserved for upstream connections.
     pub fn clients_below_limit(&self) -> bool {
         self.clients < self.most - self.most / 4
     }
 
-    /// A descriptor for a client beyond the clients' share, where `admission` says so.
+    /// Claims a descriptor for a client beyond the clients' share, after `admission` has allowed it.
     pub fn claim_beyond_share(&mut self) -> Claim {
         if self.links + self.clients < self.most {
             self.take(Holder::ClientConnection);
@@ -161,7 +168,7 @@
         self.idle.range(..(Holder::NewClientConnection, 0)).next().map(|(key, _)| *key)
     }
 
-    /// Counts a connection that is held to refuse its statement.
+    /// Counts a connection that is held only to refuse its statement.
     pub fn take_refused(&mut self) {
         self.refused += 1;
     }
@@ -170,7 +177,7 @@
         self.refused -= 1;
     }
 
-    /// Counts one that is held already.
+    /// Counts a descriptor that is held already.
     pub fn take(&mut self, holder: Holder) {
         match holder {
             Holder::UpstreamConnection => self.links += 1,
@@ -185,8 +192,9 @@
         }
     }
 
-    /// Clients share what they may hold here: where more than a quarter rests, the oldest goes for each that comes,
-    /// or a crowd that asks nothing would leave the others no connection.
+    /// Removes the oldest idle client connection, to be closed, if more than a quarter of the clients' share
+    /// is idle. Called for each new client; otherwise many clients that send nothing would leave no
+    /// connection for the others.
     pub fn take_surplus_client(&mut self) -> Option<usize> {
         if self.resting <= self.most_clients / 4 {
             return None;
@@ -195,13 +203,14 @@
         self.remove_idle(key)
     }
 
-    /// The oldest idle one, where the platform gives fewer descriptors than were promised.
+    /// Removes the oldest idle connection, to be closed, when the platform grants fewer descriptors than the
+    /// limit promised.
     pub fn take_oldest_idle(&mut self) -> Option<(Holder, usize)> {
         let key = *self.idle.keys().next()?;
         self.remove_idle(key).map(|line| (key.0, line))
     }
 
-    /// Puts on record that this line is idle, last in its kind.
+    /// Registers a connection as idle; it becomes the last to be evicted of its kind.
     pub fn mark_idle(&mut self, holder: Holder, line: usize) -> IdleKey {
         self.next += 1;
         let key = (holder, self.next);
@@ -210,7 +219,7 @@
         key
     }
 
-    /// Strikes a record out; `None` where it was told to go already.
+    /// Removes an idle entry; `None` if it was already removed for eviction.
     pub fn remove_idle(&mut self, key: IdleKey) -> Option<usize> {
         let line = self.idle.remove(&key)?;
         self.resting -= usize::from(key.0 != Holder::UpstreamConnection);
--- a/crates/sandstile-connections/src/client_connection.rs
+++ b/crates/sandstile-connections/src/client_connection.rs
@@ -1,6 +1,6 @@
-//! One client's connection: it takes commands out of the bytes that come, wishes for each statement to be put before
-//! the desk, and says what comes back. One statement is out at a time; what is pipelined waits, the most of it in the
-//! socket.
+//! One client connection as a state machine without I/O. It parses the received bytes into commands, asks the
+//! caller to submit each statement to the dispatcher, and encodes the answers. One statement is open at a
+//! time; pipelined commands wait, most of them still in the socket.
 use crate::budget::{Budget, Holder};
 use crate::close_reason::CloseReason;
 use crate::statement::{self, Statement, Workload};
@@ -8,50 +8,53 @@
 use sandstile_pgwire::{self as pg, Startup};
 use std::collections::VecDeque;
 
-/// A connection with no open request may be closed after 2 s; one that brings no whole request, a command
-/// without an end, or takes in no answer has no longer either.
+/// A connection without an open statement may be closed after 2 s. The same limit applies to one that sends
+/// no complete request, never finishes a command or does not read its answer.
 pub const IDLE_TIMEOUT_S: f64 = 2.0;
-/// An answer decided in time can come to be written just after it. Up to half a second late it earns nothing but
-/// counts as given, later or never it is lost; a tenth is left for the way to the client.
+/// An answer that is decided in time may be written slightly late. Up to 0.5 s after its deadline an answer
+/// has no value but still counts as given; later, or if it is never written, it counts as lost. The remaining
+/// 0.1 s covers the way to the client.
 pub const ANSWER_GRACE_S: f64 = 0.4;
-/// The parameter in which a session is handed its mark; it comes back in the comment's field `mark`.
+/// The ParameterStatus in which a session receives its mark. The client sends it back in the field `mark` of
+/// the statement's comment.
 pub const MARK_PARAMETER: &str = "sandstile_mark";
-/// Most commands come whole in one read.
+/// Most commands arrive complete in one read.
 const READ: usize = 4 * 1024;
-/// What is known to come is read in few pieces.
+/// Limits one read of a long command, so that the expected bytes arrive in few reads.
 const MOST_READ: usize = 64 * 1024;
 
-/// What the line shares with the others.
+/// State that a client connection shares with the other connections of its event loop.
 pub struct ClientContext<'a> {
     pub budget: &'a mut Budget,
     pub workloads: &'a [Workload],
-    /// What is to be counted, in the order in which it was seen.
+    /// Events to be counted, in the order in which they occurred.
     pub client_events: &'a mut Vec<ClientEvent>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
-    /// Closed as it had nothing to ask.
+    /// Closed because the client sent no command in time.
     IdleTimeout,
     EmptyQuery,
     BadInput(&'static str),
-    /// An answer could not be given whole in the client's time.
+    /// The answer could not be written completely before the client's deadline and the grace after it.
     AnswerTimeout,
 }
 
 #[derive(Debug, PartialEq)]
 pub enum ClientAction {
-    /// Put this before the desk and say by `submitted` what it is called there. The client's time is up at `deadline`.
+    /// Submit this statement to the dispatcher and report its id by `submitted`. The client stops waiting at
+    /// `deadline`.
     Submit { statement: Box<Statement>, deadline: f64 },
-    /// The client has left while this was out: nobody reads its answer.
+    /// The client has left while this statement was open: nobody will read its answer.
     Abandon(u64),
 }
 
 #[derive(Debug, PartialEq)]
 enum State {
-    /// Takes commands.
+    /// Parses commands.
     Open,
-    /// A statement has been wished for and has no name yet.
+    /// A statement has been handed to the caller and has no id yet.
     Wishing {
         deadline: f64,
     },
@@ -59,13 +62,13 @@
         statement_id: u64,
         deadline: f64,
     },
-    /// Says what is in `out`, until then at the latest.
+    /// Writes `output`, no later than until `deadline`.
     Saying {
         until: f64,
         then_ends: bool,
     },
-    /// The client's time is over: the end of the connection is the client's to make, for it may count on an answer
-    /// for a while yet; clocks differ a little.
+    /// The answer was not written in time. The client is left to close the connection: because clocks differ
+    /// a little, it may still count on an answer for a while.
     AnswerTimeout {
         until: f64,
     },
@@ -76,24 +79,27 @@
 pub struct ClientConnection {
     state: State,
     buf: Vec<u8>,
-    /// Bytes held of the budget's room, while `buf` is a long one.
+    /// Bytes reserved in the budget while `buf` is long.
     room: usize,
     out: Vec<u8>,
     written: usize,
     greeted: bool,
     holder: Holder,
-    /// When the last bytes came, as far as can be told.
+    /// When the last bytes arrived, as far as this can be known.
     at: f64,
-    /// When the last byte of each whole command in `buf` came, and the bytes that these take there.
+    /// When the last byte of each complete command in `buf` arrived; `complete_bytes` is how many bytes these
+    /// commands take in `buf`.
     arrived: VecDeque<f64>,
     whole: usize,
-    /// Since when there was no room to read: what is read next may have come then.
+    /// Since when reading has been paused for lack of room: bytes read next may have arrived as early as
+    /// that.
     unread_since: Option<f64>,
-    /// When it came up, or its last answer was given, or the command began that is not yet whole.
+    /// When the connection was accepted, its last answer was written, or the command began that is still
+    /// incomplete.
     since: f64,
-    /// Counts how often it has come to wait for a command.
+    /// Counts how often the connection has started to wait for a command.
     spell: u64,
-    /// Statements that have been answered.
+    /// Number of statements that have been answered.
     answered: u64,
     close_reason: CloseReason,
 }
@@ -117,7 +123,7 @@
 }
 
 fn command(buf: &[u8]) -> Next {
-    // A tag that nobody sends is told at once, before a length is believed.
+    // An unknown tag is refused at once, before its length field is trusted.
     if buf.first().is_some_and(|tag| !b"QXPBEDCHSFfdcp".contains(tag)) {
         return Err(pg::BadFrame("unknown message"));
     }
@@ -133,12 +139,13 @@
 }
 
 impl ClientConnection {
-    /// One that is taken in at `now`.
+    /// A connection that is accepted at `now`.
     pub fn new(now: f64) -> Self {
         ClientConnection::waiting_since(now, now)
     }
 
-    /// One that may have connected at `since`, before it was taken in at `now`: what is read first may have come then.
+    /// A connection that may have been established at `since`, before it was accepted at `now`. The first
+    /// bytes read may have arrived as early as `since`.
     pub fn waiting_since(since: f64, now: f64) -> Self {
         ClientConnection {
             state: State::Open,
@@ -159,7 +166,8 @@
         }
     }
 
-    /// How many bytes may come now; none while an answer is being said, and few while a statement is out.
+    /// How many bytes may be read now: none while an answer is being written, and few while a statement is
+    /// open.
     pub fn wanted_bytes(&self) -> usize {
         match self.state {
             State::Open => {
@@ -177,16 +185,17 @@
         self.receive_since(now, now, bytes);
     }
 
-    /// Takes bytes that are read at `now` and came no earlier than at `since`.
+    /// Takes bytes that are read at `now` and arrived no earlier than at `since`.
     pub fn receive_since(&mut self, since: f64, now: f64, bytes: &[u8]) {
         match self.state {
             State::AnswerTimeout { .. } | State::Ended => return,
-            // A command begins: it has its time from here.
+            // A command begins: its timeout runs from here.
             State::Open if self.buf.is_empty() && self.holder == Holder::ClientConnection => self.since = now,
             _ => {}
         }
         let wanted = self.wanted_bytes();
-        // Of what waited in the socket nobody knows when it came: its client may have waited for as long as that.
+        // It is unknown when bytes that waited in the socket arrived, so the earliest possible time counts:
+        // the client may have been waiting since then.
         self.at = self.unread_since.unwrap_or(since);
         self.buf.extend_from_slice(bytes);
         if self.greeted {
@@ -199,12 +208,12 @@
         }
     }
 
-    /// A read found nothing more: what comes from here on comes now.
+    /// A read found no more bytes: whatever is read from now on arrives from now on.
     pub fn read_would_block(&mut self) {
         self.unread_since = None;
     }
 
-    /// Notes the arrival of each command that has become whole.
+    /// Records the arrival time of each command that has become complete.
     fn count(&mut self) {
         while let Ok(Some(end)) = pg::frame_end(&self.buf[self.whole..], pg::MAX_FRAME_BYTES) {
             if self.buf.len() - self.whole < end {
@@ -215,12 +224,12 @@
         }
     }
 
-    /// Whether a statement is out.
+    /// Whether a statement is open.
     pub fn awaits_answer(&self) -> bool {
         matches!(self.state, State::Wishing { .. } | State::Asking { .. })
     }
 
-    /// The client has closed the connection, or it broke.
+    /// The client has closed the connection, or the connection broke.
     pub fn closed(&mut self) -> Option<ClientAction> {
         if self.state != State::Ended {
             self.close_reason = match self.state {
@@ -236,7 +245,7 @@
         }
     }
 
-    /// What waits to be written.
+    /// Bytes that are still to be written.
     pub fn pending_output(&self) -> &[u8] {
         match self.state {
             State::Saying { .. } => &self.out[self.written..],
@@ -248,14 +257,14 @@
         self.written += bytes;
     }
 
-    /// The name of the statement that was wished for.
+    /// Sets the id of the statement that was last handed to the caller.
     pub fn submitted(&mut self, statement_id: u64) {
         if let State::Wishing { deadline } = self.state {
             self.state = State::Asking { statement_id, deadline };
         }
     }
 
-    /// The one answer to the statement that is out; one to any other is nobody's any more.
+    /// Takes the one answer to the open statement. An answer to any other statement is ignored.
     pub fn answer(
         &mut self,
         now: f64,
@@ -276,8 +285,9 @@
         self.say(deadline + ANSWER_GRACE_S, false);
     }
 
-    /// Goes on as far as it can: call it after bytes, after what was written, after an answer, and at `due`. What
-    /// has come is to be handed in first, or it would be too late by this machine's own doing.
+    /// Goes on as far as possible. Call it after receiving or writing bytes, after an answer, and at `due`.
+    /// Hand in the bytes that have arrived first, or a command may be judged late only because this machine
+    /// was slow to read it.
     pub fn advance(&mut self, now: f64, client_context: &mut ClientContext) -> Option<ClientAction> {
         loop {
             match self.state {
@@ -311,7 +321,7 @@
         }
     }
 
-    /// When `advance` has something to do even if nothing comes; infinite where never.
+    /// When `advance` has to be called even if no bytes arrive; infinite if it need not be.
     pub fn due(&self) -> f64 {
         match self.state {
             State::Open => self.since + IDLE_TIMEOUT_S,
@@ -329,29 +339,29 @@
         self.state = State::Ended;
     }
 
-    /// Why it ended, once it has.
+    /// Why the connection was closed; meaningful once it has ended.
     pub fn close_reason(&self) -> CloseReason {
         self.close_reason
     }
 
-    /// Bytes of commands that have come and were not yet acted on.
+    /// Bytes of commands that have been received but not yet processed.
     pub fn unanswered_bytes(&self) -> usize {
         self.buf.len()
     }
 
-    /// Statements that have been answered.
     pub fn answered(&self) -> u64 {
         self.answered
     }
 
-    /// Whether it waits for a command, as what it may be told to go, and since which spell of waiting. A command that
-    /// has begun is no rest of a client that has asked before: its end may have come by the time of the close.
+    /// If the connection is idle, and so may be evicted: what it counts as and the number of the idle period.
+    /// A connection that has sent a statement before is not idle once its next command has begun, because the
+    /// rest of that command may arrive just as it is closed.
     pub fn idle_period(&self) -> Option<(Holder, u64)> {
         let begun = self.holder == Holder::ClientConnection && !self.buf.is_empty();
         (self.state == State::Open && !begun).then_some((self.holder, self.spell))
     }
 
-    /// Gives back what it holds; the last thing to be done with it.
+    /// Returns the memory it holds to the budget; call it last.
     pub fn release(&mut self, budget: &mut Budget) {
         budget.release_bytes(std::mem::take(&mut self.room));
     }
@@ -366,7 +376,7 @@
         self.state = State::Saying { until, then_ends };
     }
 
-    /// Says what is wrong and ends the connection, for what follows can't be trusted.
+    /// Writes an error and closes the connection, because the bytes that follow can't be trusted.
     fn bad(&mut self, now: f64, code: &str, what: &'static str, client_events: &mut Vec<ClientEvent>) {
         client_events.push(ClientEvent::BadInput(what));
         self.close_reason = CloseReason::ClientBadInput;
@@ -375,8 +385,8 @@
         self.say(now + IDLE_TIMEOUT_S, true);
     }
 
-    /// Refuses the command that has begun and ends the connection, for others need its descriptor: what was read is
-    /// not to go without an answer.
+    /// Refuses the command that has begun and closes the connection, because another connection needs its
+    /// descriptor. A command that has been read must not go unanswered.
     pub fn refuse_command(&mut self, now: f64) {
         if self.state != State::Open || self.buf.is_empty() {
             return;
@@ -387,8 +397,8 @@
         self.say(now + IDLE_TIMEOUT_S, true);
     }
 
-    /// Says what is wrong with one statement. Where commands end is still sure, and those behind it are to be
-    /// answered: an end here would lose them.
+    /// Writes an error for one statement only. The boundaries of commands are still known, and the commands
+    /// behind this one must be answered, so the connection stays open.
     fn unreadable(&mut self, now: f64, code: &str, what: &'static str, client_events: &mut Vec<ClientEvent>) {
         client_events.push(ClientEvent::BadInput(what));
         self.out.clear();
@@ -397,7 +407,7 @@
         self.say(now + IDLE_TIMEOUT_S, false);
     }
 
-    /// The next command: `Some` where the caller is to stop, with what is wished for.
+    /// Processes the next command. `Some` means that the caller of `advance` has to return, with that action.
     fn next(&mut self, now: f64, client_context: &mut ClientContext) -> Option<Option<ClientAction>> {
         if self.buf.len() <= READ && self.room > 0 {
             client_context.budget.release_bytes(std::mem::take(&mut self.room));
@@ -405,7 +415,7 @@
         }
         let over = now >= self.since + IDLE_TIMEOUT_S;
         if over && self.holder == Holder::NewClientConnection && !self.buf.is_empty() {
-            // Or one that sends empty queries without end would be served for ever.
+            // Otherwise a client that sends empty queries for ever would be served for ever.
             self.bad(now, "08P01", "no statement in time", client_context.client_events);
             return None;
         }
@@ -416,7 +426,7 @@
                 self.whole = self.whole.saturating_sub(length);
                 let arrived = self.arrived.pop_front().unwrap_or(self.at);
                 if self.buf.is_empty() {
-                    // Most connections rest most of their time, and then hold nothing.
+                    // Frees the buffer: most connections are idle most of the time.
                     self.buf = Vec::new();
                 }
                 return self.act(now, arrived, input, client_context).map(Some);
@@ -471,10 +481,12 @@
             }
             Input::Query(text) => match statement::read(text, client_context.workloads) {
                 Ok(statement) => {
-                    // From its own last byte, however long those before it took: so long does the client wait.
+                    // The client waits from the statement's own last byte, however long the statements before
+                    // it took.
                     let deadline = arrived + statement.wait;
-                    // The grace of its answer: from when it was taken up at the earliest, or what stood before it would
-                    // cost it its answer and all behind it theirs.
+                    // The grace of the answer starts no earlier than now. Otherwise a statement that was
+                    // delayed by those before it would lose its answer, and so would all statements behind
+                    // it.
                     self.state = State::Wishing { deadline: deadline.max(now) };
                     return Some(ClientAction::Submit { statement: Box::new(statement), deadline });
                 }
@@ -487,7 +499,7 @@
     }
 }
 
-/// An answer as its client reads it.
+/// Encodes an answer with the ReadyForQuery behind it.
 fn words(answer: Answer) -> Vec<u8> {
     let mut out = Vec::new();
     match answer {
--- a/crates/sandstile-connections/src/close_reason.rs
+++ b/crates/sandstile-connections/src/close_reason.rs
@@ -1,33 +1,33 @@
-//! Why a client's connection ended, for logs and counters.
+//! Why a client connection was closed, for logs and counters.
 
-/// Every way in which a client's connection can end.
+/// Every way in which a client connection can end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
     /// The client closed it between statements.
     ClientClosed,
-    /// The client closed it while a statement of its was out.
+    /// The client closed it while a statement was open.
     ClientClosedAsking,
-    /// The client closed it with a command sent in part.
+    /// The client closed it with a command sent only in part.
     ClientClosedMidCommand,
     /// A read or a write failed: the connection broke.
     ClientBroken,
     /// The client sent Terminate or a cancel request.
     ClientTerminated,
-    /// It brought no whole command in the time that resting connections have.
+    /// The client sent no complete command within the idle timeout.
     ClientRested,
-    /// It broke the protocol, and was told so.
+    /// The client violated the protocol and was sent an error.
     ClientBadInput,
-    /// It did not take in its answer in time.
+    /// The client did not read its answer in time.
     ClientForsaken,
     /// Closed between statements to make room for another connection.
     ClientEvicted,
-    /// Closed between statements as the router ends.
+    /// Closed between statements because the router is shutting down.
     ClientDismissed,
     /// It could not be set up after it was accepted.
     ClientSetupFailed,
 }
 
-/// All of them, in the order of their declaration.
+/// All reasons in the order of their declaration; counters are indexed by it.
 pub const ALL: [CloseReason; 11] = {
     use CloseReason::*;
     [
@@ -46,7 +46,7 @@
 };
 
 impl CloseReason {
-    /// Part of a good day, and no cause for a line of log.
+    /// Whether this is part of normal operation and needs no line in the log.
     pub fn ordinary(self) -> bool {
         use CloseReason::*;
         matches!(self, ClientClosed | ClientTerminated | ClientRested | ClientEvicted | ClientDismissed)
--- a/crates/sandstile-connections/src/lib.rs
+++ b/crates/sandstile-connections/src/lib.rs
@@ -1,8 +1,8 @@
-//! The connections of a router as state machines: bytes and times go in; bytes, wishes and the next time come out.
-//! Nothing here opens a socket or reads a clock, so that every split of the bytes and every order of events can be
-//! played in a test. `docs/design/readiness.md` says why it is built like that.
+//! The connections of a router as state machines: bytes and times go in; bytes, actions and the next deadline
+//! come out. Nothing here opens a socket or reads a clock, so that tests can play every split of the bytes
+//! and every order of events. `docs/design/readiness.md` gives the reasons for this design.
 //!
-//! Times are Unix seconds as f64, handed in by whoever drives the machines.
+//! Times are Unix seconds as f64, passed in by the caller.
 pub mod budget;
 pub mod client_connection;
 pub mod close_reason;
--- a/crates/sandstile-connections/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -1,31 +1,32 @@
-//! The links of one database host: which are idle, which are busy, and the jobs that wait for a dial. A dial belongs
-//! to nobody: whichever link is free first takes the job that waits longest.
+//! The connection pool of one database host: idle and busy connections, and the tasks that wait for a dial. A
+//! dial is not bound to the task that caused it: whichever connection becomes free first takes the task that
+//! has waited longest.
 use crate::outcome::Ending;
 use crate::task::Job;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// What becomes of a job.
+/// Where a new task goes.
 #[derive(Debug)]
 pub enum Placement {
-    /// This link takes it, once the socket has been looked at.
+    /// This idle connection takes it, after the caller has checked that its socket is still usable.
     Assign(usize, Job),
-    /// It waits; one more link is to be dialled at this address and made known by `dialled`.
+    /// The task waits. The caller has to dial one more connection to this address and report it by `dialled`.
     Dial(SocketAddr),
-    /// It ends here.
+    /// The task fails at once.
     End(Job, Ending),
 }
 
-/// What becomes of a link that is free.
+/// What happens to a connection that has become free.
 #[derive(Debug)]
 pub enum NextUse {
     Assign(Job),
     Idle,
-    /// The host has another address by now.
+    /// The host has another address by now, so the connection is of no further use.
     Moved,
 }
 
-/// Where an execution was found that is to be withdrawn.
+/// Where an execution that is to be cancelled was found.
 #[derive(Debug)]
 pub enum Lookup {
     Waiting(Job),
@@ -36,28 +37,29 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     address: Option<SocketAddr>,
-    /// Counts the addresses: a link of an earlier one is not used again.
+    /// Number of the current address. Connections to an earlier address are not reused.
     address_no: u64,
-    /// Last used last, each with the time since when.
+    /// Idle connections with the time since which they are idle, the most recently used one last.
     idle: Vec<(usize, f64)>,
-    /// Each link that is up and not idle, with its address and what it does.
+    /// Connected and not idle: for each the number of its address, and the statement and execution that it
+    /// runs.
     busy: BTreeMap<usize, (u64, Option<(u64, usize)>)>,
-    /// Each with the dial that was begun for it.
+    /// Waiting tasks, each with the dial that was started for it.
     waiting: VecDeque<(usize, Job)>,
-    /// The job that the next dial is begun for.
+    /// The task for which the next dial is started.
     wanting: Option<Job>,
-    /// Dials under way, with the number of the address they went to.
+    /// Dials in progress, each with the number of the address that it goes to.
     dials: BTreeMap<usize, u64>,
 }
 
 impl Pool {
-    /// Whether the list has told an address of this host.
+    /// Whether discovery has reported an address of this host.
     pub fn has_address(&self) -> bool {
         self.address.is_some()
     }
 
-    /// The host's address as the list now has it: the idle links of the former one are to be closed.
-    /// `None` where it has not changed.
+    /// Sets the host's address from the latest host list. Returns the idle connections to the previous
+    /// address, which have to be closed, or `None` if the address has not changed.
     pub fn set_address(&mut self, address: SocketAddr) -> Option<Vec<usize>> {
         if self.address == Some(address) {
             return None;
@@ -66,7 +68,7 @@
         Some(self.idle.drain(..).map(|(link, _)| link).collect())
     }
 
-    /// A job comes.
+    /// Places a new task.
     pub fn begin(&mut self, job: Job) -> Placement {
         if let Some((link, _)) = self.idle.pop() {
             return self.hand(link, self.address_no, job);
@@ -81,7 +83,7 @@
         Placement::Assign(link, job)
     }
 
-    /// The dial that was asked for last, under its name.
+    /// Reports the id of the dial that `begin` asked for last.
     pub fn dialled(&mut self, link: usize) {
         self.dials.insert(link, self.address_no);
         if let Some(job) = self.wanting.take() {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// A link that was handed a job had ended unseen: the job takes another.
+    /// A connection that was given a task turned out to be closed. The caller places the task again.
     pub fn remove_stale(&mut self, link: usize) {
         self.busy.remove(&link);
     }
@@ -103,7 +105,7 @@
         under.map_or(Lookup::NotFound, |(link, _)| Lookup::Running(*link))
     }
 
-    /// A dial is up.
+    /// A dial succeeded.
     pub fn dial_succeeded(&mut self, link: usize, now: f64) -> NextUse {
         match self.dials.remove(&link) {
             Some(address_no) => self.free(link, address_no, now),
@@ -111,7 +113,7 @@
         }
     }
 
-    /// A link's job is done.
+    /// A connection has finished its task.
     pub fn task_done(&mut self, link: usize, reusable: bool, now: f64) -> NextUse {
         match self.busy.remove(&link).filter(|_| reusable) {
             Some((address_no, _)) => self.free(link, address_no, now),
@@ -119,7 +121,7 @@
         }
     }
 
-    /// A link with nothing to do takes what waits longest, or rests.
+    /// Gives a free connection the task that has waited longest, or makes it idle.
     fn free(&mut self, link: usize, address_no: u64, now: f64) -> NextUse {
         if address_no != self.address_no {
             return NextUse::Moved;
@@ -132,7 +134,8 @@
         NextUse::Idle
     }
 
-    /// A dial less: its own job ends with it, if there are now fewer dials than jobs that wait.
+    /// A dial failed. Ends its own task if there are now fewer dials than waiting tasks; the other dials
+    /// serve the rest.
     pub fn dial_failed(&mut self, link: usize) -> Option<Job> {
         self.dials.remove(&link);
         if self.waiting.len() <= self.dials.len() {
@@ -142,23 +145,23 @@
         self.waiting.remove(at).map(|(_, job)| job)
     }
 
-    /// An idle link has ended or is told to go.
+    /// An idle connection has closed or is being closed.
     pub fn idle_closed(&mut self, link: usize) {
         self.idle.retain(|(other, _)| *other != link);
     }
 
-    /// The idle link that has rested longest and since when.
+    /// The connection that has been idle longest, and since when.
     pub fn oldest_idle(&self) -> Option<(usize, f64)> {
         self.idle.first().copied()
     }
 
-    /// Links and dials of this host.
+    /// All connections and dials of this host.
     pub fn connections(&self) -> impl Iterator<Item = usize> + '_ {
         let idle = self.idle.iter().map(|(link, _)| *link);
         idle.chain(self.busy.keys().copied()).chain(self.dials.keys().copied())
     }
 
-    /// Jobs that wait.
+    /// Number of waiting tasks.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/sandstile-connections/src/statement.rs
+++ b/crates/sandstile-connections/src/statement.rs
@@ -1,26 +1,27 @@
-//! One statement as a client worded it: the few fields that decisions need, and the bytes that go on.
+//! A client's statement: the few fields of its comment that routing decisions need, and the query that is
+//! forwarded.
 use crate::task::Parcel;
 use sandstile_pgwire as pg;
 use std::ops::Range;
 
-/// What is read out of a query. Everything else passes on as it came.
+/// The fields that are read out of a query. Everything else is forwarded unchanged.
 #[derive(Debug, PartialEq)]
 pub struct Statement {
     query: Vec<u8>,
-    /// Where the digits of `d` stand in `query`.
+    /// Where the digits of the field `d` are in `query`.
     wait_at: Range<usize>,
     pub id: String,
     pub workload: usize,
     pub group: String,
-    /// The session's name, where the workload has sessions.
+    /// The session's name, if the workload has sessions.
     pub session: Option<String>,
     pub writes: bool,
-    /// Seconds that the client waits, from its sending.
+    /// Seconds for which the client waits, counted from when it sent the statement.
     pub wait: f64,
-    /// Unix seconds of the session's last write, where the client carries it.
+    /// Unix seconds of the session's last write, if the client sends it.
     pub after: Option<f64>,
     pub retry: bool,
-    /// The mark that the session carries, as this or another router handed it out.
+    /// The session's mark, as this or another router issued it.
     pub mark: Option<String>,
 }
 
@@ -49,21 +50,21 @@
     }
 }
 
-/// A workload's name and whether its statements name a session.
+/// A workload, and whether its statements name a session.
 pub struct Workload {
     pub name: String,
     pub sessions: bool,
     pub writes: bool,
 }
 
-/// A day: no client waits so long, and more would overflow the platform's timers.
+/// One day: no client waits that long, and larger values would overflow the platform's timers.
 const LONGEST_MS: u64 = 86_400_000;
-/// Clients name statements in 16 digits; ids are kept while their statements are open.
+/// Clients use ids of 16 digits. The limit bounds the memory that the ids of open statements take.
 const LONGEST_ID: usize = 64;
-/// Longer than any mark that a router hands out.
+/// Longer than any mark that a router issues.
 const LONGEST_MARK: usize = 128;
 
-/// `query` is the text of a Query message without its closing zero.
+/// Parses a statement. `query` is the text of a Query message without the terminating zero.
 pub fn read(query: Vec<u8>, workloads: &[Workload]) -> Result<Statement, StatementError> {
     let start = query.iter().position(|b| !b.is_ascii_whitespace()).ok_or(StatementError::NoComment)?;
     if !query[start..].starts_with(b"/*") {
@@ -77,7 +78,8 @@
     let class = find("c").map(text).ok_or(StatementError::Workload)?;
     let workload = workloads.iter().position(|w| w.name == class).ok_or(StatementError::Workload)?;
     let wait_at = find("d").ok_or(StatementError::Wait)?;
-    // Of a last try nothing may be left: it is told so like any other whose time is up.
+    // 0 is accepted: a last retry may have no time left, and it is answered like any other statement whose
+    // deadline has passed.
     let wait = whole_ms(text(wait_at.clone())).filter(|ms| *ms <= LONGEST_MS);
     let group = find("cluster").map(text).filter(|g| !g.is_empty()).ok_or(StatementError::Group)?;
     let after = match find("after").map(text) {
@@ -87,7 +89,8 @@
     let session = workloads[workload].sessions.then(|| quoted(&query[rest..])).flatten();
     let session = session.map(|name| String::from_utf8_lossy(name).into_owned());
     let retry = find("r").is_some_and(|at| text(at) == "1");
-    // Whatever it holds: a mark that is none says that nothing is known, and refuses no statement.
+    // An invalid mark is kept: it only means that nothing is known of the session's writes, and is no reason
+    // to refuse a statement.
     let mark = find("mark").map(text).filter(|m| m.len() <= LONGEST_MARK).map(str::to_string);
     let (id, group) = (id.to_string(), group.to_string());
     Ok(Statement {
@@ -105,14 +108,16 @@
     })
 }
 
-/// Times are written in digits alone; a host would not read another number the way this router might.
+/// Times consist of digits only, because a host might read any other notation differently than this router
+/// does.
 fn whole_ms(text: &str) -> Option<u64> {
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
 type Pairs = Vec<(String, Range<usize>)>;
 
-/// Names and the places of their values up to the comment's end, and the place behind it.
+/// The names and the positions of the values of all fields up to the end of the comment, and the position
+/// behind the comment.
 fn fields(query: &[u8], mut at: usize) -> Result<(Pairs, usize), StatementError> {
     let mut pairs = Vec::new();
     let until = |from: usize, stop: &dyn Fn(u8) -> bool| {
@@ -143,7 +148,7 @@
     }
 }
 
-/// The first quoted text of the statement proper.
+/// The first quoted text behind the comment.
 fn quoted(text: &[u8]) -> Option<&[u8]> {
     let start = text.iter().position(|b| *b == b'\'')? + 1;
     let end = text[start..].iter().position(|b| *b == b'\'')?;
@@ -151,7 +156,8 @@
 }
 
 impl Parcel for Statement {
-    /// The Query message for a database host: only `d` says something else, what this router will wait.
+    /// The Query message for a database host. Only the value of `d` is replaced, by the time for which this
+    /// router will wait.
     fn message(&self, wait: f64) -> Vec<u8> {
         let ms = ((wait * 1000.0).floor().max(1.0) as u64).to_string();
         let (before, after) = (&self.query[..self.wait_at.start], &self.query[self.wait_at.end..]);
--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -1,42 +1,44 @@
-//! One connection to a database host, from the wish for it to its end: it is dialled, greeted, and then does one job
-//! at a time. Nothing is ever written twice, and a job that was not written whole never ran.
+//! One connection to a database host as a state machine without I/O, from the request to dial it until it
+//! closes. It is dialled, completes the startup, and then runs one task at a time. Nothing is written twice,
+//! and a task whose message was not written completely never ran.
 use crate::budget::Budget;
 use crate::outcome::{Ending, Outcome};
 use crate::task::{Errand, Job};
 use sandstile_pgwire::{self as pg, Answer, BadFrame, Stage};
 use sandstile_policy::terms::{HostReport, OutcomeClass};
 
-/// The reads of one answer of the usual size fit in one.
+/// One read takes a whole answer of the usual size.
 const READ: usize = 8 * 1024;
 
-/// What has happened to a link. After `Failed`, `IdleClosed` and a `Done` that does not go on, the link has ended: its
-/// socket is to be closed before anybody hears of it, or an execution would still be out beside the next.
+/// What has happened to an upstream connection. After `Failed`, `IdleClosed` and a `Done` that is not
+/// `reusable` the connection has ended. Its socket has to be closed before anybody learns of it; otherwise
+/// its execution could still be running while the next one starts.
 #[derive(Debug)]
 pub enum Event {
-    /// It takes a first job.
+    /// Ready for its first task.
     Up,
-    /// It never came up.
+    /// It was never established.
     Failed(Ending),
     Done {
         job: Job,
         outcome: Outcome,
         reusable: bool,
     },
-    /// It ended while it had nothing to do.
+    /// It ended while it was idle.
     IdleClosed(Ending),
 }
 
-/// Bytes that came and are not yet taken, frame by frame.
+/// Received bytes that have not been processed yet, split into frames.
 #[derive(Debug, Default)]
 struct Inbox {
     buf: Vec<u8>,
-    /// Bytes held of the budget's room, for a long value.
+    /// Bytes reserved in the budget for a long value.
     room: usize,
 }
 
 impl Inbox {
-    /// Where the frame that has begun ends, once that is known: never where no host can have begun one, nor where
-    /// it is longer than there is room for.
+    /// Where the frame at `start` ends, once its length is known. Fails if no host can have sent such a
+    /// frame, or if the budget has no room for it.
     fn end(&mut self, at: usize, budget: &mut Budget) -> Result<Option<usize>, BadFrame> {
         let begun = &self.buf[at..];
         pg::check_plausible(begun, budget.max_value_bytes())?;
@@ -50,7 +52,7 @@
         Ok(end)
     }
 
-    /// Hands each whole frame to `take`, until that says it has heard enough.
+    /// Hands each complete frame to `take` until that returns `true`.
     fn frames(
         &mut self,
         budget: &mut Budget,
@@ -60,7 +62,7 @@
         let enough = loop {
             let end = self.end(at, budget)?;
             let Some(end) = end.filter(|end| self.buf.len() - at >= *end) else {
-                // What is known to come takes no more than its room.
+                // Reserves exactly the bytes that are still expected.
                 let missing = end.map_or(0, |end| (at + end).saturating_sub(self.buf.len()));
                 self.buf.drain(..at);
                 self.buf.reserve_exact(missing);
@@ -101,7 +103,7 @@
     Dialling {
         until: f64,
     },
-    /// The connection is up; the host has yet to admit it.
+    /// Connected; the host has not yet accepted the session.
     Greeting {
         until: f64,
     },
@@ -114,11 +116,11 @@
 struct Busy {
     job: Job,
     answer: Answer,
-    /// An answer that has begun goes on by then.
+    /// When an answer that has begun has to continue, at the latest.
     more_by: f64,
 }
 
-/// How an exchange came to its end on the wire.
+/// Why an exchange with the host is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Heard {
     Ready,
@@ -134,15 +136,15 @@
     inbox: Inbox,
     out: Vec<u8>,
     written: usize,
-    /// It has answered before.
+    /// It has completed a task before.
     used: bool,
     /// Seconds for which an answer that has begun may pause.
     pause: f64,
 }
 
 impl UpstreamConnection {
-    /// One that is wanted: it is up by `until` or not at all. `pause` is how many seconds an answer that has begun
-    /// may take to go on.
+    /// A connection that is to be dialled and that fails if it is not ready by `deadline`. `max_pause` is for
+    /// how many seconds an answer that has begun may pause.
     pub fn new(until: f64, pause: f64) -> Self {
         UpstreamConnection {
             state: State::Queued { until },
@@ -154,21 +156,22 @@
         }
     }
 
-    /// It has its descriptor and is being dialled.
+    /// It has a descriptor and is being dialled.
     pub fn dialled(&mut self) {
         if let State::Queued { until } = self.state {
             self.state = State::Dialling { until };
         }
     }
 
-    /// It begins only now, after it waited for its turn: the host is to have all of its time.
+    /// Like `dialled`, for a dial that was delayed to limit concurrent dials: the host gets the whole dial
+    /// timeout from now on.
     pub fn dialled_with_deadline(&mut self, by: f64) {
         if let State::Queued { .. } = self.state {
             self.state = State::Dialling { until: by };
         }
     }
 
-    /// The connection is up: the greeting goes out.
+    /// The TCP connection is established: sends the startup message.
     pub fn connected(&mut self) {
         if let State::Dialling { until } = self.state {
             self.say(pg::startup_message());
@@ -176,7 +179,7 @@
         }
     }
 
-    /// The dial came to nothing.
+    /// The dial failed.
     pub fn failed(&mut self, ending: Ending) -> Option<Event> {
         match self.state {
             State::Queued { .. } | State::Dialling { .. } => {
@@ -195,7 +198,7 @@
         matches!(self.state, State::Idle)
     }
 
-    /// What it does, where it is a statement's.
+    /// The task that it runs.
     pub fn job(&self) -> Option<&Job> {
         match &self.state {
             State::Busy(busy) => Some(&busy.job),
@@ -203,7 +206,8 @@
         }
     }
 
-    /// How many bytes may come now. What a host says before it has heard a statement whole waits in the socket.
+    /// How many bytes may be read now. Whatever a host sends before the statement has been written completely
+    /// stays in the socket.
     pub fn wanted_bytes(&self) -> usize {
         match self.state {
             State::Queued { .. } | State::Dialling { .. } | State::Ended => 0,
@@ -213,7 +217,7 @@
         }
     }
 
-    /// What waits to be written.
+    /// Bytes that are still to be written.
     pub fn pending_output(&self) -> &[u8] {
         &self.out[self.written..]
     }
@@ -221,7 +225,7 @@
     pub fn wrote(&mut self, bytes: usize) {
         self.written += bytes;
         if self.written >= self.out.len() {
-            // A long one is not kept for as long as its answer takes.
+            // Frees a long message at once instead of keeping it until its answer is complete.
             (self.out, self.written) = (Vec::new(), 0);
         }
     }
@@ -230,8 +234,8 @@
         (self.out, self.written) = (out, 0);
     }
 
-    /// Takes a job. The socket was looked at just before: what came behind the last answer would be taken for
-    /// this one's.
+    /// Starts a task. The caller must have checked just before that the socket holds no bytes: bytes behind
+    /// the previous answer would be taken for this task's answer.
     pub fn begin(&mut self, now: f64, job: Job) -> Option<Event> {
         if !self.idle() || now >= job.until {
             let outcome = Ending::WithdrawnUnsent.into();
@@ -291,7 +295,7 @@
         }
     }
 
-    /// The host has closed the connection, or it broke.
+    /// The host has closed the connection, or the connection broke.
     pub fn closed(&mut self, budget: &mut Budget) -> Option<Event> {
         match self.state {
             State::Busy(_) => self.done(Heard::Closed, budget),
@@ -307,7 +311,7 @@
         }
     }
 
-    /// When `handle_deadline` has something to do; infinite where never.
+    /// When `handle_deadline` has to be called; infinite if it need not be.
     pub fn due(&self) -> f64 {
         match &self.state {
             State::Queued { until } | State::Dialling { until } | State::Greeting { until } => *until,
@@ -316,7 +320,8 @@
         }
     }
 
-    /// What has come is to be handed in first: what came while this machine had to wait for its core counts.
+    /// Ends whatever is overdue. Hand in the bytes that have arrived first: bytes that arrived while this
+    /// process waited for a processor count as in time.
     pub fn handle_deadline(&mut self, now: f64, budget: &mut Budget) -> Option<Event> {
         if now < self.due() {
             return None;
@@ -331,7 +336,7 @@
         Some(Event::Failed(ending))
     }
 
-    /// Closes the connection under this execution, whatever has come of it.
+    /// Closes the connection that runs this execution, whatever has arrived of its answer.
     pub fn withdraw(&mut self, which: (u64, usize), budget: &mut Budget) -> Option<Event> {
         match &self.state {
             State::Busy(busy) if busy.job.is(which) => self.done(Heard::Withdrawn, budget),
@@ -339,18 +344,18 @@
         }
     }
 
-    /// Closed here while it had nothing to do.
+    /// Closes it while it is idle.
     pub fn leave(&mut self) {
         self.state = State::Ended;
     }
 
-    /// Gives back what it holds; the last thing to be done with it.
+    /// Returns the memory it holds to the budget; call it last.
     pub fn release(&mut self, budget: &mut Budget) {
         self.inbox.clear(budget);
     }
 
-    /// The one ending of a job. An answer that came whole counts, even where the connection ends right behind it;
-    /// not where nonsense stands in its midst, for then nothing of it is sure.
+    /// Ends the running task, once. A complete answer counts even if the connection closes right behind it;
+    /// it does not count if it contains a protocol violation, because then no part of it can be trusted.
     fn done(&mut self, heard: Heard, budget: &mut Budget) -> Option<Event> {
         let State::Busy(busy) = std::mem::replace(&mut self.state, State::Ended) else { return None };
         let Busy { job, answer, more_by } = *busy;
@@ -386,7 +391,7 @@
     }
 }
 
-/// What a frame before the first statement means: up, failed, or nothing yet.
+/// What a frame during the startup means: ready, failed, or nothing yet.
 fn greeted(tag: u8, body: &[u8]) -> Result<Option<Result<(), Ending>>, BadFrame> {
     Ok(match tag {
         b'Z' => Some(Ok(())),
@@ -400,7 +405,7 @@
     })
 }
 
-/// A load report's position, in Unix seconds there, and role.
+/// Reads the position (Unix seconds on the host's clock) and the role out of a load report.
 fn report(text: &str, note: &mut HostReport) {
     for (key, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         match (key.trim(), value.trim().parse::<f64>()) {
--- a/crates/sandstile-connections/tests/client_connections.rs
+++ b/crates/sandstile-connections/tests/client_connections.rs
@@ -1,5 +1,5 @@
-//! One client's line, whatever the cuts and times: each statement that is wished for gets one answer or is given up
-//! with its client, and what is held is given back.
+//! Client connections under every split of the bytes and any timing: each submitted statement gets one answer
+//! or is abandoned with its client, and all reserved memory is returned.
 use oorandom::Rand64;
 use sandstile_connections::budget::{Budget, Holder};
 use sandstile_connections::client_connection::{
@@ -19,7 +19,7 @@
     out
 }
 
-/// A line with what it leans on.
+/// A client connection with everything it depends on.
 struct Rig {
     line: ClientConnection,
     budget: Budget,
@@ -49,7 +49,7 @@
         self.line.advance(self.now, &mut client_context)
     }
 
-    /// Writes all that it says, and has it go on, until it wishes for something or waits.
+    /// Writes all pending output and advances the connection until it returns an action or waits.
     fn flow(&mut self, said: &mut Vec<u8>) -> Option<ClientAction> {
         loop {
             if let Some(action) = self.advance() {
@@ -70,7 +70,7 @@
     }
 }
 
-/// The tags of the frames in what was said, and the codes of its errors.
+/// The tags of the frames in the output, and the SQLSTATEs of its errors.
 fn frames(mut said: &[u8]) -> (String, Vec<String>) {
     let (mut tags, mut codes) = (String::new(), Vec::new());
     while let Some((tag, body)) = pg::frame(said).expect("frames") {
@@ -84,7 +84,7 @@
     (tags, codes)
 }
 
-/// Every way of cutting a conversation yields the same wishes and the same words.
+/// Every split of a conversation leads to the same statements and the same output.
 #[test]
 fn a_conversation_is_the_same_however_it_is_cut() {
     let mut whole = pg::startup_message();
@@ -102,7 +102,7 @@
                 let statement_id = ids.len() as u64 + 7;
                 rig.line.submitted(statement_id);
                 assert_eq!(rig.line.idle_period(), None);
-                // An answer to another statement is nobody's.
+                // An answer to another statement is ignored.
                 rig.line.answer(rig.now, statement_id + 1, Answer::Aborted, &mut rig.client_events);
                 assert!(rig.line.pending_output().is_empty());
                 rig.line.answer(rig.now, statement_id, Answer::Rejected(0.25), &mut rig.client_events);
@@ -125,8 +125,9 @@
     }
 }
 
-/// Random lives: bytes good and bad in any portions, slow writes, answers, time, the client's end. A statement that
-/// was wished for is answered once or gone once; an end comes within its time; nothing stays held.
+/// Random histories: valid and invalid bytes in any portions, slow writes, answers, passing time, a client
+/// that leaves. Each submitted statement is answered or abandoned once, every connection ends in time, and
+/// all memory is returned.
 #[test]
 fn every_life_keeps_its_books() {
     for seed in 0..4_000 {
@@ -210,7 +211,7 @@
     }
 }
 
-/// Late by this machine's own doing: said up to its grace, and not begun after it.
+/// An answer that is late because of this machine is still written during its grace, and not begun after it.
 #[test]
 fn an_answer_has_a_grace_and_then_its_client_the_time_to_leave() {
     for (late, is_said) in [(0.0, true), (ANSWER_GRACE_S - 0.01, true), (ANSWER_GRACE_S + 0.01, false)] {
@@ -226,7 +227,7 @@
         assert_eq!(!rig.line.pending_output().is_empty(), is_said);
         if !is_said {
             assert_eq!(rig.client_events, [ClientEvent::AnswerTimeout]);
-            // The end is the client's to make, for a while.
+            // The client is left to close the connection for a while.
             assert!(!rig.line.ended() && rig.line.wanted_bytes() > 0);
             rig.now += IDLE_TIMEOUT_S;
             rig.advance();
@@ -235,7 +236,8 @@
     }
 }
 
-/// Who says nothing, drips, or only ever asks for nothing goes in the page's time; who has asked may rest as long.
+/// A client that sends nothing, sends bytes one by one, or sends only empty queries is closed within the
+/// documented idle timeout. A client that has sent a statement may be idle for as long.
 #[test]
 fn lines_that_bring_no_statement_end_in_their_time() {
     let mut rig = Rig::new();
@@ -266,7 +268,7 @@
     assert_eq!(rig.line.idle_period().map(|r| r.0), Some(Holder::ClientConnection));
     rig.now += 1.9;
     rig.hear(&statement(2)[..9], &mut said);
-    // The command that begins has its own time, not what is left of the rest.
+    // The command that begins gets a timeout of its own, not what remains of the idle timeout.
     rig.now += 1.9;
     rig.advance();
     assert!(!rig.line.ended());
@@ -276,7 +278,8 @@
     assert_eq!(frames(&said).1.last().map(String::as_str), Some("08P01"));
 }
 
-/// Behind others on its connection a statement's time runs on: its client counts from the sending.
+/// The time of a pipelined statement runs while it waits behind others, because its client counts from when
+/// it sent the statement.
 #[test]
 fn a_pipelined_statement_has_the_time_that_its_client_gives_it_from_its_own_last_byte() {
     let (mut rig, mut said) = (Rig::new(), Vec::new());
@@ -286,7 +289,7 @@
     let Some(ClientAction::Submit { deadline, .. }) = rig.hear(&two, &mut said) else { panic!("a wish") };
     assert!((deadline - begun - 0.5).abs() < 1e-6);
     rig.line.submitted(1);
-    // A third comes in two pieces while the first is out: it counts from its second.
+    // The third statement arrives in two pieces while the first is open: its time runs from the second piece.
     rig.now = begun + 0.1;
     rig.line.receive(rig.now, &statement(3)[..20]);
     rig.now = begun + 0.2;
@@ -300,7 +303,8 @@
     }
 }
 
-/// What found no room to be read may have come as soon as there was none: nobody can tell, and its client counts.
+/// Bytes that could not be read for lack of room may have arrived as soon as reading paused. That is unknown,
+/// so a statement's time runs from the earliest possible moment.
 #[test]
 fn what_waited_in_the_socket_has_its_time_from_when_it_may_have_come() {
     let (mut rig, mut said) = (Rig::new(), Vec::new());
@@ -330,7 +334,7 @@
         statement_id += 1;
     }
     assert_eq!((statement_id, at), (200, burst.len()));
-    // All is read: what comes after a pause has its time from then.
+    // Everything is read: a statement that arrives after a pause has its full time.
     rig.now = begun + 1.0;
     let Some(ClientAction::Submit { deadline, .. }) = rig.hear(&statement(900), &mut said) else {
         panic!("a wish")
@@ -338,7 +342,7 @@
     assert!((deadline - begun - 1.5).abs() < 1e-6);
 }
 
-/// One statement that can't be read, or whose time is up, costs those behind it nothing.
+/// A statement that can't be parsed, or whose time is up, does not affect the statements behind it.
 #[test]
 fn a_statement_that_is_wrong_in_itself_leaves_the_connection_to_those_behind_it() {
     let (mut rig, mut said) = (Rig::new(), Vec::new());
@@ -364,7 +368,8 @@
     assert!(!rig.line.ended());
 }
 
-/// What has begun to come from a client that asked before is no rest: its end may be there by the time of a close.
+/// A client that has sent a statement before is not idle once its next command has begun, because the rest
+/// may arrive just as the connection is closed.
 #[test]
 fn a_command_that_has_begun_is_no_rest() {
     let (mut rig, mut said) = (Rig::new(), Vec::new());
@@ -376,13 +381,15 @@
     assert!(rig.line.idle_period().is_some());
     rig.hear(&statement(2)[..9], &mut said);
     assert_eq!(rig.line.idle_period(), None);
-    // One that has yet to ask may go for others all the same, or a few bytes would hold a place.
+    // A client that has not sent a statement yet may still be evicted; otherwise a few bytes would be enough
+    // to hold a connection.
     let mut stranger = Rig::new();
     stranger.hear(&pg::startup_message()[..5], &mut said);
     assert!(stranger.line.idle_period().is_some());
 }
 
-/// Its time was over before its turn came: it is told all the same, or those behind it would be lost with it.
+/// A statement whose time ran out while it waited behind others still gets an answer; otherwise the
+/// statements behind it would be lost too.
 #[test]
 fn a_statement_whose_time_ran_out_behind_others_is_told_and_holds_up_none() {
     let (mut rig, mut said) = (Rig::new(), Vec::new());
--- a/crates/sandstile-connections/tests/upstream_connections.rs
+++ b/crates/sandstile-connections/tests/upstream_connections.rs
@@ -1,5 +1,6 @@
-//! Links and pools in every order of dial, write, answer, recall, break and time: each job ends once, and what was
-//! written whole never passes for what never ran.
+//! Upstream connections and pools under every order of dials, writes, answers, cancellations, failures and
+//! deadlines: each task ends once, and a task whose message was written completely is never reported as one
+//! that did not run.
 use oorandom::Rand64;
 use sandstile_connections::budget::Budget;
 use sandstile_connections::outcome::Ending;
@@ -48,7 +49,7 @@
     Budget::new(64, 32, 32 * pg::MAX_FRAME_BYTES)
 }
 
-/// A link that is up, at this time.
+/// A connection that is ready at `now`.
 fn up(now: f64, budget: &mut Budget) -> UpstreamConnection {
     let mut link = UpstreamConnection::new(now + PAUSE, PAUSE);
     link.dialled();
@@ -89,7 +90,7 @@
     }
 }
 
-/// Any order of what can happen to a link under a statement.
+/// Random orders of everything that can happen to an upstream connection with a task.
 #[test]
 fn one_job_has_one_ending_and_what_was_written_whole_may_have_run() {
     let mut seen = BTreeSet::new();
@@ -207,7 +208,8 @@
     assert!(all.iter().all(|ending| seen.contains(ending)), "{seen:?}");
 }
 
-/// A pool before links that come up, break, and take their time, while jobs come and are recalled and its host moves.
+/// A pool whose connections come up, fail and take time, while tasks arrive and are cancelled and the host
+/// changes its address.
 #[test]
 fn every_job_of_a_pool_ends_once_and_none_waits_without_a_dial() {
     let addresses: [SocketAddr; 2] =
@@ -240,7 +242,7 @@
                     while let Some(job) = wanted.take() {
                         match pool.begin(job) {
                             Placement::Assign(link, job) if below(6) == 0 => {
-                                // It had ended unseen.
+                                // The idle connection had already been closed by the host.
                                 assert!(idle.remove(&link));
                                 pool.remove_stale(link);
                                 wanted = Some(job);
--- a/crates/sandstile-hcl/src/lib.rs
+++ b/crates/sandstile-hcl/src/lib.rs
@@ -1,5 +1,5 @@
-//! HCL with its places: each key is asked for by name and type, and what nobody asked for is refused. Problems are
-//! collected, so that one reading names them all.
+//! Reads HCL strictly: each key is requested by name and type, and keys that nobody requested are refused.
+//! Problems are collected with their positions, so that one run reports all of them.
 use hcl_edit::expr::Expression;
 use hcl_edit::structure::{Block, Body, Structure};
 use hcl_edit::Span;
@@ -8,7 +8,7 @@
 use std::fmt;
 use std::ops::Range;
 
-/// What is wrong, and where; lines and columns count from 1.
+/// A problem and its position; lines and columns count from 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
     pub file: String,
@@ -28,7 +28,7 @@
     }
 }
 
-/// The text of one file and what was found wrong in it.
+/// The text of one file and the problems found in it.
 pub struct Source<'a> {
     file: String,
     text: &'a str,
@@ -40,7 +40,7 @@
         Source { file: file.to_string(), text, problems: RefCell::default() }
     }
 
-    /// The file's body; `None` where it is no HCL, which is on record then.
+    /// The parsed file; `None` if it is not valid HCL, which is recorded as a problem.
     pub fn parse(&self) -> Option<Body> {
         match hcl_edit::parser::parse_body(self.text) {
             Ok(body) => Some(body),
@@ -65,7 +65,7 @@
         self.text[..at.min(self.text.len())].matches('\n').count() + 1
     }
 
-    /// All problems in the order of their places.
+    /// All problems in the order of their positions.
     pub fn problems(&self) -> Vec<Problem> {
         let mut all = self.problems.borrow().clone();
         all.sort_by_key(|p| (p.line, p.column));
@@ -77,13 +77,13 @@
     span.map_or(0, |s| s.start)
 }
 
-/// The body of a file or block, from which keys are taken one by one.
+/// The body of a file or block, whose keys are read one by one.
 pub struct Section<'a> {
     source: &'a Source<'a>,
     body: &'a Body,
-    /// What it is called in messages.
+    /// How messages call the section.
     pub what: String,
-    /// The block's label, empty where it has none.
+    /// The block's label, empty if it has none.
     pub name: String,
     pub at: usize,
     taken: RefCell<BTreeSet<String>>,
@@ -116,7 +116,7 @@
         self.source
     }
 
-    /// All blocks of this kind, in their order. Two of one name are a problem.
+    /// All blocks of this kind in their order. Two with the same label are a problem.
     pub fn blocks(&self, kind: &str, labelled: bool) -> Vec<Section<'a>> {
         self.taken.borrow_mut().insert(kind.to_string());
         let mut names = BTreeSet::new();
@@ -132,7 +132,7 @@
         found
     }
 
-    /// The one block of this kind, if there is one.
+    /// The single block of this kind, if there is one. A second one is a problem.
     pub fn optional_block(&self, kind: &str) -> Option<Section<'a>> {
         let mut blocks = self.blocks(kind, false);
         if let Some(second) = blocks.get(1) {
@@ -151,7 +151,7 @@
         self.body.has_attribute(key)
     }
 
-    /// Where the key's value stands; the section's place where it is absent.
+    /// The byte offset of the key's value, or of the section if the key is absent.
     pub fn offset_of(&self, key: &str) -> usize {
         self.body.get_attribute(key).map_or(self.at, |a| start(a.value.span().or(a.key.span())))
     }
@@ -192,7 +192,7 @@
         self.optional_number(key, range).unwrap_or(least)
     }
 
-    /// Milliseconds in the file, seconds here.
+    /// Reads milliseconds and returns seconds.
     pub fn ms(&self, key: &str, range: Range<f64>, default: f64) -> f64 {
         self.number(key, range, default * 1000.0) / 1000.0
     }
@@ -229,7 +229,7 @@
         self.text(key).unwrap_or_default()
     }
 
-    /// One of a few words.
+    /// One of a fixed set of words.
     pub fn choice<T: Copy>(&self, key: &str, words: &[(&str, T)], default: Option<T>) -> T {
         if default.is_none() && !self.has(key) {
             self.missing(key);
@@ -278,7 +278,7 @@
         }
     }
 
-    /// One of the names that stand elsewhere in the file, by its index.
+    /// The index of a name that is defined elsewhere in the file.
     pub fn reference(&self, key: &str, what: &str, names: &[String]) -> Option<usize> {
         if !self.has(key) {
             self.missing(key);
@@ -297,7 +297,7 @@
         found
     }
 
-    /// Refuses all that nobody took.
+    /// Reports every key and block that was not requested.
     pub fn finish(&self) {
         let taken = self.taken.borrow();
         let known: Vec<&str> = taken.iter().map(String::as_str).collect();
@@ -321,7 +321,7 @@
     }
 }
 
-/// The nearest of what would do, or all of it.
+/// Suggests the most similar word, or lists all of them.
 fn hint(choice: &str, words: &[&str]) -> String {
     let near = words.iter().map(|w| (distance(choice, w), w)).min();
     match near {
@@ -330,7 +330,7 @@
     }
 }
 
-/// Letters to add, drop or change.
+/// Edit distance: characters to add, drop or replace.
 fn distance(a: &str, b: &str) -> usize {
     let (a, b): (Vec<char>, Vec<char>) = (a.chars().take(64).collect(), b.chars().take(64).collect());
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/sandstile-pgwire/src/answer.rs
+++ b/crates/sandstile-pgwire/src/answer.rs
@@ -1,18 +1,18 @@
-//! Folding the frames that answer one query.
+//! Collects the frames that answer one query.
 use crate::frame::{be32, write_frame, BadFrame};
 use std::ops::Range;
 
-/// The SQLSTATE of an ErrorResponse's body.
+/// The SQLSTATE in the body of an ErrorResponse.
 pub fn sqlstate(body: &[u8]) -> Option<&str> {
     field(body, b'C')
 }
 
-/// One field of an ErrorResponse's body: `C` the SQLSTATE, `D` the detail, `M` the message.
+/// One field in the body of an ErrorResponse: `C` is the SQLSTATE, `D` the detail, `M` the message.
 pub fn field(body: &[u8], key: u8) -> Option<&str> {
     body.split(|b| *b == 0).find(|f| f.first() == Some(&key)).and_then(|f| std::str::from_utf8(&f[1..]).ok())
 }
 
-/// How far an answer of a database host has come.
+/// How much of a database host's answer has arrived.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
     #[default]
@@ -24,22 +24,22 @@
     Failed(String),
 }
 
-/// Folds the frames that answer one query.
+/// The answer to one query, built frame by frame.
 #[derive(Debug, Default)]
 pub struct Answer {
     pub stage: Stage,
-    /// RowDescription, DataRow and CommandComplete, as they came.
+    /// RowDescription, DataRow and CommandComplete, as received.
     pub rows: Vec<u8>,
-    /// Where in `rows` the one value stands.
+    /// Where the single value is in `rows`.
     pub value: Range<usize>,
     pub position: Option<f64>,
     pub primary: Option<bool>,
-    /// The number of the primary's term that the host follows, where hosts tell it.
+    /// The number of the primary's term that the host follows, if the host reports it.
     pub timeline: Option<u64>,
 }
 
 impl Answer {
-    /// Takes one frame; `true` once it was ReadyForQuery.
+    /// Takes one frame; returns `true` for ReadyForQuery.
     pub fn take(&mut self, tag: u8, body: &[u8]) -> Result<bool, BadFrame> {
         let next = match (tag, &self.stage) {
             (b'Z', _) => return Ok(true),
@@ -89,7 +89,7 @@
     }
 }
 
-/// The word that answers and lists use for a role: is it the primary's?
+/// Whether a role, as answers and host lists spell it, is the primary's; `None` if unknown.
 pub fn role(mode: &str) -> Option<bool> {
     match mode {
         "read-write" => Some(true),
--- a/crates/sandstile-pgwire/src/backend.rs
+++ b/crates/sandstile-pgwire/src/backend.rs
@@ -1,13 +1,13 @@
-//! What the serving side says: greetings, rows, errors, parameters.
+//! Encodes the messages of a server: startup response, rows, errors, parameters.
 use crate::frame::write_frame;
 
-/// The greeting to a client: admitted, and ready.
+/// The response to a startup message: authenticated, and ready for a query.
 pub fn startup_response(out: &mut Vec<u8>) {
     write_frame(out, b'R', &[&0i32.to_be_bytes()]);
     for (name, value) in [("server_encoding", "UTF8"), ("client_encoding", "UTF8"), ("DateStyle", "ISO")] {
         write_frame(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
     }
-    // No statement is cancelled by key, so the key says nothing.
+    // Cancel requests by key are not supported, so the key is all zeros.
     write_frame(out, b'K', &[&[0; 8]]);
     ready(out);
 }
@@ -21,7 +21,8 @@
     ready(out);
 }
 
-/// `fatal` ends the connection; else the caller adds what follows.
+/// With `fatal` the server closes the connection afterwards; otherwise the caller adds the messages that
+/// follow.
 pub fn error(out: &mut Vec<u8>, fatal: bool, code: &str, message: &str, detail: Option<&str>) {
     let severity: &[u8] = if fatal { b"FATAL" } else { b"ERROR" };
     let mut body = Vec::with_capacity(64);
@@ -34,7 +35,7 @@
     write_frame(out, b'E', &[&body, b"\0"]);
 }
 
-/// One value as the answer to a query, without what closes it: RowDescription, DataRow, CommandComplete.
+/// One value as the answer to a query, without the ReadyForQuery: RowDescription, DataRow, CommandComplete.
 pub fn row(out: &mut Vec<u8>, value: &[u8]) {
     // Column 0 of no table, bytea (type 17) in binary form.
     let column = [&[0; 6][..], &17u32.to_be_bytes(), &(-1i16).to_be_bytes(), &(-1i32).to_be_bytes(), &[0, 1]];
@@ -48,12 +49,12 @@
     write_frame(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
 }
 
-/// CommandComplete alone, for commands that yield no row and have no effect here.
+/// Only a CommandComplete, for commands that return no row and have no effect here.
 pub fn command_complete(out: &mut Vec<u8>, tag: &str) {
     write_frame(out, b'C', &[tag.as_bytes(), b"\0"]);
 }
 
-/// The word that answers and lists use for a role.
+/// How answers and host lists spell a role.
 pub fn mode(primary: bool) -> &'static str {
     match primary {
         true => "read-write",
--- a/crates/sandstile-pgwire/src/frame.rs
+++ b/crates/sandstile-pgwire/src/frame.rs
@@ -1,13 +1,14 @@
-//! Where frames begin and end, and which of them nobody can have meant.
+//! Finds the boundaries of frames and rejects frames that the peer cannot have meant.
 use std::ops::Range;
 
-/// A value of 64 KiB as hexadecimal digits in a query, its statement and comment beside it.
+/// Fits a value of 64 KiB as hexadecimal digits in a query, with its statement and comment.
 pub const MAX_FRAME_BYTES: usize = 2 * 64 * 1024 + 16 * 1024;
-/// Values as the protocol's page has them; longer ones come all the same, and pass while there is room.
+/// The largest value that the protocol's page specifies. Longer ones occur and are accepted while memory
+/// allows.
 pub const TYPICAL_VALUE_BYTES: usize = 64 * 1024;
-/// Names, texts and codes beside the values.
+/// For frames that hold only names, texts and codes.
 const MOST_WORDS: usize = 8 * 1024;
-/// A startup message holds a few short names; PostgreSQL itself takes no longer ones.
+/// A startup message holds a few short names; PostgreSQL itself accepts none longer than this.
 pub const MAX_STARTUP_BYTES: usize = 10_000;
 
 pub(crate) const PROTOCOL_3: i32 = 3 << 16;
@@ -15,14 +16,14 @@
 const SSL: i32 = 80_877_103;
 const GSS: i32 = 80_877_104;
 
-/// Nothing that could be a frame of the protocol.
+/// The bytes are no valid frame of the protocol.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BadFrame(pub &'static str);
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum Startup {
     Begin,
-    /// A wish for encryption, declined with one byte.
+    /// A request for encryption, declined with one byte.
     Encrypt,
     Cancel,
 }
@@ -31,7 +32,7 @@
     i32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
-/// The first message of a connection and its length; `None` until it is whole.
+/// The first message of a connection and its length; `None` until it is complete.
 pub fn startup(buf: &[u8]) -> Result<Option<(Startup, usize)>, BadFrame> {
     if buf.len() < 4 {
         return Ok(None);
@@ -44,28 +45,29 @@
     let kind = match be32(&buf[4..]) {
         SSL | GSS if length == 8 => Startup::Encrypt,
         CANCEL if length == 16 => Startup::Cancel,
-        // Any minor version: what it asks for beyond ours is left out of our answers.
+        // Any minor version is accepted: the server's answers omit what newer ones ask for.
         code if code >> 16 == PROTOCOL_3 >> 16 => Startup::Begin,
         _ => return Err(BadFrame("startup code")),
     };
     Ok(Some((kind, length)))
 }
 
-/// The next frame's tag and the place of its body; `None` until it is whole.
+/// The next frame's tag and the position of its body; `None` until it is complete.
 pub fn frame(buf: &[u8]) -> Result<Option<(u8, Range<usize>)>, BadFrame> {
     let head = frame_end(buf, MAX_FRAME_BYTES)?;
     Ok(head.filter(|end| buf.len() >= *end).map(|end| (buf[0], 5..end)))
 }
 
-/// Where the frame that begins here ends; `None` until its length has come.
+/// Where the frame at the start of `buf` ends; `None` until its length has arrived.
 pub fn frame_end(buf: &[u8], most: usize) -> Result<Option<usize>, BadFrame> {
     let Some(length) = buf.get(1..5).map(be32) else { return Ok(None) };
     let length = usize::try_from(length).ok().filter(|n| (4..=most).contains(n));
     Ok(Some(1 + length.ok_or(BadFrame("frame length"))?))
 }
 
-/// Whether a database host can have begun a frame like this. Guards against waiting for the rest of what never
-/// was a frame: noise whose length happens to be small, or a row longer or shorter than its value.
+/// Fails if a database host cannot have sent a frame that begins like this. Prevents waiting for the rest of
+/// something that is no frame: noise that happens to have a small length, or a row that is longer or shorter
+/// than its value.
 pub fn check_plausible(buf: &[u8], longest_value: usize) -> Result<(), BadFrame> {
     let Some(tag) = buf.first() else { return Ok(()) };
     let most = match tag {
@@ -86,7 +88,7 @@
     Ok(())
 }
 
-/// A frame of one tag round its body.
+/// Appends a frame with this tag and body.
 pub fn write_frame(out: &mut Vec<u8>, tag: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|p| p.len()).sum::<usize>();
     out.push(tag);
--- a/crates/sandstile-pgwire/src/frontend.rs
+++ b/crates/sandstile-pgwire/src/frontend.rs
@@ -1,7 +1,7 @@
-//! What the asking side says, and what a server reads from it.
+//! Encodes the messages of a client, and decodes them on the server's side.
 use crate::frame::{frame, startup, write_frame, BadFrame, Startup, PROTOCOL_3};
 
-/// What a router says first to a database host, which admits anybody.
+/// The first message of a router to a database host. Hosts accept any user.
 pub fn startup_message() -> Vec<u8> {
     let names = b"user\0web\0database\0orders\0\0";
     let mut out = (8 + names.len() as u32).to_be_bytes().to_vec();
@@ -19,22 +19,22 @@
     write_frame(out, b'X', &[]);
 }
 
-/// What a server hears from the asking side.
+/// A client's message, as a server reads it.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClientMessage {
     Begin,
-    /// Wants encryption; the answer is one byte, `N`.
+    /// Requests encryption; the answer is one byte, `N`.
     Encrypt,
     Cancel,
-    /// A simple query's text, without its closing zero.
+    /// The text of a simple query without its terminating zero.
     Query(Vec<u8>),
     Terminate,
-    /// A frame of the protocol that is no simple query.
+    /// A valid frame that is no simple query.
     Other(u8),
 }
 
-/// The server's ear: takes bytes as they come and yields what they say. It keeps no more than one frame of the
-/// longest beyond what it was handed last.
+/// Splits a client's byte stream into messages, on the server's side. It buffers no more than one frame of
+/// the maximum length beyond the bytes received last.
 #[derive(Debug, Default)]
 pub struct MessageReader {
     buf: Vec<u8>,
@@ -48,7 +48,7 @@
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next whole message. After an error nothing more can be told from these bytes.
+    /// The next complete message. After an error the remaining bytes can't be interpreted.
     pub fn message(&mut self) -> Result<Option<ClientMessage>, BadFrame> {
         let buf = &self.buf[self.at..];
         if !self.greeted {
@@ -75,12 +75,12 @@
         Ok(Some(heard))
     }
 
-    /// Bytes that came and belong to no message yet.
+    /// Number of received bytes that belong to no complete message yet.
     pub fn buffered_bytes(&self) -> usize {
         self.incomplete_message().len()
     }
 
-    /// What has come of a message that is not whole.
+    /// The received part of an incomplete message.
     pub fn incomplete_message(&self) -> &[u8] {
         &self.buf[self.at..]
     }
--- a/crates/sandstile-pgwire/src/lib.rs
+++ b/crates/sandstile-pgwire/src/lib.rs
@@ -1,5 +1,5 @@
-//! PostgreSQL's wire protocol, version 3, as far as simple queries go: frames and what they hold, for the asking
-//! side and the serving one. No sockets: router, emulator and load tool share this one codec.
+//! PostgreSQL's wire protocol, version 3, limited to simple queries: frames and their contents for clients
+//! and servers. It opens no sockets, so that the router, the emulator and the load tool share this codec.
 mod answer;
 mod backend;
 mod frame;
--- a/crates/sandstile-pgwire/tests/frames.rs
+++ b/crates/sandstile-pgwire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Round trips and truncation of every message, on seeded random content.
+//! Round trips and truncation of every message, on random content from fixed seeds.
 use quickcheck::{Gen, QuickCheck};
 use sandstile_pgwire as pg;
 
@@ -10,7 +10,7 @@
     raw.iter().copied().filter(|b| *b != 0).collect()
 }
 
-/// Everything the asking side can say comes out of the ear as it went in, in pieces of any size.
+/// Everything that a client can send is decoded as it was encoded, in pieces of any size.
 #[test]
 fn what_is_asked_is_heard_however_it_is_cut() {
     fn holds(texts: Vec<Vec<u8>>, piece: u8) -> bool {
@@ -33,7 +33,7 @@
     check().quickcheck(holds as fn(Vec<Vec<u8>>, u8) -> bool);
 }
 
-/// An answer cut at every byte is never whole before its last byte, and nothing panics.
+/// An answer that is cut at any byte is not complete before its last byte, and no cut leads to a panic.
 #[test]
 fn an_answer_is_whole_at_its_last_byte_and_not_before() {
     fn fold(bytes: &[u8]) -> (pg::Answer, bool) {
@@ -66,7 +66,7 @@
     check().tests(60).quickcheck(holds as fn(Vec<u8>, u32, bool) -> bool);
 }
 
-/// Noise is refused or waited for, and never makes anybody panic or hold more than the longest frame.
+/// Noise is refused or waited for. It never leads to a panic or to buffering more than the longest frame.
 #[test]
 fn noise_is_refused_without_a_panic() {
     fn holds(noise: Vec<u8>, incomplete_message: bool) -> bool {
