--- a/crates/sandstile-connections/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -2,7 +2,7 @@
 //! dial is not bound to the task that caused it: whichever connection becomes free first takes the task that
 //! has waited longest.
 use crate::outcome::Ending;
-use crate::task::Job;
+use crate::task::HostTask;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -10,17 +10,17 @@
 #[derive(Debug)]
 pub enum Placement {
     /// This idle connection takes it, after the caller has checked that its socket is still usable.
-    Assign(usize, Job),
+    Assign(usize, HostTask),
     /// The task waits. The caller has to dial one more connection to this address and report it by `dialled`.
     Dial(SocketAddr),
     /// The task fails at once.
-    End(Job, Ending),
+    End(HostTask, Ending),
 }
 
 /// What happens to a connection that has become free.
 #[derive(Debug)]
 pub enum NextUse {
-    Assign(Job),
+    Assign(HostTask),
     Idle,
     /// The host has another address by now, so the connection is of no further use.
     Moved,
@@ -29,7 +29,7 @@
 /// Where an execution that is to be cancelled was found.
 #[derive(Debug)]
 pub enum Lookup {
-    Waiting(Job),
+    Waiting(HostTask),
     Running(usize),
     NotFound,
 }
@@ -45,9 +45,9 @@
     /// runs.
     busy: BTreeMap<usize, (u64, Option<(u64, usize)>)>,
     /// Waiting tasks, each with the dial that was started for it.
-    waiting: VecDeque<(usize, Job)>,
+    waiting: VecDeque<(usize, HostTask)>,
     /// The task for which the next dial is started.
-    wanting: Option<Job>,
+    wanting: Option<HostTask>,
     /// Dials in progress, each with the number of the address that it goes to.
     dials: BTreeMap<usize, u64>,
 }
@@ -69,7 +69,7 @@
     }
 
     /// Places a new task.
-    pub fn begin(&mut self, job: Job) -> Placement {
+    pub fn begin(&mut self, job: HostTask) -> Placement {
         if let Some((link, _)) = self.idle.pop() {
             return self.hand(link, self.address_no, job);
         }
@@ -78,8 +78,8 @@
         Placement::Dial(address)
     }
 
-    fn hand(&mut self, link: usize, address_no: u64, job: Job) -> Placement {
-        self.busy.insert(link, (address_no, job.which()));
+    fn hand(&mut self, link: usize, address_no: u64, job: HostTask) -> Placement {
+        self.busy.insert(link, (address_no, job.execution_id()));
         Placement::Assign(link, job)
     }
 
@@ -96,12 +96,12 @@
         self.busy.remove(&link);
     }
 
-    pub fn find(&mut self, which: (u64, usize)) -> Lookup {
-        if let Some(at) = self.waiting.iter().position(|(_, job)| job.is(which)) {
+    pub fn find(&mut self, execution_id: (u64, usize)) -> Lookup {
+        if let Some(at) = self.waiting.iter().position(|(_, job)| job.is_execution(execution_id)) {
             let (_, job) = self.waiting.remove(at).expect("found just now");
             return Lookup::Waiting(job);
         }
-        let under = self.busy.iter().find(|(_, (_, does))| *does == Some(which));
+        let under = self.busy.iter().find(|(_, (_, does))| *does == Some(execution_id));
         under.map_or(Lookup::NotFound, |(link, _)| Lookup::Running(*link))
     }
 
@@ -127,7 +127,7 @@
             return NextUse::Moved;
         }
         if let Some((_, job)) = self.waiting.pop_front() {
-            self.busy.insert(link, (address_no, job.which()));
+            self.busy.insert(link, (address_no, job.execution_id()));
             return NextUse::Assign(job);
         }
         self.idle.push((link, now));
@@ -136,7 +136,7 @@
 
     /// A dial failed. Ends its own task if there are now fewer dials than waiting tasks; the other dials
     /// serve the rest.
-    pub fn dial_failed(&mut self, link: usize) -> Option<Job> {
+    pub fn dial_failed(&mut self, link: usize) -> Option<HostTask> {
         self.dials.remove(&link);
         if self.waiting.len() <= self.dials.len() {
             return None;
--- a/crates/sandstile-connections/src/statement.rs
+++ b/crates/sandstile-connections/src/statement.rs
@@ -1,6 +1,6 @@
 //! A client's statement: the few fields of its comment that routing decisions need, and the query that is
 //! forwarded.
-use crate::task::Parcel;
+use crate::task::StatementPayload;
 use sandstile_pgwire as pg;
 use std::ops::Range;
 
@@ -155,7 +155,7 @@
     Some(&text[start..start + end])
 }
 
-impl Parcel for Statement {
+impl StatementPayload for Statement {
     /// The Query message for a database host. Only the value of `d` is replaced, by the time for which this
     /// router will wait.
     fn message(&self, wait: f64) -> Vec<u8> {
--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -3,7 +3,7 @@
 //! and a task whose message was not written completely never ran.
 use crate::budget::Budget;
 use crate::outcome::{Ending, Outcome};
-use crate::task::{Errand, Job};
+use crate::task::{TaskKind, HostTask};
 use sandstile_pgwire::{self as pg, Answer, BadFrame, Stage};
 use sandstile_policy::terms::{HostReport, OutcomeClass};
 
@@ -20,7 +20,7 @@
     /// It was never established.
     Failed(Ending),
     Done {
-        job: Job,
+        job: HostTask,
         outcome: Outcome,
         reusable: bool,
     },
@@ -98,14 +98,14 @@
 enum State {
     /// Waits for a descriptor.
     Queued {
-        until: f64,
+        deadline: f64,
     },
     Dialling {
-        until: f64,
+        deadline: f64,
     },
     /// Connected; the host has not yet accepted the session.
     Greeting {
-        until: f64,
+        deadline: f64,
     },
     Idle,
     Busy(Box<Busy>),
@@ -114,7 +114,7 @@
 
 #[derive(Debug)]
 struct Busy {
-    job: Job,
+    job: HostTask,
     answer: Answer,
     /// When an answer that has begun has to continue, at the latest.
     more_by: f64,
@@ -145,9 +145,9 @@
 impl UpstreamConnection {
     /// A connection that is to be dialled and that fails if it is not ready by `deadline`. `max_pause` is for
     /// how many seconds an answer that has begun may pause.
-    pub fn new(until: f64, pause: f64) -> Self {
+    pub fn new(deadline: f64, pause: f64) -> Self {
         UpstreamConnection {
-            state: State::Queued { until },
+            state: State::Queued { deadline },
             inbox: Inbox::default(),
             out: Vec::new(),
             written: 0,
@@ -158,8 +158,8 @@
 
     /// It has a descriptor and is being dialled.
     pub fn dialled(&mut self) {
-        if let State::Queued { until } = self.state {
-            self.state = State::Dialling { until };
+        if let State::Queued { deadline } = self.state {
+            self.state = State::Dialling { deadline };
         }
     }
 
@@ -167,15 +167,15 @@
     /// timeout from now on.
     pub fn dialled_with_deadline(&mut self, by: f64) {
         if let State::Queued { .. } = self.state {
-            self.state = State::Dialling { until: by };
+            self.state = State::Dialling { deadline: by };
         }
     }
 
     /// The TCP connection is established: sends the startup message.
     pub fn connected(&mut self) {
-        if let State::Dialling { until } = self.state {
+        if let State::Dialling { deadline } = self.state {
             self.say(pg::startup_message());
-            self.state = State::Greeting { until };
+            self.state = State::Greeting { deadline };
         }
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// The task that it runs.
-    pub fn job(&self) -> Option<&Job> {
+    pub fn job(&self) -> Option<&HostTask> {
         match &self.state {
             State::Busy(busy) => Some(&busy.job),
             _ => None,
@@ -236,14 +236,14 @@
 
     /// Starts a task. The caller must have checked just before that the socket holds no bytes: bytes behind
     /// the previous answer would be taken for this task's answer.
-    pub fn begin(&mut self, now: f64, job: Job) -> Option<Event> {
-        if !self.idle() || now >= job.until {
+    pub fn begin(&mut self, now: f64, job: HostTask) -> Option<Event> {
+        if !self.idle() || now >= job.deadline {
             let outcome = Ending::WithdrawnUnsent.into();
             return Some(Event::Done { job, outcome, reusable: self.idle() });
         }
-        let message = match &job.errand {
-            Errand::Statement { parcel, .. } => parcel.message(job.until - now),
-            Errand::Probe => {
+        let message = match &job.kind {
+            TaskKind::Statement { payload, .. } => payload.message(job.deadline - now),
+            TaskKind::Probe => {
                 let mut out = Vec::new();
                 pg::query(&mut out, b"SHOW stats");
                 out
@@ -314,8 +314,8 @@
     /// When `handle_deadline` has to be called; infinite if it need not be.
     pub fn due(&self) -> f64 {
         match &self.state {
-            State::Queued { until } | State::Dialling { until } | State::Greeting { until } => *until,
-            State::Busy(busy) => busy.job.until.min(busy.more_by),
+            State::Queued { deadline } | State::Dialling { deadline } | State::Greeting { deadline } => *deadline,
+            State::Busy(busy) => busy.job.deadline.min(busy.more_by),
             State::Idle | State::Ended => f64::INFINITY,
         }
     }
@@ -327,7 +327,7 @@
             return None;
         }
         let ending = match &self.state {
-            State::Busy(busy) if now >= busy.job.until => return self.done(Heard::TimedOut, budget),
+            State::Busy(busy) if now >= busy.job.deadline => return self.done(Heard::TimedOut, budget),
             State::Busy(_) => return self.done(Heard::Nonsense, budget),
             State::Queued { .. } => Ending::NoRoom,
             _ => Ending::DialTimedOut,
@@ -337,9 +337,9 @@
     }
 
     /// Closes the connection that runs this execution, whatever has arrived of its answer.
-    pub fn withdraw(&mut self, which: (u64, usize), budget: &mut Budget) -> Option<Event> {
+    pub fn withdraw(&mut self, execution_id: (u64, usize), budget: &mut Budget) -> Option<Event> {
         match &self.state {
-            State::Busy(busy) if busy.job.is(which) => self.done(Heard::Withdrawn, budget),
+            State::Busy(busy) if busy.job.is_execution(execution_id) => self.done(Heard::Withdrawn, budget),
             _ => None,
         }
     }
@@ -377,7 +377,7 @@
             true => HostReport::default(),
             false => HostReport { position: answer.position, primary: answer.primary },
         };
-        if matches!(job.errand, Errand::Probe) && ending == Ending::Completed {
+        if matches!(job.kind, TaskKind::Probe) && ending == Ending::Completed {
             report(answer.text(), &mut note);
         }
         let reusable = heard == Heard::Ready && self.inbox.is_empty() && ending != Ending::Garbled;
