--- a/crates/sandstile-connections/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -1,7 +1,7 @@
 //! The links of one database host: which are idle, which are busy, and the jobs that wait for a dial. A dial belongs
 //! to nobody: whichever link is free first takes the job that waits longest.
 use crate::outcome::Ending;
-use crate::task::Job;
+use crate::task::HostTask;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -9,17 +9,17 @@
 #[derive(Debug)]
 pub enum Placement {
     /// This link takes it, once the socket has been looked at.
-    Assign(usize, Job),
+    Assign(usize, HostTask),
     /// It waits; one more link is to be dialled at this address and made known by `dialled`.
     Dial(SocketAddr),
     /// It ends here.
-    End(Job, Ending),
+    End(HostTask, Ending),
 }
 
 /// What becomes of a link that is free.
 #[derive(Debug)]
 pub enum NextUse {
-    Assign(Job),
+    Assign(HostTask),
     Idle,
     /// The host has another address by now.
     Moved,
@@ -28,7 +28,7 @@
 /// Where an execution was found that is to be withdrawn.
 #[derive(Debug)]
 pub enum Lookup {
-    Waiting(Job),
+    Waiting(HostTask),
     Running(usize),
     NotFound,
 }
@@ -43,9 +43,9 @@
     /// Each link that is up and not idle, with its address and what it does.
     busy: BTreeMap<usize, (u64, Option<(u64, usize)>)>,
     /// Each with the dial that was begun for it.
-    waiting: VecDeque<(usize, Job)>,
+    waiting: VecDeque<(usize, HostTask)>,
     /// The job that the next dial is begun for.
-    wanting: Option<Job>,
+    wanting: Option<HostTask>,
     /// Dials under way, with the number of the address they went to.
     dials: BTreeMap<usize, u64>,
 }
@@ -67,7 +67,7 @@
     }
 
     /// A job comes.
-    pub fn begin(&mut self, job: Job) -> Placement {
+    pub fn begin(&mut self, job: HostTask) -> Placement {
         if let Some((link, _)) = self.idle.pop() {
             return self.hand(link, self.address_no, job);
         }
@@ -76,8 +76,8 @@
         Placement::Dial(address)
     }
 
-    fn hand(&mut self, link: usize, address_no: u64, job: Job) -> Placement {
-        self.busy.insert(link, (address_no, job.which()));
+    fn hand(&mut self, link: usize, address_no: u64, job: HostTask) -> Placement {
+        self.busy.insert(link, (address_no, job.execution_id()));
         Placement::Assign(link, job)
     }
 
@@ -94,12 +94,12 @@
         self.busy.remove(&link);
     }
 
-    pub fn find(&mut self, which: (u64, usize)) -> Lookup {
-        if let Some(at) = self.waiting.iter().position(|(_, job)| job.is(which)) {
+    pub fn find(&mut self, execution_id: (u64, usize)) -> Lookup {
+        if let Some(at) = self.waiting.iter().position(|(_, job)| job.is_execution(execution_id)) {
             let (_, job) = self.waiting.remove(at).expect("found just now");
             return Lookup::Waiting(job);
         }
-        let under = self.busy.iter().find(|(_, (_, does))| *does == Some(which));
+        let under = self.busy.iter().find(|(_, (_, does))| *does == Some(execution_id));
         under.map_or(Lookup::NotFound, |(link, _)| Lookup::Running(*link))
     }
 
@@ -125,7 +125,7 @@
             return NextUse::Moved;
         }
         if let Some((_, job)) = self.waiting.pop_front() {
-            self.busy.insert(link, (address_no, job.which()));
+            self.busy.insert(link, (address_no, job.execution_id()));
             return NextUse::Assign(job);
         }
         self.idle.push((link, now));
@@ -133,7 +133,7 @@
     }
 
     /// A dial less: its own job ends with it, if there are now fewer dials than jobs that wait.
-    pub fn dial_failed(&mut self, link: usize) -> Option<Job> {
+    pub fn dial_failed(&mut self, link: usize) -> Option<HostTask> {
         self.dials.remove(&link);
         if self.waiting.len() <= self.dials.len() {
             return None;
--- a/crates/sandstile-connections/src/statement.rs
+++ b/crates/sandstile-connections/src/statement.rs
@@ -1,5 +1,5 @@
 //! One statement as a client worded it: the few fields that decisions need, and the bytes that go on.
-use crate::task::Parcel;
+use crate::task::StatementPayload;
 use sandstile_pgwire as pg;
 use std::ops::Range;
 
@@ -150,7 +150,7 @@
     Some(&text[start..start + end])
 }
 
-impl Parcel for Statement {
+impl StatementPayload for Statement {
     /// The Query message for a database host: only `d` says something else, what this router will wait.
     fn message(&self, wait: f64) -> Vec<u8> {
         let ms = ((wait * 1000.0).floor().max(1.0) as u64).to_string();
--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -2,7 +2,7 @@
 //! at a time. Nothing is ever written twice, and a job that was not written whole never ran.
 use crate::budget::Budget;
 use crate::outcome::{Ending, Outcome};
-use crate::task::{Errand, Job};
+use crate::task::{HostTask, TaskKind};
 use sandstile_pgwire::{self as pg, Answer, BadFrame, Stage};
 use sandstile_policy::terms::{HostReport, OutcomeClass};
 
@@ -18,7 +18,7 @@
     /// It never came up.
     Failed(Ending),
     Done {
-        job: Job,
+        job: HostTask,
         outcome: Outcome,
         reusable: bool,
     },
@@ -96,14 +96,14 @@
 enum State {
     /// Waits for a descriptor.
     Queued {
-        until: f64,
+        deadline: f64,
     },
     Dialling {
-        until: f64,
+        deadline: f64,
     },
     /// The connection is up; the host has yet to admit it.
     Greeting {
-        until: f64,
+        deadline: f64,
     },
     Idle,
     Busy(Box<Busy>),
@@ -112,7 +112,7 @@
 
 #[derive(Debug)]
 struct Busy {
-    job: Job,
+    job: HostTask,
     answer: Answer,
     /// An answer that has begun goes on by then.
     more_by: f64,
@@ -141,11 +141,11 @@
 }
 
 impl UpstreamConnection {
-    /// One that is wanted: it is up by `until` or not at all. `pause` is how many seconds an answer that has begun
+    /// One that is wanted: it is up by `deadline` or not at all. `pause` is how many seconds an answer that has begun
     /// may take to go on.
-    pub fn new(until: f64, pause: f64) -> Self {
+    pub fn new(deadline: f64, pause: f64) -> Self {
         UpstreamConnection {
-            state: State::Queued { until },
+            state: State::Queued { deadline },
             inbox: Inbox::default(),
             out: Vec::new(),
             written: 0,
@@ -156,23 +156,23 @@
 
     /// It has its descriptor and is being dialled.
     pub fn dialled(&mut self) {
-        if let State::Queued { until } = self.state {
-            self.state = State::Dialling { until };
+        if let State::Queued { deadline } = self.state {
+            self.state = State::Dialling { deadline };
         }
     }
 
     /// It begins only now, after it waited for its turn: the host is to have all of its time.
     pub fn dialled_with_deadline(&mut self, by: f64) {
         if let State::Queued { .. } = self.state {
-            self.state = State::Dialling { until: by };
+            self.state = State::Dialling { deadline: by };
         }
     }
 
     /// The connection is up: the greeting goes out.
     pub fn connected(&mut self) {
-        if let State::Dialling { until } = self.state {
+        if let State::Dialling { deadline } = self.state {
             self.say(pg::startup_message());
-            self.state = State::Greeting { until };
+            self.state = State::Greeting { deadline };
         }
     }
 
@@ -196,7 +196,7 @@
     }
 
     /// What it does, where it is a statement's.
-    pub fn job(&self) -> Option<&Job> {
+    pub fn job(&self) -> Option<&HostTask> {
         match &self.state {
             State::Busy(busy) => Some(&busy.job),
             _ => None,
@@ -232,14 +232,14 @@
 
     /// Takes a job. The socket was looked at just before: what came behind the last answer would be taken for
     /// this one's.
-    pub fn begin(&mut self, now: f64, job: Job) -> Option<Event> {
-        if !self.idle() || now >= job.until {
+    pub fn begin(&mut self, now: f64, job: HostTask) -> Option<Event> {
+        if !self.idle() || now >= job.deadline {
             let outcome = Ending::WithdrawnUnsent.into();
             return Some(Event::Done { job, outcome, reusable: self.idle() });
         }
-        let message = match &job.errand {
-            Errand::Statement { parcel, .. } => parcel.message(job.until - now),
-            Errand::Probe => {
+        let message = match &job.kind {
+            TaskKind::Statement { payload, .. } => payload.message(job.deadline - now),
+            TaskKind::Probe => {
                 let mut out = Vec::new();
                 pg::query(&mut out, b"SHOW stats");
                 out
@@ -310,8 +310,10 @@
     /// When `handle_deadline` has something to do; infinite where never.
     pub fn due(&self) -> f64 {
         match &self.state {
-            State::Queued { until } | State::Dialling { until } | State::Greeting { until } => *until,
-            State::Busy(busy) => busy.job.until.min(busy.more_by),
+            State::Queued { deadline } | State::Dialling { deadline } | State::Greeting { deadline } => {
+                *deadline
+            }
+            State::Busy(busy) => busy.job.deadline.min(busy.more_by),
             State::Idle | State::Ended => f64::INFINITY,
         }
     }
@@ -322,7 +324,7 @@
             return None;
         }
         let ending = match &self.state {
-            State::Busy(busy) if now >= busy.job.until => return self.done(Heard::TimedOut, budget),
+            State::Busy(busy) if now >= busy.job.deadline => return self.done(Heard::TimedOut, budget),
             State::Busy(_) => return self.done(Heard::Nonsense, budget),
             State::Queued { .. } => Ending::NoRoom,
             _ => Ending::DialTimedOut,
@@ -332,9 +334,9 @@
     }
 
     /// Closes the connection under this execution, whatever has come of it.
-    pub fn withdraw(&mut self, which: (u64, usize), budget: &mut Budget) -> Option<Event> {
+    pub fn withdraw(&mut self, execution_id: (u64, usize), budget: &mut Budget) -> Option<Event> {
         match &self.state {
-            State::Busy(busy) if busy.job.is(which) => self.done(Heard::Withdrawn, budget),
+            State::Busy(busy) if busy.job.is_execution(execution_id) => self.done(Heard::Withdrawn, budget),
             _ => None,
         }
     }
@@ -372,7 +374,7 @@
             true => HostReport::default(),
             false => HostReport { position: answer.position, primary: answer.primary },
         };
-        if matches!(job.errand, Errand::Probe) && ending == Ending::Completed {
+        if matches!(job.kind, TaskKind::Probe) && ending == Ending::Completed {
             report(answer.text(), &mut note);
         }
         let reusable = heard == Heard::Ready && self.inbox.is_empty() && ending != Ending::Garbled;
--- a/crates/sandstile-connections/tests/upstream_connections.rs
+++ b/crates/sandstile-connections/tests/upstream_connections.rs
@@ -4,7 +4,7 @@
 use sandstile_connections::budget::Budget;
 use sandstile_connections::outcome::Ending;
 use sandstile_connections::pool::{Lookup, NextUse, Placement, Pool};
-use sandstile_connections::task::{Errand, Job, Parcel};
+use sandstile_connections::task::{HostTask, StatementPayload, TaskKind};
 use sandstile_connections::upstream_connection::{Event, UpstreamConnection};
 use sandstile_pgwire as pg;
 use sandstile_policy::terms::OutcomeClass;
@@ -14,7 +14,7 @@
 
 struct Words;
 
-impl Parcel for Words {
+impl StatementPayload for Words {
     fn message(&self, wait: f64) -> Vec<u8> {
         assert!(wait > 0.0);
         let mut out = Vec::new();
@@ -23,8 +23,8 @@
     }
 }
 
-fn job(statement_id: u64, until: f64) -> Job {
-    Job { errand: Errand::Statement { statement_id, execution: 0, parcel: Arc::new(Words) }, until }
+fn job(statement_id: u64, deadline: f64) -> HostTask {
+    HostTask { kind: TaskKind::Statement { statement_id, execution: 0, payload: Arc::new(Words) }, deadline }
 }
 
 fn greeting() -> Vec<u8> {
@@ -172,7 +172,11 @@
                     ended = true;
                 }
                 Event::Done { job, outcome, reusable } => {
-                    assert_eq!(out.take(), job.which().map(|(statement_id, _)| statement_id), "seed {seed}");
+                    assert_eq!(
+                        out.take(),
+                        job.execution_id().map(|(statement_id, _)| statement_id),
+                        "seed {seed}"
+                    );
                     seen.insert(outcome.ending);
                     let never = [Ending::WithdrawnUnsent, Ending::BrokenUnwritten];
                     assert_eq!(never.contains(&outcome.ending), !whole, "seed {seed}: {outcome:?}");
@@ -218,11 +222,11 @@
         let (mut pool, mut next, mut stmts, now) = (Pool::default(), 0, 0, 100.0);
         let (mut open, mut dials, mut idle) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
         let mut busy: BTreeMap<usize, u64> = BTreeMap::new();
-        let over = |job: Job, open: &mut BTreeSet<u64>| {
-            let (statement_id, _) = job.which().expect("a statement");
+        let over = |job: HostTask, open: &mut BTreeSet<u64>| {
+            let (statement_id, _) = job.execution_id().expect("a statement");
             assert!(open.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
         };
-        let has = |job: &Job| job.which().expect("a statement").0;
+        let has = |job: &HostTask| job.execution_id().expect("a statement").0;
         let pick = |of: Vec<usize>, n: usize| of.get(n % of.len().max(1)).copied();
         for _ in 0..120 {
             let n = below(1000);
--- a/crates/sandstile-dispatcher/src/counters.rs
+++ b/crates/sandstile-dispatcher/src/counters.rs
@@ -3,14 +3,14 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 #[derive(Default, Debug)]
-pub struct Count(AtomicU64);
+pub struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     pub fn add(&self) {
         self.0.fetch_add(1, Relaxed);
     }
 
-    pub fn less(&self) {
+    pub fn decrement(&self) {
         self.0.fetch_sub(1, Relaxed);
     }
 
@@ -20,7 +20,7 @@
     }
 
     /// For the longest of something, in milliseconds.
-    pub fn at_least_ms(&self, seconds: f64) {
+    pub fn record_max_ms(&self, seconds: f64) {
         self.0.fetch_max((seconds * 1e3) as u64, Relaxed);
     }
 
@@ -30,29 +30,29 @@
 }
 
 #[derive(Default, Debug)]
-pub struct Counts {
-    pub taken: Count,
-    pub completed: Count,
-    pub rejected: Count,
-    pub aborted: Count,
-    pub clients_gone: Count,
+pub struct DispatcherCounters {
+    pub taken: Counter,
+    pub completed: Counter,
+    pub rejected: Counter,
+    pub aborted: Counter,
+    pub clients_gone: Counter,
     /// Storms seen, and later tries turned away in them.
-    pub storms: Count,
-    pub turned_away: Count,
+    pub storms: Counter,
+    pub turned_away: Counter,
     /// Statements that a ramp turned away, after a start.
-    pub ramped: Count,
+    pub ramped: Counter,
     /// Probes that were left to other routers.
-    pub probes_left: Count,
+    pub probes_left: Counter,
     /// Times that this process stood still.
-    pub stalls: Count,
+    pub stalls: Counter,
     /// Executions beyond a statement's first.
-    pub further_executions: Count,
-    refusals: [Count; FailureCause::ALL.len()],
+    pub further_executions: Counter,
+    refusals: [Counter; FailureCause::ALL.len()],
     /// Statements refused without an execution, by what they had waited for.
-    unsent: [Count; WaitReason::ALL.len()],
+    unsent: [Counter; WaitReason::ALL.len()],
 }
 
-impl Counts {
+impl DispatcherCounters {
     /// A statement was rejected or aborted for this cause.
     pub fn refused(&self, cause: FailureCause) {
         self.refusals[cause as usize].add();
@@ -64,7 +64,7 @@
     }
 
     /// How many were refused unsent, by what they had waited for.
-    pub fn unsent(&self) -> impl Iterator<Item = (String, &Count)> {
+    pub fn unsent(&self) -> impl Iterator<Item = (String, &Counter)> {
         WaitReason::ALL
             .into_iter()
             .zip(&self.unsent)
@@ -72,7 +72,7 @@
     }
 
     /// How many were rejected or aborted, by cause.
-    pub fn refusals(&self) -> impl Iterator<Item = (String, &Count)> {
+    pub fn refusals(&self) -> impl Iterator<Item = (String, &Counter)> {
         FailureCause::ALL.into_iter().zip(&self.refusals).map(|(cause, count)| (format!("{cause:?}"), count))
     }
 }
--- a/crates/sandstile-dispatcher/src/dispatcher.rs
+++ b/crates/sandstile-dispatcher/src/dispatcher.rs
@@ -1,16 +1,16 @@
 //! Takes mail and facts, lets the decisions say what follows, and says when they want to look again. It never touches a socket and
 //! knows no protocol.
-use crate::counters::Counts;
-use crate::messages::{Asked, Given, Mail, Order, Said, Update};
+use crate::counters::DispatcherCounters;
+use crate::messages::{Command, DispatcherMessage, FinalAnswer, HostListUpdate, LogEvent, StatementRequest};
 use crate::outcome::Ending;
-use crate::source::{Fact, Source};
-use crate::task::{Answer, Errand, Job, Parcel};
+use crate::source::{DispatcherInput, Source};
+use crate::task::{Answer, HostTask, StatementPayload, TaskKind};
 use sandstile_deployment::host_list::HostList;
 use sandstile_deployment::interner::Interner;
-use sandstile_limits::{Entry, Limits};
+use sandstile_limits::{Limits, RetryAdmission};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{Arrival, Decision, FailureCause, ReadRequirement};
-use sandstile_restart_pacing::{Door, Ramp, Stall};
+use sandstile_restart_pacing::{Admission, AdmissionRamp, StallDetector};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -19,39 +19,39 @@
     id: String,
     taken_at: f64,
     group: usize,
-    parcel: Arc<dyn Parcel>,
+    payload: Arc<dyn StatementPayload>,
     /// Whom to answer; `None` once that is done, or its client has left.
-    line: Option<usize>,
+    client_connection: Option<usize>,
     /// The database host of each execution.
     hosts: Vec<usize>,
     workload: usize,
     retry: bool,
 }
 
-pub struct Desk {
+pub struct Dispatcher {
     policy: Instance,
-    pub counts: Arc<Counts>,
+    pub counts: Arc<DispatcherCounters>,
     hosts: Interner,
     groups: Interner,
     sessions: Interner,
     list: HostList,
     sources: Vec<Box<dyn Source>>,
-    orders: VecDeque<Order>,
-    answers: VecDeque<Given>,
-    said: Vec<Said>,
+    orders: VecDeque<Command>,
+    answers: VecDeque<FinalAnswer>,
+    said: Vec<LogEvent>,
     /// Storms and what is done in them, where our own file turns that on; with the longest time to return.
     pub limits: Option<(Limits, f64)>,
     /// What comes in right after the start, and whether this process stood still, where our own file turns that on.
-    pub ramp: Option<(Ramp, f64)>,
-    pub stall: Option<Stall>,
+    pub ramp: Option<(AdmissionRamp, f64)>,
+    pub stall: Option<StallDetector>,
     /// Seconds, as the settings have it.
-    pub longest_return: f64,
+    pub max_return_delay: f64,
     open: BTreeMap<u64, Open>,
     /// The ids of the open ones.
     ids: BTreeSet<String>,
     /// Final answers of this round. They go out behind its withdrawals, or a dial that comes up just then
     /// could still write a statement that has been answered.
-    given_up: Vec<Given>,
+    given_up: Vec<FinalAnswer>,
     /// Probes out at each database host that has any.
     probes: BTreeMap<usize, usize>,
     /// Statements that may be over once the decisions of this round are out.
@@ -61,7 +61,7 @@
     /// When it last said that a statement was refused unsent.
     unsent_said_at: f64,
     /// Whether each step of each statement is said, for a log of everything.
-    pub traces: bool,
+    pub trace_steps: bool,
 }
 
 /// Seconds between looks that nothing but the time calls for. Timers of the platform are no finer; a sleep of nothing
@@ -74,18 +74,18 @@
 /// is at worst kept from a replica that lags behind that.
 const MOST_SESSIONS: usize = 1 << 12;
 
-impl Desk {
-    pub fn new(policy: Instance, counts: Arc<Counts>) -> Self {
-        Desk {
+impl Dispatcher {
+    pub fn new(policy: Instance, counts: Arc<DispatcherCounters>) -> Self {
+        Dispatcher {
             policy,
             counts,
             limits: None,
             ramp: None,
             stall: None,
-            longest_return: 0.0,
+            max_return_delay: 0.0,
             decided: f64::NEG_INFINITY,
             unsent_said_at: f64::NEG_INFINITY,
-            traces: false,
+            trace_steps: false,
             hosts: Interner::default(),
             groups: Interner::default(),
             sessions: Interner::with_limit(MOST_SESSIONS),
@@ -113,18 +113,18 @@
     }
 
     /// What the sources have to tell; `false` where nothing.
-    pub fn ask(&mut self, now: f64) -> bool {
-        let facts: Vec<Fact> = self.sources.iter_mut().flat_map(|s| s.facts(now)).collect();
+    pub fn poll_sources(&mut self, now: f64) -> bool {
+        let facts: Vec<DispatcherInput> = self.sources.iter_mut().flat_map(|s| s.take_inputs(now)).collect();
         let any = !facts.is_empty();
         for fact in facts {
             match fact {
-                Fact::HostList(update) => self.listed(now, update),
-                Fact::Sharers(n) => {
+                DispatcherInput::HostList(update) => self.listed(now, update),
+                DispatcherInput::RouterCount(n) => {
                     self.policy.set_router_count(n);
-                    self.orders.push_back(Order::Sharers(n));
-                    self.said.push(Said::Sharers(n));
+                    self.orders.push_back(Command::RouterCount(n));
+                    self.said.push(LogEvent::RouterCount(n));
                 }
-                Fact::Warned(host, age) => {
+                DispatcherInput::RefusedElsewhere(host, age) => {
                     if let Some(host) = self.hosts.find(&host) {
                         self.policy.failure_reported_by_peer(now, host, age);
                     }
@@ -136,7 +136,7 @@
 
     /// Lets the decisions say what follows of what was taken, or where nothing was (`took` is `false`) looks whether they want to
     /// look again. `false` where there was nothing to do.
-    pub fn turn(&mut self, now: f64, took: bool) -> bool {
+    pub fn decide_if_due(&mut self, now: f64, took: bool) -> bool {
         if self.stall.as_ref().is_some_and(|s| s.holds(now)) {
             // What is known is of before a stop: the list is to come in first.
             return took;
@@ -159,44 +159,44 @@
     }
 
     /// Who drives it looks at the time: a look that comes much too late tells that this process stood still.
-    pub fn look(&mut self, now: f64) {
+    pub fn check_for_stall(&mut self, now: f64) {
         if let Some(stood) = self.stall.as_mut().and_then(|s| s.look(now)) {
-            self.said.push(Said::StoodStill(stood));
+            self.said.push(LogEvent::Stalled(stood));
             self.counts.stalls.add();
         }
     }
 
     /// What is to be done next. Orders go before answers.
-    pub fn next_order(&mut self) -> Option<Order> {
+    pub fn next_command(&mut self) -> Option<Command> {
         self.orders.pop_front()
     }
 
-    pub fn next_answer(&mut self) -> Option<Given> {
+    pub fn next_answer(&mut self) -> Option<FinalAnswer> {
         self.answers.pop_front()
     }
 
-    pub fn take_said(&mut self) -> Vec<Said> {
+    pub fn take_log_events(&mut self) -> Vec<LogEvent> {
         std::mem::take(&mut self.said)
     }
 
     /// Statements that are not over.
-    pub fn open(&self) -> usize {
+    pub fn open_statements(&self) -> usize {
         self.open.len()
     }
 
-    pub fn take(&mut self, now: f64, mail: Mail) {
+    pub fn handle(&mut self, now: f64, mail: DispatcherMessage) {
         match mail {
-            Mail::Asked(asked) => {
+            DispatcherMessage::StatementRequest(asked) => {
                 if !self.ids.insert(asked.id.clone()) {
                     return self.give(&asked, Answer::Unusable);
                 }
                 self.counts.taken.add();
-                self.sources.iter_mut().for_each(|s| s.arrives(now, &asked));
+                self.sources.iter_mut().for_each(|s| s.statement_arrived(now, &asked));
                 // Groups that no list has named share one that has no members, or clients could fill the
                 // memory with names.
                 let group = self.groups.find(&asked.group).unwrap_or_else(|| self.groups.intern(""));
                 if let Some((limits, most)) = &mut self.limits {
-                    if limits.asked(now, asked.workload, group, asked.retry) == Entry::Later {
+                    if limits.asked(now, asked.workload, group, asked.retry) == RetryAdmission::TurnAway {
                         // It never reaches the decisions: nothing was sent, so trying again is harmless.
                         let after = limits.retry_after(now, *most);
                         self.counts.turned_away.add();
@@ -205,11 +205,11 @@
                 }
                 // Came while this process stood still, nobody knows when: its time may be over, and nothing was sent.
                 let lost = self.stall.as_ref().map_or(0.0, |s| s.lost(now));
-                if lost > 0.0 && asked.until - lost <= now {
-                    return self.turn_away(&asked, self.longest_return);
+                if lost > 0.0 && asked.deadline - lost <= now {
+                    return self.turn_away(&asked, self.max_return_delay);
                 }
                 if let Some((ramp, most)) = &mut self.ramp {
-                    if ramp.asked(asked.statement_id) == Door::Later {
+                    if ramp.asked(asked.statement_id) == Admission::TurnAway {
                         let most = *most;
                         let after = self.limits.as_mut().map_or(most, |(l, most)| l.retry_after(now, *most));
                         self.counts.ramped.add();
@@ -230,10 +230,10 @@
                         true => Some(self.sessions.intern(&name)),
                         false => self.sessions.find(&name),
                     }),
-                    time_left: asked.until - now,
+                    time_left: asked.deadline - now,
                     wait: asked.wait,
                     // Below 0 where the clock of whoever gave the position runs ahead: the position itself stands.
-                    token_age: asked.after.map(|at| now - at),
+                    token_age: asked.last_write_at.map(|at| now - at),
                     retry: asked.retry,
                     read_requirement,
                 };
@@ -241,8 +241,8 @@
                     id: asked.id,
                     taken_at: now,
                     group: arrival.group,
-                    parcel: asked.parcel,
-                    line: Some(asked.line),
+                    payload: asked.payload,
+                    client_connection: Some(asked.client_connection),
                     hosts: Vec::new(),
                     workload: asked.workload,
                     retry: asked.retry,
@@ -250,10 +250,11 @@
                 self.open.insert(asked.statement_id, open);
                 self.policy.statement_arrived(now, asked.statement_id, &arrival);
             }
-            Mail::ClientGone(statement_id) => {
-                if let Some(open) = self.open.get_mut(&statement_id).filter(|o| o.line.is_some()) {
+            DispatcherMessage::ClientGone(statement_id) => {
+                if let Some(open) = self.open.get_mut(&statement_id).filter(|o| o.client_connection.is_some())
+                {
                     self.counts.clients_gone.add();
-                    open.line = None;
+                    open.client_connection = None;
                     self.ending.push(statement_id);
                     if let Some((ramp, _)) = &mut self.ramp {
                         ramp.ended(statement_id, false);
@@ -262,7 +263,7 @@
                     self.unsend(statement_id);
                 }
             }
-            Mail::Ended { statement_id, execution, mut outcome } => {
+            DispatcherMessage::Ended { statement_id, execution, mut outcome } => {
                 let Some(open) = self.open.get_mut(&statement_id) else { return };
                 if let (Some(term), Some(&host)) = (outcome.term, open.hosts.get(execution)) {
                     if !self.policy.record_term(host, term) {
@@ -270,13 +271,13 @@
                         outcome.note.position = None;
                     }
                 }
-                self.sources.iter_mut().for_each(|s| s.ended(now, statement_id, &mut outcome));
+                self.sources.iter_mut().for_each(|s| s.execution_ended(now, statement_id, &mut outcome));
                 if let Some(&host) = open.hosts.get(execution) {
                     let name = self.hosts.name(host);
-                    self.sources.iter_mut().for_each(|s| s.met(now, name, &outcome));
+                    self.sources.iter_mut().for_each(|s| s.execution_ended_on_host(now, name, &outcome));
                 }
                 if outcome.ending == Ending::Completed {
-                    if let Some(line) = open.line.take() {
+                    if let Some(client_connection) = open.client_connection.take() {
                         self.counts.completed.add();
                         if let Some((ramp, _)) = &mut self.ramp {
                             ramp.ended(statement_id, true);
@@ -285,20 +286,26 @@
                             limits.answered(now, open.workload, open.group, true, !open.retry);
                         }
                         let rows = std::mem::take(&mut outcome.rows);
-                        let given = Given { line, statement_id, answer: Answer::Completed(rows, None) };
+                        let given = FinalAnswer {
+                            client_connection,
+                            statement_id,
+                            answer: Answer::Completed(rows, None),
+                        };
                         let mut sources = self.sources.iter_mut();
                         let given = sources.try_fold(given, |given, s| s.completed(now, &outcome, given));
                         self.answers.extend(given);
                     } else {
-                        self.sources.iter_mut().for_each(|s| s.unheard(now, statement_id, &outcome));
+                        self.sources
+                            .iter_mut()
+                            .for_each(|s| s.completed_without_client(now, statement_id, &outcome));
                     }
                 }
-                let over = open.line.is_none();
+                let over = open.client_connection.is_none();
                 self.ending.push(statement_id);
-                self.trace(|| Said::Ended { statement_id, execution, ending: outcome.ending });
+                self.trace(|| LogEvent::Ended { statement_id, execution, ending: outcome.ending });
                 self.policy.ended(now, statement_id, execution, outcome.ending.verdict(), over, outcome.note);
             }
-            Mail::Probed { host, mut outcome } => {
+            DispatcherMessage::Probed { host, mut outcome } => {
                 if outcome.term.is_some_and(|term| !self.policy.record_term(host, term)) {
                     outcome.note.position = None;
                 }
@@ -306,15 +313,15 @@
                     *out = out.saturating_sub(1);
                 }
                 let name = self.hosts.name(host);
-                self.sources.iter_mut().for_each(|s| s.probed(now, name, &outcome));
+                self.sources.iter_mut().for_each(|s| s.probe_ended(now, name, &outcome));
                 self.policy.probed(now, host, outcome.ending == Ending::Completed, outcome.note);
             }
         }
     }
 
     /// Notes a step of one statement, where steps are logged.
-    fn trace(&mut self, step: impl FnOnce() -> Said) {
-        if self.traces {
+    fn trace(&mut self, step: impl FnOnce() -> LogEvent) {
+        if self.trace_steps {
             self.said.push(step());
         }
     }
@@ -326,38 +333,42 @@
         if let Some(wait_reason) = wait_reason {
             self.counts.refused_unsent(wait_reason);
         }
-        if self.traces || now >= self.unsent_said_at + UNSENT_LOG_GAP {
+        if self.trace_steps || now >= self.unsent_said_at + UNSENT_LOG_GAP {
             self.unsent_said_at = now;
             let (id, group, waited) = (open.id.clone(), open.group, now - open.taken_at);
-            self.said.push(Said::RefusedUnsent { statement_id, id, group, cause, wait_reason, waited });
+            self.said.push(LogEvent::RefusedUnsent { statement_id, id, group, cause, wait_reason, waited });
         }
     }
 
-    fn give(&mut self, asked: &Asked, answer: Answer) {
-        self.answers.push_back(Given { line: asked.line, statement_id: asked.statement_id, answer });
+    fn give(&mut self, asked: &StatementRequest, answer: Answer) {
+        self.answers.push_back(FinalAnswer {
+            client_connection: asked.client_connection,
+            statement_id: asked.statement_id,
+            answer,
+        });
     }
 
     /// It never reaches the decisions: nothing was sent, so trying again is harmless.
-    fn turn_away(&mut self, asked: &Asked, after: f64) {
+    fn turn_away(&mut self, asked: &StatementRequest, after: f64) {
         self.ids.remove(&asked.id);
         self.counts.rejected.add();
         self.give(asked, Answer::Rejected(after));
     }
 
-    fn listed(&mut self, now: f64, update: Update) {
+    fn listed(&mut self, now: f64, update: HostListUpdate) {
         if let Some(stall) = &mut self.stall {
             stall.heard();
         }
         for (name, address) in update.addresses {
             let host = self.hosts.intern(&name);
-            self.orders.push_back(Order::Known { host, name, address });
+            self.orders.push_back(Command::UpdateHost { host, name, address });
         }
         for entry in &update.entries {
             if self.groups.find(&entry.group).is_none() {
-                self.said.push(Said::GroupIs(self.groups.intern(&entry.group), entry.group.clone()));
+                self.said.push(LogEvent::GroupAdded(self.groups.intern(&entry.group), entry.group.clone()));
             }
         }
-        let list = self.list.merge(update.whole, &update.entries, &mut self.hosts, &mut self.groups);
+        let list = self.list.merge(update.is_snapshot, &update.entries, &mut self.hosts, &mut self.groups);
         self.policy.update_hosts(now, &list);
         self.forget_host();
     }
@@ -370,9 +381,9 @@
         for (name, host) in
             self.list.drop_gone(|host| !probes.contains_key(&host) && policy.forget_host(host))
         {
-            self.orders.push_back(Order::End(host));
+            self.orders.push_back(Command::RemoveHost(host));
             self.hosts.release(&name);
-            self.said.push(Said::Forgotten(host, name));
+            self.said.push(LogEvent::HostRemoved(host, name));
         }
         let open = &self.open;
         let unused = |group: usize| !open.values().any(|open| open.group == group);
@@ -388,23 +399,23 @@
             match decision {
                 Decision::Send { statement_id, host, timeout } => {
                     let Some(open) = self.open.get_mut(&statement_id) else { continue };
-                    let errand = Errand::Statement {
+                    let kind = TaskKind::Statement {
                         statement_id,
                         execution: open.hosts.len(),
-                        parcel: open.parcel.clone(),
+                        payload: open.payload.clone(),
                     };
                     let execution = open.hosts.len();
                     open.hosts.push(host);
                     if execution > 0 {
                         self.counts.further_executions.add();
                     }
-                    self.trace(|| Said::Sent { statement_id, execution, host });
-                    self.orders.push_back(Order::Do(host, Job { errand, until: now + timeout }));
+                    self.trace(|| LogEvent::Sent { statement_id, execution, host });
+                    self.orders.push_back(Command::Start(host, HostTask { kind, deadline: now + timeout }));
                 }
                 Decision::Reject { statement_id, retry_after, cause } => {
                     self.counts.rejected.add();
                     self.counts.refused(cause);
-                    self.trace(|| Said::Refused { statement_id, cause });
+                    self.trace(|| LogEvent::Refused { statement_id, cause });
                     self.note_unsent(now, statement_id, cause);
                     let after = match &mut self.limits {
                         Some((limits, _)) => limits.retry_after(now, retry_after),
@@ -415,12 +426,12 @@
                 Decision::Abort { statement_id, cause } => {
                     self.counts.aborted.add();
                     self.counts.refused(cause);
-                    self.trace(|| Said::Refused { statement_id, cause });
+                    self.trace(|| LogEvent::Refused { statement_id, cause });
                     self.answer(statement_id, Answer::Aborted);
                 }
                 Decision::Cancel { statement_id, execution } => {
                     if let Some(&host) = self.open.get(&statement_id).and_then(|o| o.hosts.get(execution)) {
-                        self.orders.push_back(Order::Cancel { host, statement_id, execution });
+                        self.orders.push_back(Command::Cancel { host, statement_id, execution });
                     }
                 }
                 Decision::Probe { host } => {
@@ -433,16 +444,16 @@
                         continue;
                     }
                     *self.probes.entry(host).or_default() += 1;
-                    self.orders.push_back(Order::Probe(host));
+                    self.orders.push_back(Command::Probe(host));
                 }
                 // The watch stands from the start and reopens by itself.
                 Decision::Subscribe => {}
-                Decision::Log(line) => self.said.push(Said::Decisions(line)),
+                Decision::Log(text) => self.said.push(LogEvent::PolicyMessage(text)),
             }
         }
         if let Some((limits, _)) = &mut self.limits {
             for change in limits.changes() {
-                self.said.push(Said::Storm(change.begins, format!("{:?}", change.sign)));
+                self.said.push(LogEvent::Storm(change.begins, format!("{:?}", change.sign)));
                 if change.begins {
                     self.counts.storms.add();
                 }
@@ -453,7 +464,7 @@
             if !self.policy.is_tracked(statement_id) {
                 if let Some(open) = self.open.remove(&statement_id) {
                     self.ids.remove(&open.id);
-                    self.sources.iter_mut().for_each(|s| s.over(statement_id));
+                    self.sources.iter_mut().for_each(|s| s.statement_closed(statement_id));
                 }
             }
         }
@@ -464,7 +475,7 @@
     fn unsend(&mut self, statement_id: u64) {
         let Some(hosts) = self.open.get(&statement_id).map(|o| &o.hosts) else { return };
         if let (Some(&host), execution) = (hosts.last(), hosts.len().saturating_sub(1)) {
-            self.orders.push_back(Order::Unsend { host, statement_id, execution });
+            self.orders.push_back(Command::CancelUnsent { host, statement_id, execution });
         }
     }
 
@@ -472,14 +483,14 @@
         self.ending.push(statement_id);
         self.unsend(statement_id);
         let Some(open) = self.open.get_mut(&statement_id) else { return };
-        if let Some(line) = open.line.take() {
+        if let Some(client_connection) = open.client_connection.take() {
             if let Some((ramp, _)) = &mut self.ramp {
                 ramp.ended(statement_id, false);
             }
             if let Some((limits, _)) = &mut self.limits {
                 limits.answered(self.decided, open.workload, open.group, false, !open.retry);
             }
-            self.given_up.push(Given { line, statement_id, answer });
+            self.given_up.push(FinalAnswer { client_connection, statement_id, answer });
         }
     }
 }
--- a/crates/sandstile-dispatcher/src/lib.rs
+++ b/crates/sandstile-dispatcher/src/lib.rs
@@ -8,9 +8,9 @@
 pub mod source;
 pub mod task;
 
-pub use counters::{Count, Counts};
-pub use dispatcher::Desk;
-pub use messages::{Asked, Given, Mail, Order, Said, Update};
+pub use counters::{Counter, DispatcherCounters};
+pub use dispatcher::Dispatcher;
+pub use messages::{Command, DispatcherMessage, FinalAnswer, HostListUpdate, LogEvent, StatementRequest};
 pub use outcome::{Ending, Outcome};
-pub use source::{Fact, Source};
-pub use task::{Answer, Errand, Job, Parcel};
+pub use source::{DispatcherInput, Source};
+pub use task::{Answer, HostTask, StatementPayload, TaskKind};
--- a/crates/sandstile-dispatcher/src/messages.rs
+++ b/crates/sandstile-dispatcher/src/messages.rs
@@ -1,6 +1,6 @@
 //! What goes to the desk and what comes from it.
 use crate::outcome::{Ending, Outcome};
-use crate::task::{Answer, Job, Parcel};
+use crate::task::{Answer, HostTask, StatementPayload};
 use sandstile_deployment::host_list::HostEntry;
 use sandstile_policy::terms::{FailureCause, WaitReason};
 use std::fmt;
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 
 /// A statement, as a front has taken it.
-pub struct Asked {
+pub struct StatementRequest {
     pub statement_id: u64,
     /// Who is to have the answer, by a number of the front's own.
-    pub line: usize,
+    pub client_connection: usize,
     /// As the client names it.
     pub id: String,
     pub workload: usize,
@@ -19,51 +19,51 @@
     pub session: Option<String>,
     pub writes: bool,
     /// When the client's time is up, and how many seconds it gave the statement.
-    pub until: f64,
+    pub deadline: f64,
     pub wait: f64,
     /// When the session last wrote, where the client says so.
-    pub after: Option<f64>,
+    pub last_write_at: Option<f64>,
     pub retry: bool,
     /// The mark that the session carries.
     pub mark: Option<String>,
-    pub parcel: Arc<dyn Parcel>,
+    pub payload: Arc<dyn StatementPayload>,
 }
 
-pub enum Mail {
-    Asked(Asked),
+pub enum DispatcherMessage {
+    StatementRequest(StatementRequest),
     ClientGone(u64),
     Ended { statement_id: u64, execution: usize, outcome: Outcome },
     Probed { host: usize, outcome: Outcome },
 }
 
 /// One change of the list, or the whole list.
-pub struct Update {
+pub struct HostListUpdate {
     pub index: u64,
-    pub whole: bool,
+    pub is_snapshot: bool,
     pub entries: Vec<HostEntry>,
     pub addresses: Vec<(String, Option<SocketAddr>)>,
 }
 
 /// The one final answer of a statement, on its way to the line that asked. A client that has left no longer reads it.
 #[derive(Debug, PartialEq)]
-pub struct Given {
-    pub line: usize,
+pub struct FinalAnswer {
+    pub client_connection: usize,
     pub statement_id: u64,
     pub answer: Answer,
 }
 
 /// What the desk has done.
 #[derive(Debug)]
-pub enum Order {
+pub enum Command {
     /// A database host of the list and its address there. An entry that has left may come without one.
-    Known {
+    UpdateHost {
         host: usize,
         name: String,
         address: Option<SocketAddr>,
     },
     /// It has left for good, and nothing is under way.
-    End(usize),
-    Do(usize, Job),
+    RemoveHost(usize),
+    Start(usize, HostTask),
     Probe(usize),
     Cancel {
         host: usize,
@@ -71,26 +71,26 @@
         execution: usize,
     },
     /// Nobody waits for this execution any more: it ends if it was not written yet, and else as it may.
-    Unsend {
+    CancelUnsent {
         host: usize,
         statement_id: u64,
         execution: usize,
     },
     /// So many routers share the hosts, as far as can be said: paces follow that.
-    Sharers(f64),
+    RouterCount(f64),
 }
 
 /// What is worth a line of log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
-    GroupIs(usize, String),
-    Forgotten(usize, String),
-    Decisions(String),
+pub enum LogEvent {
+    GroupAdded(usize, String),
+    HostRemoved(usize, String),
+    PolicyMessage(String),
     /// Whether it begins, and its sign.
     Storm(bool, String),
     /// Seconds for which this process stood still.
-    StoodStill(f64),
-    Sharers(f64),
+    Stalled(f64),
+    RouterCount(f64),
     /// A step of one statement, where the desk traces them.
     Sent {
         statement_id: u64,
@@ -117,35 +117,35 @@
     },
 }
 
-impl Said {
+impl LogEvent {
     /// Whether it is a step of one statement, and not news of the router as a whole.
-    pub fn is_step(&self) -> bool {
-        matches!(self, Said::Sent { .. } | Said::Ended { .. } | Said::Refused { .. })
+    pub fn is_statement_step(&self) -> bool {
+        matches!(self, LogEvent::Sent { .. } | LogEvent::Ended { .. } | LogEvent::Refused { .. })
     }
 }
 
-impl fmt::Display for Said {
+impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Said::GroupIs(group, name) => write!(f, "group {group} is {name}"),
-            Said::Forgotten(host, name) => write!(f, "host {host} is forgotten, {name}"),
-            Said::Decisions(line) => write!(f, "decisions: {line}"),
-            Said::Storm(true, sign) => write!(f, "a storm begins: {sign}"),
-            Said::Storm(false, sign) => write!(f, "a storm is over: {sign}"),
-            Said::StoodStill(s) => write!(f, "stood still for {s:.1} s: what is known is of before that"),
-            Said::Sharers(n) => write!(f, "{n:.0} routers share the hosts"),
-            Said::Sent { statement_id, execution, host } => {
+            LogEvent::GroupAdded(group, name) => write!(f, "group {group} is {name}"),
+            LogEvent::HostRemoved(host, name) => write!(f, "host {host} is forgotten, {name}"),
+            LogEvent::PolicyMessage(text) => write!(f, "decisions: {text}"),
+            LogEvent::Storm(true, sign) => write!(f, "a storm begins: {sign}"),
+            LogEvent::Storm(false, sign) => write!(f, "a storm is over: {sign}"),
+            LogEvent::Stalled(s) => write!(f, "stood still for {s:.1} s: what is known is of before that"),
+            LogEvent::RouterCount(n) => write!(f, "{n:.0} routers share the hosts"),
+            LogEvent::Sent { statement_id, execution, host } => {
                 write!(f, "statement {statement_id}: execution {execution} to host {host}")
             }
-            Said::Ended { statement_id, execution, ending } => {
+            LogEvent::Ended { statement_id, execution, ending } => {
                 write!(f, "statement {statement_id}: execution {execution} ended: {ending:?}")
             }
-            Said::RefusedUnsent { statement_id, id, group, cause, wait_reason, waited } => {
+            LogEvent::RefusedUnsent { statement_id, id, group, cause, wait_reason, waited } => {
                 let wait_reason =
                     wait_reason.map_or("nothing".to_string(), |wait_reason| format!("{wait_reason:?}"));
                 write!(f, "statement {statement_id} ({id}, group {group}) refused unsent after {waited:.3} s: {cause:?}, waited for {wait_reason}")
             }
-            Said::Refused { statement_id, cause } => {
+            LogEvent::Refused { statement_id, cause } => {
                 write!(f, "statement {statement_id} gets no rows: {cause:?}")
             }
         }
--- a/crates/sandstile-dispatcher/src/source.rs
+++ b/crates/sandstile-dispatcher/src/source.rs
@@ -1,16 +1,16 @@
 //! Where facts come from that no answer tells: discovery, what sessions have seen, the other routers. Each source is asked at the
 //! same few places, and knows nothing of the desk.
-use crate::messages::{Asked, Given, Update};
+use crate::messages::{FinalAnswer, HostListUpdate, StatementRequest};
 use crate::outcome::Outcome;
 use sandstile_policy::terms::ReadRequirement;
 
 /// What a source has to tell the decisions.
-pub enum Fact {
-    HostList(Update),
+pub enum DispatcherInput {
+    HostList(HostListUpdate),
     /// So many routers share the hosts.
-    Sharers(f64),
+    RouterCount(f64),
     /// Another router met the host of this name refusing, so many seconds ago.
-    Warned(String, f64),
+    RefusedElsewhere(String, f64),
 }
 
 /// All methods have a default for sources that have nothing to say there.
@@ -21,7 +21,7 @@
     }
 
     /// What has come since this was asked last.
-    fn facts(&mut self, _now: f64) -> Vec<Fact> {
+    fn take_inputs(&mut self, _now: f64) -> Vec<DispatcherInput> {
         Vec::new()
     }
 
@@ -31,31 +31,36 @@
     }
 
     /// A probe of this host has ended.
-    fn probed(&mut self, _now: f64, _host: &str, _outcome: &Outcome) {}
+    fn probe_ended(&mut self, _now: f64, _host: &str, _outcome: &Outcome) {}
 
     /// An execution at this host has ended.
-    fn met(&mut self, _now: f64, _host: &str, _outcome: &Outcome) {}
+    fn execution_ended_on_host(&mut self, _now: f64, _host: &str, _outcome: &Outcome) {}
 
     /// A statement has come, and may still be turned away.
-    fn arrives(&mut self, _now: f64, _asked: &Asked) {}
+    fn statement_arrived(&mut self, _now: f64, _asked: &StatementRequest) {}
 
     /// It goes to the decisions: what its read has to reach by what is known here. `term` is what its group's hosts have told, 0
     /// where nothing.
-    fn read_requirement(&mut self, _now: f64, _asked: &Asked, _term: u64) -> Option<ReadRequirement> {
+    fn read_requirement(
+        &mut self,
+        _now: f64,
+        _asked: &StatementRequest,
+        _term: u64,
+    ) -> Option<ReadRequirement> {
         None
     }
 
     /// An execution of it has ended. An answer that holds less than it must is made none here.
-    fn ended(&mut self, _now: f64, _stmt: u64, _outcome: &mut Outcome) {}
+    fn execution_ended(&mut self, _now: f64, _stmt: u64, _outcome: &mut Outcome) {}
 
     /// It completes. The answer comes back, or is kept until the source gives it by a way of its own.
-    fn completed(&mut self, _now: f64, _outcome: &Outcome, answer: Given) -> Option<Given> {
+    fn completed(&mut self, _now: f64, _outcome: &Outcome, answer: FinalAnswer) -> Option<FinalAnswer> {
         Some(answer)
     }
 
     /// It has completed behind its client's back.
-    fn unheard(&mut self, _now: f64, _stmt: u64, _outcome: &Outcome) {}
+    fn completed_without_client(&mut self, _now: f64, _stmt: u64, _outcome: &Outcome) {}
 
     /// Nothing more comes of it.
-    fn over(&mut self, _stmt: u64) {}
+    fn statement_closed(&mut self, _stmt: u64) {}
 }
--- a/crates/sandstile-dispatcher/src/task.rs
+++ b/crates/sandstile-dispatcher/src/task.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 /// What goes to a database host; `wait` is how many seconds this router will wait for the answer.
-pub trait Parcel: Send + Sync {
+pub trait StatementPayload: Send + Sync {
     fn message(&self, wait: f64) -> Vec<u8>;
 }
 
@@ -33,34 +33,34 @@
 }
 
 #[derive(Clone)]
-pub enum Errand {
-    Statement { statement_id: u64, execution: usize, parcel: Arc<dyn Parcel> },
+pub enum TaskKind {
+    Statement { statement_id: u64, execution: usize, payload: Arc<dyn StatementPayload> },
     Probe,
 }
 
-/// One execution or probe; it is over at `until`, in Unix seconds.
+/// One execution or probe; it is over at `deadline`, in Unix seconds.
 #[derive(Clone)]
-pub struct Job {
-    pub errand: Errand,
-    pub until: f64,
+pub struct HostTask {
+    pub kind: TaskKind,
+    pub deadline: f64,
 }
 
-impl Job {
-    pub fn is(&self, which: (u64, usize)) -> bool {
-        self.which() == Some(which)
+impl HostTask {
+    pub fn is_execution(&self, execution_id: (u64, usize)) -> bool {
+        self.execution_id() == Some(execution_id)
     }
 
     /// Statement and execution; `None` for a probe.
-    pub fn which(&self) -> Option<(u64, usize)> {
-        match self.errand {
-            Errand::Statement { statement_id, execution, .. } => Some((statement_id, execution)),
-            Errand::Probe => None,
+    pub fn execution_id(&self) -> Option<(u64, usize)> {
+        match self.kind {
+            TaskKind::Statement { statement_id, execution, .. } => Some((statement_id, execution)),
+            TaskKind::Probe => None,
         }
     }
 }
 
-impl fmt::Debug for Job {
+impl fmt::Debug for HostTask {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "Job({:?} until {})", self.which(), self.until)
+        write!(f, "Job({:?} until {})", self.execution_id(), self.deadline)
     }
 }
--- a/crates/sandstile-emulator/examples/holding.rs
+++ b/crates/sandstile-emulator/examples/holding.rs
@@ -3,7 +3,7 @@
 //! `taskset -c 0 cargo run --release -p sandstile-emulator --example holding [loop|threads] HOSTS CONNECTIONS`
 //! (the clients run in a process of their own, on the other cores where `taskset` names but one for the server).
 use hdrhistogram::Histogram;
-use sandstile_fleet::timers::Wheel;
+use sandstile_fleet::timers::TimerWheel;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -84,7 +84,7 @@
     let mut child = start_clients(hosts, each);
     let mut conns: BTreeMap<usize, mio::net::TcpStream> = BTreeMap::new();
     let (mut next, begun) = (hosts, Instant::now());
-    let mut timers = Wheel::default();
+    let mut timers = TimerWheel::default();
     let mut events = mio::Events::with_capacity(1024);
     while child.try_wait().expect("a child").is_none() {
         let now = begun.elapsed().as_secs_f64();
--- a/crates/sandstile-fleet/src/fleet.rs
+++ b/crates/sandstile-fleet/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::random::Chance;
 use crate::replay::Replay;
 use crate::roles::{Seen, Step};
-use sandstile_timers::Wheel;
+use sandstile_timers::TimerWheel;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Debug)]
@@ -75,7 +75,7 @@
     next_job: u64,
     standing: Vec<Standing>,
     replaced: usize,
-    timers: Wheel<Timer>,
+    timers: TimerWheel<Timer>,
     now: f64,
     outputs: VecDeque<(f64, Output)>,
     events: VecDeque<(f64, Event)>,
@@ -108,7 +108,7 @@
             next_job: 0,
             standing: Vec::new(),
             replaced: 0,
-            timers: Wheel::from(now),
+            timers: TimerWheel::starting_at(now),
             now,
             outputs: VecDeque::new(),
             events: VecDeque::new(),
--- a/crates/sandstile-lab/src/returns.rs
+++ b/crates/sandstile-lab/src/returns.rs
@@ -7,10 +7,10 @@
 use sandstile_fleet::{Fault, Fleet, Kind as Trouble, Target};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms;
-use sandstile_restart_pacing::{Dials, Pace};
+use sandstile_restart_pacing::{DialPacer, Pace};
 use sandstile_simulation::world::{Clients, World};
 use sandstile_simulation::{Final, Mind, Wanted, EPOCH};
-use sandstile_timers::Heap;
+use sandstile_timers::TimerHeap;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -69,7 +69,7 @@
     chance: Chance,
     rate: f64,
     routers: usize,
-    due: Heap<Due>,
+    due: TimerHeap<Due>,
     earliest: f64,
     wishes: BTreeMap<u64, Wish>,
     next: u64,
@@ -80,7 +80,7 @@
 
 impl Crowd {
     fn new(seed: u64, routers: usize, rate: f64) -> Crowd {
-        let mut due = Heap::default();
+        let mut due = TimerHeap::default();
         due.push(EPOCH + 0.001, Due::Arrival);
         let (chance, wishes, done) = (Chance::new(seed, "crowd"), BTreeMap::new(), Vec::new());
         Crowd { chance, rate, routers, due, earliest: EPOCH, wishes, next: 0, until: EPOCH + END, done }
@@ -259,7 +259,7 @@
         let own = seed * 1_000_003 + number as u64 * 7919 + life;
         let mind = Mind::module(Instance::new(&terms, own, now), number as u64, routers as u64, DIAL);
         match pace {
-            Some(pace) => mind.paced(Dials::new(pace, routers, number as u64, own, now)),
+            Some(pace) => mind.paced(DialPacer::new(pace, routers, number as u64, own, now)),
             None => mind,
         }
     };
--- a/crates/sandstile-limits/src/lib.rs
+++ b/crates/sandstile-limits/src/lib.rs
@@ -13,27 +13,27 @@
 
 /// What our own file says. Shares are of 1, times in seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct Settings {
     /// Later tries that each completed first try earns, while there is a storm.
-    pub later_tries: f64,
+    pub retry_ratio: f64,
     /// False alarms that a day of ordinary traffic may have.
-    pub false_alarms: f64,
+    pub false_alarms_per_day: f64,
     /// The share of what completes that returning clients may fill.
-    pub returning: f64,
+    pub returning_share: f64,
 }
 
-impl Default for Terms {
+impl Default for Settings {
     fn default() -> Self {
-        Terms { later_tries: 0.2, false_alarms: 0.1, returning: 0.5 }
+        Settings { retry_ratio: 0.2, false_alarms_per_day: 0.1, returning_share: 0.5 }
     }
 }
 
 /// What becomes of a statement at the door.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Entry {
-    In,
+pub enum RetryAdmission {
+    Admit,
     /// Turned away at once: it has not run, and trying again is harmless.
-    Later,
+    TurnAway,
 }
 
 /// One router's limits.
@@ -46,22 +46,22 @@
 }
 
 impl Limits {
-    pub fn new(terms: &Terms, seed: u64, now: f64) -> Self {
+    pub fn new(terms: &Settings, seed: u64, now: f64) -> Self {
         Limits {
-            watch: Watch::new(terms.false_alarms, now),
-            budgets: Budgets::new(terms.later_tries),
-            slots: Slots::new(terms.returning, seed),
+            watch: Watch::new(terms.false_alarms_per_day, now),
+            budgets: Budgets::new(terms.retry_ratio),
+            slots: Slots::new(terms.returning_share, seed),
             rate: storm::Rate::new(2.0, now),
         }
     }
 
     /// A statement asks to come in: a first try always does, a later one in a storm only by its budget.
-    pub fn asked(&mut self, now: f64, workload: usize, group: usize, later: bool) -> Entry {
+    pub fn asked(&mut self, now: f64, workload: usize, group: usize, later: bool) -> RetryAdmission {
         self.watch.asked(now, later);
         if later && self.watch.storm().is_some() && !self.budgets.spend(workload, group) {
-            return Entry::Later;
+            return RetryAdmission::TurnAway;
         }
-        Entry::In
+        RetryAdmission::Admit
     }
 
     /// A statement was answered; `first` says that it was no later try.
--- a/crates/sandstile-limits/src/storm.rs
+++ b/crates/sandstile-limits/src/storm.rs
@@ -129,9 +129,9 @@
 const MOST_CHANGES: usize = 16;
 
 impl Watch {
-    pub fn new(false_alarms: f64, now: f64) -> Self {
+    pub fn new(false_alarms_per_day: f64, now: f64) -> Self {
         // Each event begins a test that is wrong with a chance of at most exp(-threshold).
-        let threshold = (EVENTS_A_DAY / false_alarms.max(1e-6)).ln();
+        let threshold = (EVENTS_A_DAY / false_alarms_per_day.max(1e-6)).ln();
         Watch {
             later: Share::new(threshold),
             refused: Share::new(threshold),
--- a/crates/sandstile-limits/tests/limits.rs
+++ b/crates/sandstile-limits/tests/limits.rs
@@ -4,7 +4,7 @@
 use sandstile_limits::budget::Budgets;
 use sandstile_limits::slots::{Slots, SLICE};
 use sandstile_limits::storm::{Rate, Sign, Watch};
-use sandstile_limits::{Entry, Limits, Terms};
+use sandstile_limits::{Limits, RetryAdmission, Settings};
 use std::collections::BTreeMap;
 
 const START: f64 = 1_700_000_000.0;
@@ -163,11 +163,11 @@
 /// While there is room and no storm nothing is held back; in one, first tries come in and later ones by their budget.
 #[test]
 fn limits_hold_back_later_tries_in_a_storm_alone() {
-    let mut limits = Limits::new(&Terms::default(), 1, START);
+    let mut limits = Limits::new(&Settings::default(), 1, START);
     let mut now = START;
     for n in 0..10_000 {
         now += 0.003;
-        assert_eq!(limits.asked(now, 0, n % 5, n % 40 == 0), Entry::In);
+        assert_eq!(limits.asked(now, 0, n % 5, n % 40 == 0), RetryAdmission::Admit);
         limits.answered(now, 0, n % 5, true, n % 40 != 0);
         assert_eq!(limits.retry_after(now, 2.0), 2.0);
     }
@@ -176,11 +176,11 @@
         now += 0.003;
         let again = n % 3 != 0;
         match limits.asked(now, 0, n % 5, again) {
-            Entry::In => {
+            RetryAdmission::Admit => {
                 *(if again { &mut later } else { &mut first }) += 1;
                 limits.answered(now, 0, n % 5, true, !again);
             }
-            Entry::Later => {
+            RetryAdmission::TurnAway => {
                 assert!(again, "a first try always comes in");
                 held += 1;
                 let after = limits.retry_after(now, 2.0);
--- a/crates/sandstile-restart-pacing/src/admission_ramp.rs
+++ b/crates/sandstile-restart-pacing/src/admission_ramp.rs
@@ -10,36 +10,36 @@
 const WIDE: f64 = 256.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
-    In,
+pub enum Admission {
+    Admit,
     /// Turned away at once, unsent.
-    Later,
+    TurnAway,
 }
 
-pub struct Ramp {
+pub struct AdmissionRamp {
     window: f64,
     under_way: BTreeSet<u64>,
     calm: u32,
     over: bool,
 }
 
-impl Default for Ramp {
+impl Default for AdmissionRamp {
     fn default() -> Self {
-        Ramp { window: FIRST, under_way: BTreeSet::new(), calm: 0, over: false }
+        AdmissionRamp { window: FIRST, under_way: BTreeSet::new(), calm: 0, over: false }
     }
 }
 
-impl Ramp {
-    pub fn asked(&mut self, statement_id: u64) -> Door {
+impl AdmissionRamp {
+    pub fn asked(&mut self, statement_id: u64) -> Admission {
         if self.over {
-            return Door::In;
+            return Admission::Admit;
         }
         if self.under_way.len() as f64 >= self.window {
             self.calm = 0;
-            return Door::Later;
+            return Admission::TurnAway;
         }
         self.under_way.insert(statement_id);
-        Door::In
+        Admission::Admit
     }
 
     /// A statement that came in has its end.
--- a/crates/sandstile-restart-pacing/src/dial_pacing.rs
+++ b/crates/sandstile-restart-pacing/src/dial_pacing.rs
@@ -36,22 +36,22 @@
 
 /// How a dial ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Came {
+pub enum DialOutcome {
     /// Greeted, after so many seconds.
-    Up(f64),
+    Connected(f64),
     /// Nobody is there, or the host has no place.
     Refused,
     /// Nothing came in time: a host that has gone, or one with a crowd before it, whose work for this dial is lost.
-    Late,
+    TimedOut,
 }
 
 /// When a dial that is wanted may begin.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum When {
+pub enum DialDecision {
     Now,
     At(f64),
     /// Once one that is under way at this host has ended.
-    Ended,
+    AfterCurrent,
 }
 
 struct Host {
@@ -66,7 +66,7 @@
     late: u32,
 }
 
-pub struct Dials {
+pub struct DialPacer {
     pace: Pace,
     peers: usize,
     slot: usize,
@@ -75,22 +75,22 @@
     hosts: BTreeMap<usize, Host>,
 }
 
-impl Dials {
+impl DialPacer {
     /// `number` tells this router from its peers, as far as that is known.
-    pub fn new(pace: Pace, peers: usize, number: u64, seed: u64, now: f64) -> Dials {
+    pub fn new(pace: Pace, peers: usize, number: u64, seed: u64, now: f64) -> DialPacer {
         let peers = peers.max(1);
         let slot = (number % peers.min(MOST_SLOTS) as u64) as usize;
         let chance = Rand64::new(u128::from(seed) ^ u128::from(number) << 64);
-        Dials { pace, peers, slot, start: now, chance, hosts: BTreeMap::new() }
+        DialPacer { pace, peers, slot, start: now, chance, hosts: BTreeMap::new() }
     }
 
     /// So many routers share the hosts, as lived: pauses and spreads that follow how many there are follow that.
-    pub fn shared_by(&mut self, routers: f64) {
+    pub fn set_router_count(&mut self, routers: f64) {
         self.peers = routers.max(1.0) as usize;
     }
 
     /// Links to open to a host that has just become known, beside what statements want.
-    pub fn at_once(&self) -> usize {
+    pub fn initial_dials(&self) -> usize {
         match self.pace {
             Pace::Plainest => PLAIN_POOL,
             _ => 0,
@@ -116,27 +116,29 @@
     }
 
     /// A dial is wanted at this host.
-    pub fn wanted(&mut self, now: f64, host: usize) -> When {
+    pub fn decide(&mut self, now: f64, host: usize) -> DialDecision {
         let (pace, slot, peers) = (self.pace, self.slot, self.peers);
         let h = self.host(now, host);
         match pace {
-            Pace::Plainest => When::Now,
+            Pace::Plainest => DialDecision::Now,
             Pace::Slots => {
                 let round = SLOT * peers.min(MOST_SLOTS) as f64;
                 let into = (now - slot as f64 * SLOT).rem_euclid(round);
                 match into < SLOT {
-                    true => When::Now,
+                    true => DialDecision::Now,
                     // A little into it, or rounding would ask again and again.
-                    false => When::At(now + round - into + 1e-4),
+                    false => DialDecision::At(now + round - into + 1e-4),
                 }
             }
-            _ if now < h.not_before => When::At(h.not_before),
-            Pace::Answers if h.window < FREE && (h.under_way + 1) as f64 > h.window => When::Ended,
-            _ => When::Now,
+            _ if now < h.not_before => DialDecision::At(h.not_before),
+            Pace::Answers if h.window < FREE && (h.under_way + 1) as f64 > h.window => {
+                DialDecision::AfterCurrent
+            }
+            _ => DialDecision::Now,
         }
     }
 
-    pub fn began(&mut self, now: f64, host: usize) {
+    pub fn dial_started(&mut self, now: f64, host: usize) {
         let (pace, peers) = (self.pace, self.peers);
         let h = self.host(now, host);
         h.under_way += 1;
@@ -146,21 +148,21 @@
     }
 
     /// One that had begun has ended.
-    pub fn ended(&mut self, now: f64, host: usize, came: Came) {
+    pub fn dial_ended(&mut self, now: f64, host: usize, came: DialOutcome) {
         let (pace, longest) = (self.pace, LONGEST.max(self.peers as f64 * LONGEST_EACH));
         let chance = self.chance.rand_float();
         let h = self.host(now, host);
         h.under_way = h.under_way.saturating_sub(1);
         let mut pause = 0.0;
         match came {
-            Came::Up(took) => {
+            DialOutcome::Connected(took) => {
                 let slow = took > SLOW * h.quickest + LITTLE;
                 h.quickest = h.quickest.min(took);
                 h.window = if slow { (h.window / 2.0).max(1.0) } else { (h.window + GROWS).min(FREE) };
                 h.late = 0;
             }
-            Came::Refused => pause = REFUSED * (0.5 + chance),
-            Came::Late => {
+            DialOutcome::Refused => pause = REFUSED * (0.5 + chance),
+            DialOutcome::TimedOut => {
                 h.late = (h.late + 1).min(16);
                 h.window = 1.0;
                 // By chance over the whole of it: all that were too late were so at the same time.
--- a/crates/sandstile-restart-pacing/src/lib.rs
+++ b/crates/sandstile-restart-pacing/src/lib.rs
@@ -9,10 +9,10 @@
 pub mod list_polling;
 pub mod stall;
 
-pub use admission_ramp::{Door, Ramp};
-pub use dial_pacing::{Came, Dials, When};
-pub use list_polling::Lists;
-pub use stall::Stall;
+pub use admission_ramp::{Admission, AdmissionRamp};
+pub use dial_pacing::{DialDecision, DialOutcome, DialPacer};
+pub use list_polling::ListBackoff;
+pub use stall::StallDetector;
 
 /// How a router comes back. All but `Answers` are there to be measured against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 /// What our own file says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Settings {
     pub pace: Pace,
     /// Statements of a crowd come in as fast as answers come.
     pub ramp: bool,
@@ -47,8 +47,8 @@
     pub stall_s: f64,
 }
 
-impl Default for Terms {
+impl Default for Settings {
     fn default() -> Self {
-        Terms { pace: Pace::Answers, ramp: false, stall_s: 1.0 }
+        Settings { pace: Pace::Answers, ramp: false, stall_s: 1.0 }
     }
 }
--- a/crates/sandstile-restart-pacing/src/list_polling.rs
+++ b/crates/sandstile-restart-pacing/src/list_polling.rs
@@ -5,26 +5,26 @@
 const FIRST: f64 = 0.2;
 const LONGEST: f64 = 1.0;
 
-pub struct Lists {
+pub struct ListBackoff {
     chance: Rand64,
     pause: f64,
 }
 
-impl Lists {
-    pub fn new(seed: u64) -> Lists {
-        Lists { chance: Rand64::new(u128::from(seed)), pause: FIRST }
+impl ListBackoff {
+    pub fn new(seed: u64) -> ListBackoff {
+        ListBackoff { chance: Rand64::new(u128::from(seed)), pause: FIRST }
     }
 
     /// A watch ended or could not be had: seconds until the next, between half and one and a half times a pause that grows
     /// while nothing is heard.
-    pub fn again(&mut self) -> f64 {
+    pub fn next_delay(&mut self) -> f64 {
         let pause = self.pause * (0.5 + self.chance.rand_float());
         self.pause = (self.pause * 1.5).min(LONGEST);
         pause
     }
 
     /// Something was heard.
-    pub fn heard(&mut self) {
+    pub fn reset(&mut self) {
         self.pause = FIRST;
     }
 }
--- a/crates/sandstile-restart-pacing/src/stall.rs
+++ b/crates/sandstile-restart-pacing/src/stall.rs
@@ -8,7 +8,7 @@
 pub const NEWS: f64 = 0.05;
 
 #[derive(Clone, Debug)]
-pub struct Stall {
+pub struct StallDetector {
     limit: f64,
     looked: f64,
     /// Nothing is decided before that.
@@ -17,10 +17,10 @@
     last: Option<(f64, f64)>,
 }
 
-impl Stall {
+impl StallDetector {
     /// `limit`: seconds by which a look may be late.
-    pub fn new(limit: f64, now: f64) -> Stall {
-        Stall { limit, looked: now, until: f64::NEG_INFINITY, last: None }
+    pub fn new(limit: f64, now: f64) -> StallDetector {
+        StallDetector { limit, looked: now, until: f64::NEG_INFINITY, last: None }
     }
 
     /// When it wants to look next.
--- a/crates/sandstile-restart-pacing/tests/pacing.rs
+++ b/crates/sandstile-restart-pacing/tests/pacing.rs
@@ -2,7 +2,9 @@
 use oorandom::Rand64;
 use sandstile_restart_pacing::dial_pacing::PLAIN_POOL;
 use sandstile_restart_pacing::stall::{LOOK, NEWS};
-use sandstile_restart_pacing::{Came, Dials, Door, Lists, Pace, Ramp, Stall, When, PACES};
+use sandstile_restart_pacing::{
+    Admission, AdmissionRamp, DialDecision, DialOutcome, DialPacer, ListBackoff, Pace, StallDetector, PACES,
+};
 use std::collections::BTreeMap;
 
 /// A host whose handshakes take work of one core each, and those that dial it.
@@ -23,7 +25,8 @@
 /// All routers of a fleet start at once, and each wants so many links to one host. Yields when the last was up, and the most
 /// handshakes that were under way at one time.
 fn start(pace: Pace, routers: usize, links: usize, work: f64) -> (f64, usize) {
-    let mut all: Vec<Dials> = (0..routers).map(|n| Dials::new(pace, routers, n as u64, 7, 100.0)).collect();
+    let mut all: Vec<DialPacer> =
+        (0..routers).map(|n| DialPacer::new(pace, routers, n as u64, 7, 100.0)).collect();
     let mut left: Vec<usize> = vec![links; routers];
     let mut host = Handshakes { line: Vec::new(), busy_until: 0.0, work };
     let (mut now, mut most, mut began) = (100.0, 0, BTreeMap::new());
@@ -31,19 +34,19 @@
         let mut next = f64::INFINITY;
         for who in 0..routers {
             while left[who] > 0 {
-                match all[who].wanted(now, 0) {
-                    When::Now => {
-                        all[who].began(now, 0);
+                match all[who].decide(now, 0) {
+                    DialDecision::Now => {
+                        all[who].dial_started(now, 0);
                         host.dial(now, who);
                         began.entry(who).or_insert_with(Vec::new).push(now);
                         left[who] -= 1;
                     }
-                    When::At(at) => {
+                    DialDecision::At(at) => {
                         assert!(at > now, "a time to ask again lies ahead");
                         next = next.min(at);
                         break;
                     }
-                    When::Ended => {
+                    DialDecision::AfterCurrent => {
                         assert!(all[who].under_way(0) > 0, "it waits for an end, so one is under way");
                         break;
                     }
@@ -61,7 +64,7 @@
         host.line = line;
         for (_, who) in up {
             let since = began.get_mut(&who).map(|b| b.remove(0)).unwrap();
-            all[who].ended(now, 0, Came::Up(now - since));
+            all[who].dial_ended(now, 0, DialOutcome::Connected(now - since));
         }
     }
     panic!("{pace:?}: not all links came up");
@@ -88,25 +91,26 @@
     fn holds(seed: u64) -> bool {
         let mut chance = Rand64::new(u128::from(seed));
         let pace = PACES[chance.rand_range(0..5) as usize].1;
-        let mut dials = Dials::new(pace, chance.rand_range(1..400) as usize, seed, seed, 50.0);
+        let mut dials = DialPacer::new(pace, chance.rand_range(1..400) as usize, seed, seed, 50.0);
         let (mut now, mut out) = (50.0, Vec::new());
         for _ in 0..500 {
             now += chance.rand_float() * 0.1;
             let host = chance.rand_range(0..4) as usize;
-            match dials.wanted(now, host) {
-                When::Now => {
-                    dials.began(now, host);
+            match dials.decide(now, host) {
+                DialDecision::Now => {
+                    dials.dial_started(now, host);
                     out.push((host, now));
                 }
-                When::At(at) if at <= now || at > now + 20.0 => return false,
-                When::Ended if dials.under_way(host) == 0 => return false,
+                DialDecision::At(at) if at <= now || at > now + 20.0 => return false,
+                DialDecision::AfterCurrent if dials.under_way(host) == 0 => return false,
                 _ => {}
             }
             if !out.is_empty() && chance.rand_range(0..3) == 0 {
                 let (host, since) = out.swap_remove(chance.rand_range(0..out.len() as u64) as usize);
                 let up = chance.rand_range(0..4) > 0;
-                let late = if chance.rand_range(0..2) == 0 { Came::Late } else { Came::Refused };
-                dials.ended(now, host, if up { Came::Up(now - since) } else { late });
+                let late =
+                    if chance.rand_range(0..2) == 0 { DialOutcome::TimedOut } else { DialOutcome::Refused };
+                dials.dial_ended(now, host, if up { DialOutcome::Connected(now - since) } else { late });
             }
             if dials.under_way(0) + dials.under_way(1) + dials.under_way(2) + dials.under_way(3) != out.len()
             {
@@ -124,21 +128,21 @@
 fn a_host_that_greets_nobody_in_time_is_found_by_backing_off() {
     let (routers, work, limit) = (16, 0.035, 0.25);
     let up_after = |pace: Pace| {
-        let mut all: Vec<Dials> =
-            (0..routers).map(|n| Dials::new(pace, routers, n as u64, 7, 100.0)).collect();
+        let mut all: Vec<DialPacer> =
+            (0..routers).map(|n| DialPacer::new(pace, routers, n as u64, 7, 100.0)).collect();
         // Handshakes share the host evenly; one whose dialler has left goes on all the same.
         let mut jobs: Vec<(usize, f64, f64)> = Vec::new();
         let (mut up, mut out, step) = (vec![false; routers], vec![None; routers], 0.001);
         for tick in 0..30_000 {
             let now = 100.0 + f64::from(tick) * step;
             for who in 0..routers {
-                if out[who].is_none() && !up[who] && all[who].wanted(now, 0) == When::Now {
-                    all[who].began(now, 0);
+                if out[who].is_none() && !up[who] && all[who].decide(now, 0) == DialDecision::Now {
+                    all[who].dial_started(now, 0);
                     out[who] = Some(now);
                     jobs.push((who, now, work));
                 }
                 if out[who].is_some_and(|since| now - since > limit) {
-                    all[who].ended(now, 0, Came::Late);
+                    all[who].dial_ended(now, 0, DialOutcome::TimedOut);
                     out[who] = None;
                 }
             }
@@ -146,7 +150,7 @@
             jobs.iter_mut().for_each(|job| job.2 -= share);
             for (who, began, _) in jobs.extract_if(.., |job| job.2 <= 0.0) {
                 if out[who] == Some(began) {
-                    all[who].ended(now, 0, Came::Up(now - began));
+                    all[who].dial_ended(now, 0, DialOutcome::Connected(now - began));
                     (out[who], up[who]) = (None, true);
                 }
             }
@@ -164,44 +168,44 @@
 
 #[test]
 fn hosts_that_answer_slowly_get_fewer_and_quick_ones_are_free_soon() {
-    let mut dials = Dials::new(Pace::Answers, 1, 0, 1, 0.0);
+    let mut dials = DialPacer::new(Pace::Answers, 1, 0, 1, 0.0);
     let mut now = 1.0;
-    assert_eq!(dials.wanted(now, 0), When::Now);
-    dials.began(now, 0);
-    assert_eq!(dials.wanted(now, 0), When::Ended, "one to begin with");
+    assert_eq!(dials.decide(now, 0), DialDecision::Now);
+    dials.dial_started(now, 0);
+    assert_eq!(dials.decide(now, 0), DialDecision::AfterCurrent, "one to begin with");
     for _ in 0..40 {
         now += 0.01;
-        dials.ended(now, 0, Came::Up(0.01));
-        dials.began(now, 0);
+        dials.dial_ended(now, 0, DialOutcome::Connected(0.01));
+        dials.dial_started(now, 0);
     }
     for _ in 0..100 {
-        assert_eq!(dials.wanted(now, 0), When::Now, "free by now");
-        dials.began(now, 0);
+        assert_eq!(dials.decide(now, 0), DialDecision::Now, "free by now");
+        dials.dial_started(now, 0);
     }
     // A crowd at the host: each handshake takes ten times as long.
     for _ in 0..6 {
         now += 0.1;
-        dials.ended(now, 0, Came::Up(0.1));
+        dials.dial_ended(now, 0, DialOutcome::Connected(0.1));
     }
-    assert_eq!(dials.wanted(now, 0), When::Ended);
-    assert_eq!(dials.at_once(), 0);
-    assert_eq!(Dials::new(Pace::Plainest, 1, 0, 1, 0.0).at_once(), PLAIN_POOL);
+    assert_eq!(dials.decide(now, 0), DialDecision::AfterCurrent);
+    assert_eq!(dials.initial_dials(), 0);
+    assert_eq!(DialPacer::new(Pace::Plainest, 1, 0, 1, 0.0).initial_dials(), PLAIN_POOL);
 }
 
 #[test]
 fn the_ramp_opens_with_answers_and_ends_by_what_is_seen() {
     fn holds(seed: u64) -> bool {
         let mut chance = Rand64::new(u128::from(seed));
-        let (mut ramp, mut inside, mut completed) = (Ramp::default(), Vec::new(), 0usize);
+        let (mut ramp, mut inside, mut completed) = (AdmissionRamp::default(), Vec::new(), 0usize);
         for statement_id in 0..20_000u64 {
             if ramp.over() {
                 return ramp.held() == 0;
             }
             match ramp.asked(statement_id) {
-                Door::In => inside.push(statement_id),
+                Admission::Admit => inside.push(statement_id),
                 // It lets in as many as it has seen answered, and eight.
-                Door::Later if inside.len() < 8 => return false,
-                Door::Later => {}
+                Admission::TurnAway if inside.len() < 8 => return false,
+                Admission::TurnAway => {}
             }
             if inside.len() > 8 + completed {
                 return false;
@@ -218,9 +222,9 @@
     }
     quickcheck::QuickCheck::new().tests(100).quickcheck(holds as fn(u64) -> bool);
     // Where nothing completes nobody is let in beyond the first, for ever.
-    let mut ramp = Ramp::default();
+    let mut ramp = AdmissionRamp::default();
     for statement_id in 0..1000 {
-        if ramp.asked(statement_id) == Door::In {
+        if ramp.asked(statement_id) == Admission::Admit {
             ramp.ended(statement_id, false);
         }
     }
@@ -229,7 +233,7 @@
 
 #[test]
 fn a_stop_is_told_from_a_loop_with_nothing_to_do() {
-    let mut stall = Stall::new(1.0, 10.0);
+    let mut stall = StallDetector::new(1.0, 10.0);
     let mut now = 10.0;
     for _ in 0..100 {
         now = stall.due();
@@ -251,13 +255,13 @@
 fn lists_are_asked_for_out_of_step_and_no_less_often_than_said() {
     let mut pauses = BTreeMap::new();
     for seed in 0..100 {
-        let mut lists = Lists::new(seed);
+        let mut lists = ListBackoff::new(seed);
         for _ in 0..10 {
-            let pause = lists.again();
+            let pause = lists.next_delay();
             assert!((0.1..=1.5).contains(&pause), "{pause}");
         }
-        lists.heard();
-        pauses.insert((lists.again() * 1e6) as u64, seed);
+        lists.reset();
+        pauses.insert((lists.next_delay() * 1e6) as u64, seed);
     }
     assert!(pauses.len() > 95 && *pauses.keys().next().unwrap() < 110_000, "{}", pauses.len());
 }
--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -10,7 +10,7 @@
 use mio::event::Event;
 use mio::net::TcpStream;
 use mio::Token;
-use sandstile_dispatcher::{Answer, Asked, Given, Mail};
+use sandstile_dispatcher::{Answer, DispatcherMessage, FinalAnswer, StatementRequest};
 use slab::Slab;
 use slog::{debug, info};
 use std::io;
@@ -26,7 +26,7 @@
     close_reason: Option<CloseReason>,
     /// The error number that a read or a write failed with.
     error: Option<i32>,
-    line: ClientConnection,
+    client_connection: ClientConnection,
     wire: Wire,
     queued: bool,
     /// The time of the timer that stands for it.
@@ -56,7 +56,7 @@
 pub struct Clients {
     seats: Slab<Seat>,
     workloads: Vec<Workload>,
-    desk: MailboxSender<Mail>,
+    dispatcher: MailboxSender<DispatcherMessage>,
     client_events: Vec<ClientEvent>,
     /// Connections that rest and have asked nothing yet.
     resting_strangers: usize,
@@ -76,11 +76,11 @@
 }
 
 impl Clients {
-    pub fn new(workloads: Vec<Workload>, desk: MailboxSender<Mail>) -> Self {
+    pub fn new(workloads: Vec<Workload>, dispatcher: MailboxSender<DispatcherMessage>) -> Self {
         Clients {
             seats: Slab::new(),
             workloads,
-            desk,
+            dispatcher,
             client_events: Vec::new(),
             resting_strangers: 0,
             submitted: 0,
@@ -131,7 +131,7 @@
             reads: 0,
             close_reason: None,
             error: None,
-            line: ClientConnection::waiting_since(waited_since, now),
+            client_connection: ClientConnection::waiting_since(waited_since, now),
             wire,
             queued: false,
             armed: f64::INFINITY,
@@ -173,18 +173,23 @@
         let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.armed == at) else { return };
         seat.armed = f64::INFINITY;
         seat.wire.look_again(context.clock.now());
-        if seat.line.due() <= context.clock.now() {
+        if seat.client_connection.due() <= context.clock.now() {
             seat.wire.look();
         }
         self.run(key, context);
     }
 
-    pub fn answer(&mut self, given: Given, context: &mut LoopContext) {
-        if let Some(seat) = self.seats.get_mut(given.line) {
+    pub fn answer(&mut self, given: FinalAnswer, context: &mut LoopContext) {
+        if let Some(seat) = self.seats.get_mut(given.client_connection) {
             debug!(context.log, "answered"; "client" => seat.number, "statement" => given.statement_id,
                 "with" => given.answer.name());
-            seat.line.answer(context.clock.now(), given.statement_id, given.answer, &mut self.client_events);
-            self.run(given.line, context);
+            seat.client_connection.answer(
+                context.clock.now(),
+                given.statement_id,
+                given.answer,
+                &mut self.client_events,
+            );
+            self.run(given.client_connection, context);
         }
     }
 
@@ -196,8 +201,8 @@
         seat.wire.look();
         self.run(key, context);
         let Some(seat) = self.seats.get_mut(key).filter(|_| !self.dismissed) else { return };
-        if seat.line.unanswered_bytes() > 0 {
-            seat.line.refuse_command(context.clock.now());
+        if seat.client_connection.unanswered_bytes() > 0 {
+            seat.client_connection.refuse_command(context.clock.now());
             self.run(key, context);
         }
     }
@@ -218,14 +223,14 @@
         for _ in 0..TURN {
             let now = context.clock.now();
             let mut moved = false;
-            if seat.wire.ending() && seat.line.awaits_answer() {
+            if seat.wire.ending() && seat.client_connection.awaits_answer() {
                 // Gone, though commands before its end may still be unread for want of room.
-                gone(seat.line.closed(), &self.desk);
+                gone(seat.client_connection.closed(), &self.dispatcher);
                 break;
             }
-            match seat.wire.write(seat.line.pending_output()) {
+            match seat.wire.write(seat.client_connection.pending_output()) {
                 Moved::Bytes(put) => {
-                    seat.line.wrote(put);
+                    seat.client_connection.wrote(put);
                     seat.wire.moved(now);
                     moved = true;
                 }
@@ -233,12 +238,12 @@
                 Moved::Ended => {}
                 Moved::Broken(error) => {
                     (seat.error, seat.close_reason) = (error, Some(CloseReason::ClientBroken));
-                    gone(seat.line.closed(), &self.desk);
+                    gone(seat.client_connection.closed(), &self.dispatcher);
                     break;
                 }
                 Moved::Nothing => {}
             }
-            let wanted_bytes = seat.line.wanted_bytes().min(context.scratch.len());
+            let wanted_bytes = seat.client_connection.wanted_bytes().min(context.scratch.len());
             if seat.wire.readable() && wanted_bytes > 0 {
                 seat.unread = false;
             }
@@ -249,26 +254,30 @@
                         context.counters.found_by_look.add();
                     }
                     seat.wire.moved(now);
-                    seat.line.receive_since(context.events_since.min(now), now, &context.scratch[..got]);
+                    seat.client_connection.receive_since(
+                        context.events_since.min(now),
+                        now,
+                        &context.scratch[..got],
+                    );
                     moved = true;
                 }
                 Moved::Ended => {
-                    gone(seat.line.closed(), &self.desk);
+                    gone(seat.client_connection.closed(), &self.dispatcher);
                     break;
                 }
                 Moved::Broken(error) => {
                     (seat.error, seat.close_reason) = (error, Some(CloseReason::ClientBroken));
-                    gone(seat.line.closed(), &self.desk);
+                    gone(seat.client_connection.closed(), &self.dispatcher);
                     break;
                 }
                 Moved::Later => {
                     seat.unread = true;
                     seat.wire.moved(now);
                 }
-                Moved::Nothing if wanted_bytes > 0 => seat.line.read_would_block(),
+                Moved::Nothing if wanted_bytes > 0 => seat.client_connection.read_would_block(),
                 Moved::Nothing => {}
             }
-            if seat.unread && seat.line.due() <= now {
+            if seat.unread && seat.client_connection.due() <= now {
                 // Its time is over only once what came in it has been read.
                 more = false;
                 break;
@@ -276,7 +285,7 @@
             let client_events = &mut self.client_events;
             let mut client_context =
                 ClientContext { budget: &mut context.budget, workloads: &self.workloads, client_events };
-            match seat.line.advance(now, &mut client_context) {
+            match seat.client_connection.advance(now, &mut client_context) {
                 Some(ClientAction::Submit { statement, deadline }) if seat.wire.ending() => {
                     // Asked before its client left: nobody reads an answer, so nothing is to begin for it.
                     context.counters.read_too_late.add();
@@ -286,48 +295,53 @@
                             "time_left_s" => format!("{:.3}", deadline - now),
                             "connected_s" => format!("{:.3}", now - seat.accepted_at));
                     }
-                    seat.line.closed();
+                    seat.client_connection.closed();
                     break;
                 }
                 Some(ClientAction::Submit { statement, .. }) if seat.refused => {
                     self.submitted += 1;
-                    seat.line.submitted(self.submitted);
+                    seat.client_connection.submitted(self.submitted);
                     context.counters.refused_for_room.add();
                     debug!(context.log, "refused for want of descriptors"; "client" => seat.number, "id" => &statement.id);
-                    seat.line.answer(now, self.submitted, Answer::Rejected(0.0), &mut self.client_events);
+                    seat.client_connection.answer(
+                        now,
+                        self.submitted,
+                        Answer::Rejected(0.0),
+                        &mut self.client_events,
+                    );
                     (seat.leaves, seat.close_reason) = (true, Some(CloseReason::ClientEvicted));
                     moved = true;
                 }
                 Some(ClientAction::Submit { statement, deadline }) => {
                     self.submitted += 1;
-                    seat.line.submitted(self.submitted);
+                    seat.client_connection.submitted(self.submitted);
                     if self.submitted == 1 {
                         info!(context.log, "first statement read"; "client" => seat.number, "id" => &statement.id,
                             "reads" => seat.reads, "connected_s" => format!("{:.3}", now - seat.accepted_at));
                     }
                     debug!(context.log, "asked"; "client" => seat.number, "statement" => self.submitted, "id" => &statement.id,
                         "reads" => seat.reads, "time_left_s" => format!("{:.3}", deadline - now));
-                    self.desk.send(Mail::Asked(Asked {
+                    self.dispatcher.send(DispatcherMessage::StatementRequest(StatementRequest {
                         statement_id: self.submitted,
-                        line: key,
+                        client_connection: key,
                         id: statement.id.clone(),
                         workload: statement.workload,
                         group: statement.group.clone(),
                         session: statement.session.clone(),
                         writes: statement.writes,
-                        until: deadline,
+                        deadline: deadline,
                         wait: statement.wait,
-                        after: statement.after,
+                        last_write_at: statement.after,
                         retry: statement.retry,
                         mark: statement.mark.clone(),
-                        parcel: Arc::new(*statement),
+                        payload: Arc::new(*statement),
                     }));
                     moved = true;
                 }
-                action => gone(action, &self.desk),
+                action => gone(action, &self.dispatcher),
             }
-            more = moved || (seat.wire.writable() && !seat.line.pending_output().is_empty());
-            if seat.line.ended() || !more {
+            more = moved || (seat.wire.writable() && !seat.client_connection.pending_output().is_empty());
+            if seat.client_connection.ended() || !more {
                 break;
             }
         }
@@ -348,13 +362,13 @@
     /// Puts on record what the line is now: gone, idle, armed, or with more to do.
     fn settle(&mut self, key: usize, more: bool, context: &mut LoopContext) {
         let seat = &mut self.seats[key];
-        let idle_period = seat.line.idle_period();
+        let idle_period = seat.client_connection.idle_period();
         // As the router ends, a command that has begun is waited for, its time allowing: it may be whole by the close.
-        let begun = self.dismissed && seat.line.unanswered_bytes() > 0;
+        let begun = self.dismissed && seat.client_connection.unanswered_bytes() > 0;
         let leaves = (seat.leaves || self.dismissed) && idle_period.is_some() && !more && !begun;
         // A last look that failed proves nothing: its socket is looked at again in its own time.
         let looks = leaves && !seat.unread;
-        if seat.line.ended() || (looks && seat.looked) {
+        if seat.client_connection.ended() || (looks && seat.looked) {
             return self.close(key, context);
         }
         if looks {
@@ -369,7 +383,7 @@
             seat.resting = idle_period.map(|spell| (spell, context.clock.now()));
             self.resting_strangers += usize::from(seat.rests_as_stranger());
         }
-        let own = if seat.unread { f64::INFINITY } else { seat.line.due() };
+        let own = if seat.unread { f64::INFINITY } else { seat.client_connection.due() };
         let mut due = own.min(seat.wire.look_due());
         if let (Some(((holder, spell), since)), None) = (seat.resting, seat.idle) {
             // One that has only just come to wait may be about to ask: it is not closed for another's sake.
@@ -392,14 +406,14 @@
     /// kind in a second.
     fn log_closing(&mut self, seat: &Seat, context: &LoopContext) {
         let broken = seat.close_reason == Some(CloseReason::ClientBroken);
-        let own_end = seat.line.ended() && !broken;
-        let why = seat.close_reason.filter(|_| !own_end).unwrap_or(seat.line.close_reason());
+        let own_end = seat.client_connection.ended() && !broken;
+        let why = seat.close_reason.filter(|_| !own_end).unwrap_or(seat.client_connection.close_reason());
         context.counters.closed(why);
         let now = context.clock.now();
-        debug!(context.log, "client closed: {why:?}"; "client" => seat.number, "answered" => seat.line.answered());
+        debug!(context.log, "client closed: {why:?}"; "client" => seat.number, "answered" => seat.client_connection.answered());
         if !why.ordinary() && self.unusual.admits(now, why) {
             info!(context.log, "client closed: {why:?}"; "client" => seat.number, "reads" => seat.reads,
-                "answered" => seat.line.answered(), "unanswered_bytes" => seat.line.unanswered_bytes(),
+                "answered" => seat.client_connection.answered(), "unanswered_bytes" => seat.client_connection.unanswered_bytes(),
                 "errno" => seat.error, "connected_s" => format!("{:.3}", now - seat.accepted_at));
         }
     }
@@ -411,7 +425,7 @@
         if let Some((rest, _)) = seat.idle {
             context.budget.remove_idle(rest);
         }
-        seat.line.release(&mut context.budget);
+        seat.client_connection.release(&mut context.budget);
         seat.wire.close(&context.registry);
         match seat.refused {
             true => context.budget.release_refused(),
@@ -420,8 +434,8 @@
     }
 }
 
-fn gone(action: Option<ClientAction>, desk: &MailboxSender<Mail>) {
+fn gone(action: Option<ClientAction>, dispatcher: &MailboxSender<DispatcherMessage>) {
     if let Some(ClientAction::Abandon(statement_id)) = action {
-        desk.send(Mail::ClientGone(statement_id));
+        dispatcher.send(DispatcherMessage::ClientGone(statement_id));
     }
 }
--- a/crates/sandstile-router/src/counters.rs
+++ b/crates/sandstile-router/src/counters.rs
@@ -1,56 +1,56 @@
 //! What the router took in, sent and answered; printed on SIGUSR1 and at the end.
 use crate::close_reason::{self, CloseReason};
 use crate::outcome::{self, Ending};
-use sandstile_dispatcher::{Count, Counts};
+use sandstile_dispatcher::{Counter, DispatcherCounters};
 use std::fmt;
 use std::sync::Arc;
 
 #[derive(Default)]
 pub struct Counters {
-    pub desk: Arc<Counts>,
-    pub connections: Count,
-    pub empty_queries: Count,
-    pub bad_input: Count,
-    pub rested: Count,
-    pub sent: Count,
-    pub dialled: Count,
-    pub probes: Count,
-    pub forsaken: Count,
-    pub lists: Count,
-    pub bad_lists: Count,
-    pub watches: Count,
+    pub dispatcher: Arc<DispatcherCounters>,
+    pub connections: Counter,
+    pub empty_queries: Counter,
+    pub bad_input: Counter,
+    pub rested: Counter,
+    pub sent: Counter,
+    pub dialled: Counter,
+    pub probes: Counter,
+    pub forsaken: Counter,
+    pub lists: Counter,
+    pub bad_lists: Counter,
+    pub watches: Counter,
     /// Dials that waited for their turn.
-    pub dials_held: Count,
+    pub dials_held: Counter,
     /// Arrivals that a recording has not kept.
-    pub unrecorded: Count,
+    pub unrecorded: Counter,
     /// Routers that are there, this one among them; and of their letters, where our own file turns members on.
-    pub members: Count,
+    pub members: Counter,
     /// 0 agreed, 1 settling, 2 cut off from some, 3 alone.
-    pub view: Count,
-    pub view_changes: Count,
-    pub member_deaths: Count,
-    pub names_taken: Count,
-    pub letters: Count,
-    pub letters_refused: Count,
+    pub view: Counter,
+    pub view_changes: Counter,
+    pub member_deaths: Counter,
+    pub names_taken: Counter,
+    pub letters: Counter,
+    pub letters_refused: Counter,
     /// Database hosts that are known now.
-    pub hosts: Count,
+    pub hosts: Counter,
     /// Statements that were read only once their client had ended its sending.
-    pub read_too_late: Count,
+    pub read_too_late: Counter,
     /// Reads that found bytes of which no readiness had told.
-    pub found_by_look: Count,
+    pub found_by_look: Counter,
     /// Dials begun again after this machine's own trouble.
-    pub dials_repeated: Count,
+    pub dials_repeated: Counter,
     /// Calls of `accept` that failed, but for an empty queue.
-    pub accept_errors: Count,
+    pub accept_errors: Counter,
     /// Statements refused on connections that there was no room to serve.
-    pub refused_for_room: Count,
+    pub refused_for_room: Counter,
     /// The longest turn of the loop, the longest wait of a connection to be accepted as far as can be told, and the
     /// longest wait of a link for a descriptor, in milliseconds.
-    pub longest_turn_ms: Count,
-    pub longest_accept_wait_ms: Count,
-    pub longest_dial_wait_ms: Count,
-    endings: [Count; outcome::ALL.len()],
-    closings: [Count; close_reason::ALL.len()],
+    pub longest_turn_ms: Counter,
+    pub longest_accept_wait_ms: Counter,
+    pub longest_dial_wait_ms: Counter,
+    endings: [Counter; outcome::ALL.len()],
+    closings: [Counter; close_reason::ALL.len()],
 }
 
 impl Counters {
@@ -68,12 +68,12 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let plain = [
             ("connections", &self.connections),
-            ("taken", &self.desk.taken),
-            ("completed", &self.desk.completed),
-            ("rejected", &self.desk.rejected),
-            ("aborted", &self.desk.aborted),
+            ("taken", &self.dispatcher.taken),
+            ("completed", &self.dispatcher.completed),
+            ("rejected", &self.dispatcher.rejected),
+            ("aborted", &self.dispatcher.aborted),
             ("forsaken", &self.forsaken),
-            ("clients_gone", &self.desk.clients_gone),
+            ("clients_gone", &self.dispatcher.clients_gone),
             ("empty_queries", &self.empty_queries),
             ("bad_input", &self.bad_input),
             ("rested", &self.rested),
@@ -85,12 +85,12 @@
             ("watches", &self.watches),
             ("hosts", &self.hosts),
             ("unrecorded", &self.unrecorded),
-            ("storms", &self.desk.storms),
-            ("turned_away", &self.desk.turned_away),
+            ("storms", &self.dispatcher.storms),
+            ("turned_away", &self.dispatcher.turned_away),
             ("dials_held", &self.dials_held),
-            ("ramped", &self.desk.ramped),
-            ("probes_left", &self.desk.probes_left),
-            ("stalls", &self.desk.stalls),
+            ("ramped", &self.dispatcher.ramped),
+            ("probes_left", &self.dispatcher.probes_left),
+            ("stalls", &self.dispatcher.stalls),
             ("members", &self.members),
             ("view", &self.view),
             ("view_changes", &self.view_changes),
@@ -102,7 +102,7 @@
             ("accept_errors", &self.accept_errors),
             ("found_by_look", &self.found_by_look),
             ("dials_repeated", &self.dials_repeated),
-            ("further_executions", &self.desk.further_executions),
+            ("further_executions", &self.dispatcher.further_executions),
             ("refused_for_room", &self.refused_for_room),
             ("longest_turn_ms", &self.longest_turn_ms),
             ("longest_accept_wait_ms", &self.longest_accept_wait_ms),
@@ -118,7 +118,7 @@
         for closing in close_reason::ALL {
             write!(f, " {closing:?}={}", self.closings[closing as usize].get())?;
         }
-        for (cause, count) in self.desk.refusals().chain(self.desk.unsent()) {
+        for (cause, count) in self.dispatcher.refusals().chain(self.dispatcher.unsent()) {
             write!(f, " {cause}={}", count.get())?;
         }
         Ok(())
--- a/crates/sandstile-router/src/discovery.rs
+++ b/crates/sandstile-router/src/discovery.rs
@@ -6,8 +6,8 @@
 use crate::lists;
 use crate::mailbox::MailboxSender;
 use oorandom::Rand32;
-use sandstile_dispatcher::Update;
-use sandstile_restart_pacing::Lists;
+use sandstile_dispatcher::HostListUpdate;
+use sandstile_restart_pacing::ListBackoff;
 use serde_json::Value;
 use slog::{debug, info, warn, Logger};
 use std::collections::BTreeSet;
@@ -56,12 +56,12 @@
     pub agent: Arc<DiscoveryAgent>,
     pub index: u64,
     pub known: KnownList,
-    pub desk: MailboxSender<Update>,
+    pub dispatcher: MailboxSender<HostListUpdate>,
     pub counters: Arc<Counters>,
     pub log: Logger,
     pub told: BTreeSet<String>,
     /// The spread of pauses between watches, where our own file turns that on.
-    pub returning: Option<Lists>,
+    pub returning: Option<ListBackoff>,
     /// Seconds between calls that are refused, at the most.
     pub longest_pause: Duration,
     pub chance: Rand32,
@@ -111,7 +111,7 @@
     /// ends it.
     fn pause(&mut self, address: SocketAddr, pause: Duration) {
         let spread = pause.mul_f64(0.5 + f64::from(self.chance.rand_float()));
-        let again = self.returning.as_mut().map_or(spread, |l| Duration::from_secs_f64(l.again()));
+        let again = self.returning.as_mut().map_or(spread, |l| Duration::from_secs_f64(l.next_delay()));
         let until = Instant::now() + again;
         while Instant::now() < until && self.agent.address() == address {
             thread::sleep(PAUSE.min(until.saturating_duration_since(Instant::now())));
@@ -205,7 +205,7 @@
             any = true;
         }
         if let Some(lists) = self.returning.as_mut().filter(|_| any) {
-            lists.heard();
+            lists.reset();
         }
         Ok(any)
     }
@@ -218,14 +218,14 @@
         }
         self.counters.lists.add();
         let entries = update.entries.len();
-        info!(self.log, "list"; "index" => update.index, "whole" => update.whole, "entries" => entries);
+        info!(self.log, "list"; "index" => update.index, "whole" => update.is_snapshot, "entries" => entries);
         self.index = update.index;
-        let whole = update.whole;
+        let is_snapshot = update.is_snapshot;
         for piece in self.known.changes(update) {
-            for entry in piece.entries.iter().filter(|_| !whole) {
+            for entry in piece.entries.iter().filter(|_| !is_snapshot) {
                 info!(self.log, "listed as {:?}", entry.readiness; "host" => &entry.host, "since" => entry.since);
             }
-            self.desk.send(piece);
+            self.dispatcher.send(piece);
         }
         // Told: whoever waits for a first word from discovery need not wait on.
         self.first = None;
--- a/crates/sandstile-router/src/event_loop.rs
+++ b/crates/sandstile-router/src/event_loop.rs
@@ -19,9 +19,9 @@
 use crate::statement::Workload;
 use mio::net::TcpStream;
 use mio::{Events, Poll, Token};
-use sandstile_dispatcher::{Desk, Given, Mail, Said};
-use sandstile_restart_pacing::Dials;
-use sandstile_timers::Wheel;
+use sandstile_dispatcher::{Dispatcher, DispatcherMessage, FinalAnswer, LogEvent};
+use sandstile_restart_pacing::DialPacer;
+use sandstile_timers::TimerWheel;
 use slog::{debug, info, warn, Logger};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -81,10 +81,10 @@
     long_turns: Limiter<()>,
     clients: Clients,
     hosts: Hosts,
-    desk: Desk,
-    mail: Mailbox<Mail>,
+    dispatcher: Dispatcher,
+    mail: Mailbox<DispatcherMessage>,
     /// Answers that waited for a disk.
-    answers: Mailbox<Given>,
+    answers: Mailbox<FinalAnswer>,
     charges: Mailbox<Charge>,
     /// Where our own file turns them on.
     members: Option<Box<Members>>,
@@ -99,8 +99,8 @@
     poll: Poll,
     bell: Arc<Bell>,
     /// For answers that waited for a disk.
-    pub answers: MailboxSender<Given>,
-    answer_box: Mailbox<Given>,
+    pub answers: MailboxSender<FinalAnswer>,
+    answer_box: Mailbox<FinalAnswer>,
     pub charges: MailboxSender<Charge>,
     charge_box: Mailbox<Charge>,
 }
@@ -126,13 +126,13 @@
     pub budget: Budget,
     pub counters: Arc<Counters>,
     pub log: Logger,
-    pub desk: Desk,
+    pub dispatcher: Dispatcher,
     pub workloads: Vec<Workload>,
     /// Seconds, as `Hosts` has them.
     pub dial_limit: f64,
     pub idle_close: f64,
     /// How dials are paced, where our own file turns that on.
-    pub dials: Option<Dials>,
+    pub dials: Option<DialPacer>,
     pub members: Option<Members>,
     pub last_word: Option<MailboxSender<SessionMessage>>,
 }
@@ -145,7 +145,7 @@
             budget,
             counters,
             log,
-            desk,
+            dispatcher,
             workloads,
             dial_limit,
             idle_close,
@@ -155,9 +155,10 @@
         } = parts;
         let registry = poll.registry().try_clone()?;
         let listener = Listener::new(&registry, DOOR, listener, clock.now())?;
-        let (to_desk, mail) = carried(&bell);
-        let (timers, queue) = (Wheel::from(clock.now()), VecDeque::new());
-        let mut hosts = Hosts::new(to_desk.clone(), counters.clone(), log.clone(), dial_limit, idle_close);
+        let (to_dispatcher, mail) = carried(&bell);
+        let (timers, queue) = (TimerWheel::starting_at(clock.now()), VecDeque::new());
+        let mut hosts =
+            Hosts::new(to_dispatcher.clone(), counters.clone(), log.clone(), dial_limit, idle_close);
         hosts.dials = dials;
         let mut members = members.map(Box::new);
         if let Some(members) = &mut members {
@@ -184,9 +185,9 @@
             closing: false,
             accept_failures: Limiter::default(),
             long_turns: Limiter::default(),
-            clients: Clients::new(workloads, to_desk),
+            clients: Clients::new(workloads, to_dispatcher),
             hosts,
-            desk,
+            dispatcher,
             mail,
             answers: answer_box,
             charges: charge_box,
@@ -200,13 +201,13 @@
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(MOST_EVENTS);
         // What is known of the start is to be known before the first client is heard.
-        while self.desk.pending() {
+        while self.dispatcher.pending() {
             self.settle();
         }
         while !self.over() {
             self.sleep(&mut events)?;
             let woke_at = self.context.clock.now();
-            self.desk.look(self.context.clock.now());
+            self.dispatcher.check_for_stall(self.context.clock.now());
             for event in &events {
                 match event.token() {
                     BELL => {}
@@ -247,15 +248,15 @@
     /// Keeps the longest turn, and says of one that was long enough to be felt by clients.
     fn note_turn(&mut self, woke_at: f64, events: usize) {
         let now = self.context.clock.now();
-        self.context.counters.longest_turn_ms.at_least_ms(now - woke_at);
+        self.context.counters.longest_turn_ms.record_max_ms(now - woke_at);
         if now - woke_at >= LONG_TURN && self.long_turns.admits(now, ()) {
             info!(self.context.log, "a long turn"; "ms" => format!("{:.0}", (now - woke_at) * 1e3), "events" => events,
-                "statements" => self.desk.open(), "lines_behind" => self.context.queue.len());
+                "statements" => self.dispatcher.open_statements(), "lines_behind" => self.context.queue.len());
         }
     }
 
     fn busy(&self) -> bool {
-        let mail = !self.mail.is_empty() || self.desk.pending() || !self.answers.is_empty();
+        let mail = !self.mail.is_empty() || self.dispatcher.pending() || !self.answers.is_empty();
         let letters = self.members.as_ref().is_some_and(|m| m.busy());
         mail || letters || !self.context.queue.is_empty() || !self.charges.is_empty() || self.accepts()
     }
@@ -267,7 +268,7 @@
         } else {
             // Once the window has closed there is nothing left to wake for: a time that has passed would spin.
             let window = if self.closing { f64::INFINITY } else { self.ends_at };
-            let mut due = self.desk.due(self.context.clock.now()).min(window).min(self.hosts.due());
+            let mut due = self.dispatcher.due(self.context.clock.now()).min(window).min(self.hosts.due());
             due = due.min(self.members.as_ref().map_or(f64::INFINITY, |m| m.due()));
             due = due.min(self.context.timers.earliest().unwrap_or(f64::INFINITY));
             due = due.min(self.accept_due());
@@ -294,16 +295,16 @@
     /// The desk takes all that waits, and what its sources have to tell where `asks` says so, and lets the decisions say
     /// what follows; `false` where there was nothing to do.
     fn decide(&mut self, asks: bool) -> bool {
-        let mut took = asks && self.desk.ask(self.context.clock.now());
+        let mut took = asks && self.dispatcher.poll_sources(self.context.clock.now());
         while let Some(mail) = self.mail.try_recv() {
-            self.desk.take(self.context.clock.now(), mail);
+            self.dispatcher.handle(self.context.clock.now(), mail);
             took = true;
         }
-        let worked = self.desk.turn(self.context.clock.now(), took);
-        for said in self.desk.take_said() {
+        let worked = self.dispatcher.decide_if_due(self.context.clock.now(), took);
+        for said in self.dispatcher.take_log_events() {
             match said {
-                Said::StoodStill(_) => warn!(self.context.log, "{said}"),
-                step if step.is_step() => debug!(self.context.log, "{step}"),
+                LogEvent::Stalled(_) => warn!(self.context.log, "{said}"),
+                step if step.is_statement_step() => debug!(self.context.log, "{step}"),
                 _ => info!(self.context.log, "{said}"),
             }
         }
@@ -315,7 +316,7 @@
     fn settle(&mut self) {
         for round in 0..ROUNDS {
             let mut worked = self.decide(round == 0);
-            while let Some(order) = self.desk.next_order() {
+            while let Some(order) = self.dispatcher.next_command() {
                 self.hosts.order(order, &mut self.context);
                 worked = true;
             }
@@ -328,7 +329,7 @@
                 }
                 worked = true;
             }
-            while let Some(given) = self.desk.next_answer().or_else(|| self.answers.try_recv()) {
+            while let Some(given) = self.dispatcher.next_answer().or_else(|| self.answers.try_recv()) {
                 self.clients.answer(given, &mut self.context);
                 worked = true;
             }
@@ -438,7 +439,7 @@
         match self.listener.accept(&self.context.registry, now) {
             Accepted::Connection(stream, waited_since) => {
                 self.context.counters.connections.add();
-                self.context.counters.longest_accept_wait_ms.at_least_ms(now - waited_since);
+                self.context.counters.longest_accept_wait_ms.record_max_ms(now - waited_since);
                 let refused = !self.claim(Holder::ClientConnection)
                     && self.claim_beyond_share(now) == Admission::Refuse;
                 if let Some(key) = self.context.budget.take_surplus_client() {
--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -45,7 +45,7 @@
     /// Where this one is found itself, where state is kept with others: of many members it tells those that are near.
     near: Option<SocketAddr>,
     secret: [u8; 32],
-    desk: MailboxSender<SessionMessage>,
+    dispatcher: MailboxSender<SessionMessage>,
     log: Logger,
 }
 
@@ -74,13 +74,13 @@
                 continue;
             }
             let ends = Arc::new(AtomicBool::new(false));
-            let (name, secret, desk, log) =
-                (self.name.clone(), self.secret, self.desk.clone(), self.log.clone());
+            let (name, secret, dispatcher, log) =
+                (self.name.clone(), self.secret, self.dispatcher.clone(), self.log.clone());
             let over = ends.clone();
             let begun = threads::spawn_detached("tell", move || {
                 while !over.load(SeqCst) {
                     // Whatever ends it, the next time begins with a snapshot.
-                    if let Ok(true) = tell(peer, &name, &secret, &desk, &over, &log) {
+                    if let Ok(true) = tell(peer, &name, &secret, &dispatcher, &over, &log) {
                         return;
                     }
                     thread::sleep(AGAIN);
@@ -101,21 +101,22 @@
     life: u64,
     keeps: bool,
     secrets: Vec<[u8; 32]>,
-    desk: MailboxSender<SessionMessage>,
+    dispatcher: MailboxSender<SessionMessage>,
     log: &Logger,
 ) -> Result<ExchangePeers, String> {
     let name = format!("{}#{life}", name.chars().take(40).collect::<String>());
     let name = &if keeps { keeping(&name) } else { name };
     let listener = TcpListener::bind(plan.listen).map_err(|e| format!("exchange: {}: {e}", plan.listen))?;
-    let (own, keys, to_desk, own_log) = (name.to_string(), secrets.clone(), desk.clone(), log.clone());
-    threads::spawn_detached("exchange", move || accept(&listener, &own, &keys, &to_desk, &own_log))?;
+    let (own, keys, to_dispatcher, own_log) =
+        (name.to_string(), secrets.clone(), dispatcher.clone(), log.clone());
+    threads::spawn_detached("exchange", move || accept(&listener, &own, &keys, &to_dispatcher, &own_log))?;
     let mut exchange_peers = ExchangePeers {
         named: plan.peers.iter().copied().collect(),
         told: BTreeMap::new(),
         name: name.to_string(),
         near: keeps.then_some(plan.listen),
         secret: secrets[0],
-        desk,
+        dispatcher,
         log: log.clone(),
     };
     exchange_peers.follow(&BTreeSet::new());
@@ -144,7 +145,7 @@
     listener: &TcpListener,
     name: &str,
     secrets: &[[u8; 32]],
-    desk: &MailboxSender<SessionMessage>,
+    dispatcher: &MailboxSender<SessionMessage>,
     log: &Logger,
 ) {
     let tellers = Arc::new(AtomicUsize::new(0));
@@ -158,10 +159,11 @@
             continue;
         }
         let nonce = nonce(&secrets[0], number);
-        let (secrets, desk, log) = (secrets.to_vec(), desk.clone(), log.clone());
+        let (secrets, dispatcher, log) = (secrets.to_vec(), dispatcher.clone(), log.clone());
         let (greeting, here) = (greeting(nonce, name), tellers.clone());
         let listen = move || {
-            let heard = stream.write_all(&greeting).and_then(|()| hear(&mut stream, &secrets, &nonce, &desk));
+            let heard =
+                stream.write_all(&greeting).and_then(|()| hear(&mut stream, &secrets, &nonce, &dispatcher));
             if let Err(e) = heard {
                 info!(log, "exchange: a connection ended: {e}");
             }
@@ -178,7 +180,7 @@
     stream: &mut TcpStream,
     secrets: &[[u8; 32]],
     nonce: &[u8; 16],
-    desk: &MailboxSender<SessionMessage>,
+    dispatcher: &MailboxSender<SessionMessage>,
 ) -> io::Result<()> {
     let mut listener = Listener::new(secrets, nonce);
     let mut from = None;
@@ -198,11 +200,11 @@
                 stream.set_read_timeout(None)?;
             }
             // One that tells faster than is heard waits in its own stream, and fills no memory here.
-            while desk.queued() > MOST_HEARD {
+            while dispatcher.queued() > MOST_HEARD {
                 thread::sleep(BREATH);
             }
             if let Some(from) = &from {
-                desk.send(SessionMessage::Heard(from.clone(), heard));
+                dispatcher.send(SessionMessage::Heard(from.clone(), heard));
             }
         }
     }
@@ -213,14 +215,14 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    desk: &MailboxSender<SessionMessage>,
+    dispatcher: &MailboxSender<SessionMessage>,
     over: &AtomicBool,
     log: &Logger,
 ) -> io::Result<bool> {
     let mut to = None;
-    let told = tell_one(peer, name, secret, desk, over, log, &mut to);
+    let told = tell_one(peer, name, secret, dispatcher, over, log, &mut to);
     if let Some(to) = to {
-        desk.send(SessionMessage::Untold(to));
+        dispatcher.send(SessionMessage::Untold(to));
     }
     told
 }
@@ -230,7 +232,7 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    desk: &MailboxSender<SessionMessage>,
+    dispatcher: &MailboxSender<SessionMessage>,
     over: &AtomicBool,
     log: &Logger,
     whom: &mut Option<String>,
@@ -255,7 +257,7 @@
     stream.write_all(&teller.who(name))?;
     let (outlet, tellings) = bounded_mailbox(MOST_WAITING);
     *whom = Some(to.clone());
-    desk.send(SessionMessage::Tell(to.clone(), outlet));
+    dispatcher.send(SessionMessage::Tell(to.clone(), outlet));
     loop {
         let telling = match tellings.recv(Some(LOOK)) {
             Ok(telling) => telling,
@@ -277,7 +279,7 @@
             Telling::Whole { of_yours } => stream.write_all(&teller.whole(of_yours))?,
             Telling::State(message) => {
                 stream.write_all(&teller.state(&message))?;
-                desk.send(SessionMessage::Written(to.clone(), message.len()));
+                dispatcher.send(SessionMessage::Written(to.clone(), message.len()));
             }
             Telling::Seen(key, seen) => {
                 // All that waits goes in one frame.
--- a/crates/sandstile-router/src/hosts.rs
+++ b/crates/sandstile-router/src/hosts.rs
@@ -8,12 +8,12 @@
 use crate::outcome::{Ending, Outcome};
 use crate::pool::{Lookup, NextUse, Placement, Pool};
 use crate::socket::{Moved, Wire};
-use crate::task::{Errand, Job};
+use crate::task::{HostTask, TaskKind};
 use crate::upstream_connection::{Event, UpstreamConnection};
 use mio::net::TcpStream;
 use mio::Token;
-use sandstile_dispatcher::{Mail, Order};
-use sandstile_restart_pacing::{Came, Dials, When};
+use sandstile_dispatcher::{Command, DispatcherMessage};
+use sandstile_restart_pacing::{DialDecision, DialOutcome, DialPacer};
 use slab::Slab;
 use slog::{debug, info, o, Logger};
 use std::collections::{BTreeMap, VecDeque};
@@ -58,7 +58,7 @@
 pub struct Hosts {
     hosts: Vec<Option<Host>>,
     seats: Slab<Seat>,
-    desk: MailboxSender<Mail>,
+    dispatcher: MailboxSender<DispatcherMessage>,
     counters: Arc<Counters>,
     log: Logger,
     /// Links that wait for a descriptor, with where they go.
@@ -66,7 +66,7 @@
     /// What has happened to links and is still to be acted on.
     events: VecDeque<(usize, Event)>,
     /// When a dial may begin, where our own file turns that on.
-    pub dials: Option<Dials>,
+    pub dials: Option<DialPacer>,
     /// When the next that waits for its turn may; infinite where none does.
     turn_at: f64,
     /// No dial begins before: the last one failed for this machine's own trouble.
@@ -102,7 +102,7 @@
 
 impl Hosts {
     pub fn new(
-        desk: MailboxSender<Mail>,
+        dispatcher: MailboxSender<DispatcherMessage>,
         counters: Arc<Counters>,
         log: Logger,
         dial_limit: f64,
@@ -111,7 +111,7 @@
         Hosts {
             hosts: Vec::new(),
             seats: Slab::new(),
-            desk,
+            dispatcher,
             counters,
             log,
             wanted: VecDeque::new(),
@@ -129,33 +129,33 @@
         self.hosts.get_mut(host).and_then(Option::as_mut).expect("a pool for each host")
     }
 
-    pub fn order(&mut self, order: Order, context: &mut LoopContext) {
+    pub fn order(&mut self, order: Command, context: &mut LoopContext) {
         match order {
-            Order::Known { host, name, address } => self.known(host, &name, address, context),
-            Order::End(host) => {
+            Command::UpdateHost { host, name, address } => self.known(host, &name, address, context),
+            Command::RemoveHost(host) => {
                 let connections: Vec<usize> = self.host(host).pool.connections().collect();
                 connections.into_iter().for_each(|key| self.close(key, context));
                 self.hosts[host] = None;
-                self.counters.hosts.less();
+                self.counters.hosts.decrement();
                 if let Some(dials) = &mut self.dials {
                     dials.forget(host);
                 }
             }
-            Order::Do(host, job) => self.begin(host, job, context),
-            Order::Probe(host) => {
+            Command::Start(host, job) => self.begin(host, job, context),
+            Command::Probe(host) => {
                 self.counters.probes.add();
-                let until = context.clock.now() + self.dial_limit;
-                self.begin(host, Job { errand: Errand::Probe, until }, context);
+                let deadline = context.clock.now() + self.dial_limit;
+                self.begin(host, HostTask { kind: TaskKind::Probe, deadline }, context);
             }
-            Order::Cancel { host, statement_id, execution } => {
+            Command::Cancel { host, statement_id, execution } => {
                 self.recall(host, (statement_id, execution), true, context)
             }
-            Order::Unsend { host, statement_id, execution } => {
+            Command::CancelUnsent { host, statement_id, execution } => {
                 self.recall(host, (statement_id, execution), false, context)
             }
-            Order::Sharers(n) => {
+            Command::RouterCount(n) => {
                 if let Some(dials) = &mut self.dials {
-                    dials.shared_by(n);
+                    dials.set_router_count(n);
                 }
             }
         }
@@ -183,7 +183,7 @@
             self.counters.ended(Ending::Moved);
             self.close(key, context);
         }
-        for _ in 0..self.dials.as_ref().map_or(0, Dials::at_once) {
+        for _ in 0..self.dials.as_ref().map_or(0, DialPacer::initial_dials) {
             self.want(host, address, context);
         }
     }
@@ -202,7 +202,7 @@
     }
 
     /// A job takes an idle link, if that is still of use, or waits for a dial.
-    fn begin(&mut self, host: usize, mut job: Job, context: &mut LoopContext) {
+    fn begin(&mut self, host: usize, mut job: HostTask, context: &mut LoopContext) {
         loop {
             match self.host(host).pool.begin(job) {
                 Placement::Assign(key, handed) => {
@@ -235,8 +235,8 @@
         }
     }
 
-    fn hand(&mut self, key: usize, job: Job, context: &mut LoopContext) {
-        if job.which().is_some() {
+    fn hand(&mut self, key: usize, job: HostTask, context: &mut LoopContext) {
+        if job.execution_id().is_some() {
             self.counters.sent.add();
         }
         if let Some(event) = self.seats[key].line.begin(context.clock.now(), job) {
@@ -246,8 +246,8 @@
     }
 
     /// Ends an execution that waits for a link, and, where `sent` says so, one that is under way.
-    fn recall(&mut self, host: usize, which: (u64, usize), sent: bool, context: &mut LoopContext) {
-        match self.host(host).pool.find(which) {
+    fn recall(&mut self, host: usize, execution_id: (u64, usize), sent: bool, context: &mut LoopContext) {
+        match self.host(host).pool.find(execution_id) {
             Lookup::Waiting(job) => self.report(host, job, Ending::WithdrawnUnsent.into(), context),
             Lookup::Running(key) if sent => {
                 // An answer that has come by now counts: nobody has to wonder then whether it ran.
@@ -256,7 +256,7 @@
                 }
                 self.run(key, context);
                 let Some(seat) = self.seats.get_mut(key) else { return };
-                if let Some(event) = seat.line.withdraw(which, &mut context.budget) {
+                if let Some(event) = seat.line.withdraw(execution_id, &mut context.budget) {
                     self.events.push_back((key, event));
                 }
             }
@@ -286,17 +286,17 @@
         self.wanted.retain(|(key, _)| seats.get(*key).is_some_and(stands));
         for at in 0..self.wanted.len() {
             let Some(seat) = seats.get_mut(self.wanted[at].0) else { continue };
-            let when = dials.wanted(now, seat.host);
-            if when != When::Now && !std::mem::replace(&mut seat.held, true) {
+            let when = dials.decide(now, seat.host);
+            if when != DialDecision::Now && !std::mem::replace(&mut seat.held, true) {
                 self.counters.dials_held.add();
             }
             match when {
-                When::Now => {
+                DialDecision::Now => {
                     self.wanted.swap(0, at);
                     return true;
                 }
-                When::At(turn) => self.turn_at = self.turn_at.min(turn),
-                When::Ended => {}
+                DialDecision::At(turn) => self.turn_at = self.turn_at.min(turn),
+                DialDecision::AfterCurrent => {}
             }
         }
         false
@@ -312,11 +312,11 @@
         let Some(seat) = self.seats.get_mut(key) else { return };
         if let (Some(dials), Some(began)) = (&mut self.dials, seat.began.take()) {
             let came = match failed {
-                None => Came::Up(now - began),
-                Some(Ending::DialTimedOut) => Came::Late,
-                Some(_) => Came::Refused,
+                None => DialOutcome::Connected(now - began),
+                Some(Ending::DialTimedOut) => DialOutcome::TimedOut,
+                Some(_) => DialOutcome::Refused,
             };
-            dials.ended(now, seat.host, came);
+            dials.dial_ended(now, seat.host, came);
         }
     }
 
@@ -330,7 +330,7 @@
         });
         let now = context.clock.now();
         let seat = &mut self.seats[key];
-        self.counters.longest_dial_wait_ms.at_least_ms(now - seat.wanted_at);
+        self.counters.longest_dial_wait_ms.record_max_ms(now - seat.wanted_at);
         if let Some(e) = dialled.as_ref().err().filter(|e| is_local(e)) {
             if now < *seat.local_until.get_or_insert(now + LOCAL_PATIENCE) {
                 return self.dial_again(key, address, e, context);
@@ -339,7 +339,7 @@
         if let Some(dials) = &mut self.dials {
             seat.line.dialled_with_deadline(now + self.dial_limit);
             seat.began = Some(now);
-            dials.began(now, seat.host);
+            dials.dial_started(now, seat.host);
         } else {
             seat.line.dialled();
         }
@@ -615,13 +615,13 @@
         }
     }
 
-    fn report(&mut self, host: usize, job: Job, outcome: Outcome, context: &LoopContext) {
+    fn report(&mut self, host: usize, job: HostTask, outcome: Outcome, context: &LoopContext) {
         self.ended(host, outcome.ending, context);
-        self.desk.send(match job.errand {
-            Errand::Statement { statement_id, execution, .. } => {
-                Mail::Ended { statement_id, execution, outcome }
+        self.dispatcher.send(match job.kind {
+            TaskKind::Statement { statement_id, execution, .. } => {
+                DispatcherMessage::Ended { statement_id, execution, outcome }
             }
-            Errand::Probe => Mail::Probed { host, outcome },
+            TaskKind::Probe => DispatcherMessage::Probed { host, outcome },
         });
     }
 
--- a/crates/sandstile-router/src/known_hosts.rs
+++ b/crates/sandstile-router/src/known_hosts.rs
@@ -1,7 +1,7 @@
 //! The list as discovery has told it so far. What it tells anew becomes the entries that differ, in pieces that the
 //! carrier takes one by one between its clients: a whole list of thousands of hosts is no work of one turn.
 use sandstile_deployment::host_list::HostEntry;
-use sandstile_dispatcher::Update;
+use sandstile_dispatcher::HostListUpdate;
 use sandstile_policy::terms::Readiness;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,13 +23,13 @@
 
 impl KnownList {
     /// What this list changes, in pieces; one without entries where it changes nothing.
-    pub fn changes(&mut self, update: Update) -> Vec<Update> {
+    pub fn changes(&mut self, update: HostListUpdate) -> Vec<HostListUpdate> {
         let index = update.index;
         let mut told: BTreeMap<String, Told> = BTreeMap::new();
         for (entry, (name, address)) in update.entries.into_iter().zip(update.addresses) {
             told.insert(name, Told { entry, address });
         }
-        if update.whole {
+        if update.is_snapshot {
             let left = self.hosts.iter().filter(|(name, _)| !told.contains_key(*name));
             let left: Vec<(String, Told)> = left.map(|(name, host)| (name.clone(), gone(host))).collect();
             told.extend(left);
@@ -53,10 +53,10 @@
     Told { entry, address: None }
 }
 
-fn pieces(index: u64, changed: Vec<Told>) -> Vec<Update> {
-    let piece = |hosts: &[Told]| Update {
+fn pieces(index: u64, changed: Vec<Told>) -> Vec<HostListUpdate> {
+    let piece = |hosts: &[Told]| HostListUpdate {
         index,
-        whole: false,
+        is_snapshot: false,
         entries: hosts.iter().map(|host| host.entry.clone()).collect(),
         addresses: hosts.iter().map(|host| (host.entry.host.clone(), host.address)).collect(),
     };
--- a/crates/sandstile-router/src/launch.rs
+++ b/crates/sandstile-router/src/launch.rs
@@ -2,7 +2,7 @@
 use crate::lists;
 use crate::statement::Workload;
 use sandstile_deployment::settings;
-use sandstile_dispatcher::Update;
+use sandstile_dispatcher::HostListUpdate;
 use sandstile_policy::terms::{Consistency, Terms};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     pub seed: u64,
     pub sockets: usize,
     pub memory: usize,
-    pub known: Update,
+    pub known: HostListUpdate,
     pub workloads: Vec<Workload>,
     pub terms: Terms,
     /// Seconds for a connection to a database host to come up.
--- a/crates/sandstile-router/src/lists.rs
+++ b/crates/sandstile-router/src/lists.rs
@@ -1,17 +1,17 @@
 //! Reads the lists of discovery and of the configuration.
 use crate::pg;
 use sandstile_deployment::host_list::{readiness, HostEntry};
-use sandstile_dispatcher::Update;
+use sandstile_dispatcher::HostListUpdate;
 use sandstile_policy::terms::Readiness;
 use serde_json::Value;
 use std::net::SocketAddr;
 
 /// Reads discovery's form. What can't be read is left out; the message then names the first such thing.
-pub fn read(json: &Value) -> Result<(Update, Option<String>), String> {
+pub fn read(json: &Value) -> Result<(HostListUpdate, Option<String>), String> {
     let index = json["index"].as_u64().ok_or("a list without an index")?;
-    let whole = json["snapshot"].as_bool().ok_or("a list without snapshot")?;
+    let is_snapshot = json["snapshot"].as_bool().ok_or("a list without snapshot")?;
     let listed = json["endpoints"].as_array().ok_or("a list without endpoints")?;
-    let mut update = Update { index, whole, entries: Vec::new(), addresses: Vec::new() };
+    let mut update = HostListUpdate { index, is_snapshot, entries: Vec::new(), addresses: Vec::new() };
     let mut wrong = None;
     for item in listed {
         match entry(item) {
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -84,9 +84,9 @@
 pub struct LocalConfig {
     pub sessions: Option<Sessions>,
     pub recording: Option<Recording>,
-    pub limits: Option<sandstile_limits::Terms>,
+    pub limits: Option<sandstile_limits::Settings>,
     /// How a router that has just started comes back.
-    pub restart_pacing: Option<sandstile_restart_pacing::Terms>,
+    pub restart_pacing: Option<sandstile_restart_pacing::Settings>,
     pub members: Option<Members>,
 }
 
@@ -138,19 +138,23 @@
                 on.then_some(plan)
             });
             let limits = file.optional_block("limits").and_then(|l| {
-                let usual = sandstile_limits::Terms::default();
-                let terms = sandstile_limits::Terms {
-                    later_tries: l.number("later_tries", 0.0..10.0, usual.later_tries),
-                    false_alarms: l.number("false_alarms_a_day", 0.000_001..1000.0, usual.false_alarms),
-                    returning: l.number("returning", 0.01..1.0, usual.returning),
+                let usual = sandstile_limits::Settings::default();
+                let terms = sandstile_limits::Settings {
+                    retry_ratio: l.number("later_tries", 0.0..10.0, usual.retry_ratio),
+                    false_alarms_per_day: l.number(
+                        "false_alarms_a_day",
+                        0.000_001..1000.0,
+                        usual.false_alarms_per_day,
+                    ),
+                    returning_share: l.number("returning", 0.01..1.0, usual.returning_share),
                 };
                 let on = l.boolean("on", true);
                 l.finish();
                 on.then_some(terms)
             });
             let restart_pacing = file.optional_block("return").and_then(|r| {
-                let usual = sandstile_restart_pacing::Terms::default();
-                let terms = sandstile_restart_pacing::Terms {
+                let usual = sandstile_restart_pacing::Settings::default();
+                let terms = sandstile_restart_pacing::Settings {
                     pace: r.choice("pace", &sandstile_restart_pacing::PACES, Some(usual.pace)),
                     ramp: r.boolean("ramp", usual.ramp),
                     stall_s: r.ms("stall_ms", 0.0..60_000.0, usual.stall_s),
--- a/crates/sandstile-router/src/loop_context.rs
+++ b/crates/sandstile-router/src/loop_context.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::counters::Counters;
 use mio::{Registry, Token};
-use sandstile_timers::Wheel;
+use sandstile_timers::TimerWheel;
 use slog::Logger;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
     pub budget: Budget,
     pub counters: Arc<Counters>,
     pub log: Logger,
-    pub timers: Wheel<Token>,
+    pub timers: TimerWheel<Token>,
     /// Lines with something to do, in the order of their turns.
     pub queue: VecDeque<Token>,
     pub scratch: Vec<u8>,
--- a/crates/sandstile-router/src/main.rs
+++ b/crates/sandstile-router/src/main.rs
@@ -192,7 +192,7 @@
             format!("to {}, {} MB at most", r.file.display(), r.max_bytes / 1024 / 1024)
         });
         let limits = charter.limits.map_or("off".to_string(), |l| {
-            format!("{} later tries a first one completed, in a storm", l.later_tries)
+            format!("{} later tries a first one completed, in a storm", l.retry_ratio)
         });
         let restart_pacing =
             charter.restart_pacing.map_or("off".to_string(), |b| format!("{:?}", b.pace).to_lowercase());
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -5,7 +5,7 @@
 use crate::mailbox::{bounded_mailbox, Mailbox, MailboxSender};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_dispatcher::{Asked, Source};
+use sandstile_dispatcher::{Source, StatementRequest};
 use sandstile_recording::{Arrival, Head, Recorder};
 use slog::{info, warn, Logger};
 use std::fs::{File, OpenOptions};
@@ -33,13 +33,13 @@
 }
 
 impl Source for Tape {
-    fn arrives(&mut self, now: f64, asked: &Asked) {
+    fn statement_arrived(&mut self, now: f64, asked: &StatementRequest) {
         let seen = Seen {
             at: now,
             workload: asked.workload,
             group: asked.group.clone(),
             session: asked.session.clone(),
-            wait: asked.until - now,
+            wait: asked.deadline - now,
             again: asked.retry,
         };
         if !self.post.send(seen) {
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -21,9 +21,9 @@
 use crate::signals::{Wish, Wishes};
 use crate::threads;
 use oorandom::Rand32;
-use sandstile_dispatcher::{Desk, Fact, Update};
+use sandstile_dispatcher::{Dispatcher, DispatcherInput, HostListUpdate};
 use sandstile_policy::policy::Instance;
-use sandstile_restart_pacing::{Dials, Lists, Ramp, Stall};
+use sandstile_restart_pacing::{AdmissionRamp, DialPacer, ListBackoff, StallDetector};
 use slog::{info, warn, Drain, Logger};
 use std::collections::BTreeSet;
 use std::net::TcpListener;
@@ -62,7 +62,7 @@
     let budget = Budget::new(most, most_clients, (launch.memory / 2).max(4 * pg::MAX_FRAME_BYTES));
     let posts = errno::retry_transient(Posts::open).map_err(|e| format!("readiness: {e}"))?;
     let charges = posts.charges.clone();
-    let (lists, listed) = posts.inlet::<Update>();
+    let (lists, listed) = posts.inlet::<HostListUpdate>();
     let agent = DiscoveryAgent::at(launch.discovery);
     let (first, first_told) = single_slot_mailbox::<()>();
     let index = launch.known.index;
@@ -72,11 +72,11 @@
         agent: agent.clone(),
         index,
         known,
-        desk: lists.clone(),
+        dispatcher: lists.clone(),
         counters: counters.clone(),
         log: log.clone(),
         told: BTreeSet::new(),
-        returning: charter.restart_pacing.as_ref().map(|_| Lists::new(launch.seed)),
+        returning: charter.restart_pacing.as_ref().map(|_| ListBackoff::new(launch.seed)),
         // Where lists are asked for, what has not been asked for in 6 s counts as told.
         longest_pause: match launch.terms.list_on_request {
             true => Duration::from_secs_f64(launch.terms.subscribe_within.clamp(0.3, 6.0) / 3.0),
@@ -88,9 +88,9 @@
     // Each life of an instance has a number of its own, higher than that of the former one as far as its clock goes.
     let generation = (clock.now() * 1e6) as u64;
     let policy = Instance::new(&launch.terms, launch.seed, clock.now());
-    let mut desk = Desk::new(policy, counters.desk.clone());
-    desk.traces = log.is_debug_enabled();
-    desk.add(Box::new(Inlet::new(listed, Fact::HostList)));
+    let mut dispatcher = Dispatcher::new(policy, counters.dispatcher.clone());
+    dispatcher.trace_steps = log.is_debug_enabled();
+    dispatcher.add(Box::new(Inlet::new(listed, DispatcherInput::HostList)));
     let mut words = None;
     if let Some(plan) = &charter.sessions {
         let (post, word_box) = posts.inlet::<SessionMessage>();
@@ -113,21 +113,22 @@
             &clock,
             &log,
         )?;
-        desk.add(Box::new(seen));
+        dispatcher.add(Box::new(seen));
         words = Some(post);
     }
     let policy_returns = launch.terms.max_retry_after;
-    desk.limits = charter
+    dispatcher.limits = charter
         .limits
         .as_ref()
         .map(|terms| (sandstile_limits::Limits::new(terms, launch.seed, clock.now()), policy_returns));
     let restart_pacing = charter.restart_pacing.as_ref();
-    desk.ramp = restart_pacing.filter(|b| b.ramp).map(|_| (Ramp::default(), policy_returns));
-    desk.stall = restart_pacing.filter(|b| b.stall_s > 0.0).map(|b| Stall::new(b.stall_s, clock.now()));
-    desk.longest_return = policy_returns;
+    dispatcher.ramp = restart_pacing.filter(|b| b.ramp).map(|_| (AdmissionRamp::default(), policy_returns));
+    dispatcher.stall =
+        restart_pacing.filter(|b| b.stall_s > 0.0).map(|b| StallDetector::new(b.stall_s, clock.now()));
+    dispatcher.max_return_delay = policy_returns;
     let dials = restart_pacing.map(|b| {
         let number = numbered(&launch.name).unwrap_or(launch.seed);
-        Dials::new(b.pace, launch.terms.routers, number, launch.seed, clock.now())
+        DialPacer::new(b.pace, launch.terms.routers, number, launch.seed, clock.now())
     });
     let mut recording = None;
     if let Some(plan) = &charter.recording {
@@ -135,7 +136,7 @@
         let entries = of_the_start.iter().flat_map(|piece| &piece.entries);
         let groups = entries.map(|entry| entry.group.clone()).collect();
         let (tape, thread) = recorder::begin(plan, workloads, groups, clock.now(), &counters, &log)?;
-        desk.add(Box::new(tape));
+        dispatcher.add(Box::new(tape));
         recording = Some(thread);
     }
     for piece in of_the_start {
@@ -161,7 +162,7 @@
     let mut members = None;
     if let Some(plan) = &charter.members {
         let (sharing_routers, shared) = posts.inlet::<f64>();
-        desk.add(Box::new(Inlet::new(shared, Fact::Sharers)));
+        dispatcher.add(Box::new(Inlet::new(shared, DispatcherInput::RouterCount)));
         let beside = MembersContext {
             name: launch.name.clone(),
             generation,
@@ -185,7 +186,7 @@
         budget,
         counters,
         log: log.clone(),
-        desk,
+        dispatcher,
         workloads: launch.workloads,
         dial_limit: launch.dial_limit,
         idle_close: launch.terms.idle_close,
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -8,7 +8,7 @@
 use crate::session_messages::{SessionMessage, Telling};
 use crate::statement::Workload;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_dispatcher::{Answer, Asked, Ending, Fact, Given, Outcome, Source};
+use sandstile_dispatcher::{Answer, DispatcherInput, Ending, FinalAnswer, Outcome, Source, StatementRequest};
 use sandstile_exchange::Heard;
 use sandstile_journal::pace::Pace;
 use sandstile_journal::{Found, Journal, Wrong};
@@ -74,7 +74,7 @@
     /// What is kept together with other instances, where our own file turns that on.
     kept: Option<Box<ReplicatedState>>,
     /// What others met, for the decisions.
-    warned: Vec<Fact>,
+    warned: Vec<DispatcherInput>,
     aged_at: f64,
     counts: Counts,
     told_at: f64,
@@ -96,7 +96,7 @@
         plan: Plan,
         workloads: &[Workload],
         words: Mailbox<SessionMessage>,
-        answers: MailboxSender<Given>,
+        answers: MailboxSender<FinalAnswer>,
         kept: Option<ReplicatedState>,
         clock: &Clock,
         log: &Logger,
@@ -162,7 +162,7 @@
     }
 
     /// A statement came in; `term` is what its group's hosts have told, 0 where nothing.
-    fn asked(&mut self, now: f64, asked: &Asked, term: u64) -> Option<Wish> {
+    fn asked(&mut self, now: f64, asked: &StatementRequest, term: u64) -> Option<Wish> {
         let session = asked.session.as_deref()?;
         if now > self.aged_at + AGE {
             self.aged_at = now;
@@ -264,7 +264,7 @@
     }
 
     /// What comes of a write that has completed goes on the disk. `answer` waits for that, where somebody is to have it.
-    fn put_down(&mut self, key: Key, seen: Option<Seen>, answer: Option<Given>) -> Option<Given> {
+    fn put_down(&mut self, key: Key, seen: Option<Seen>, answer: Option<FinalAnswer>) -> Option<FinalAnswer> {
         let (Some(journal), Some(seen)) = (&self.journal, seen) else { return answer };
         journal.send(Entry::Seen { key, seen, then: answer });
         None
@@ -325,7 +325,9 @@
         let Some(kept) = &mut self.kept else { return };
         let learnt = kept.turn(now, looks, &self.log);
         learnt.marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen));
-        self.warned.extend(learnt.warned.into_iter().map(|(host, age)| Fact::Warned(host, age)));
+        self.warned.extend(
+            learnt.warned.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)),
+        );
         if learnt.old_copy && self.heard_since == f64::NEG_INFINITY {
             self.heard_since = now;
         } else if learnt.vouched && self.plan.stay {
@@ -369,7 +371,7 @@
         !self.words.is_empty()
     }
 
-    fn facts(&mut self, now: f64) -> Vec<Fact> {
+    fn take_inputs(&mut self, now: f64) -> Vec<DispatcherInput> {
         while let Some(word) = self.words.try_recv() {
             self.heard(now, word);
         }
@@ -380,22 +382,22 @@
         self.kept.as_mut().is_none_or(|kept| kept.may_probe(now, host))
     }
 
-    fn probed(&mut self, now: f64, host: &str, outcome: &Outcome) {
+    fn probe_ended(&mut self, now: f64, host: &str, outcome: &Outcome) {
         self.kept.iter_mut().for_each(|kept| kept.probed(now, host, outcome));
     }
 
-    fn met(&mut self, now: f64, host: &str, outcome: &Outcome) {
+    fn execution_ended_on_host(&mut self, now: f64, host: &str, outcome: &Outcome) {
         self.kept.iter_mut().for_each(|kept| kept.met(now, host, outcome));
     }
 
-    fn read_requirement(&mut self, now: f64, asked: &Asked, term: u64) -> Option<ReadRequirement> {
+    fn read_requirement(&mut self, now: f64, asked: &StatementRequest, term: u64) -> Option<ReadRequirement> {
         let wish = self.asked(now, asked, term)?;
         let read_requirement = wish.read_requirement();
         self.wishes.insert(asked.statement_id, wish);
         read_requirement
     }
 
-    fn ended(&mut self, _: f64, statement_id: u64, outcome: &mut Outcome) {
+    fn execution_ended(&mut self, _: f64, statement_id: u64, outcome: &mut Outcome) {
         if let Some(wish) = self.wishes.remove(&statement_id) {
             self.verify(&wish, outcome);
             self.wishes.insert(statement_id, wish);
@@ -403,7 +405,7 @@
     }
 
     /// The answer takes the session's mark along, once what durability asks for is done.
-    fn completed(&mut self, now: f64, outcome: &Outcome, mut given: Given) -> Option<Given> {
+    fn completed(&mut self, now: f64, outcome: &Outcome, mut given: FinalAnswer) -> Option<FinalAnswer> {
         let Some(wish) = self.wishes.remove(&given.statement_id) else { return Some(given) };
         let seen = self.remember(now, &wish, outcome);
         if let Answer::Completed(_, token) = &mut given.answer {
@@ -422,14 +424,14 @@
     }
 
     /// A write completed whose client has left: nobody was told, and yet it may come again and ask.
-    fn unheard(&mut self, now: f64, statement_id: u64, outcome: &Outcome) {
+    fn completed_without_client(&mut self, now: f64, statement_id: u64, outcome: &Outcome) {
         let Some(wish) = self.wishes.remove(&statement_id) else { return };
         let seen = self.remember(now, &wish, outcome);
         self.put_down(wish.key, seen, None);
         self.wishes.insert(statement_id, wish);
     }
 
-    fn over(&mut self, statement_id: u64) {
+    fn statement_closed(&mut self, statement_id: u64) {
         self.wishes.remove(&statement_id);
     }
 }
@@ -454,7 +456,7 @@
 }
 
 enum Entry {
-    Seen { key: Key, seen: Seen, then: Option<Given> },
+    Seen { key: Key, seen: Seen, then: Option<FinalAnswer> },
     End(MailboxSender<()>),
 }
 
@@ -462,7 +464,7 @@
 struct Scribe {
     /// `None` once the disk has failed.
     journal: Option<Journal>,
-    answers: MailboxSender<Given>,
+    answers: MailboxSender<FinalAnswer>,
     path: PathBuf,
     durability: Durability,
     clock: Clock,
@@ -522,7 +524,7 @@
         }
     }
 
-    fn give(&self, answers: &mut Vec<Given>) {
+    fn give(&self, answers: &mut Vec<FinalAnswer>) {
         for given in answers.drain(..) {
             self.answers.send(given);
         }
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -11,7 +11,7 @@
 use sandstile_router::pg::{self, Answer, Stage};
 use sandstile_router::sqlstate;
 use sandstile_router::statement::{self, StatementError, Workload};
-use sandstile_router::task::Parcel;
+use sandstile_router::task::StatementPayload;
 use std::thread;
 use std::time::Duration;
 
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -235,12 +235,12 @@
 /// The answer stands in the socket as the withdrawal is ordered: it counts, or nobody would know whether it ran.
 #[test]
 fn an_answer_that_has_come_as_its_execution_is_withdrawn_counts() {
-    use sandstile_dispatcher::{Errand, Job, Mail, Order, Outcome};
+    use sandstile_dispatcher::{Command, DispatcherMessage, HostTask, Outcome, TaskKind};
     use sandstile_router::{
         budget::Budget, clock::Clock, counters::Counters, hosts::Hosts, loop_context::LoopContext, mailbox,
     };
     struct Text;
-    impl sandstile_dispatcher::Parcel for Text {
+    impl sandstile_dispatcher::StatementPayload for Text {
         fn message(&self, _: f64) -> Vec<u8> {
             query("SELECT 1")
         }
@@ -256,18 +256,18 @@
         budget: Budget::new(16, 8, 1 << 20),
         counters: counters.clone(),
         log: log.clone(),
-        timers: sandstile_timers::Wheel::from(clock.now()),
+        timers: sandstile_timers::TimerWheel::starting_at(clock.now()),
         queue: Default::default(),
         scratch: vec![0; 65536],
     };
-    let (post, mail) = mailbox::mailbox::<Mail>();
+    let (post, mail) = mailbox::mailbox::<DispatcherMessage>();
     let mut hosts = Hosts::new(post, counters, log, 1.0, 30.0);
     hosts.order(
-        Order::Known { host: 0, name: "s-0".to_string(), address: Some(primary.address) },
+        Command::UpdateHost { host: 0, name: "s-0".to_string(), address: Some(primary.address) },
         &mut context,
     );
-    let errand = Errand::Statement { statement_id: 7, execution: 0, parcel: std::sync::Arc::new(Text) };
-    hosts.order(Order::Do(0, Job { errand, until: clock.now() + 5.0 }), &mut context);
+    let kind = TaskKind::Statement { statement_id: 7, execution: 0, payload: std::sync::Arc::new(Text) };
+    hosts.order(Command::Start(0, HostTask { kind, deadline: clock.now() + 5.0 }), &mut context);
     let mut events = mio::Events::with_capacity(16);
     // Until the statement is written: from then on nothing is told of the socket any more.
     wait_for("the statement at its host", || {
@@ -292,9 +292,9 @@
         primary.count() == 1
     });
     wait_for("the answer in the socket", || primary.answered.load(SeqCst) == 1);
-    hosts.order(Order::Cancel { host: 0, statement_id: 7, execution: 0 }, &mut context);
+    hosts.order(Command::Cancel { host: 0, statement_id: 7, execution: 0 }, &mut context);
     match mail.try_recv() {
-        Some(Mail::Ended { outcome: Outcome { ending, .. }, .. }) => {
+        Some(DispatcherMessage::Ended { outcome: Outcome { ending, .. }, .. }) => {
             assert_eq!(ending, sandstile_dispatcher::Ending::Completed);
         }
         _ => panic!("no ending"),
--- a/crates/sandstile-router/tests/waiting.rs
+++ b/crates/sandstile-router/tests/waiting.rs
@@ -159,7 +159,7 @@
     let read = |text: &str| lists::read(&serde_json::from_str(text).expect("json")).expect("a list").0;
     let mut known = KnownList::default();
     let first = known.changes(read(&long_list(100)));
-    assert!(first.iter().all(|piece| piece.entries.len() <= 32 && !piece.whole));
+    assert!(first.iter().all(|piece| piece.entries.len() <= 32 && !piece.is_snapshot));
     assert_eq!(first.iter().map(|piece| piece.entries.len()).sum::<usize>(), 100);
     let same = known.changes(read(&long_list(100)));
     assert_eq!((same.len(), same[0].entries.len(), same[0].index), (1, 0, 42));
--- a/crates/sandstile-simulation/src/instance_driver.rs
+++ b/crates/sandstile-simulation/src/instance_driver.rs
@@ -3,7 +3,7 @@
 use sandstile_fleet::event::{Answer, Ask, Input};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{Arrival, Decision, HostReport, ListedHost, OutcomeClass};
-use sandstile_restart_pacing::{Came, Dials, When};
+use sandstile_restart_pacing::{DialDecision, DialOutcome, DialPacer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a client wants; `key` is its own name for it.
@@ -82,7 +82,7 @@
     stride: u64,
     dial_limit: f64,
     /// Where dials are paced: when they may begin, and the jobs of each host that wait, with the end of their patience.
-    dials: Option<Dials>,
+    dials: Option<DialPacer>,
     waiting: BTreeMap<usize, VecDeque<(f64, Job)>>,
     /// Dials under way at each host, and when one that waits for its turn may begin.
     under_way: BTreeMap<usize, usize>,
@@ -127,7 +127,7 @@
     }
 
     /// Its dials keep this pace.
-    pub fn paced(mut self, dials: Dials) -> Self {
+    pub fn paced(mut self, dials: DialPacer) -> Self {
         self.dials = Some(dials);
         self
     }
@@ -151,9 +151,9 @@
             policy.update_hosts(now, list);
         }
         for host in list.iter().map(|m| m.host) {
-            let at_once = self.dials.as_ref().map_or(0, Dials::at_once);
+            let initial_dials = self.dials.as_ref().map_or(0, DialPacer::initial_dials);
             if self.met.insert(host) {
-                (0..at_once).for_each(|_| self.dial(now, host));
+                (0..initial_dials).for_each(|_| self.dial(now, host));
             }
         }
         self.decide(now);
@@ -204,7 +204,7 @@
         self.conns.insert(conn, Conn { host, doing: Doing::Paced(now) });
         *self.under_way.entry(host).or_default() += 1;
         if let Some(dials) = &mut self.dials {
-            dials.began(now, host);
+            dials.dial_started(now, host);
         }
         self.acts.push(Act::Dial { conn, host, until: self.dial_limit });
     }
@@ -215,13 +215,13 @@
             < self.waiting.get(&host).map_or(0, VecDeque::len)
         {
             let Some(dials) = &mut self.dials else { return };
-            match dials.wanted(now, host) {
-                When::Now => self.dial(now, host),
-                When::At(at) => {
+            match dials.decide(now, host) {
+                DialDecision::Now => self.dial(now, host),
+                DialDecision::At(at) => {
                     self.turn_at = self.turn_at.min(at);
                     return;
                 }
-                When::Ended => return,
+                DialDecision::AfterCurrent => return,
             }
         }
     }
@@ -239,12 +239,12 @@
     }
 
     /// A paced dial has ended.
-    fn dialled(&mut self, now: f64, host: usize, came: Came) {
+    fn dialled(&mut self, now: f64, host: usize, came: DialOutcome) {
         if let Some(n) = self.under_way.get_mut(&host) {
             *n -= 1;
         }
         if let Some(dials) = &mut self.dials {
-            dials.ended(now, host, came);
+            dials.dial_ended(now, host, came);
         }
     }
 
@@ -321,7 +321,7 @@
         let Some(c) = self.conns.get_mut(&conn) else { return };
         if let Doing::Paced(since) = c.doing {
             let host = c.host;
-            self.dialled(now, host, Came::Up(now - since));
+            self.dialled(now, host, DialOutcome::Connected(now - since));
             self.free(now, conn);
             self.want(now, host);
         } else if let Doing::Rising(job) = c.doing {
@@ -359,7 +359,7 @@
             Doing::Rising(job) => self.told(now, c.host, job, rising, HostReport::default()),
             Doing::Paced(since) => {
                 let late = now >= since + self.dial_limit - 1e-9;
-                self.dialled(now, c.host, if late { Came::Late } else { Came::Refused });
+                self.dialled(now, c.host, if late { DialOutcome::TimedOut } else { DialOutcome::Refused });
                 // One dial less than jobs that wait for one: the job that waits longest ends with it.
                 let left = self.under_way.get(&c.host).copied().unwrap_or(0);
                 let waiting = self.waiting.entry(c.host).or_default();
--- a/crates/sandstile-simulation/src/workers.rs
+++ b/crates/sandstile-simulation/src/workers.rs
@@ -4,7 +4,7 @@
 use crate::world::Clients;
 use hdrhistogram::Histogram;
 use sandstile_fleet::random::Chance;
-use sandstile_timers::Heap;
+use sandstile_timers::TimerHeap;
 use std::collections::BTreeMap;
 
 pub struct Tally {
@@ -46,7 +46,7 @@
     writes: f64,
     wait: f64,
     /// When each worker that has nothing out asks next, and what it asks again if it was refused.
-    ready: Heap<(usize, Option<Out>)>,
+    ready: TimerHeap<(usize, Option<Out>)>,
     earliest: f64,
     out: BTreeMap<u64, Out>,
     next: u64,
@@ -69,7 +69,7 @@
         from: f64,
         seconds: f64,
     ) -> Self {
-        let mut ready = Heap::default();
+        let mut ready = TimerHeap::default();
         // Not all in the same instant, which no real start is.
         (0..workers).for_each(|n| ready.push(now + n as f64 * 1e-3, (n, None)));
         let took = Histogram::new_with_bounds(1, 600_000_000, 3).expect("usable bounds");
--- a/crates/sandstile-simulation/src/world.rs
+++ b/crates/sandstile-simulation/src/world.rs
@@ -4,7 +4,7 @@
 use sandstile_fleet::event::{Event, Input, Output, Readiness as Listed};
 use sandstile_fleet::Fleet;
 use sandstile_policy::terms::{ListedHost, OutcomeClass, Readiness};
-use sandstile_timers::Heap;
+use sandstile_timers::TimerHeap;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Who asks. Times are those of the world's clock.
@@ -29,7 +29,7 @@
 pub struct World {
     pub fleet: Fleet,
     pub minds: Vec<Mind>,
-    alarms: Heap<Alarm>,
+    alarms: TimerHeap<Alarm>,
     now: f64,
     /// Whose connection it is, and at which host.
     owners: BTreeMap<u64, (usize, usize)>,
@@ -59,7 +59,7 @@
             touched: BTreeSet::new(),
             fleet,
             minds,
-            alarms: Heap::default(),
+            alarms: TimerHeap::default(),
             now: EPOCH,
             owners: BTreeMap::new(),
             by_host: BTreeMap::new(),
--- a/crates/sandstile-timers/examples/timers.rs
+++ b/crates/sandstile-timers/examples/timers.rs
@@ -1,7 +1,7 @@
 //! Wheel against heap: so many timers stand, and each that falls due is made anew. Prints nanoseconds a step.
 //! `cargo run --release -p sandstile-timers --example timers`
 
-use sandstile_timers::{Heap, Wheel};
+use sandstile_timers::{TimerHeap, TimerWheel};
 use std::time::Instant;
 
 fn main() {
@@ -11,7 +11,7 @@
             let steps = 2_000_000;
             let mut chance = oorandom::Rand64::new(1);
             let delays: Vec<f64> = (0..65_536).map(|_| -spread * (1.0 - chance.rand_float()).ln()).collect();
-            let mut heap = Heap::default();
+            let mut heap = TimerHeap::default();
             (0..standing).for_each(|n| heap.push(delays[n % delays.len()], n));
             let begun = Instant::now();
             for n in 0..steps {
@@ -19,7 +19,7 @@
                 heap.push(at + delays[n % delays.len()], item);
             }
             let plain = begun.elapsed().as_nanos() as f64 / steps as f64;
-            let mut wheel = Wheel::default();
+            let mut wheel = TimerWheel::default();
             (0..standing).for_each(|n| wheel.push(delays[n % delays.len()], n));
             let begun = Instant::now();
             for n in 0..steps {
--- a/crates/sandstile-timers/src/lib.rs
+++ b/crates/sandstile-timers/src/lib.rs
@@ -32,18 +32,18 @@
 impl<T> Eq for Entry<T> {}
 
 /// The plain one.
-pub struct Heap<T> {
+pub struct TimerHeap<T> {
     heap: BinaryHeap<Entry<T>>,
     made: u64,
 }
 
-impl<T> Default for Heap<T> {
+impl<T> Default for TimerHeap<T> {
     fn default() -> Self {
-        Heap { heap: BinaryHeap::new(), made: 0 }
+        TimerHeap { heap: BinaryHeap::new(), made: 0 }
     }
 }
 
-impl<T> Heap<T> {
+impl<T> TimerHeap<T> {
     pub fn push(&mut self, at: f64, item: T) {
         self.made += 1;
         self.heap.push(Entry { at, order: self.made, item });
@@ -114,7 +114,7 @@
 
 /// A hierarchical wheel: four levels of 256 slots from about a millisecond up, what lies beyond them (48 days) in
 /// the last. Within the slot that is under way a small heap keeps the exact order, so that nothing is rounded.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     levels: Vec<Level<T>>,
     /// The tick up to which all entries have moved to `due`.
     cursor: u64,
@@ -123,17 +123,17 @@
     len: usize,
 }
 
-impl<T> Default for Wheel<T> {
+impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
-        Wheel::from(0.0)
+        TimerWheel::starting_at(0.0)
     }
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// A wheel whose time begins here.
-    pub fn from(start: f64) -> Self {
+    pub fn starting_at(start: f64) -> Self {
         let levels = (0..LEVELS).map(|_| Level::new()).collect();
-        Wheel { levels, cursor: tick(start), due: BinaryHeap::new(), made: 0, len: 0 }
+        TimerWheel { levels, cursor: tick(start), due: BinaryHeap::new(), made: 0, len: 0 }
     }
 
     pub fn push(&mut self, at: f64, item: T) {
--- a/crates/sandstile-timers/tests/timers.rs
+++ b/crates/sandstile-timers/tests/timers.rs
@@ -1,12 +1,12 @@
 //! The wheel and the heap tell the same order, whatever comes and goes.
 use quickcheck::{Gen, QuickCheck};
-use sandstile_timers::{Heap, Wheel};
+use sandstile_timers::{TimerHeap, TimerWheel};
 
 #[test]
 fn wheel_and_heap_agree() {
     fn holds(steps: Vec<(u32, u8, u8)>) -> bool {
         let start = 1_700_000_000.0;
-        let (mut wheel, mut heap, mut now) = (Wheel::from(start), Heap::default(), start);
+        let (mut wheel, mut heap, mut now) = (TimerWheel::starting_at(start), TimerHeap::default(), start);
         for (n, (raw, scale, step)) in steps.into_iter().enumerate() {
             // From microseconds to months ahead, and now and then in the past.
             let ahead = f64::from(raw) * 10f64.powi(i32::from(scale % 10) - 8) - 0.01;
