--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -329,7 +329,7 @@
                         group: statement.group.clone(),
                         session: statement.session.clone(),
                         writes: statement.writes,
-                        deadline: deadline,
+                        deadline,
                         wait: statement.wait,
                         last_write_at: statement.after,
                         retry: statement.retry,
