--- a/crates/sandstile-dispatcher/src/dispatcher.rs
+++ b/crates/sandstile-dispatcher/src/dispatcher.rs
@@ -1,13 +1,13 @@
 //! Takes mail and facts, lets the decisions say what follows, and says when they want to look again. It never touches a socket and
 //! knows no protocol.
 use crate::counters::DispatcherCounters;
-use crate::messages::{StatementRequest, FinalAnswer, DispatcherMessage, Command, LogEvent, HostListUpdate};
+use crate::messages::{Command, DispatcherMessage, FinalAnswer, HostListUpdate, LogEvent, StatementRequest};
 use crate::outcome::Ending;
 use crate::source::{DispatcherInput, Source};
-use crate::task::{Answer, TaskKind, HostTask, StatementPayload};
+use crate::task::{Answer, HostTask, StatementPayload, TaskKind};
 use sandstile_deployment::host_list::HostList;
 use sandstile_deployment::interner::Interner;
-use sandstile_limits::{RetryAdmission, Limits};
+use sandstile_limits::{Limits, RetryAdmission};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{Arrival, Decision, FailureCause, ReadRequirement};
 use sandstile_restart_pacing::{Admission, AdmissionRamp, StallDetector};
@@ -251,7 +251,8 @@
                 self.policy.statement_arrived(now, asked.statement_id, &arrival);
             }
             DispatcherMessage::ClientGone(statement_id) => {
-                if let Some(open) = self.open.get_mut(&statement_id).filter(|o| o.client_connection.is_some()) {
+                if let Some(open) = self.open.get_mut(&statement_id).filter(|o| o.client_connection.is_some())
+                {
                     self.counts.clients_gone.add();
                     open.client_connection = None;
                     self.ending.push(statement_id);
@@ -285,12 +286,18 @@
                             limits.answered(now, open.workload, open.group, true, !open.retry);
                         }
                         let rows = std::mem::take(&mut outcome.rows);
-                        let given = FinalAnswer { client_connection, statement_id, answer: Answer::Completed(rows, None) };
+                        let given = FinalAnswer {
+                            client_connection,
+                            statement_id,
+                            answer: Answer::Completed(rows, None),
+                        };
                         let mut sources = self.sources.iter_mut();
                         let given = sources.try_fold(given, |given, s| s.completed(now, &outcome, given));
                         self.answers.extend(given);
                     } else {
-                        self.sources.iter_mut().for_each(|s| s.completed_without_client(now, statement_id, &outcome));
+                        self.sources
+                            .iter_mut()
+                            .for_each(|s| s.completed_without_client(now, statement_id, &outcome));
                     }
                 }
                 let over = open.client_connection.is_none();
@@ -334,7 +341,11 @@
     }
 
     fn give(&mut self, asked: &StatementRequest, answer: Answer) {
-        self.answers.push_back(FinalAnswer { client_connection: asked.client_connection, statement_id: asked.statement_id, answer });
+        self.answers.push_back(FinalAnswer {
+            client_connection: asked.client_connection,
+            statement_id: asked.statement_id,
+            answer,
+        });
     }
 
     /// It never reaches the decisions: nothing was sent, so trying again is harmless.
--- a/crates/sandstile-dispatcher/src/lib.rs
+++ b/crates/sandstile-dispatcher/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub use counters::{Counter, DispatcherCounters};
 pub use dispatcher::Dispatcher;
-pub use messages::{StatementRequest, FinalAnswer, DispatcherMessage, Command, LogEvent, HostListUpdate};
+pub use messages::{Command, DispatcherMessage, FinalAnswer, HostListUpdate, LogEvent, StatementRequest};
 pub use outcome::{Ending, Outcome};
 pub use source::{DispatcherInput, Source};
-pub use task::{Answer, TaskKind, HostTask, StatementPayload};
+pub use task::{Answer, HostTask, StatementPayload, TaskKind};
--- a/crates/sandstile-dispatcher/src/source.rs
+++ b/crates/sandstile-dispatcher/src/source.rs
@@ -1,6 +1,6 @@
 //! Where facts come from that no answer tells: discovery, what sessions have seen, the other routers. Each source is asked at the
 //! same few places, and knows nothing of the desk.
-use crate::messages::{StatementRequest, FinalAnswer, HostListUpdate};
+use crate::messages::{FinalAnswer, HostListUpdate, StatementRequest};
 use crate::outcome::Outcome;
 use sandstile_policy::terms::ReadRequirement;
 
@@ -41,7 +41,12 @@
 
     /// It goes to the decisions: what its read has to reach by what is known here. `term` is what its group's hosts have told, 0
     /// where nothing.
-    fn read_requirement(&mut self, _now: f64, _asked: &StatementRequest, _term: u64) -> Option<ReadRequirement> {
+    fn read_requirement(
+        &mut self,
+        _now: f64,
+        _asked: &StatementRequest,
+        _term: u64,
+    ) -> Option<ReadRequirement> {
         None
     }
 
--- a/crates/sandstile-dispatcher/tests/dispatcher.rs
+++ b/crates/sandstile-dispatcher/tests/dispatcher.rs
@@ -108,7 +108,10 @@
 
 type Shared<T> = Arc<Mutex<Vec<T>>>;
 
-fn dispatcher(now: f64, reaches: &[Option<ReadRequirement>]) -> (Dispatcher, Shared<DispatcherInput>, Shared<u64>) {
+fn dispatcher(
+    now: f64,
+    reaches: &[Option<ReadRequirement>],
+) -> (Dispatcher, Shared<DispatcherInput>, Shared<u64>) {
     let mut dispatcher = Dispatcher::new(Instance::new(&terms(), 7, now), Arc::default());
     let (facts, over) = (Shared::default(), Shared::default());
     for (n, read_requirement) in reaches.iter().enumerate() {
@@ -141,7 +144,10 @@
         let mut chance = Rand64::new(seed);
         let mut now = 1000.0;
         let (mut dispatcher, facts, over) = dispatcher(now, &[None]);
-        facts.lock().unwrap().push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
+        facts
+            .lock()
+            .unwrap()
+            .push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
         assert!(dispatcher.pending());
         dispatcher.poll_sources(now);
         let (mut answers, mut gone) = (BTreeMap::<u64, usize>::new(), 0);
@@ -151,7 +157,10 @@
             match chance.rand_range(0..10) {
                 0..=3 if step < 300 => {
                     asked_for += 1;
-                    dispatcher.handle(now, asked(asked_for, &format!("i{asked_for}"), (asked_for % 3) as usize, now));
+                    dispatcher.handle(
+                        now,
+                        asked(asked_for, &format!("i{asked_for}"), (asked_for % 3) as usize, now),
+                    );
                 }
                 4 if asked_for > 0 => {
                     let statement_id = chance.rand_range(1..asked_for + 1);
@@ -193,7 +202,10 @@
         for _ in 0..2000 {
             now += 0.05;
             for (_, statement_id, execution) in std::mem::take(&mut out) {
-                dispatcher.handle(now, DispatcherMessage::Ended { statement_id, execution, outcome: Ending::TimedOut.into() });
+                dispatcher.handle(
+                    now,
+                    DispatcherMessage::Ended { statement_id, execution, outcome: Ending::TimedOut.into() },
+                );
             }
             dispatcher.decide_if_due(now, true);
             out.extend(sent(&mut dispatcher));
@@ -219,7 +231,10 @@
     dispatcher.handle(1000.0, asked(1, "x", 0, 1000.0));
     dispatcher.handle(1000.0, asked(2, "x", 0, 1000.0));
     dispatcher.decide_if_due(1000.0, true);
-    assert_eq!(dispatcher.next_answer(), Some(FinalAnswer { client_connection: 102, statement_id: 2, answer: Answer::Unusable }));
+    assert_eq!(
+        dispatcher.next_answer(),
+        Some(FinalAnswer { client_connection: 102, statement_id: 2, answer: Answer::Unusable })
+    );
     assert_eq!(sent(&mut dispatcher).len(), 1);
 }
 
@@ -229,7 +244,10 @@
     let near = Some(ReadRequirement::Position(0.0));
     for reaches in [[near, Some(ReadRequirement::Primary)], [Some(ReadRequirement::Primary), near]] {
         let (mut dispatcher, facts, _) = dispatcher(1000.0, &reaches);
-        facts.lock().unwrap().push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
+        facts
+            .lock()
+            .unwrap()
+            .push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
         dispatcher.poll_sources(1000.0);
         let mut primary = None;
         while let Some(order) = dispatcher.next_command() {
@@ -259,7 +277,10 @@
 fn a_host_that_refused_another_rests_unless_it_answered_here() {
     for answered in [false, true] {
         let (mut dispatcher, facts, _) = dispatcher(1000.0, &[None]);
-        facts.lock().unwrap().push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
+        facts
+            .lock()
+            .unwrap()
+            .push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
         dispatcher.poll_sources(1000.0);
         let mut names = BTreeMap::new();
         while let Some(order) = dispatcher.next_command() {
@@ -272,7 +293,10 @@
             now += 0.02;
             if (1001.0..1001.02).contains(&now) {
                 // Met a while ago, or a moment ago.
-                facts.lock().unwrap().push(DispatcherInput::RefusedElsewhere("b".to_string(), if answered { 0.5 } else { 0.0 }));
+                facts.lock().unwrap().push(DispatcherInput::RefusedElsewhere(
+                    "b".to_string(),
+                    if answered { 0.5 } else { 0.0 },
+                ));
                 facts.lock().unwrap().push(DispatcherInput::RefusedElsewhere("unheard of".to_string(), 0.0));
                 dispatcher.poll_sources(now);
             }
@@ -304,7 +328,10 @@
     for leaves in [false, true] {
         let mut dispatcher = Dispatcher::new(Instance::new(&terms(), 7, 1000.0), Arc::default());
         let facts = Shared::default();
-        facts.lock().unwrap().push(DispatcherInput::HostList(update(1, &[("a", false), ("b", false), ("c", false)])));
+        facts
+            .lock()
+            .unwrap()
+            .push(DispatcherInput::HostList(update(1, &[("a", false), ("b", false), ("c", false)])));
         dispatcher.add(Box::new(Told { facts, read_requirement: None, over: Shared::default(), leaves }));
         dispatcher.poll_sources(1000.0);
         dispatcher.handle(1000.0, asked(1, "x", 1, 1000.0));
--- a/crates/sandstile-limits/tests/limits.rs
+++ b/crates/sandstile-limits/tests/limits.rs
@@ -4,7 +4,7 @@
 use sandstile_limits::budget::Budgets;
 use sandstile_limits::slots::{Slots, SLICE};
 use sandstile_limits::storm::{Rate, Sign, Watch};
-use sandstile_limits::{RetryAdmission, Limits, Settings};
+use sandstile_limits::{Limits, RetryAdmission, Settings};
 use std::collections::BTreeMap;
 
 const START: f64 = 1_700_000_000.0;
--- a/crates/sandstile-restart-pacing/src/dial_pacing.rs
+++ b/crates/sandstile-restart-pacing/src/dial_pacing.rs
@@ -131,7 +131,9 @@
                 }
             }
             _ if now < h.not_before => DialDecision::At(h.not_before),
-            Pace::Answers if h.window < FREE && (h.under_way + 1) as f64 > h.window => DialDecision::AfterCurrent,
+            Pace::Answers if h.window < FREE && (h.under_way + 1) as f64 > h.window => {
+                DialDecision::AfterCurrent
+            }
             _ => DialDecision::Now,
         }
     }
--- a/crates/sandstile-restart-pacing/src/lib.rs
+++ b/crates/sandstile-restart-pacing/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod stall;
 
 pub use admission_ramp::{Admission, AdmissionRamp};
-pub use dial_pacing::{DialOutcome, DialPacer, DialDecision};
+pub use dial_pacing::{DialDecision, DialOutcome, DialPacer};
 pub use list_polling::ListBackoff;
 pub use stall::StallDetector;
 
--- a/crates/sandstile-restart-pacing/tests/pacing.rs
+++ b/crates/sandstile-restart-pacing/tests/pacing.rs
@@ -2,7 +2,9 @@
 use oorandom::Rand64;
 use sandstile_restart_pacing::dial_pacing::PLAIN_POOL;
 use sandstile_restart_pacing::stall::{LOOK, NEWS};
-use sandstile_restart_pacing::{DialOutcome, DialPacer, Admission, ListBackoff, Pace, AdmissionRamp, StallDetector, DialDecision, PACES};
+use sandstile_restart_pacing::{
+    Admission, AdmissionRamp, DialDecision, DialOutcome, DialPacer, ListBackoff, Pace, StallDetector, PACES,
+};
 use std::collections::BTreeMap;
 
 /// A host whose handshakes take work of one core each, and those that dial it.
@@ -23,7 +25,8 @@
 /// All routers of a fleet start at once, and each wants so many links to one host. Yields when the last was up, and the most
 /// handshakes that were under way at one time.
 fn start(pace: Pace, routers: usize, links: usize, work: f64) -> (f64, usize) {
-    let mut all: Vec<DialPacer> = (0..routers).map(|n| DialPacer::new(pace, routers, n as u64, 7, 100.0)).collect();
+    let mut all: Vec<DialPacer> =
+        (0..routers).map(|n| DialPacer::new(pace, routers, n as u64, 7, 100.0)).collect();
     let mut left: Vec<usize> = vec![links; routers];
     let mut host = Handshakes { line: Vec::new(), busy_until: 0.0, work };
     let (mut now, mut most, mut began) = (100.0, 0, BTreeMap::new());
@@ -105,7 +108,8 @@
             if !out.is_empty() && chance.rand_range(0..3) == 0 {
                 let (host, since) = out.swap_remove(chance.rand_range(0..out.len() as u64) as usize);
                 let up = chance.rand_range(0..4) > 0;
-                let late = if chance.rand_range(0..2) == 0 { DialOutcome::TimedOut } else { DialOutcome::Refused };
+                let late =
+                    if chance.rand_range(0..2) == 0 { DialOutcome::TimedOut } else { DialOutcome::Refused };
                 dials.dial_ended(now, host, if up { DialOutcome::Connected(now - since) } else { late });
             }
             if dials.under_way(0) + dials.under_way(1) + dials.under_way(2) + dials.under_way(3) != out.len()
--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -10,7 +10,7 @@
 use mio::event::Event;
 use mio::net::TcpStream;
 use mio::Token;
-use sandstile_dispatcher::{Answer, StatementRequest, FinalAnswer, DispatcherMessage};
+use sandstile_dispatcher::{Answer, DispatcherMessage, FinalAnswer, StatementRequest};
 use slab::Slab;
 use slog::{debug, info};
 use std::io;
@@ -183,7 +183,12 @@
         if let Some(seat) = self.seats.get_mut(given.client_connection) {
             debug!(context.log, "answered"; "client" => seat.number, "statement" => given.statement_id,
                 "with" => given.answer.name());
-            seat.client_connection.answer(context.clock.now(), given.statement_id, given.answer, &mut self.client_events);
+            seat.client_connection.answer(
+                context.clock.now(),
+                given.statement_id,
+                given.answer,
+                &mut self.client_events,
+            );
             self.run(given.client_connection, context);
         }
     }
@@ -249,7 +254,11 @@
                         context.counters.found_by_look.add();
                     }
                     seat.wire.moved(now);
-                    seat.client_connection.receive_since(context.events_since.min(now), now, &context.scratch[..got]);
+                    seat.client_connection.receive_since(
+                        context.events_since.min(now),
+                        now,
+                        &context.scratch[..got],
+                    );
                     moved = true;
                 }
                 Moved::Ended => {
@@ -294,7 +303,12 @@
                     seat.client_connection.submitted(self.submitted);
                     context.counters.refused_for_room.add();
                     debug!(context.log, "refused for want of descriptors"; "client" => seat.number, "id" => &statement.id);
-                    seat.client_connection.answer(now, self.submitted, Answer::Rejected(0.0), &mut self.client_events);
+                    seat.client_connection.answer(
+                        now,
+                        self.submitted,
+                        Answer::Rejected(0.0),
+                        &mut self.client_events,
+                    );
                     (seat.leaves, seat.close_reason) = (true, Some(CloseReason::ClientEvicted));
                     moved = true;
                 }
--- a/crates/sandstile-router/src/event_loop.rs
+++ b/crates/sandstile-router/src/event_loop.rs
@@ -19,7 +19,7 @@
 use crate::statement::Workload;
 use mio::net::TcpStream;
 use mio::{Events, Poll, Token};
-use sandstile_dispatcher::{Dispatcher, FinalAnswer, DispatcherMessage, LogEvent};
+use sandstile_dispatcher::{Dispatcher, DispatcherMessage, FinalAnswer, LogEvent};
 use sandstile_restart_pacing::DialPacer;
 use sandstile_timers::TimerWheel;
 use slog::{debug, info, warn, Logger};
@@ -157,7 +157,8 @@
         let listener = Listener::new(&registry, DOOR, listener, clock.now())?;
         let (to_dispatcher, mail) = carried(&bell);
         let (timers, queue) = (TimerWheel::starting_at(clock.now()), VecDeque::new());
-        let mut hosts = Hosts::new(to_dispatcher.clone(), counters.clone(), log.clone(), dial_limit, idle_close);
+        let mut hosts =
+            Hosts::new(to_dispatcher.clone(), counters.clone(), log.clone(), dial_limit, idle_close);
         hosts.dials = dials;
         let mut members = members.map(Box::new);
         if let Some(members) = &mut members {
--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -107,7 +107,8 @@
     let name = format!("{}#{life}", name.chars().take(40).collect::<String>());
     let name = &if keeps { keeping(&name) } else { name };
     let listener = TcpListener::bind(plan.listen).map_err(|e| format!("exchange: {}: {e}", plan.listen))?;
-    let (own, keys, to_dispatcher, own_log) = (name.to_string(), secrets.clone(), dispatcher.clone(), log.clone());
+    let (own, keys, to_dispatcher, own_log) =
+        (name.to_string(), secrets.clone(), dispatcher.clone(), log.clone());
     threads::spawn_detached("exchange", move || accept(&listener, &own, &keys, &to_dispatcher, &own_log))?;
     let mut exchange_peers = ExchangePeers {
         named: plan.peers.iter().copied().collect(),
@@ -161,7 +162,8 @@
         let (secrets, dispatcher, log) = (secrets.to_vec(), dispatcher.clone(), log.clone());
         let (greeting, here) = (greeting(nonce, name), tellers.clone());
         let listen = move || {
-            let heard = stream.write_all(&greeting).and_then(|()| hear(&mut stream, &secrets, &nonce, &dispatcher));
+            let heard =
+                stream.write_all(&greeting).and_then(|()| hear(&mut stream, &secrets, &nonce, &dispatcher));
             if let Err(e) = heard {
                 info!(log, "exchange: a connection ended: {e}");
             }
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -141,7 +141,11 @@
                 let usual = sandstile_limits::Settings::default();
                 let terms = sandstile_limits::Settings {
                     retry_ratio: l.number("later_tries", 0.0..10.0, usual.retry_ratio),
-                    false_alarms_per_day: l.number("false_alarms_a_day", 0.000_001..1000.0, usual.false_alarms_per_day),
+                    false_alarms_per_day: l.number(
+                        "false_alarms_a_day",
+                        0.000_001..1000.0,
+                        usual.false_alarms_per_day,
+                    ),
                     returning_share: l.number("returning", 0.01..1.0, usual.returning_share),
                 };
                 let on = l.boolean("on", true);
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -23,7 +23,7 @@
 use oorandom::Rand32;
 use sandstile_dispatcher::{Dispatcher, DispatcherInput, HostListUpdate};
 use sandstile_policy::policy::Instance;
-use sandstile_restart_pacing::{DialPacer, ListBackoff, AdmissionRamp, StallDetector};
+use sandstile_restart_pacing::{AdmissionRamp, DialPacer, ListBackoff, StallDetector};
 use slog::{info, warn, Drain, Logger};
 use std::collections::BTreeSet;
 use std::net::TcpListener;
@@ -123,7 +123,8 @@
         .map(|terms| (sandstile_limits::Limits::new(terms, launch.seed, clock.now()), policy_returns));
     let restart_pacing = charter.restart_pacing.as_ref();
     dispatcher.ramp = restart_pacing.filter(|b| b.ramp).map(|_| (AdmissionRamp::default(), policy_returns));
-    dispatcher.stall = restart_pacing.filter(|b| b.stall_s > 0.0).map(|b| StallDetector::new(b.stall_s, clock.now()));
+    dispatcher.stall =
+        restart_pacing.filter(|b| b.stall_s > 0.0).map(|b| StallDetector::new(b.stall_s, clock.now()));
     dispatcher.max_return_delay = policy_returns;
     let dials = restart_pacing.map(|b| {
         let number = numbered(&launch.name).unwrap_or(launch.seed);
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -8,7 +8,7 @@
 use crate::session_messages::{SessionMessage, Telling};
 use crate::statement::Workload;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_dispatcher::{Answer, StatementRequest, Ending, DispatcherInput, FinalAnswer, Outcome, Source};
+use sandstile_dispatcher::{Answer, DispatcherInput, Ending, FinalAnswer, Outcome, Source, StatementRequest};
 use sandstile_exchange::Heard;
 use sandstile_journal::pace::Pace;
 use sandstile_journal::{Found, Journal, Wrong};
@@ -325,7 +325,9 @@
         let Some(kept) = &mut self.kept else { return };
         let learnt = kept.turn(now, looks, &self.log);
         learnt.marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen));
-        self.warned.extend(learnt.warned.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)));
+        self.warned.extend(
+            learnt.warned.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)),
+        );
         if learnt.old_copy && self.heard_since == f64::NEG_INFINITY {
             self.heard_since = now;
         } else if learnt.vouched && self.plan.stay {
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -235,7 +235,7 @@
 /// The answer stands in the socket as the withdrawal is ordered: it counts, or nobody would know whether it ran.
 #[test]
 fn an_answer_that_has_come_as_its_execution_is_withdrawn_counts() {
-    use sandstile_dispatcher::{TaskKind, HostTask, DispatcherMessage, Command, Outcome};
+    use sandstile_dispatcher::{Command, DispatcherMessage, HostTask, Outcome, TaskKind};
     use sandstile_router::{
         budget::Budget, clock::Clock, counters::Counters, hosts::Hosts, loop_context::LoopContext, mailbox,
     };
--- a/crates/sandstile-simulation/src/instance_driver.rs
+++ b/crates/sandstile-simulation/src/instance_driver.rs
@@ -3,7 +3,7 @@
 use sandstile_fleet::event::{Answer, Ask, Input};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{Arrival, Decision, HostReport, ListedHost, OutcomeClass};
-use sandstile_restart_pacing::{DialOutcome, DialPacer, DialDecision};
+use sandstile_restart_pacing::{DialDecision, DialOutcome, DialPacer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a client wants; `key` is its own name for it.
