--- a/crates/sandstile-connections/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -69,25 +69,25 @@
     }
 
     /// Places a new task.
-    pub fn begin(&mut self, job: HostTask) -> Placement {
+    pub fn begin(&mut self, task: HostTask) -> Placement {
         if let Some((link, _)) = self.idle.pop() {
-            return self.hand(link, self.address_no, job);
+            return self.hand(link, self.address_no, task);
         }
-        let Some(address) = self.address else { return Placement::End(job, Ending::NoAddress) };
-        self.wanting = Some(job);
+        let Some(address) = self.address else { return Placement::End(task, Ending::NoAddress) };
+        self.wanting = Some(task);
         Placement::Dial(address)
     }
 
-    fn hand(&mut self, link: usize, address_no: u64, job: HostTask) -> Placement {
-        self.busy.insert(link, (address_no, job.execution_id()));
-        Placement::Assign(link, job)
+    fn hand(&mut self, link: usize, address_no: u64, task: HostTask) -> Placement {
+        self.busy.insert(link, (address_no, task.execution_id()));
+        Placement::Assign(link, task)
     }
 
     /// Reports the id of the dial that `begin` asked for last.
     pub fn dialled(&mut self, link: usize) {
         self.dials.insert(link, self.address_no);
-        if let Some(job) = self.wanting.take() {
-            self.waiting.push_back((link, job));
+        if let Some(task) = self.wanting.take() {
+            self.waiting.push_back((link, task));
         }
     }
 
@@ -97,9 +97,9 @@
     }
 
     pub fn find(&mut self, execution_id: (u64, usize)) -> Lookup {
-        if let Some(at) = self.waiting.iter().position(|(_, job)| job.is_execution(execution_id)) {
-            let (_, job) = self.waiting.remove(at).expect("found just now");
-            return Lookup::Waiting(job);
+        if let Some(at) = self.waiting.iter().position(|(_, task)| task.is_execution(execution_id)) {
+            let (_, task) = self.waiting.remove(at).expect("found just now");
+            return Lookup::Waiting(task);
         }
         let under = self.busy.iter().find(|(_, (_, does))| *does == Some(execution_id));
         under.map_or(Lookup::NotFound, |(link, _)| Lookup::Running(*link))
@@ -126,9 +126,9 @@
         if address_no != self.address_no {
             return NextUse::Moved;
         }
-        if let Some((_, job)) = self.waiting.pop_front() {
-            self.busy.insert(link, (address_no, job.execution_id()));
-            return NextUse::Assign(job);
+        if let Some((_, task)) = self.waiting.pop_front() {
+            self.busy.insert(link, (address_no, task.execution_id()));
+            return NextUse::Assign(task);
         }
         self.idle.push((link, now));
         NextUse::Idle
@@ -142,7 +142,7 @@
             return None;
         }
         let at = self.waiting.iter().position(|(dial, _)| *dial == link).unwrap_or(0);
-        self.waiting.remove(at).map(|(_, job)| job)
+        self.waiting.remove(at).map(|(_, task)| task)
     }
 
     /// An idle connection has closed or is being closed.
--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -3,7 +3,7 @@
 //! and a task whose message was not written completely never ran.
 use crate::budget::Budget;
 use crate::outcome::{Ending, Outcome};
-use crate::task::{TaskKind, HostTask};
+use crate::task::{HostTask, TaskKind};
 use sandstile_pgwire::{self as pg, Answer, BadFrame, Stage};
 use sandstile_policy::terms::{HostReport, OutcomeClass};
 
@@ -16,11 +16,11 @@
 #[derive(Debug)]
 pub enum Event {
     /// Ready for its first task.
-    Up,
+    Ready,
     /// It was never established.
     Failed(Ending),
     Done {
-        job: HostTask,
+        task: HostTask,
         outcome: Outcome,
         reusable: bool,
     },
@@ -114,7 +114,7 @@
 
 #[derive(Debug)]
 struct Busy {
-    job: HostTask,
+    task: HostTask,
     answer: Answer,
     /// When an answer that has begun has to continue, at the latest.
     more_by: f64,
@@ -199,9 +199,9 @@
     }
 
     /// The task that it runs.
-    pub fn job(&self) -> Option<&HostTask> {
+    pub fn task(&self) -> Option<&HostTask> {
         match &self.state {
-            State::Busy(busy) => Some(&busy.job),
+            State::Busy(busy) => Some(&busy.task),
             _ => None,
         }
     }
@@ -236,13 +236,13 @@
 
     /// Starts a task. The caller must have checked just before that the socket holds no bytes: bytes behind
     /// the previous answer would be taken for this task's answer.
-    pub fn begin(&mut self, now: f64, job: HostTask) -> Option<Event> {
-        if !self.idle() || now >= job.deadline {
+    pub fn begin(&mut self, now: f64, task: HostTask) -> Option<Event> {
+        if !self.idle() || now >= task.deadline {
             let outcome = Ending::WithdrawnUnsent.into();
-            return Some(Event::Done { job, outcome, reusable: self.idle() });
+            return Some(Event::Done { task, outcome, reusable: self.idle() });
         }
-        let message = match &job.kind {
-            TaskKind::Statement { payload, .. } => payload.message(job.deadline - now),
+        let message = match &task.kind {
+            TaskKind::Statement { payload, .. } => payload.message(task.deadline - now),
             TaskKind::Probe => {
                 let mut out = Vec::new();
                 pg::query(&mut out, b"SHOW stats");
@@ -251,7 +251,7 @@
         };
         self.say(message);
         let answer = Answer::default();
-        self.state = State::Busy(Box::new(Busy { job, answer, more_by: f64::INFINITY }));
+        self.state = State::Busy(Box::new(Busy { task, answer, more_by: f64::INFINITY }));
         None
     }
 
@@ -267,7 +267,7 @@
                 let ending = match (heard, seen) {
                     (Ok(_), Some(Ok(()))) if self.inbox.is_empty() => {
                         self.state = State::Idle;
-                        return Some(Event::Up);
+                        return Some(Event::Ready);
                     }
                     (Ok(_), None) => return None,
                     (Ok(_), Some(Err(ending))) => ending,
@@ -314,8 +314,10 @@
     /// When `handle_deadline` has to be called; infinite if it need not be.
     pub fn due(&self) -> f64 {
         match &self.state {
-            State::Queued { deadline } | State::Dialling { deadline } | State::Greeting { deadline } => *deadline,
-            State::Busy(busy) => busy.job.deadline.min(busy.more_by),
+            State::Queued { deadline } | State::Dialling { deadline } | State::Greeting { deadline } => {
+                *deadline
+            }
+            State::Busy(busy) => busy.task.deadline.min(busy.more_by),
             State::Idle | State::Ended => f64::INFINITY,
         }
     }
@@ -327,7 +329,7 @@
             return None;
         }
         let ending = match &self.state {
-            State::Busy(busy) if now >= busy.job.deadline => return self.done(Heard::TimedOut, budget),
+            State::Busy(busy) if now >= busy.task.deadline => return self.done(Heard::TimedOut, budget),
             State::Busy(_) => return self.done(Heard::Nonsense, budget),
             State::Queued { .. } => Ending::NoRoom,
             _ => Ending::DialTimedOut,
@@ -339,7 +341,7 @@
     /// Closes the connection that runs this execution, whatever has arrived of its answer.
     pub fn withdraw(&mut self, execution_id: (u64, usize), budget: &mut Budget) -> Option<Event> {
         match &self.state {
-            State::Busy(busy) if busy.job.is_execution(execution_id) => self.done(Heard::Withdrawn, budget),
+            State::Busy(busy) if busy.task.is_execution(execution_id) => self.done(Heard::Withdrawn, budget),
             _ => None,
         }
     }
@@ -358,13 +360,13 @@
     /// it does not count if it contains a protocol violation, because then no part of it can be trusted.
     fn done(&mut self, heard: Heard, budget: &mut Budget) -> Option<Event> {
         let State::Busy(busy) = std::mem::replace(&mut self.state, State::Ended) else { return None };
-        let Busy { job, answer, more_by } = *busy;
+        let Busy { task, answer, more_by } = *busy;
         let ending = match (&answer.stage, heard) {
             (_, Heard::Withdrawn) if !self.pending_output().is_empty() => Ending::WithdrawnUnsent,
             (_, Heard::Withdrawn) => Ending::Withdrawn,
             _ if !self.pending_output().is_empty() => Ending::BrokenUnwritten,
             (_, Heard::Nonsense) => Ending::Garbled,
-            (Stage::Whole, _) => Ending::Completed,
+            (Stage::Complete, _) => Ending::Completed,
             (Stage::Failed(code), _) => crate::sqlstate::ending(code),
             (_, Heard::Closed) if more_by.is_finite() => Ending::CutShort,
             (_, Heard::Closed) if self.used => Ending::Crossed,
@@ -377,7 +379,7 @@
             true => HostReport::default(),
             false => HostReport { position: answer.position, primary: answer.primary },
         };
-        if matches!(job.kind, TaskKind::Probe) && ending == Ending::Completed {
+        if matches!(task.kind, TaskKind::Probe) && ending == Ending::Completed {
             report(answer.text(), &mut note);
         }
         let reusable = heard == Heard::Ready && self.inbox.is_empty() && ending != Ending::Garbled;
@@ -387,7 +389,7 @@
         if reusable {
             self.state = State::Idle;
         }
-        Some(Event::Done { job, outcome: Outcome { ending, note, term, rows: answer.rows }, reusable })
+        Some(Event::Done { task, outcome: Outcome { ending, note, term, rows: answer.rows }, reusable })
     }
 }
 
--- a/crates/sandstile-connections/tests/upstream_connections.rs
+++ b/crates/sandstile-connections/tests/upstream_connections.rs
@@ -5,7 +5,7 @@
 use sandstile_connections::budget::Budget;
 use sandstile_connections::outcome::Ending;
 use sandstile_connections::pool::{Lookup, NextUse, Placement, Pool};
-use sandstile_connections::task::{TaskKind, HostTask, StatementPayload};
+use sandstile_connections::task::{HostTask, StatementPayload, TaskKind};
 use sandstile_connections::upstream_connection::{Event, UpstreamConnection};
 use sandstile_pgwire as pg;
 use sandstile_policy::terms::OutcomeClass;
@@ -24,7 +24,7 @@
     }
 }
 
-fn job(statement_id: u64, deadline: f64) -> HostTask {
+fn task(statement_id: u64, deadline: f64) -> HostTask {
     HostTask { kind: TaskKind::Statement { statement_id, execution: 0, payload: Arc::new(Words) }, deadline }
 }
 
@@ -55,7 +55,7 @@
     link.dialled();
     link.connected();
     link.wrote(link.pending_output().len());
-    assert!(matches!(link.receive(now, &greeting(), budget), Some(Event::Up)));
+    assert!(matches!(link.receive(now, &greeting(), budget), Some(Event::Ready)));
     link
 }
 
@@ -72,7 +72,7 @@
         for step in steps {
             let (mut budget, now) = (budget(), 100.0);
             let mut link = up(now, &mut budget);
-            assert!(link.begin(now, job(1, now + 1.0)).is_none());
+            assert!(link.begin(now, task(1, now + 1.0)).is_none());
             link.wrote(link.pending_output().len());
             let (mut at, mut done) = (0, None);
             while at < words.len() {
@@ -148,7 +148,7 @@
                         }
                         _ => {}
                     }
-                    link.begin(now, job(statement_id, now + below(600) as f64 / 1000.0))
+                    link.begin(now, task(statement_id, now + below(600) as f64 / 1000.0))
                 }
                 13 => link.withdraw((statement_id + 1, 0), &mut budget),
                 _ => None,
@@ -156,7 +156,7 @@
             let Some(event) = event else { continue };
             assert!(!ended, "seed {seed}: {event:?} after its end");
             match event {
-                Event::Up => assert!(link.idle()),
+                Event::Ready => assert!(link.idle()),
                 Event::Failed(ending) => {
                     assert!(
                         out.is_none()
@@ -172,8 +172,12 @@
                     assert!(out.is_none() && ending == Ending::IdleEnded);
                     ended = true;
                 }
-                Event::Done { job, outcome, reusable } => {
-                    assert_eq!(out.take(), job.execution_id().map(|(statement_id, _)| statement_id), "seed {seed}");
+                Event::Done { task, outcome, reusable } => {
+                    assert_eq!(
+                        out.take(),
+                        task.execution_id().map(|(statement_id, _)| statement_id),
+                        "seed {seed}"
+                    );
                     seen.insert(outcome.ending);
                     let never = [Ending::WithdrawnUnsent, Ending::BrokenUnwritten];
                     assert_eq!(never.contains(&outcome.ending), !whole, "seed {seed}: {outcome:?}");
@@ -220,11 +224,11 @@
         let (mut pool, mut next, mut stmts, now) = (Pool::default(), 0, 0, 100.0);
         let (mut open, mut dials, mut idle) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
         let mut busy: BTreeMap<usize, u64> = BTreeMap::new();
-        let over = |job: HostTask, open: &mut BTreeSet<u64>| {
-            let (statement_id, _) = job.execution_id().expect("a statement");
+        let over = |task: HostTask, open: &mut BTreeSet<u64>| {
+            let (statement_id, _) = task.execution_id().expect("a statement");
             assert!(open.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
         };
-        let has = |job: &HostTask| job.execution_id().expect("a statement").0;
+        let has = |task: &HostTask| task.execution_id().expect("a statement").0;
         let pick = |of: Vec<usize>, n: usize| of.get(n % of.len().max(1)).copied();
         for _ in 0..120 {
             let n = below(1000);
@@ -238,26 +242,26 @@
                 1..=3 => {
                     stmts += 1;
                     open.insert(stmts);
-                    let mut wanted = Some(job(stmts, now + 1.0));
-                    while let Some(job) = wanted.take() {
-                        match pool.begin(job) {
-                            Placement::Assign(link, job) if below(6) == 0 => {
+                    let mut wanted = Some(task(stmts, now + 1.0));
+                    while let Some(task) = wanted.take() {
+                        match pool.begin(task) {
+                            Placement::Assign(link, task) if below(6) == 0 => {
                                 // The idle connection had already been closed by the host.
                                 assert!(idle.remove(&link));
                                 pool.remove_stale(link);
-                                wanted = Some(job);
+                                wanted = Some(task);
                             }
-                            Placement::Assign(link, job) => {
-                                assert!(idle.remove(&link) && busy.insert(link, has(&job)).is_none());
+                            Placement::Assign(link, task) => {
+                                assert!(idle.remove(&link) && busy.insert(link, has(&task)).is_none());
                             }
                             Placement::Dial(_) => {
                                 next += 1;
                                 pool.dialled(next);
                                 dials.insert(next);
                             }
-                            Placement::End(job, ending) => {
+                            Placement::End(task, ending) => {
                                 assert_eq!(ending, Ending::NoAddress);
-                                over(job, &mut open);
+                                over(task, &mut open);
                             }
                         }
                     }
@@ -267,10 +271,10 @@
                     dials.remove(&link);
                     let free = if below(4) == 0 { NextUse::Moved } else { pool.dial_succeeded(link, now) };
                     match free {
-                        NextUse::Assign(job) => assert!(busy.insert(link, has(&job)).is_none()),
+                        NextUse::Assign(task) => assert!(busy.insert(link, has(&task)).is_none()),
                         NextUse::Idle => assert!(idle.insert(link)),
                         NextUse::Moved => {
-                            pool.dial_failed(link).into_iter().for_each(|job| over(job, &mut open))
+                            pool.dial_failed(link).into_iter().for_each(|task| over(task, &mut open))
                         }
                     }
                 }
@@ -279,7 +283,7 @@
                     let statement_id = busy.remove(&link).expect("picked");
                     assert!(open.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
                     match pool.task_done(link, below(4) > 0, now) {
-                        NextUse::Assign(job) => assert!(busy.insert(link, has(&job)).is_none()),
+                        NextUse::Assign(task) => assert!(busy.insert(link, has(&task)).is_none()),
                         NextUse::Idle => assert!(idle.insert(link)),
                         NextUse::Moved => {}
                     }
@@ -289,7 +293,7 @@
                         continue;
                     };
                     match pool.find((statement_id as u64, 0)) {
-                        Lookup::Waiting(job) => over(job, &mut open),
+                        Lookup::Waiting(task) => over(task, &mut open),
                         Lookup::Running(link) => {
                             assert_eq!(busy.remove(&link), Some(statement_id as u64));
                             open.remove(&(statement_id as u64));
--- a/crates/sandstile-emulator/tests/hosts.rs
+++ b/crates/sandstile-emulator/tests/hosts.rs
@@ -120,7 +120,7 @@
                     Ok(false) => {}
                     Ok(true) => {
                         return match answer.stage {
-                            pg::Stage::Whole => Got::Value(answer.text().to_string()),
+                            pg::Stage::Complete => Got::Value(answer.text().to_string()),
                             pg::Stage::Failed(code) => Got::Code(code),
                             _ => Got::Nothing,
                         }
--- a/crates/sandstile-hcl/src/lib.rs
+++ b/crates/sandstile-hcl/src/lib.rs
@@ -14,13 +14,13 @@
     pub file: String,
     pub line: usize,
     pub column: usize,
-    pub what: String,
+    pub message: String,
     pub hint: Option<String>,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.what)?;
+        write!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.message)?;
         match &self.hint {
             Some(hint) => write!(f, " ({hint})"),
             None => Ok(()),
@@ -46,23 +46,23 @@
             Ok(body) => Some(body),
             Err(e) => {
                 let (line, column) = (e.location().line(), e.location().column());
-                let (file, what) = (self.file.clone(), e.message().to_string());
-                self.problems.borrow_mut().push(Problem { file, line, column, what, hint: None });
+                let (file, message) = (self.file.clone(), e.message().to_string());
+                self.problems.borrow_mut().push(Problem { file, line, column, message, hint: None });
                 None
             }
         }
     }
 
-    pub fn problem(&self, at: usize, what: impl Into<String>, hint: Option<String>) {
-        let before = &self.text[..at.min(self.text.len())];
+    pub fn problem(&self, offset: usize, message: impl Into<String>, hint: Option<String>) {
+        let before = &self.text[..offset.min(self.text.len())];
         let line = before.matches('\n').count() + 1;
         let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
-        let problem = Problem { file: self.file.clone(), line, column, what: what.into(), hint };
+        let problem = Problem { file: self.file.clone(), line, column, message: message.into(), hint };
         self.problems.borrow_mut().push(problem);
     }
 
-    pub fn line(&self, at: usize) -> usize {
-        self.text[..at.min(self.text.len())].matches('\n').count() + 1
+    pub fn line(&self, offset: usize) -> usize {
+        self.text[..offset.min(self.text.len())].matches('\n').count() + 1
     }
 
     /// All problems in the order of their positions.
@@ -82,34 +82,34 @@
     source: &'a Source<'a>,
     body: &'a Body,
     /// How messages call the section.
-    pub what: String,
+    pub title: String,
     /// The block's label, empty if it has none.
     pub name: String,
-    pub at: usize,
+    pub offset: usize,
     taken: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> Section<'a> {
     pub fn root(source: &'a Source<'a>, body: &'a Body) -> Self {
-        let (what, name, taken) = ("the file".to_string(), String::new(), RefCell::default());
-        Section { source, body, what, name, at: 0, taken }
+        let (title, name, taken) = ("the file".to_string(), String::new(), RefCell::default());
+        Section { source, body, title, name, offset: 0, taken }
     }
 
     fn block(source: &'a Source<'a>, block: &'a Block, labelled: bool) -> Self {
-        let at = start(block.ident.span());
+        let offset = start(block.ident.span());
         let kind = block.ident.as_str();
         let name = block.labels.first().map_or(String::new(), |l| l.as_str().to_string());
         if block.labels.len() > 1 {
-            source.problem(at, format!("{kind} has more than one name"), None);
+            source.problem(offset, format!("{kind} has more than one name"), None);
         }
         if labelled && name.is_empty() {
-            source.problem(at, format!("{kind} has no name"), Some(format!("{kind} \"NAME\" {{ … }}")));
+            source.problem(offset, format!("{kind} has no name"), Some(format!("{kind} \"NAME\" {{ … }}")));
         }
         if !labelled && !name.is_empty() {
-            source.problem(at, format!("{kind} takes no name"), None);
+            source.problem(offset, format!("{kind} takes no name"), None);
         }
-        let what = if name.is_empty() { kind.to_string() } else { format!("{kind} \"{name}\"") };
-        Section { source, body: &block.body, what, name, at, taken: RefCell::default() }
+        let title = if name.is_empty() { kind.to_string() } else { format!("{kind} \"{name}\"") };
+        Section { source, body: &block.body, title, name, offset, taken: RefCell::default() }
     }
 
     pub fn source(&self) -> &'a Source<'a> {
@@ -125,7 +125,7 @@
         for block in blocks {
             let section = Section::block(self.source, block, labelled);
             if labelled && !names.insert(section.name.clone()) {
-                self.source.problem(section.at, format!("a second {}", section.what), None);
+                self.source.problem(section.offset, format!("a second {}", section.title), None);
             }
             found.push(section);
         }
@@ -136,7 +136,7 @@
     pub fn optional_block(&self, kind: &str) -> Option<Section<'a>> {
         let mut blocks = self.blocks(kind, false);
         if let Some(second) = blocks.get(1) {
-            self.source.problem(second.at, format!("a second {kind}"), None);
+            self.source.problem(second.offset, format!("a second {kind}"), None);
         }
         (!blocks.is_empty()).then(|| blocks.swap_remove(0))
     }
@@ -153,28 +153,28 @@
 
     /// The byte offset of the key's value, or of the section if the key is absent.
     pub fn offset_of(&self, key: &str) -> usize {
-        self.body.get_attribute(key).map_or(self.at, |a| start(a.value.span().or(a.key.span())))
+        self.body.get_attribute(key).map_or(self.offset, |a| start(a.value.span().or(a.key.span())))
     }
 
-    pub fn problem(&self, key: &str, what: impl Into<String>, hint: Option<String>) {
-        self.source.problem(self.offset_of(key), what, hint);
+    pub fn problem(&self, key: &str, message: impl Into<String>, hint: Option<String>) {
+        self.source.problem(self.offset_of(key), message, hint);
     }
 
     fn missing(&self, key: &str) {
-        self.source.problem(self.at, format!("{} lacks {key}", self.what), None);
+        self.source.problem(self.offset, format!("{} lacks {key}", self.title), None);
     }
 
     pub fn optional_number(&self, key: &str, range: Range<f64>) -> Option<f64> {
-        let (value, at) = self.value(key)?;
+        let (value, offset) = self.value(key)?;
         match number(value) {
             Some(n) if n >= range.start && n <= range.end => Some(n),
             Some(n) => {
                 let wanted = format!("{} to {}", range.start, range.end);
-                self.source.problem(at, format!("{key} is {n}"), Some(format!("wanted: {wanted}")));
+                self.source.problem(offset, format!("{key} is {n}"), Some(format!("wanted: {wanted}")));
                 None
             }
             None => {
-                self.source.problem(at, format!("{key} is no number"), None);
+                self.source.problem(offset, format!("{key} is no number"), None);
                 None
             }
         }
@@ -206,18 +206,18 @@
     }
 
     pub fn boolean(&self, key: &str, default: bool) -> bool {
-        let Some((value, at)) = self.value(key) else { return default };
+        let Some((value, offset)) = self.value(key) else { return default };
         value.as_bool().unwrap_or_else(|| {
-            self.source.problem(at, format!("{key} is neither true nor false"), None);
+            self.source.problem(offset, format!("{key} is neither true nor false"), None);
             default
         })
     }
 
     pub fn text(&self, key: &str) -> Option<String> {
-        let (value, at) = self.value(key)?;
+        let (value, offset) = self.value(key)?;
         let text = value.as_str().map(str::to_string);
         if text.is_none() {
-            self.source.problem(at, format!("{key} is no text"), Some("in double quotes".to_string()));
+            self.source.problem(offset, format!("{key} is no text"), Some("in double quotes".to_string()));
         }
         text
     }
@@ -245,7 +245,7 @@
     }
 
     pub fn numbers(&self, key: &str, range: Range<f64>) -> Option<Vec<f64>> {
-        let (value, at) = self.value(key)?;
+        let (value, offset) = self.value(key)?;
         let items = value.as_array().map(|a| a.iter().map(number).collect::<Option<Vec<f64>>>());
         match items {
             Some(Some(all))
@@ -255,21 +255,21 @@
             }
             _ => {
                 let wanted = format!("wanted: a list of numbers from {} to {}", range.start, range.end);
-                self.source.problem(at, format!("{key} is no usable list"), Some(wanted));
+                self.source.problem(offset, format!("{key} is no usable list"), Some(wanted));
                 None
             }
         }
     }
 
     pub fn texts(&self, key: &str) -> Option<Vec<String>> {
-        let (value, at) = self.value(key)?;
+        let (value, offset) = self.value(key)?;
         let text = |e: &Expression| e.as_str().map(str::to_string);
         let items = value.as_array().map(|a| a.iter().map(text).collect::<Option<Vec<String>>>());
         match items {
             Some(Some(all)) if !all.is_empty() => Some(all),
             _ => {
                 self.source.problem(
-                    at,
+                    offset,
                     format!("{key} is no list of texts"),
                     Some("[\"a\", \"b\"]".to_string()),
                 );
@@ -279,20 +279,20 @@
     }
 
     /// The index of a name that is defined elsewhere in the file.
-    pub fn reference(&self, key: &str, what: &str, names: &[String]) -> Option<usize> {
+    pub fn reference(&self, key: &str, kind: &str, names: &[String]) -> Option<usize> {
         if !self.has(key) {
             self.missing(key);
             return None;
         }
         let text = self.text(key)?;
-        self.find(key, what, &text, names)
+        self.find(key, kind, &text, names)
     }
 
-    pub fn find(&self, key: &str, what: &str, text: &str, names: &[String]) -> Option<usize> {
+    pub fn find(&self, key: &str, kind: &str, text: &str, names: &[String]) -> Option<usize> {
         let found = names.iter().position(|n| n == text);
         if found.is_none() {
             let all: Vec<&str> = names.iter().map(String::as_str).collect();
-            self.problem(key, format!("no {what} is named \"{text}\""), Some(hint(text, &all)));
+            self.problem(key, format!("no {kind} is named \"{text}\""), Some(hint(text, &all)));
         }
         found
     }
@@ -302,13 +302,13 @@
         let taken = self.taken.borrow();
         let known: Vec<&str> = taken.iter().map(String::as_str).collect();
         for structure in self.body.iter() {
-            let (key, at) = match structure {
+            let (key, offset) = match structure {
                 Structure::Attribute(a) => (a.key.as_str(), start(a.key.span())),
                 Structure::Block(b) => (b.ident.as_str(), start(b.ident.span())),
             };
             if !taken.contains(key) {
-                let what = format!("{} knows no {key}", self.what);
-                self.source.problem(at, what, Some(hint(key, &known)));
+                let message = format!("{} knows no {key}", self.title);
+                self.source.problem(offset, message, Some(hint(key, &known)));
             }
         }
     }
--- a/crates/sandstile-lab/src/clients.rs
+++ b/crates/sandstile-lab/src/clients.rs
@@ -470,7 +470,7 @@
                 }
                 at += end;
                 // The time of an answer is that of its last byte; ReadyForQuery may come behind it.
-                if matches!(answer.stage, pg::Stage::Whole | pg::Stage::Failed(_)) && seen.is_none() {
+                if matches!(answer.stage, pg::Stage::Complete | pg::Stage::Failed(_)) && seen.is_none() {
                     seen = Some(self.clock.now());
                 }
                 if over {
@@ -514,7 +514,7 @@
 
     fn ended(&self, id: &str, t: f64, answer: &pg::Answer, detail: Option<f64>) -> Ended {
         match &answer.stage {
-            pg::Stage::Whole => {
+            pg::Stage::Complete => {
                 let value = &answer.rows[answer.value.clone()];
                 let made = protocol::made_for(value);
                 self.answered_by(id, t, "completed", None, made);
--- a/crates/sandstile-load/src/engine.rs
+++ b/crates/sandstile-load/src/engine.rs
@@ -340,7 +340,7 @@
                     }
                     let Some(open) = c.open.take() else { continue };
                     let end = match &c.answer.stage {
-                        pg::Stage::Whole => End::Completed,
+                        pg::Stage::Complete => End::Completed,
                         pg::Stage::Failed(code) if matches!(code.as_str(), "53300" | "57P03") => {
                             End::Rejected
                         }
--- a/crates/sandstile-pgwire/src/answer.rs
+++ b/crates/sandstile-pgwire/src/answer.rs
@@ -20,7 +20,7 @@
     Described,
     Row,
     /// The row and its CommandComplete.
-    Whole,
+    Complete,
     Failed(String),
 }
 
@@ -64,7 +64,7 @@
                 self.value = start..start + body.len() - 6;
                 Stage::Row
             }
-            (b'C', Stage::Row) => Stage::Whole,
+            (b'C', Stage::Row) => Stage::Complete,
             _ => return Err(BadFrame("answer out of order")),
         };
         self.stage = next;
--- a/crates/sandstile-pgwire/tests/frames.rs
+++ b/crates/sandstile-pgwire/tests/frames.rs
@@ -54,7 +54,7 @@
         for cut in 0..bytes.len() {
             let (answer, ready) = fold(&bytes[..cut]);
             assert!(!ready);
-            assert_eq!(answer.stage == pg::Stage::Whole, cut >= rows);
+            assert_eq!(answer.stage == pg::Stage::Complete, cut >= rows);
             pg::check_plausible(&bytes[..cut], usize::MAX).expect("a host can say so");
         }
         let (answer, ready) = fold(&bytes);
--- a/crates/sandstile-router/src/hosts.rs
+++ b/crates/sandstile-router/src/hosts.rs
@@ -141,7 +141,7 @@
                     dials.forget(host);
                 }
             }
-            Command::Start(host, job) => self.begin(host, job, context),
+            Command::Start(host, task) => self.begin(host, task, context),
             Command::Probe(host) => {
                 self.counters.probes.add();
                 let deadline = context.clock.now() + self.dial_limit;
@@ -202,9 +202,9 @@
     }
 
     /// A job takes an idle link, if that is still of use, or waits for a dial.
-    fn begin(&mut self, host: usize, mut job: HostTask, context: &mut LoopContext) {
+    fn begin(&mut self, host: usize, mut task: HostTask, context: &mut LoopContext) {
         loop {
-            match self.host(host).pool.begin(job) {
+            match self.host(host).pool.begin(task) {
                 Placement::Assign(key, handed) => {
                     self.wake(key, context);
                     if self.quiet(key) {
@@ -213,13 +213,13 @@
                     self.host(host).pool.remove_stale(key);
                     self.counters.ended(Ending::IdleEnded);
                     self.close(key, context);
-                    job = handed;
+                    task = handed;
                 }
                 Placement::Dial(address) => {
                     self.want(host, address, context);
                     return;
                 }
-                Placement::End(job, ending) => return self.report(host, job, ending.into(), context),
+                Placement::End(task, ending) => return self.report(host, task, ending.into(), context),
             }
         }
     }
@@ -235,11 +235,11 @@
         }
     }
 
-    fn hand(&mut self, key: usize, job: HostTask, context: &mut LoopContext) {
-        if job.execution_id().is_some() {
+    fn hand(&mut self, key: usize, task: HostTask, context: &mut LoopContext) {
+        if task.execution_id().is_some() {
             self.counters.sent.add();
         }
-        if let Some(event) = self.seats[key].line.begin(context.clock.now(), job) {
+        if let Some(event) = self.seats[key].line.begin(context.clock.now(), task) {
             self.events.push_back((key, event));
         }
         self.run(key, context);
@@ -248,7 +248,7 @@
     /// Ends an execution that waits for a link, and, where `sent` says so, one that is under way.
     fn recall(&mut self, host: usize, execution_id: (u64, usize), sent: bool, context: &mut LoopContext) {
         match self.host(host).pool.find(execution_id) {
-            Lookup::Waiting(job) => self.report(host, job, Ending::WithdrawnUnsent.into(), context),
+            Lookup::Waiting(task) => self.report(host, task, Ending::WithdrawnUnsent.into(), context),
             Lookup::Running(key) if sent => {
                 // An answer that has come by now counts: nobody has to wonder then whether it ran.
                 if let Some(wire) = &mut self.seats[key].wire {
@@ -553,7 +553,7 @@
             let Some(seat) = self.seats.get(key) else { continue };
             let host = seat.host;
             match event {
-                Event::Up => {
+                Event::Ready => {
                     self.dialled(key, None, context.clock.now());
                     if self.quiet(key) {
                         let free = self.host(host).pool.dial_succeeded(key, context.clock.now());
@@ -568,7 +568,7 @@
                     self.counters.ended(ending);
                     self.close(key, context);
                 }
-                Event::Done { job, outcome, reusable } => {
+                Event::Done { task, outcome, reusable } => {
                     // With more behind the answer than belongs to it, it is of no use to what waits.
                     let spoilt = reusable && self.host(host).pool.waiting() > 0 && !self.quiet(key);
                     if spoilt {
@@ -580,7 +580,7 @@
                     }
                     // The pool first: a further execution for this host is to find the link free.
                     let free = self.host(host).pool.task_done(key, reusable, context.clock.now());
-                    self.report(host, job, outcome, context);
+                    self.report(host, task, outcome, context);
                     self.freed(host, key, free, false, context);
                 }
             }
@@ -590,7 +590,7 @@
     /// A link with nothing to do has been given something, rests, or is of no use any more.
     fn freed(&mut self, host: usize, key: usize, free: NextUse, fresh: bool, context: &mut LoopContext) {
         match free {
-            NextUse::Assign(job) => self.hand(key, job, context),
+            NextUse::Assign(task) => self.hand(key, task, context),
             NextUse::Idle => {
                 self.seats[key].idle = Some(context.budget.mark_idle(Holder::UpstreamConnection, key));
                 self.arm_host(host, context);
@@ -610,14 +610,14 @@
         self.dialled(key, Some(ending), context.clock.now());
         self.close(key, context);
         match self.host(host).pool.dial_failed(key) {
-            Some(job) => self.report(host, job, ending.into(), context),
+            Some(task) => self.report(host, task, ending.into(), context),
             None => self.ended(host, ending, context),
         }
     }
 
-    fn report(&mut self, host: usize, job: HostTask, outcome: Outcome, context: &LoopContext) {
+    fn report(&mut self, host: usize, task: HostTask, outcome: Outcome, context: &LoopContext) {
         self.ended(host, outcome.ending, context);
-        self.dispatcher.send(match job.kind {
+        self.dispatcher.send(match task.kind {
             TaskKind::Statement { statement_id, execution, .. } => {
                 DispatcherMessage::Ended { statement_id, execution, outcome }
             }
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -218,7 +218,7 @@
         let peers = peers.iter().filter_map(|p| address("peers", p)).collect();
         e.finish();
         if !s.has("keys") {
-            s.source().problem(e.at, "exchange goes with keys", Some("keys = \"FILE\"".to_string()));
+            s.source().problem(e.offset, "exchange goes with keys", Some("keys = \"FILE\"".to_string()));
         }
         listen.map(|listen| Exchange { listen, peers })
     });
@@ -233,7 +233,7 @@
             t.problem("witness", "witness goes with dir", Some("dir = \"FOLDER\"".to_string()));
         }
         if exchange.is_none() {
-            s.source().problem(t.at, "state goes with exchange", Some("exchange { }".to_string()));
+            s.source().problem(t.offset, "state goes with exchange", Some("exchange { }".to_string()));
         }
         if s.has("journal") {
             s.problem("journal", "journal and state both keep marks: one of them", None);
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -114,7 +114,7 @@
     ];
     let mut answer = Answer::default();
     assert!(frames.iter().all(|(tag, body)| answer.take(*tag, body) == Ok(false)));
-    assert_eq!((answer.text(), answer.position, &answer.stage), ("ab", Some(1.5), &Stage::Whole));
+    assert_eq!((answer.text(), answer.position, &answer.stage), ("ab", Some(1.5), &Stage::Complete));
     assert!(answer.take(frames[1].0, frames[1].1).is_err(), "a second row");
     let first = |tag: u8, body: &[u8]| Answer::default().take(tag, body);
     assert!(
--- a/crates/sandstile-scenario/src/script.rs
+++ b/crates/sandstile-scenario/src/script.rs
@@ -488,7 +488,7 @@
 fn group(s: &Section, nodes: &[String]) -> Group {
     let names = s.texts("nodes").unwrap_or_default();
     if !s.has("nodes") {
-        s.problem("nodes", format!("{} lacks nodes", s.what), Some("the first primary first".to_string()));
+        s.problem("nodes", format!("{} lacks nodes", s.title), Some("the first primary first".to_string()));
     }
     let found: Vec<usize> = names.iter().filter_map(|n| s.find("nodes", "node", n, nodes)).collect();
     let mut once = found.clone();
@@ -573,7 +573,7 @@
     let name = s.name.clone();
     if name.is_empty() || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_') {
         let hint = Some("letters, digits, - and _".to_string());
-        s.source().problem(s.at, format!("\"{name}\" is no name for a workload"), hint);
+        s.source().problem(s.offset, format!("\"{name}\" is no name for a workload"), hint);
     }
     (Workload { name, effect, consistency, bound_s, work, value_bytes }, terms)
 }
@@ -638,7 +638,7 @@
     let mut push = |s: &Section, act: Act| {
         let trigger = trigger(s, &names);
         s.finish();
-        cues.push(Cue { name: s.name.clone(), trigger, act, line: s.source().line(s.at) });
+        cues.push(Cue { name: s.name.clone(), trigger, act, line: s.source().line(s.offset) });
     };
     for s in &faults {
         let (kind, target, lasts) = (fault(s), target(s, &names), lasts(s));
@@ -739,7 +739,7 @@
 fn whom(s: &Section, routers: usize) -> Whom {
     if s.has("share") {
         if s.has("router") {
-            s.problem("share", format!("{} has both router and share", s.what), None);
+            s.problem("share", format!("{} has both router and share", s.title), None);
         }
         return Whom::Share(s.required_number("share", 0.0..1.0));
     }
@@ -856,13 +856,13 @@
             Trigger::At(0.0)
         }
         (Some(_), Some(_)) => {
-            s.problem("when", format!("{} has both at and when", s.what), None);
+            s.problem("when", format!("{} has both at and when", s.title), None);
             Trigger::At(0.0)
         }
         (None, None) => {
             if !s.has("at") {
                 let hint = Some("at = SECONDS, or when = \"EVENT\"".to_string());
-                s.source().problem(s.at, format!("{} lacks at or when", s.what), hint);
+                s.source().problem(s.offset, format!("{} lacks at or when", s.title), hint);
             }
             Trigger::At(0.0)
         }
@@ -876,7 +876,7 @@
     let known = |what: &str, of: &[String]| s.find("when", what, &name, of);
     let itself = || {
         if name == s.name {
-            s.problem("when", format!("{} waits for itself", s.what), None);
+            s.problem("when", format!("{} waits for itself", s.title), None);
         }
     };
     match (words.first().copied().unwrap_or(""), words.len(), nth) {
