--- a/crates/sandstile-connections/src/budget.rs
+++ b/crates/sandstile-connections/src/budget.rs
@@ -42,56 +42,56 @@
 
 #[derive(Debug)]
 pub struct Budget {
-    most: usize,
-    most_clients: usize,
-    most_long: usize,
-    links: usize,
+    max_descriptors: usize,
+    max_clients: usize,
+    max_long_bytes: usize,
+    upstream_connections: usize,
     clients: usize,
     refused: usize,
-    long: usize,
+    long_bytes: usize,
     idle: BTreeMap<IdleKey, usize>,
     /// Number of idle client connections.
-    resting: usize,
-    next: u64,
+    idle_clients: usize,
+    next_entry: u64,
 }
 
 impl Budget {
-    /// `max` descriptors in all, of which clients may hold `max_clients`, and `max_long_bytes` for long
+    /// `max_descriptors` in all, of which clients may hold `max_clients`, and `max_long_bytes` for long
     /// frames.
-    pub fn new(most: usize, most_clients: usize, most_long: usize) -> Self {
+    pub fn new(max_descriptors: usize, max_clients: usize, max_long_bytes: usize) -> Self {
         Budget {
-            most,
-            most_clients,
-            most_long,
-            links: 0,
+            max_descriptors,
+            max_clients,
+            max_long_bytes,
+            upstream_connections: 0,
             clients: 0,
             refused: 0,
-            long: 0,
+            long_bytes: 0,
             idle: BTreeMap::new(),
-            resting: 0,
-            next: 0,
+            idle_clients: 0,
+            next_entry: 0,
         }
     }
 
     /// Reserves memory for a long frame, if there is room. Clients and hosts can make any connection hold a
     /// long frame, but not all of them at once.
     pub fn reserve_bytes(&mut self, bytes: usize) -> bool {
-        let fits = self.long + bytes <= self.most_long;
+        let fits = self.long_bytes + bytes <= self.max_long_bytes;
         if fits {
-            self.long += bytes;
+            self.long_bytes += bytes;
         }
         fits
     }
 
     pub fn release_bytes(&mut self, bytes: usize) {
-        self.long -= bytes;
+        self.long_bytes -= bytes;
     }
 
     /// The longest value that is accepted. A value is reserved twice, as it arrives and as it is forwarded,
     /// and so takes at most an eighth of the memory. A longer one could not be forwarded, whether or not its
     /// length field is true.
     pub fn max_value_bytes(&self) -> usize {
-        self.most_long / 16
+        self.max_long_bytes / 16
     }
 
     pub fn clients(&self) -> usize {
@@ -100,36 +100,40 @@
 
     /// Upstream connections, client connections and bytes held.
     pub fn held(&self) -> (usize, usize, usize) {
-        (self.links, self.clients, self.long)
+        (self.upstream_connections, self.clients, self.long_bytes)
     }
 
-    fn crowd(&self, holder: Holder) -> bool {
-        holder != Holder::UpstreamConnection && self.clients >= self.most_clients
+    fn client_share_is_full(&self, holder: Holder) -> bool {
+        holder != Holder::UpstreamConnection && self.clients >= self.max_clients
     }
 
-    fn full(&self, holder: Holder) -> bool {
-        self.crowd(holder) || self.links + self.clients >= self.most
+    fn is_full(&self, holder: Holder) -> bool {
+        self.client_share_is_full(holder) || self.upstream_connections + self.clients >= self.max_descriptors
     }
 
     /// The idle connection that would be evicted for this holder.
-    fn helps(&self, holder: Holder) -> Option<IdleKey> {
-        let from = if self.crowd(holder) { Holder::NewClientConnection } else { Holder::UpstreamConnection };
+    fn evictable_for(&self, holder: Holder) -> Option<IdleKey> {
+        let from = if self.client_share_is_full(holder) {
+            Holder::NewClientConnection
+        } else {
+            Holder::UpstreamConnection
+        };
         self.idle.range((from, 0)..).next().map(|(key, _)| *key)
     }
 
     /// Whether a descriptor could be claimed now, if necessary by evicting an idle connection.
     pub fn can_claim(&self, holder: Holder) -> bool {
-        !self.full(holder) || self.helps(holder).is_some()
+        !self.is_full(holder) || self.evictable_for(holder).is_some()
     }
 
     /// Claims a descriptor. If granted, it is counted until `release`.
     pub fn claim(&mut self, holder: Holder) -> Claim {
-        if !self.full(holder) {
+        if !self.is_full(holder) {
             self.take(holder);
             return Claim::Granted;
         }
-        match self.helps(holder) {
-            Some(key) => Claim::Evict(key.0, self.remove_idle(key).expect("on record")),
+        match self.evictable_for(holder) {
+            Some(key) => Claim::Evict(key.0, self.remove_idle(key).expect("the entry was just found")),
             None => Claim::Full,
         }
     }
@@ -137,11 +141,12 @@
     /// What happens to a connection that has waited for a descriptor while no connection became idle.
     /// `may_refuse`: it has waited too long to keep waiting. `may_serve`: the connections that are being
     /// served are busy, and none that has not sent a statement is about to make room.
-    pub fn admission(&self, serves: bool, refuses: bool) -> Admission {
-        let spare = self.links + self.clients < self.most || self.idle_link().is_some();
+    pub fn admission(&self, may_serve: bool, may_refuse: bool) -> Admission {
+        let spare = self.upstream_connections + self.clients < self.max_descriptors
+            || self.oldest_idle_upstream().is_some();
         match () {
-            () if serves && spare && self.clients_below_limit() => Admission::Serve,
-            () if refuses && self.refused < MAX_REFUSED_CONNECTIONS => Admission::Refuse,
+            () if may_serve && spare && self.clients_below_limit() => Admission::Serve,
+            () if may_refuse && self.refused < MAX_REFUSED_CONNECTIONS => Admission::Refuse,
             () => Admission::Wait,
         }
     }
@@ -149,22 +154,22 @@
     /// Whether clients may hold more descriptors, provided that upstream connections leave some free. A
     /// quarter of all descriptors is reserved for upstream connections.
     pub fn clients_below_limit(&self) -> bool {
-        self.clients < self.most - self.most / 4
+        self.clients < self.max_descriptors - self.max_descriptors / 4
     }
 
     /// Claims a descriptor for a client beyond the clients' share, after `admission` has allowed it.
     pub fn claim_beyond_share(&mut self) -> Claim {
-        if self.links + self.clients < self.most {
+        if self.upstream_connections + self.clients < self.max_descriptors {
             self.take(Holder::ClientConnection);
             return Claim::Granted;
         }
-        match self.idle_link() {
-            Some(key) => Claim::Evict(key.0, self.remove_idle(key).expect("on record")),
+        match self.oldest_idle_upstream() {
+            Some(key) => Claim::Evict(key.0, self.remove_idle(key).expect("the entry was just found")),
             None => Claim::Full,
         }
     }
 
-    fn idle_link(&self) -> Option<IdleKey> {
+    fn oldest_idle_upstream(&self) -> Option<IdleKey> {
         self.idle.range(..(Holder::NewClientConnection, 0)).next().map(|(key, _)| *key)
     }
 
@@ -180,14 +185,14 @@
     /// Counts a descriptor that is held already.
     pub fn take(&mut self, holder: Holder) {
         match holder {
-            Holder::UpstreamConnection => self.links += 1,
+            Holder::UpstreamConnection => self.upstream_connections += 1,
             _ => self.clients += 1,
         }
     }
 
     pub fn release(&mut self, holder: Holder) {
         match holder {
-            Holder::UpstreamConnection => self.links -= 1,
+            Holder::UpstreamConnection => self.upstream_connections -= 1,
             _ => self.clients -= 1,
         }
     }
@@ -196,7 +201,7 @@
     /// is idle. Called for each new client; otherwise many clients that send nothing would leave no
     /// connection for the others.
     pub fn take_surplus_client(&mut self) -> Option<usize> {
-        if self.resting <= self.most_clients / 4 {
+        if self.idle_clients <= self.max_clients / 4 {
             return None;
         }
         let key = self.idle.range((Holder::NewClientConnection, 0)..).next().map(|(key, _)| *key)?;
@@ -207,22 +212,22 @@
     /// limit promised.
     pub fn take_oldest_idle(&mut self) -> Option<(Holder, usize)> {
         let key = *self.idle.keys().next()?;
-        self.remove_idle(key).map(|line| (key.0, line))
+        self.remove_idle(key).map(|connection| (key.0, connection))
     }
 
     /// Registers a connection as idle; it becomes the last to be evicted of its kind.
-    pub fn mark_idle(&mut self, holder: Holder, line: usize) -> IdleKey {
-        self.next += 1;
-        let key = (holder, self.next);
-        self.idle.insert(key, line);
-        self.resting += usize::from(holder != Holder::UpstreamConnection);
+    pub fn mark_idle(&mut self, holder: Holder, connection: usize) -> IdleKey {
+        self.next_entry += 1;
+        let key = (holder, self.next_entry);
+        self.idle.insert(key, connection);
+        self.idle_clients += usize::from(holder != Holder::UpstreamConnection);
         key
     }
 
     /// Removes an idle entry; `None` if it was already removed for eviction.
     pub fn remove_idle(&mut self, key: IdleKey) -> Option<usize> {
-        let line = self.idle.remove(&key)?;
-        self.resting -= usize::from(key.0 != Holder::UpstreamConnection);
-        Some(line)
+        let connection = self.idle.remove(&key)?;
+        self.idle_clients -= usize::from(key.0 != Holder::UpstreamConnection);
+        Some(connection)
     }
 }
--- a/crates/sandstile-connections/src/client_connection.rs
+++ b/crates/sandstile-connections/src/client_connection.rs
@@ -19,9 +19,9 @@
 /// the statement's comment.
 pub const MARK_PARAMETER: &str = "sandstile_mark";
 /// Most commands arrive complete in one read.
-const READ: usize = 4 * 1024;
+const READ_BYTES: usize = 4 * 1024;
 /// Limits one read of a long command, so that the expected bytes arrive in few reads.
-const MOST_READ: usize = 64 * 1024;
+const MAX_READ_BYTES: usize = 64 * 1024;
 
 /// State that a client connection shares with the other connections of its event loop.
 pub struct ClientContext<'a> {
@@ -53,24 +53,24 @@
 #[derive(Debug, PartialEq)]
 enum State {
     /// Parses commands.
-    Open,
+    ReadingCommands,
     /// A statement has been handed to the caller and has no id yet.
-    Wishing {
+    Submitting {
         deadline: f64,
     },
-    Asking {
+    AwaitingAnswer {
         statement_id: u64,
         deadline: f64,
     },
     /// Writes `output`, no later than until `deadline`.
-    Saying {
-        until: f64,
-        then_ends: bool,
+    Writing {
+        deadline: f64,
+        close_after: bool,
     },
     /// The answer was not written in time. The client is left to close the connection: because clocks differ
     /// a little, it may still count on an answer for a while.
     AnswerTimeout {
-        until: f64,
+        deadline: f64,
     },
     Ended,
 }
@@ -80,25 +80,25 @@
     state: State,
     buf: Vec<u8>,
     /// Bytes reserved in the budget while `buf` is long.
-    room: usize,
-    out: Vec<u8>,
+    reserved_bytes: usize,
+    output: Vec<u8>,
     written: usize,
-    greeted: bool,
+    startup_complete: bool,
     holder: Holder,
     /// When the last bytes arrived, as far as this can be known.
-    at: f64,
+    received_at: f64,
     /// When the last byte of each complete command in `buf` arrived; `complete_bytes` is how many bytes these
     /// commands take in `buf`.
-    arrived: VecDeque<f64>,
-    whole: usize,
+    arrival_times: VecDeque<f64>,
+    complete_bytes: usize,
     /// Since when reading has been paused for lack of room: bytes read next may have arrived as early as
     /// that.
     unread_since: Option<f64>,
     /// When the connection was accepted, its last answer was written, or the command began that is still
     /// incomplete.
-    since: f64,
+    waiting_since: f64,
     /// Counts how often the connection has started to wait for a command.
-    spell: u64,
+    idle_period_number: u64,
     /// Number of statements that have been answered.
     answered: u64,
     close_reason: CloseReason,
@@ -108,21 +108,21 @@
     Begin,
     Encrypt,
     Query(Vec<u8>),
-    Bad { code: &'static str, what: &'static str },
-    End,
+    Unsupported { code: &'static str, message: &'static str },
+    Terminate,
 }
 
-type Next = Result<Option<(Input, usize)>, pg::BadFrame>;
+type ParseResult = Result<Option<(Input, usize)>, pg::BadFrame>;
 
-fn greeting(buf: &[u8]) -> Next {
+fn parse_startup(buf: &[u8]) -> ParseResult {
     Ok(pg::startup(buf)?.map(|(kind, length)| match kind {
         Startup::Begin => (Input::Begin, length),
         Startup::Encrypt => (Input::Encrypt, length),
-        Startup::Cancel => (Input::End, length),
+        Startup::Cancel => (Input::Terminate, length),
     }))
 }
 
-fn command(buf: &[u8]) -> Next {
+fn parse_command(buf: &[u8]) -> ParseResult {
     // An unknown tag is refused at once, before its length field is trusted.
     if buf.first().is_some_and(|tag| !b"QXPBEDCHSFfdcp".contains(tag)) {
         return Err(pg::BadFrame("unknown message"));
@@ -132,8 +132,8 @@
     let input = match (tag, buf[body].split_last()) {
         (b'Q', Some((0, text))) if !text.contains(&0) => Input::Query(text.to_vec()),
         (b'Q', _) => return Err(pg::BadFrame("query without an end")),
-        (b'X', _) => Input::End,
-        _ => Input::Bad { code: "0A000", what: "simple queries only" },
+        (b'X', _) => Input::Terminate,
+        _ => Input::Unsupported { code: "0A000", message: "simple queries only" },
     };
     Ok(Some((input, length)))
 }
@@ -144,23 +144,23 @@
         ClientConnection::waiting_since(now, now)
     }
 
-    /// A connection that may have been established at `since`, before it was accepted at `now`. The first
-    /// bytes read may have arrived as early as `since`.
-    pub fn waiting_since(since: f64, now: f64) -> Self {
+    /// A connection that may have been established at `waiting_since`, before it was accepted at `now`. The
+    /// bytes read first may have arrived as early as `waiting_since`.
+    pub fn waiting_since(waiting_since: f64, now: f64) -> Self {
         ClientConnection {
-            state: State::Open,
+            state: State::ReadingCommands,
             buf: Vec::new(),
-            room: 0,
-            out: Vec::new(),
+            reserved_bytes: 0,
+            output: Vec::new(),
             written: 0,
-            greeted: false,
+            startup_complete: false,
             holder: Holder::NewClientConnection,
-            at: since,
-            arrived: VecDeque::new(),
-            whole: 0,
-            unread_since: (since < now).then_some(since),
-            since,
-            spell: 0,
+            received_at: waiting_since,
+            arrival_times: VecDeque::new(),
+            complete_bytes: 0,
+            unread_since: (waiting_since < now).then_some(waiting_since),
+            waiting_since,
+            idle_period_number: 0,
             answered: 0,
             close_reason: CloseReason::ClientClosed,
         }
@@ -170,14 +170,20 @@
     /// open.
     pub fn wanted_bytes(&self) -> usize {
         match self.state {
-            State::Open => {
-                let end = if self.greeted { pg::frame_end(&self.buf, pg::MAX_FRAME_BYTES) } else { Ok(None) };
+            State::ReadingCommands => {
+                let end = if self.startup_complete {
+                    pg::frame_end(&self.buf, pg::MAX_FRAME_BYTES)
+                } else {
+                    Ok(None)
+                };
                 let missing = end.ok().flatten().unwrap_or(0).saturating_sub(self.buf.len());
-                missing.clamp(READ, MOST_READ)
+                missing.clamp(READ_BYTES, MAX_READ_BYTES)
             }
-            State::Wishing { .. } | State::Asking { .. } => READ.saturating_sub(self.buf.len()),
-            State::AnswerTimeout { .. } => READ,
-            State::Saying { .. } | State::Ended => 0,
+            State::Submitting { .. } | State::AwaitingAnswer { .. } => {
+                READ_BYTES.saturating_sub(self.buf.len())
+            }
+            State::AnswerTimeout { .. } => READ_BYTES,
+            State::Writing { .. } | State::Ended => 0,
         }
     }
 
@@ -185,26 +191,28 @@
         self.receive_since(now, now, bytes);
     }
 
-    /// Takes bytes that are read at `now` and arrived no earlier than at `since`.
-    pub fn receive_since(&mut self, since: f64, now: f64, bytes: &[u8]) {
+    /// Takes bytes that are read at `now` and arrived no earlier than at `earliest`.
+    pub fn receive_since(&mut self, earliest: f64, now: f64, bytes: &[u8]) {
         match self.state {
             State::AnswerTimeout { .. } | State::Ended => return,
             // A command begins: its timeout runs from here.
-            State::Open if self.buf.is_empty() && self.holder == Holder::ClientConnection => self.since = now,
+            State::ReadingCommands if self.buf.is_empty() && self.holder == Holder::ClientConnection => {
+                self.waiting_since = now
+            }
             _ => {}
         }
         let wanted = self.wanted_bytes();
         // It is unknown when bytes that waited in the socket arrived, so the earliest possible time counts:
         // the client may have been waiting since then.
-        self.at = self.unread_since.unwrap_or(since);
+        self.received_at = self.unread_since.unwrap_or(earliest);
         self.buf.extend_from_slice(bytes);
-        if self.greeted {
-            self.count();
+        if self.startup_complete {
+            self.record_arrivals();
         }
         if bytes.len() < wanted {
             self.unread_since = None;
         } else if self.wanted_bytes() == 0 {
-            self.unread_since = Some(self.at);
+            self.unread_since = Some(self.received_at);
         }
     }
 
@@ -214,33 +222,33 @@
     }
 
     /// Records the arrival time of each command that has become complete.
-    fn count(&mut self) {
-        while let Ok(Some(end)) = pg::frame_end(&self.buf[self.whole..], pg::MAX_FRAME_BYTES) {
-            if self.buf.len() - self.whole < end {
+    fn record_arrivals(&mut self) {
+        while let Ok(Some(end)) = pg::frame_end(&self.buf[self.complete_bytes..], pg::MAX_FRAME_BYTES) {
+            if self.buf.len() - self.complete_bytes < end {
                 return;
             }
-            self.whole += end;
-            self.arrived.push_back(self.at);
+            self.complete_bytes += end;
+            self.arrival_times.push_back(self.received_at);
         }
     }
 
     /// Whether a statement is open.
     pub fn awaits_answer(&self) -> bool {
-        matches!(self.state, State::Wishing { .. } | State::Asking { .. })
+        matches!(self.state, State::Submitting { .. } | State::AwaitingAnswer { .. })
     }
 
     /// The client has closed the connection, or the connection broke.
     pub fn closed(&mut self) -> Option<ClientAction> {
         if self.state != State::Ended {
             self.close_reason = match self.state {
-                State::Wishing { .. } | State::Asking { .. } => CloseReason::ClientClosedAsking,
+                State::Submitting { .. } | State::AwaitingAnswer { .. } => CloseReason::ClientClosedAsking,
                 State::AnswerTimeout { .. } => CloseReason::ClientForsaken,
                 _ if self.buf.is_empty() => CloseReason::ClientClosed,
                 _ => CloseReason::ClientClosedMidCommand,
             };
         }
         match std::mem::replace(&mut self.state, State::Ended) {
-            State::Asking { statement_id, .. } => Some(ClientAction::Abandon(statement_id)),
+            State::AwaitingAnswer { statement_id, .. } => Some(ClientAction::Abandon(statement_id)),
             _ => None,
         }
     }
@@ -248,7 +256,7 @@
     /// Bytes that are still to be written.
     pub fn pending_output(&self) -> &[u8] {
         match self.state {
-            State::Saying { .. } => &self.out[self.written..],
+            State::Writing { .. } => &self.output[self.written..],
             _ => &[],
         }
     }
@@ -259,8 +267,8 @@
 
     /// Sets the id of the statement that was last handed to the caller.
     pub fn submitted(&mut self, statement_id: u64) {
-        if let State::Wishing { deadline } = self.state {
-            self.state = State::Asking { statement_id, deadline };
+        if let State::Submitting { deadline } = self.state {
+            self.state = State::AwaitingAnswer { statement_id, deadline };
         }
     }
 
@@ -273,48 +281,54 @@
         client_events: &mut Vec<ClientEvent>,
     ) {
         let deadline = match self.state {
-            State::Asking { statement_id: out, deadline } if out == statement_id => deadline,
+            State::AwaitingAnswer { statement_id: open_statement, deadline }
+                if open_statement == statement_id =>
+            {
+                deadline
+            }
             _ => return,
         };
         if answer == Answer::Unusable {
-            return self.unreadable(now, "42710", "the id of an open statement", client_events);
+            return self.reject_statement(now, "42710", "the id of an open statement", client_events);
         }
-        self.out = words(answer);
+        self.output = encode_answer(answer);
         self.answered += 1;
         self.holder = Holder::ClientConnection;
-        self.say(deadline + ANSWER_GRACE_S, false);
+        self.start_writing(deadline + ANSWER_GRACE_S, false);
     }
 
-    /// Goes on as far as possible. Call it after receiving or writing bytes, after an answer, and at `due`.
+    /// Advances as far as possible. Call it after receiving or writing bytes, after an answer, and at `due`.
     /// Hand in the bytes that have arrived first, or a command may be judged late only because this machine
     /// was slow to read it.
     pub fn advance(&mut self, now: f64, client_context: &mut ClientContext) -> Option<ClientAction> {
         loop {
             match self.state {
-                State::Open => match self.next(now, client_context) {
+                State::ReadingCommands => match self.next_action(now, client_context) {
                     Some(action) => return action,
                     None => continue,
                 },
-                State::Saying { then_ends, .. } if self.written == self.out.len() => {
-                    (self.out, self.written) = (Vec::new(), 0);
-                    if then_ends {
+                State::Writing { close_after, .. } if self.written == self.output.len() => {
+                    (self.output, self.written) = (Vec::new(), 0);
+                    if close_after {
                         self.state = State::Ended;
                         continue;
                     }
                     if self.holder == Holder::ClientConnection {
-                        self.since = now;
+                        self.waiting_since = now;
                     }
-                    self.open();
+                    self.start_waiting();
                 }
-                State::Saying { until, .. } if now >= until => {
+                State::Writing { deadline, .. } if now >= deadline => {
                     client_context.client_events.push(ClientEvent::AnswerTimeout);
-                    (self.out, self.written) = (Vec::new(), 0);
-                    self.state = State::AnswerTimeout { until: now + IDLE_TIMEOUT_S };
+                    (self.output, self.written) = (Vec::new(), 0);
+                    self.state = State::AnswerTimeout { deadline: now + IDLE_TIMEOUT_S };
+                }
+                State::AnswerTimeout { deadline } if now >= deadline => {
+                    self.close(CloseReason::ClientForsaken)
                 }
-                State::AnswerTimeout { until } if now >= until => self.end(CloseReason::ClientForsaken),
-                State::Saying { .. }
-                | State::Wishing { .. }
-                | State::Asking { .. }
+                State::Writing { .. }
+                | State::Submitting { .. }
+                | State::AwaitingAnswer { .. }
                 | State::AnswerTimeout { .. }
                 | State::Ended => return None,
             }
@@ -324,9 +338,9 @@
     /// When `advance` has to be called even if no bytes arrive; infinite if it need not be.
     pub fn due(&self) -> f64 {
         match self.state {
-            State::Open => self.since + IDLE_TIMEOUT_S,
-            State::Saying { until, .. } | State::AnswerTimeout { until } => until,
-            State::Wishing { .. } | State::Asking { .. } | State::Ended => f64::INFINITY,
+            State::ReadingCommands => self.waiting_since + IDLE_TIMEOUT_S,
+            State::Writing { deadline, .. } | State::AnswerTimeout { deadline } => deadline,
+            State::Submitting { .. } | State::AwaitingAnswer { .. } | State::Ended => f64::INFINITY,
         }
     }
 
@@ -334,7 +348,7 @@
         self.state == State::Ended
     }
 
-    fn end(&mut self, close_reason: CloseReason) {
+    fn close(&mut self, close_reason: CloseReason) {
         self.close_reason = close_reason;
         self.state = State::Ended;
     }
@@ -353,171 +367,191 @@
         self.answered
     }
 
-    /// If the connection is idle, and so may be evicted: what it counts as and the number of the idle period.
+    /// The kind of holder and the number of the idle period, if the connection is idle and so may be evicted.
     /// A connection that has sent a statement before is not idle once its next command has begun, because the
     /// rest of that command may arrive just as it is closed.
     pub fn idle_period(&self) -> Option<(Holder, u64)> {
-        let begun = self.holder == Holder::ClientConnection && !self.buf.is_empty();
-        (self.state == State::Open && !begun).then_some((self.holder, self.spell))
+        let command_begun = self.holder == Holder::ClientConnection && !self.buf.is_empty();
+        (self.state == State::ReadingCommands && !command_begun)
+            .then_some((self.holder, self.idle_period_number))
     }
 
     /// Returns the memory it holds to the budget; call it last.
     pub fn release(&mut self, budget: &mut Budget) {
-        budget.release_bytes(std::mem::take(&mut self.room));
+        budget.release_bytes(std::mem::take(&mut self.reserved_bytes));
     }
 
-    fn open(&mut self) {
-        self.state = State::Open;
-        self.spell += 1;
+    fn start_waiting(&mut self) {
+        self.state = State::ReadingCommands;
+        self.idle_period_number += 1;
     }
 
-    fn say(&mut self, until: f64, then_ends: bool) {
+    fn start_writing(&mut self, deadline: f64, close_after: bool) {
         self.written = 0;
-        self.state = State::Saying { until, then_ends };
+        self.state = State::Writing { deadline, close_after };
     }
 
     /// Writes an error and closes the connection, because the bytes that follow can't be trusted.
-    fn bad(&mut self, now: f64, code: &str, what: &'static str, client_events: &mut Vec<ClientEvent>) {
-        client_events.push(ClientEvent::BadInput(what));
+    fn fail_connection(
+        &mut self,
+        now: f64,
+        code: &str,
+        message: &'static str,
+        client_events: &mut Vec<ClientEvent>,
+    ) {
+        client_events.push(ClientEvent::BadInput(message));
         self.close_reason = CloseReason::ClientBadInput;
-        self.out.clear();
-        pg::error(&mut self.out, true, code, what, None);
-        self.say(now + IDLE_TIMEOUT_S, true);
+        self.output.clear();
+        pg::error(&mut self.output, true, code, message, None);
+        self.start_writing(now + IDLE_TIMEOUT_S, true);
     }
 
     /// Refuses the command that has begun and closes the connection, because another connection needs its
     /// descriptor. A command that has been read must not go unanswered.
     pub fn refuse_command(&mut self, now: f64) {
-        if self.state != State::Open || self.buf.is_empty() {
+        if self.state != State::ReadingCommands || self.buf.is_empty() {
             return;
         }
         self.close_reason = CloseReason::ClientEvicted;
-        self.out.clear();
-        pg::error(&mut self.out, true, "53300", "too many connections: trying again is harmless", None);
-        self.say(now + IDLE_TIMEOUT_S, true);
+        self.output.clear();
+        pg::error(&mut self.output, true, "53300", "too many connections: trying again is harmless", None);
+        self.start_writing(now + IDLE_TIMEOUT_S, true);
     }
 
     /// Writes an error for one statement only. The boundaries of commands are still known, and the commands
     /// behind this one must be answered, so the connection stays open.
-    fn unreadable(&mut self, now: f64, code: &str, what: &'static str, client_events: &mut Vec<ClientEvent>) {
-        client_events.push(ClientEvent::BadInput(what));
-        self.out.clear();
-        pg::error(&mut self.out, false, code, what, None);
-        pg::ready(&mut self.out);
-        self.say(now + IDLE_TIMEOUT_S, false);
+    fn reject_statement(
+        &mut self,
+        now: f64,
+        code: &str,
+        message: &'static str,
+        client_events: &mut Vec<ClientEvent>,
+    ) {
+        client_events.push(ClientEvent::BadInput(message));
+        self.output.clear();
+        pg::error(&mut self.output, false, code, message, None);
+        pg::ready(&mut self.output);
+        self.start_writing(now + IDLE_TIMEOUT_S, false);
     }
 
-    /// Processes the next command. `Some` means that the caller of `advance` has to return, with that action.
-    fn next(&mut self, now: f64, client_context: &mut ClientContext) -> Option<Option<ClientAction>> {
-        if self.buf.len() <= READ && self.room > 0 {
-            client_context.budget.release_bytes(std::mem::take(&mut self.room));
-            self.buf.shrink_to(READ);
+    /// Processes the next command. With `Some`, `advance` returns the action or `None`; with `None` it goes on.
+    fn next_action(&mut self, now: f64, client_context: &mut ClientContext) -> Option<Option<ClientAction>> {
+        if self.buf.len() <= READ_BYTES && self.reserved_bytes > 0 {
+            client_context.budget.release_bytes(std::mem::take(&mut self.reserved_bytes));
+            self.buf.shrink_to(READ_BYTES);
         }
-        let over = now >= self.since + IDLE_TIMEOUT_S;
-        if over && self.holder == Holder::NewClientConnection && !self.buf.is_empty() {
+        let timed_out = now >= self.waiting_since + IDLE_TIMEOUT_S;
+        if timed_out && self.holder == Holder::NewClientConnection && !self.buf.is_empty() {
             // Otherwise a client that sends empty queries for ever would be served for ever.
-            self.bad(now, "08P01", "no statement in time", client_context.client_events);
+            self.fail_connection(now, "08P01", "no statement in time", client_context.client_events);
             return None;
         }
-        let next = if self.greeted { command(&self.buf) } else { greeting(&self.buf) };
-        match next {
+        let parsed = if self.startup_complete { parse_command(&self.buf) } else { parse_startup(&self.buf) };
+        match parsed {
             Ok(Some((input, length))) => {
                 self.buf.drain(..length);
-                self.whole = self.whole.saturating_sub(length);
-                let arrived = self.arrived.pop_front().unwrap_or(self.at);
+                self.complete_bytes = self.complete_bytes.saturating_sub(length);
+                let arrived_at = self.arrival_times.pop_front().unwrap_or(self.received_at);
                 if self.buf.is_empty() {
                     // Frees the buffer: most connections are idle most of the time.
                     self.buf = Vec::new();
                 }
-                return self.act(now, arrived, input, client_context).map(Some);
+                return self.handle_input(now, arrived_at, input, client_context).map(Some);
             }
-            Err(pg::BadFrame(what)) => {
-                self.bad(now, "08P01", what, client_context.client_events);
+            Err(pg::BadFrame(message)) => {
+                self.fail_connection(now, "08P01", message, client_context.client_events);
                 return None;
             }
             Ok(None) => {}
         }
-        if self.buf.len() > READ && self.room == 0 {
-            let room = 2 * pg::MAX_FRAME_BYTES;
-            if !client_context.budget.reserve_bytes(room) {
-                self.bad(now, "53200", "too many long commands at once", client_context.client_events);
+        if self.buf.len() > READ_BYTES && self.reserved_bytes == 0 {
+            let reserved_bytes = 2 * pg::MAX_FRAME_BYTES;
+            if !client_context.budget.reserve_bytes(reserved_bytes) {
+                self.fail_connection(
+                    now,
+                    "53200",
+                    "too many long commands at once",
+                    client_context.client_events,
+                );
                 return None;
             }
-            self.room = room;
+            self.reserved_bytes = reserved_bytes;
         }
-        if over && self.buf.is_empty() {
+        if timed_out && self.buf.is_empty() {
             client_context.client_events.push(ClientEvent::IdleTimeout);
-            self.end(CloseReason::ClientRested);
-        } else if over {
-            self.bad(now, "08P01", "a command without an end", client_context.client_events);
+            self.close(CloseReason::ClientRested);
+        } else if timed_out {
+            self.fail_connection(now, "08P01", "a command without an end", client_context.client_events);
         } else {
             return Some(None);
         }
         None
     }
 
-    fn act(
+    fn handle_input(
         &mut self,
         now: f64,
-        arrived: f64,
+        arrived_at: f64,
         input: Input,
         client_context: &mut ClientContext,
     ) -> Option<ClientAction> {
         match input {
             Input::Begin => {
-                self.greeted = true;
-                self.count();
-                pg::startup_response(&mut self.out);
-                self.say(now + IDLE_TIMEOUT_S, false);
+                self.startup_complete = true;
+                self.record_arrivals();
+                pg::startup_response(&mut self.output);
+                self.start_writing(now + IDLE_TIMEOUT_S, false);
             }
             Input::Encrypt => {
-                self.out.push(b'N');
-                self.say(now + IDLE_TIMEOUT_S, false);
+                self.output.push(b'N');
+                self.start_writing(now + IDLE_TIMEOUT_S, false);
             }
             Input::Query(text) if text.iter().all(|b| b.is_ascii_whitespace() || *b == b';') => {
                 client_context.client_events.push(ClientEvent::EmptyQuery);
-                pg::empty_query(&mut self.out);
-                self.say(now + IDLE_TIMEOUT_S, false);
+                pg::empty_query(&mut self.output);
+                self.start_writing(now + IDLE_TIMEOUT_S, false);
             }
             Input::Query(text) => match statement::read(text, client_context.workloads) {
                 Ok(statement) => {
                     // The client waits from the statement's own last byte, however long the statements before
                     // it took.
-                    let deadline = arrived + statement.wait;
+                    let deadline = arrived_at + statement.wait;
                     // The grace of the answer starts no earlier than now. Otherwise a statement that was
                     // delayed by those before it would lose its answer, and so would all statements behind
                     // it.
-                    self.state = State::Wishing { deadline: deadline.max(now) };
+                    self.state = State::Submitting { deadline: deadline.max(now) };
                     return Some(ClientAction::Submit { statement: Box::new(statement), deadline });
                 }
-                Err(wrong) => self.unreadable(now, "42601", wrong.text(), client_context.client_events),
+                Err(error) => self.reject_statement(now, "42601", error.text(), client_context.client_events),
             },
-            Input::Bad { code, what } => self.bad(now, code, what, client_context.client_events),
-            Input::End => self.end(CloseReason::ClientTerminated),
+            Input::Unsupported { code, message } => {
+                self.fail_connection(now, code, message, client_context.client_events)
+            }
+            Input::Terminate => self.close(CloseReason::ClientTerminated),
         }
         None
     }
 }
 
 /// Encodes an answer with the ReadyForQuery behind it.
-fn words(answer: Answer) -> Vec<u8> {
-    let mut out = Vec::new();
+fn encode_answer(answer: Answer) -> Vec<u8> {
+    let mut output = Vec::new();
     match answer {
         Answer::Completed(rows, mark) => {
-            out = rows;
+            output = rows;
             if let Some(mark) = mark {
-                pg::parameter(&mut out, MARK_PARAMETER, &mark);
+                pg::parameter(&mut output, MARK_PARAMETER, &mark);
             }
         }
-        Answer::Rejected(after) => {
-            let ms = format!("{:.0}", (after * 1000.0).floor());
-            let detail = Some(ms.as_str()).filter(|_| after > 0.0);
-            pg::error(&mut out, false, "53300", "rejected: trying again is harmless", detail);
+        Answer::Rejected(retry_after_s) => {
+            let ms = format!("{:.0}", (retry_after_s * 1000.0).floor());
+            let detail = Some(ms.as_str()).filter(|_| retry_after_s > 0.0);
+            pg::error(&mut output, false, "53300", "rejected: trying again is harmless", detail);
         }
         Answer::Aborted | Answer::Unusable => {
-            pg::error(&mut out, false, "57014", "aborted: it may have run", None);
+            pg::error(&mut output, false, "57014", "aborted: it may have run", None);
         }
     }
-    pg::ready(&mut out);
-    out
+    pg::ready(&mut output);
+    output
 }
--- a/crates/sandstile-connections/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -38,7 +38,7 @@
 pub struct Pool {
     address: Option<SocketAddr>,
     /// Number of the current address. Connections to an earlier address are not reused.
-    address_no: u64,
+    address_number: u64,
     /// Idle connections with the time since which they are idle, the most recently used one last.
     idle: Vec<(usize, f64)>,
     /// Connected and not idle: for each the number of its address, and the statement and execution that it
@@ -47,7 +47,7 @@
     /// Waiting tasks, each with the dial that was started for it.
     waiting: VecDeque<(usize, HostTask)>,
     /// The task for which the next dial is started.
-    wanting: Option<HostTask>,
+    awaiting_dial: Option<HostTask>,
     /// Dials in progress, each with the number of the address that it goes to.
     dials: BTreeMap<usize, u64>,
 }
@@ -64,90 +64,91 @@
         if self.address == Some(address) {
             return None;
         }
-        (self.address, self.address_no) = (Some(address), self.address_no + 1);
-        Some(self.idle.drain(..).map(|(link, _)| link).collect())
+        (self.address, self.address_number) = (Some(address), self.address_number + 1);
+        Some(self.idle.drain(..).map(|(connection, _)| connection).collect())
     }
 
     /// Places a new task.
     pub fn begin(&mut self, task: HostTask) -> Placement {
-        if let Some((link, _)) = self.idle.pop() {
-            return self.hand(link, self.address_no, task);
+        if let Some((connection, _)) = self.idle.pop() {
+            return self.assign(connection, self.address_number, task);
         }
         let Some(address) = self.address else { return Placement::End(task, Ending::NoAddress) };
-        self.wanting = Some(task);
+        self.awaiting_dial = Some(task);
         Placement::Dial(address)
     }
 
-    fn hand(&mut self, link: usize, address_no: u64, task: HostTask) -> Placement {
-        self.busy.insert(link, (address_no, task.execution_id()));
-        Placement::Assign(link, task)
+    fn assign(&mut self, connection: usize, address_number: u64, task: HostTask) -> Placement {
+        self.busy.insert(connection, (address_number, task.execution_id()));
+        Placement::Assign(connection, task)
     }
 
     /// Reports the id of the dial that `begin` asked for last.
-    pub fn dialled(&mut self, link: usize) {
-        self.dials.insert(link, self.address_no);
-        if let Some(task) = self.wanting.take() {
-            self.waiting.push_back((link, task));
+    pub fn dialled(&mut self, connection: usize) {
+        self.dials.insert(connection, self.address_number);
+        if let Some(task) = self.awaiting_dial.take() {
+            self.waiting.push_back((connection, task));
         }
     }
 
     /// A connection that was given a task turned out to be closed. The caller places the task again.
-    pub fn remove_stale(&mut self, link: usize) {
-        self.busy.remove(&link);
+    pub fn remove_stale(&mut self, connection: usize) {
+        self.busy.remove(&connection);
     }
 
     pub fn find(&mut self, execution_id: (u64, usize)) -> Lookup {
-        if let Some(at) = self.waiting.iter().position(|(_, task)| task.is_execution(execution_id)) {
-            let (_, task) = self.waiting.remove(at).expect("found just now");
+        if let Some(index) = self.waiting.iter().position(|(_, task)| task.is_execution(execution_id)) {
+            let (_, task) = self.waiting.remove(index).expect("the index was just found");
             return Lookup::Waiting(task);
         }
-        let under = self.busy.iter().find(|(_, (_, does))| *does == Some(execution_id));
-        under.map_or(Lookup::NotFound, |(link, _)| Lookup::Running(*link))
+        let running =
+            self.busy.iter().find(|(_, (_, running_execution))| *running_execution == Some(execution_id));
+        running.map_or(Lookup::NotFound, |(connection, _)| Lookup::Running(*connection))
     }
 
     /// A dial succeeded.
-    pub fn dial_succeeded(&mut self, link: usize, now: f64) -> NextUse {
-        match self.dials.remove(&link) {
-            Some(address_no) => self.free(link, address_no, now),
+    pub fn dial_succeeded(&mut self, connection: usize, now: f64) -> NextUse {
+        match self.dials.remove(&connection) {
+            Some(address_number) => self.free(connection, address_number, now),
             None => NextUse::Moved,
         }
     }
 
     /// A connection has finished its task.
-    pub fn task_done(&mut self, link: usize, reusable: bool, now: f64) -> NextUse {
-        match self.busy.remove(&link).filter(|_| reusable) {
-            Some((address_no, _)) => self.free(link, address_no, now),
+    pub fn task_done(&mut self, connection: usize, reusable: bool, now: f64) -> NextUse {
+        match self.busy.remove(&connection).filter(|_| reusable) {
+            Some((address_number, _)) => self.free(connection, address_number, now),
             None => NextUse::Moved,
         }
     }
 
     /// Gives a free connection the task that has waited longest, or makes it idle.
-    fn free(&mut self, link: usize, address_no: u64, now: f64) -> NextUse {
-        if address_no != self.address_no {
+    fn free(&mut self, connection: usize, address_number: u64, now: f64) -> NextUse {
+        if address_number != self.address_number {
             return NextUse::Moved;
         }
         if let Some((_, task)) = self.waiting.pop_front() {
-            self.busy.insert(link, (address_no, task.execution_id()));
+            self.busy.insert(connection, (address_number, task.execution_id()));
             return NextUse::Assign(task);
         }
-        self.idle.push((link, now));
+        self.idle.push((connection, now));
         NextUse::Idle
     }
 
-    /// A dial failed. Ends its own task if there are now fewer dials than waiting tasks; the other dials
-    /// serve the rest.
-    pub fn dial_failed(&mut self, link: usize) -> Option<HostTask> {
-        self.dials.remove(&link);
+    /// A dial failed. If there are now fewer dials than waiting tasks, returns the task that fails with it: its
+    /// own one, or the oldest if another connection has taken that.
+    pub fn dial_failed(&mut self, connection: usize) -> Option<HostTask> {
+        self.dials.remove(&connection);
         if self.waiting.len() <= self.dials.len() {
             return None;
         }
-        let at = self.waiting.iter().position(|(dial, _)| *dial == link).unwrap_or(0);
-        self.waiting.remove(at).map(|(_, task)| task)
+        let index = self.waiting.iter().position(|(dial, _)| *dial == connection).unwrap_or(0);
+        self.waiting.remove(index).map(|(_, task)| task)
     }
 
     /// An idle connection has closed or is being closed.
-    pub fn idle_closed(&mut self, link: usize) {
-        self.idle.retain(|(other, _)| *other != link);
+    pub fn idle_closed(&mut self, connection: usize) {
+        self.idle.retain(|(other, _)| *other != connection);
     }
 
     /// The connection that has been idle longest, and since when.
@@ -157,7 +158,7 @@
 
     /// All connections and dials of this host.
     pub fn connections(&self) -> impl Iterator<Item = usize> + '_ {
-        let idle = self.idle.iter().map(|(link, _)| *link);
+        let idle = self.idle.iter().map(|(connection, _)| *connection);
         idle.chain(self.busy.keys().copied()).chain(self.dials.keys().copied())
     }
 
--- a/crates/sandstile-connections/src/statement.rs
+++ b/crates/sandstile-connections/src/statement.rs
@@ -9,7 +9,7 @@
 pub struct Statement {
     query: Vec<u8>,
     /// Where the digits of the field `d` are in `query`.
-    wait_at: Range<usize>,
+    wait_range: Range<usize>,
     pub id: String,
     pub workload: usize,
     pub group: String,
@@ -58,11 +58,11 @@
 }
 
 /// One day: no client waits that long, and larger values would overflow the platform's timers.
-const LONGEST_MS: u64 = 86_400_000;
+const MAX_WAIT_MS: u64 = 86_400_000;
 /// Clients use ids of 16 digits. The limit bounds the memory that the ids of open statements take.
-const LONGEST_ID: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 /// Longer than any mark that a router issues.
-const LONGEST_MARK: usize = 128;
+const MAX_MARK_BYTES: usize = 128;
 
 /// Parses a statement. `query` is the text of a Query message without the terminating zero.
 pub fn read(query: Vec<u8>, workloads: &[Workload]) -> Result<Statement, StatementError> {
@@ -70,28 +70,28 @@
     if !query[start..].starts_with(b"/*") {
         return Err(StatementError::NoComment);
     }
-    let (pairs, rest) = fields(&query, start + 2)?;
-    let find = |name: &str| pairs.iter().find(|(n, _)| n == name).map(|(_, at)| at.clone());
-    let text = |at: Range<usize>| std::str::from_utf8(&query[at]).unwrap_or("");
+    let (fields, comment_end) = parse_fields(&query, start + 2)?;
+    let find = |name: &str| fields.iter().find(|(n, _)| n == name).map(|(_, position)| position.clone());
+    let text = |position: Range<usize>| std::str::from_utf8(&query[position]).unwrap_or("");
     let id =
-        find("id").map(text).filter(|id| (1..=LONGEST_ID).contains(&id.len())).ok_or(StatementError::Id)?;
-    let class = find("c").map(text).ok_or(StatementError::Workload)?;
-    let workload = workloads.iter().position(|w| w.name == class).ok_or(StatementError::Workload)?;
-    let wait_at = find("d").ok_or(StatementError::Wait)?;
+        find("id").map(text).filter(|id| (1..=MAX_ID_BYTES).contains(&id.len())).ok_or(StatementError::Id)?;
+    let workload_name = find("c").map(text).ok_or(StatementError::Workload)?;
+    let workload = workloads.iter().position(|w| w.name == workload_name).ok_or(StatementError::Workload)?;
+    let wait_range = find("d").ok_or(StatementError::Wait)?;
     // 0 is accepted: a last retry may have no time left, and it is answered like any other statement whose
     // deadline has passed.
-    let wait = whole_ms(text(wait_at.clone())).filter(|ms| *ms <= LONGEST_MS);
+    let wait = parse_ms(text(wait_range.clone())).filter(|ms| *ms <= MAX_WAIT_MS);
     let group = find("cluster").map(text).filter(|g| !g.is_empty()).ok_or(StatementError::Group)?;
     let after = match find("after").map(text) {
         None => None,
-        Some(ms) => Some(whole_ms(ms).ok_or(StatementError::After)?),
+        Some(ms) => Some(parse_ms(ms).ok_or(StatementError::After)?),
     };
-    let session = workloads[workload].sessions.then(|| quoted(&query[rest..])).flatten();
+    let session = workloads[workload].sessions.then(|| first_quoted(&query[comment_end..])).flatten();
     let session = session.map(|name| String::from_utf8_lossy(name).into_owned());
-    let retry = find("r").is_some_and(|at| text(at) == "1");
-    // An invalid mark is kept: it only means that nothing is known of the session's writes, and is no reason
-    // to refuse a statement.
-    let mark = find("mark").map(text).filter(|m| m.len() <= LONGEST_MARK).map(str::to_string);
+    let retry = find("r").is_some_and(|position| text(position) == "1");
+    // The content of the mark is not checked here: an invalid one only means that nothing is known of the
+    // session's writes, and is no reason to refuse the statement.
+    let mark = find("mark").map(text).filter(|m| m.len() <= MAX_MARK_BYTES).map(str::to_string);
     let (id, group) = (id.to_string(), group.to_string());
     Ok(Statement {
         id,
@@ -104,52 +104,52 @@
         retry,
         mark,
         query,
-        wait_at,
+        wait_range,
     })
 }
 
 /// Times consist of digits only, because a host might read any other notation differently than this router
 /// does.
-fn whole_ms(text: &str) -> Option<u64> {
+fn parse_ms(text: &str) -> Option<u64> {
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-type Pairs = Vec<(String, Range<usize>)>;
+type Fields = Vec<(String, Range<usize>)>;
 
 /// The names and the positions of the values of all fields up to the end of the comment, and the position
 /// behind the comment.
-fn fields(query: &[u8], mut at: usize) -> Result<(Pairs, usize), StatementError> {
-    let mut pairs = Vec::new();
-    let until = |from: usize, stop: &dyn Fn(u8) -> bool| {
+fn parse_fields(query: &[u8], mut position: usize) -> Result<(Fields, usize), StatementError> {
+    let mut fields = Vec::new();
+    let position_of = |from: usize, stop: &dyn Fn(u8) -> bool| {
         query[from..].iter().position(|b| stop(*b)).map(|n| from + n).ok_or(StatementError::Comment)
     };
     loop {
-        at = until(at, &|b| !b.is_ascii_whitespace() && b != b',')?;
-        if query[at..].starts_with(b"*/") {
-            return Ok((pairs, at + 2));
+        position = position_of(position, &|b| !b.is_ascii_whitespace() && b != b',')?;
+        if query[position..].starts_with(b"*/") {
+            return Ok((fields, position + 2));
         }
-        let equals = until(at, &|b| b == b'=' || b == b'*' || b == b',')?;
+        let equals = position_of(position, &|b| b == b'=' || b == b'*' || b == b',')?;
         if query[equals] != b'=' {
             return Err(StatementError::Comment);
         }
-        let name = std::str::from_utf8(&query[at..equals]).map_err(|_| StatementError::Comment)?.trim();
+        let name = std::str::from_utf8(&query[position..equals]).map_err(|_| StatementError::Comment)?.trim();
         let value = match query.get(equals + 1) {
             Some(quote @ (b'\'' | b'"')) => {
-                let end = until(equals + 2, &|b| b == *quote)?;
-                at = end + 1;
+                let end = position_of(equals + 2, &|b| b == *quote)?;
+                position = end + 1;
                 equals + 2..end
             }
             _ => {
-                at = until(equals + 1, &|b| b == b',' || b == b'*' || b.is_ascii_whitespace())?;
-                equals + 1..at
+                position = position_of(equals + 1, &|b| b == b',' || b == b'*' || b.is_ascii_whitespace())?;
+                equals + 1..position
             }
         };
-        pairs.push((name.to_string(), value));
+        fields.push((name.to_string(), value));
     }
 }
 
 /// The first quoted text behind the comment.
-fn quoted(text: &[u8]) -> Option<&[u8]> {
+fn first_quoted(text: &[u8]) -> Option<&[u8]> {
     let start = text.iter().position(|b| *b == b'\'')? + 1;
     let end = text[start..].iter().position(|b| *b == b'\'')?;
     Some(&text[start..start + end])
@@ -160,7 +160,7 @@
     /// router will wait.
     fn message(&self, wait: f64) -> Vec<u8> {
         let ms = ((wait * 1000.0).floor().max(1.0) as u64).to_string();
-        let (before, after) = (&self.query[..self.wait_at.start], &self.query[self.wait_at.end..]);
+        let (before, after) = (&self.query[..self.wait_range.start], &self.query[self.wait_range.end..]);
         let mut out = Vec::with_capacity(self.query.len() + 16);
         pg::write_frame(&mut out, b'Q', &[before, ms.as_bytes(), after, b"\0"]);
         out
--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -8,7 +8,7 @@
 use sandstile_policy::terms::{HostReport, OutcomeClass};
 
 /// One read takes a whole answer of the usual size.
-const READ: usize = 8 * 1024;
+const READ_BYTES: usize = 8 * 1024;
 
 /// What has happened to an upstream connection. After `Failed`, `IdleClosed` and a `Done` that is not
 /// `reusable` the connection has ended. Its socket has to be closed before anybody learns of it; otherwise
@@ -30,53 +30,54 @@
 
 /// Received bytes that have not been processed yet, split into frames.
 #[derive(Debug, Default)]
-struct Inbox {
+struct ReceiveBuffer {
     buf: Vec<u8>,
     /// Bytes reserved in the budget for a long value.
-    room: usize,
+    reserved_bytes: usize,
 }
 
-impl Inbox {
+impl ReceiveBuffer {
     /// Where the frame at `start` ends, once its length is known. Fails if no host can have sent such a
     /// frame, or if the budget has no room for it.
-    fn end(&mut self, at: usize, budget: &mut Budget) -> Result<Option<usize>, BadFrame> {
-        let begun = &self.buf[at..];
-        pg::check_plausible(begun, budget.max_value_bytes())?;
-        let end = pg::frame_end(begun, usize::MAX)?;
-        if let Some(long) = end.filter(|end| *end > 2 * pg::TYPICAL_VALUE_BYTES && self.room == 0) {
-            if !budget.reserve_bytes(2 * long) {
-                return Err(BadFrame("no room"));
+    fn frame_end(&mut self, start: usize, budget: &mut Budget) -> Result<Option<usize>, BadFrame> {
+        let unread = &self.buf[start..];
+        pg::check_plausible(unread, budget.max_value_bytes())?;
+        let end = pg::frame_end(unread, usize::MAX)?;
+        if let Some(length) = end.filter(|end| *end > 2 * pg::TYPICAL_VALUE_BYTES && self.reserved_bytes == 0)
+        {
+            if !budget.reserve_bytes(2 * length) {
+                return Err(BadFrame("no room in the memory budget"));
             }
-            self.room = 2 * long;
+            self.reserved_bytes = 2 * length;
         }
         Ok(end)
     }
 
     /// Hands each complete frame to `take` until that returns `true`.
-    fn frames(
+    fn for_each_frame(
         &mut self,
         budget: &mut Budget,
         mut take: impl FnMut(u8, &[u8]) -> Result<bool, BadFrame>,
     ) -> Result<bool, BadFrame> {
-        let mut at = 0;
-        let enough = loop {
-            let end = self.end(at, budget)?;
-            let Some(end) = end.filter(|end| self.buf.len() - at >= *end) else {
+        let mut start = 0;
+        let finished = loop {
+            let end = self.frame_end(start, budget)?;
+            let Some(end) = end.filter(|end| self.buf.len() - start >= *end) else {
                 // Reserves exactly the bytes that are still expected.
-                let missing = end.map_or(0, |end| (at + end).saturating_sub(self.buf.len()));
-                self.buf.drain(..at);
+                let missing = end.map_or(0, |end| (start + end).saturating_sub(self.buf.len()));
+                self.buf.drain(..start);
                 self.buf.reserve_exact(missing);
                 return Ok(false);
             };
-            let frame = &self.buf[at..at + end];
-            let enough = take(frame[0], &frame[5..])?;
-            at += end;
-            if enough {
-                break enough;
+            let frame = &self.buf[start..start + end];
+            let finished = take(frame[0], &frame[5..])?;
+            start += end;
+            if finished {
+                break finished;
             }
         };
-        self.buf.drain(..at);
-        Ok(enough)
+        self.buf.drain(..start);
+        Ok(finished)
     }
 
     fn is_empty(&self) -> bool {
@@ -85,12 +86,12 @@
 
     fn wanted_bytes(&self) -> usize {
         let end = pg::frame_end(&self.buf, usize::MAX).ok().flatten().unwrap_or(0);
-        end.saturating_sub(self.buf.len()).clamp(READ, pg::TYPICAL_VALUE_BYTES)
+        end.saturating_sub(self.buf.len()).clamp(READ_BYTES, pg::TYPICAL_VALUE_BYTES)
     }
 
     fn clear(&mut self, budget: &mut Budget) {
         self.buf = Vec::new();
-        budget.release_bytes(std::mem::take(&mut self.room));
+        budget.release_bytes(std::mem::take(&mut self.reserved_bytes));
     }
 }
 
@@ -104,7 +105,7 @@
         deadline: f64,
     },
     /// Connected; the host has not yet accepted the session.
-    Greeting {
+    StartingUp {
         deadline: f64,
     },
     Idle,
@@ -117,42 +118,42 @@
     task: HostTask,
     answer: Answer,
     /// When an answer that has begun has to continue, at the latest.
-    more_by: f64,
+    continuation_deadline: f64,
 }
 
 /// Why an exchange with the host is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Heard {
-    Ready,
+enum ExchangeEnd {
+    ReadyForQuery,
     Closed,
     TimedOut,
-    Nonsense,
+    ProtocolError,
     Withdrawn,
 }
 
 #[derive(Debug)]
 pub struct UpstreamConnection {
     state: State,
-    inbox: Inbox,
-    out: Vec<u8>,
+    received: ReceiveBuffer,
+    output: Vec<u8>,
     written: usize,
     /// It has completed a task before.
-    used: bool,
+    has_answered: bool,
     /// Seconds for which an answer that has begun may pause.
-    pause: f64,
+    max_pause: f64,
 }
 
 impl UpstreamConnection {
-    /// A connection that is to be dialled and that fails if it is not ready by `deadline`. `max_pause` is for
-    /// how many seconds an answer that has begun may pause.
-    pub fn new(deadline: f64, pause: f64) -> Self {
+    /// A connection that is to be dialled and that fails if it is not ready by `deadline`. `max_pause` is the
+    /// number of seconds for which an answer that has begun may pause.
+    pub fn new(deadline: f64, max_pause: f64) -> Self {
         UpstreamConnection {
             state: State::Queued { deadline },
-            inbox: Inbox::default(),
-            out: Vec::new(),
+            received: ReceiveBuffer::default(),
+            output: Vec::new(),
             written: 0,
-            used: false,
-            pause,
+            has_answered: false,
+            max_pause,
         }
     }
 
@@ -165,17 +166,17 @@
 
     /// Like `dialled`, for a dial that was delayed to limit concurrent dials: the host gets the whole dial
     /// timeout from now on.
-    pub fn dialled_with_deadline(&mut self, by: f64) {
+    pub fn dialled_with_deadline(&mut self, deadline: f64) {
         if let State::Queued { .. } = self.state {
-            self.state = State::Dialling { deadline: by };
+            self.state = State::Dialling { deadline };
         }
     }
 
     /// The TCP connection is established: sends the startup message.
     pub fn connected(&mut self) {
         if let State::Dialling { deadline } = self.state {
-            self.say(pg::startup_message());
-            self.state = State::Greeting { deadline };
+            self.start_writing(pg::startup_message());
+            self.state = State::StartingUp { deadline };
         }
     }
 
@@ -213,25 +214,25 @@
             State::Queued { .. } | State::Dialling { .. } | State::Ended => 0,
             _ if !self.pending_output().is_empty() => 0,
             State::Idle => 1,
-            _ => self.inbox.wanted_bytes(),
+            _ => self.received.wanted_bytes(),
         }
     }
 
     /// Bytes that are still to be written.
     pub fn pending_output(&self) -> &[u8] {
-        &self.out[self.written..]
+        &self.output[self.written..]
     }
 
     pub fn wrote(&mut self, bytes: usize) {
         self.written += bytes;
-        if self.written >= self.out.len() {
+        if self.written >= self.output.len() {
             // Frees a long message at once instead of keeping it until its answer is complete.
-            (self.out, self.written) = (Vec::new(), 0);
+            (self.output, self.written) = (Vec::new(), 0);
         }
     }
 
-    fn say(&mut self, out: Vec<u8>) {
-        (self.out, self.written) = (out, 0);
+    fn start_writing(&mut self, output: Vec<u8>) {
+        (self.output, self.written) = (output, 0);
     }
 
     /// Starts a task. The caller must have checked just before that the socket holds no bytes: bytes behind
@@ -244,28 +245,28 @@
         let message = match &task.kind {
             TaskKind::Statement { payload, .. } => payload.message(task.deadline - now),
             TaskKind::Probe => {
-                let mut out = Vec::new();
-                pg::query(&mut out, b"SHOW stats");
-                out
+                let mut output = Vec::new();
+                pg::query(&mut output, b"SHOW stats");
+                output
             }
         };
-        self.say(message);
+        self.start_writing(message);
         let answer = Answer::default();
-        self.state = State::Busy(Box::new(Busy { task, answer, more_by: f64::INFINITY }));
+        self.state = State::Busy(Box::new(Busy { task, answer, continuation_deadline: f64::INFINITY }));
         None
     }
 
     pub fn receive(&mut self, now: f64, bytes: &[u8], budget: &mut Budget) -> Option<Event> {
         match &mut self.state {
-            State::Greeting { .. } => {
-                self.inbox.buf.extend_from_slice(bytes);
-                let mut seen = None;
-                let heard = self.inbox.frames(budget, |tag, body| {
-                    seen = greeted(tag, body)?;
-                    Ok(seen.is_some())
+            State::StartingUp { .. } => {
+                self.received.buf.extend_from_slice(bytes);
+                let mut startup_result = None;
+                let result = self.received.for_each_frame(budget, |tag, body| {
+                    startup_result = startup_outcome(tag, body)?;
+                    Ok(startup_result.is_some())
                 });
-                let ending = match (heard, seen) {
-                    (Ok(_), Some(Ok(()))) if self.inbox.is_empty() => {
+                let ending = match (result, startup_result) {
+                    (Ok(_), Some(Ok(()))) if self.received.is_empty() => {
                         self.state = State::Idle;
                         return Some(Event::Ready);
                     }
@@ -281,15 +282,16 @@
                 Some(Event::IdleClosed(Ending::IdleEnded))
             }
             State::Busy(busy) => {
-                self.inbox.buf.extend_from_slice(bytes);
-                busy.more_by = now + self.pause;
+                self.received.buf.extend_from_slice(bytes);
+                busy.continuation_deadline = now + self.max_pause;
                 let answer = &mut busy.answer;
-                let heard = match self.inbox.frames(budget, |tag, body| answer.take(tag, body)) {
-                    Ok(false) => return None,
-                    Ok(true) => Heard::Ready,
-                    Err(_) => Heard::Nonsense,
-                };
-                self.done(heard, budget)
+                let exchange_end =
+                    match self.received.for_each_frame(budget, |tag, body| answer.take(tag, body)) {
+                        Ok(false) => return None,
+                        Ok(true) => ExchangeEnd::ReadyForQuery,
+                        Err(_) => ExchangeEnd::ProtocolError,
+                    };
+                self.finish_task(exchange_end, budget)
             }
             State::Queued { .. } | State::Dialling { .. } | State::Ended => None,
         }
@@ -298,12 +300,12 @@
     /// The host has closed the connection, or the connection broke.
     pub fn closed(&mut self, budget: &mut Budget) -> Option<Event> {
         match self.state {
-            State::Busy(_) => self.done(Heard::Closed, budget),
+            State::Busy(_) => self.finish_task(ExchangeEnd::Closed, budget),
             State::Idle => {
                 self.state = State::Ended;
                 Some(Event::IdleClosed(Ending::IdleEnded))
             }
-            State::Queued { .. } | State::Dialling { .. } | State::Greeting { .. } => {
+            State::Queued { .. } | State::Dialling { .. } | State::StartingUp { .. } => {
                 self.state = State::Ended;
                 Some(Event::Failed(Ending::DialBroken))
             }
@@ -314,10 +316,10 @@
     /// When `handle_deadline` has to be called; infinite if it need not be.
     pub fn due(&self) -> f64 {
         match &self.state {
-            State::Queued { deadline } | State::Dialling { deadline } | State::Greeting { deadline } => {
+            State::Queued { deadline } | State::Dialling { deadline } | State::StartingUp { deadline } => {
                 *deadline
             }
-            State::Busy(busy) => busy.task.deadline.min(busy.more_by),
+            State::Busy(busy) => busy.task.deadline.min(busy.continuation_deadline),
             State::Idle | State::Ended => f64::INFINITY,
         }
     }
@@ -329,8 +331,10 @@
             return None;
         }
         let ending = match &self.state {
-            State::Busy(busy) if now >= busy.task.deadline => return self.done(Heard::TimedOut, budget),
-            State::Busy(_) => return self.done(Heard::Nonsense, budget),
+            State::Busy(busy) if now >= busy.task.deadline => {
+                return self.finish_task(ExchangeEnd::TimedOut, budget)
+            }
+            State::Busy(_) => return self.finish_task(ExchangeEnd::ProtocolError, budget),
             State::Queued { .. } => Ending::NoRoom,
             _ => Ending::DialTimedOut,
         };
@@ -341,7 +345,9 @@
     /// Closes the connection that runs this execution, whatever has arrived of its answer.
     pub fn withdraw(&mut self, execution_id: (u64, usize), budget: &mut Budget) -> Option<Event> {
         match &self.state {
-            State::Busy(busy) if busy.task.is_execution(execution_id) => self.done(Heard::Withdrawn, budget),
+            State::Busy(busy) if busy.task.is_execution(execution_id) => {
+                self.finish_task(ExchangeEnd::Withdrawn, budget)
+            }
             _ => None,
         }
     }
@@ -353,39 +359,41 @@
 
     /// Returns the memory it holds to the budget; call it last.
     pub fn release(&mut self, budget: &mut Budget) {
-        self.inbox.clear(budget);
+        self.received.clear(budget);
     }
 
     /// Ends the running task, once. A complete answer counts even if the connection closes right behind it;
     /// it does not count if it contains a protocol violation, because then no part of it can be trusted.
-    fn done(&mut self, heard: Heard, budget: &mut Budget) -> Option<Event> {
+    fn finish_task(&mut self, exchange_end: ExchangeEnd, budget: &mut Budget) -> Option<Event> {
         let State::Busy(busy) = std::mem::replace(&mut self.state, State::Ended) else { return None };
-        let Busy { task, answer, more_by } = *busy;
-        let ending = match (&answer.stage, heard) {
-            (_, Heard::Withdrawn) if !self.pending_output().is_empty() => Ending::WithdrawnUnsent,
-            (_, Heard::Withdrawn) => Ending::Withdrawn,
+        let Busy { task, answer, continuation_deadline } = *busy;
+        let ending = match (&answer.stage, exchange_end) {
+            (_, ExchangeEnd::Withdrawn) if !self.pending_output().is_empty() => Ending::WithdrawnUnsent,
+            (_, ExchangeEnd::Withdrawn) => Ending::Withdrawn,
             _ if !self.pending_output().is_empty() => Ending::BrokenUnwritten,
-            (_, Heard::Nonsense) => Ending::Garbled,
+            (_, ExchangeEnd::ProtocolError) => Ending::Garbled,
             (Stage::Complete, _) => Ending::Completed,
             (Stage::Failed(code), _) => crate::sqlstate::ending(code),
-            (_, Heard::Closed) if more_by.is_finite() => Ending::CutShort,
-            (_, Heard::Closed) if self.used => Ending::Crossed,
-            (_, Heard::Closed) => Ending::Broken,
-            (_, Heard::TimedOut) => Ending::TimedOut,
-            (_, Heard::Ready) => Ending::Garbled,
+            (_, ExchangeEnd::Closed) if continuation_deadline.is_finite() => Ending::CutShort,
+            (_, ExchangeEnd::Closed) if self.has_answered => Ending::Crossed,
+            (_, ExchangeEnd::Closed) => Ending::Broken,
+            (_, ExchangeEnd::TimedOut) => Ending::TimedOut,
+            (_, ExchangeEnd::ReadyForQuery) => Ending::Garbled,
         };
-        let spoilt = ending.verdict() == OutcomeClass::UnusableAnswer;
-        let mut note = match spoilt {
+        let unusable = ending.verdict() == OutcomeClass::UnusableAnswer;
+        let mut note = match unusable {
             true => HostReport::default(),
             false => HostReport { position: answer.position, primary: answer.primary },
         };
         if matches!(task.kind, TaskKind::Probe) && ending == Ending::Completed {
-            report(answer.text(), &mut note);
+            parse_load_report(answer.text(), &mut note);
         }
-        let reusable = heard == Heard::Ready && self.inbox.is_empty() && ending != Ending::Garbled;
-        let term = answer.timeline.filter(|_| !spoilt);
-        self.inbox.clear(budget);
-        self.used = true;
+        let reusable = exchange_end == ExchangeEnd::ReadyForQuery
+            && self.received.is_empty()
+            && ending != Ending::Garbled;
+        let term = answer.timeline.filter(|_| !unusable);
+        self.received.clear(budget);
+        self.has_answered = true;
         if reusable {
             self.state = State::Idle;
         }
@@ -394,7 +402,7 @@
 }
 
 /// What a frame during the startup means: ready, failed, or nothing yet.
-fn greeted(tag: u8, body: &[u8]) -> Result<Option<Result<(), Ending>>, BadFrame> {
+fn startup_outcome(tag: u8, body: &[u8]) -> Result<Option<Result<(), Ending>>, BadFrame> {
     Ok(match tag {
         b'Z' => Some(Ok(())),
         b'E' => Some(Err(match pg::sqlstate(body) {
@@ -403,12 +411,12 @@
         })),
         b'R' if body != [0; 4] => Some(Err(Ending::DialBroken)),
         b'R' | b'S' | b'K' | b'N' => None,
-        _ => return Err(BadFrame("greeting")),
+        _ => return Err(BadFrame("unexpected message in the greeting")),
     })
 }
 
 /// Reads the position (Unix seconds on the host's clock) and the role out of a load report.
-fn report(text: &str, note: &mut HostReport) {
+fn parse_load_report(text: &str, note: &mut HostReport) {
     for (key, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         match (key.trim(), value.trim().parse::<f64>()) {
             ("x0", Ok(position)) if position.is_finite() => note.position = Some(position),
--- a/crates/sandstile-connections/tests/upstream_connections.rs
+++ b/crates/sandstile-connections/tests/upstream_connections.rs
@@ -13,9 +13,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-struct Words;
+struct FixedQuery;
 
-impl StatementPayload for Words {
+impl StatementPayload for FixedQuery {
     fn message(&self, wait: f64) -> Vec<u8> {
         assert!(wait > 0.0);
         let mut out = Vec::new();
@@ -25,10 +25,13 @@
 }
 
 fn task(statement_id: u64, deadline: f64) -> HostTask {
-    HostTask { kind: TaskKind::Statement { statement_id, execution: 0, payload: Arc::new(Words) }, deadline }
+    HostTask {
+        kind: TaskKind::Statement { statement_id, execution: 0, payload: Arc::new(FixedQuery) },
+        deadline,
+    }
 }
 
-fn greeting() -> Vec<u8> {
+fn startup_response() -> Vec<u8> {
     let mut out = Vec::new();
     pg::startup_response(&mut out);
     out
@@ -43,27 +46,28 @@
     out
 }
 
-const PAUSE: f64 = 0.25;
+/// The dial timeout, and for how long an answer that has begun may pause.
+const MAX_PAUSE_S: f64 = 0.25;
 
 fn budget() -> Budget {
     Budget::new(64, 32, 32 * pg::MAX_FRAME_BYTES)
 }
 
 /// A connection that is ready at `now`.
-fn up(now: f64, budget: &mut Budget) -> UpstreamConnection {
-    let mut link = UpstreamConnection::new(now + PAUSE, PAUSE);
-    link.dialled();
-    link.connected();
-    link.wrote(link.pending_output().len());
-    assert!(matches!(link.receive(now, &greeting(), budget), Some(Event::Ready)));
-    link
+fn ready_connection(now: f64, budget: &mut Budget) -> UpstreamConnection {
+    let mut connection = UpstreamConnection::new(now + MAX_PAUSE_S, MAX_PAUSE_S);
+    connection.dialled();
+    connection.connected();
+    connection.wrote(connection.pending_output().len());
+    assert!(matches!(connection.receive(now, &startup_response(), budget), Some(Event::Ready)));
+    connection
 }
 
 #[test]
-fn an_answer_is_the_same_however_it_is_cut() {
+fn an_answer_does_not_depend_on_how_its_bytes_are_split() {
     let long = vec![7; 200_000];
     for value in [&b"value"[..], b"", &long] {
-        let words = answer(value);
+        let response = answer(value);
         let steps: &[usize] = if value.len() > 1000 {
             &[1000, 65_536, usize::MAX / 2]
         } else {
@@ -71,15 +75,15 @@
         };
         for step in steps {
             let (mut budget, now) = (budget(), 100.0);
-            let mut link = up(now, &mut budget);
-            assert!(link.begin(now, task(1, now + 1.0)).is_none());
-            link.wrote(link.pending_output().len());
-            let (mut at, mut done) = (0, None);
-            while at < words.len() {
+            let mut connection = ready_connection(now, &mut budget);
+            assert!(connection.begin(now, task(1, now + 1.0)).is_none());
+            connection.wrote(connection.pending_output().len());
+            let (mut position, mut done) = (0, None);
+            while position < response.len() {
                 assert!(done.is_none());
-                let to = at.saturating_add(*step).min(words.len());
-                done = link.receive(now, &words[at..to], &mut budget);
-                at = to;
+                let end = position.saturating_add(*step).min(response.len());
+                done = connection.receive(now, &response[position..end], &mut budget);
+                position = end;
             }
             let Some(Event::Done { outcome, reusable: true, .. }) = done else { panic!("{done:?}") };
             assert_eq!((outcome.ending, outcome.note.primary), (Ending::Completed, Some(false)));
@@ -92,103 +96,115 @@
 
 /// Random orders of everything that can happen to an upstream connection with a task.
 #[test]
-fn one_job_has_one_ending_and_what_was_written_whole_may_have_run() {
-    let mut seen = BTreeSet::new();
+fn a_task_ends_once_and_may_have_run_if_it_was_written_completely() {
+    let mut seen_endings = BTreeSet::new();
     for seed in 0..20_000 {
-        let mut chance = Rand64::new(seed);
-        let mut below = |n: u64| chance.rand_range(0..n);
+        let mut rng = Rand64::new(seed);
+        let mut random_below = |n: u64| rng.rand_range(0..n);
         let (mut budget, mut now) = (budget(), 100.0);
-        let mut link = UpstreamConnection::new(now + PAUSE, PAUSE);
-        let mut words = greeting();
-        if below(12) == 0 {
-            words.clear();
-            pg::error(&mut words, true, ["53300", "XX000"][below(2) as usize], "no", None);
+        let mut connection = UpstreamConnection::new(now + MAX_PAUSE_S, MAX_PAUSE_S);
+        let mut response = startup_response();
+        if random_below(12) == 0 {
+            response.clear();
+            pg::error(&mut response, true, ["53300", "XX000"][random_below(2) as usize], "no", None);
         }
-        let (mut at, mut statement_id, mut out, mut whole, mut ended) = (0, 0, None, false, false);
+        let (mut position, mut statement_id, mut open_statement, mut written_completely, mut ended) =
+            (0, 0, None, false, false);
         for _ in 0..80 {
-            let event = match below(14) {
+            let event = match random_below(14) {
                 0 => {
-                    link.dialled();
+                    connection.dialled();
                     None
                 }
                 1 => {
-                    link.connected();
+                    connection.connected();
                     None
                 }
-                2 if below(8) == 0 => link.failed(Ending::DialRefused),
-                3 | 4 if !link.pending_output().is_empty() => {
-                    let all = link.pending_output().len() as u64;
-                    link.wrote(1 + below(all + all / 2).min(all - 1) as usize);
-                    whole = out.is_some() && link.pending_output().is_empty();
+                2 if random_below(8) == 0 => connection.failed(Ending::DialRefused),
+                3 | 4 if !connection.pending_output().is_empty() => {
+                    let all = connection.pending_output().len() as u64;
+                    connection.wrote(1 + random_below(all + all / 2).min(all - 1) as usize);
+                    written_completely = open_statement.is_some() && connection.pending_output().is_empty();
                     None
                 }
-                5..=8 if link.wanted_bytes() > 0 && at < words.len() => {
-                    let to = (at + 1 + below(60) as usize).min(words.len()).min(at + link.wanted_bytes());
-                    let event = link.receive(now, &words[at..to], &mut budget);
-                    at = to;
+                5..=8 if connection.wanted_bytes() > 0 && position < response.len() => {
+                    let end = (position + 1 + random_below(60) as usize)
+                        .min(response.len())
+                        .min(position + connection.wanted_bytes());
+                    let event = connection.receive(now, &response[position..end], &mut budget);
+                    position = end;
                     event
                 }
-                9 if below(6) == 0 => link.closed(&mut budget),
+                9 if random_below(6) == 0 => connection.closed(&mut budget),
                 10 => {
-                    now += below(200) as f64 / 1000.0;
-                    link.handle_deadline(now, &mut budget)
+                    now += random_below(200) as f64 / 1000.0;
+                    connection.handle_deadline(now, &mut budget)
+                }
+                11 if open_statement.is_some() && random_below(5) == 0 => {
+                    connection.withdraw((statement_id, 0), &mut budget)
                 }
-                11 if out.is_some() && below(5) == 0 => link.withdraw((statement_id, 0), &mut budget),
-                12 if out.is_none() && link.idle() => {
+                12 if open_statement.is_none() && connection.idle() => {
                     statement_id += 1;
-                    (out, whole, at) = (Some(statement_id), false, 0);
-                    words = answer(b"value");
-                    match below(8) {
-                        0 => words = b"no frame at all".to_vec(),
-                        1 => words.extend_from_slice(b"more"),
+                    (open_statement, written_completely, position) = (Some(statement_id), false, 0);
+                    response = answer(b"value");
+                    match random_below(8) {
+                        0 => response = b"no frame at all".to_vec(),
+                        1 => response.extend_from_slice(b"more"),
                         2 => {
-                            words.clear();
-                            pg::error(&mut words, false, "72000", "behind", None);
-                            pg::ready(&mut words);
+                            response.clear();
+                            pg::error(&mut response, false, "72000", "behind", None);
+                            pg::ready(&mut response);
                         }
                         _ => {}
                     }
-                    link.begin(now, task(statement_id, now + below(600) as f64 / 1000.0))
+                    connection.begin(now, task(statement_id, now + random_below(600) as f64 / 1000.0))
                 }
-                13 => link.withdraw((statement_id + 1, 0), &mut budget),
+                13 => connection.withdraw((statement_id + 1, 0), &mut budget),
                 _ => None,
             };
             let Some(event) = event else { continue };
-            assert!(!ended, "seed {seed}: {event:?} after its end");
+            assert!(!ended, "seed {seed}: {event:?} after it ended");
             match event {
-                Event::Ready => assert!(link.idle()),
+                Event::Ready => assert!(connection.idle()),
                 Event::Failed(ending) => {
                     assert!(
-                        out.is_none()
+                        open_statement.is_none()
                             && matches!(
                                 ending.verdict(),
                                 OutcomeClass::ConnectFailed | OutcomeClass::NotSent | OutcomeClass::Full
                             )
                     );
                     ended = true;
-                    seen.insert(ending);
+                    seen_endings.insert(ending);
                 }
                 Event::IdleClosed(ending) => {
-                    assert!(out.is_none() && ending == Ending::IdleEnded);
+                    assert!(open_statement.is_none() && ending == Ending::IdleEnded);
                     ended = true;
                 }
                 Event::Done { task, outcome, reusable } => {
                     assert_eq!(
-                        out.take(),
+                        open_statement.take(),
                         task.execution_id().map(|(statement_id, _)| statement_id),
                         "seed {seed}"
                     );
-                    seen.insert(outcome.ending);
-                    let never = [Ending::WithdrawnUnsent, Ending::BrokenUnwritten];
-                    assert_eq!(never.contains(&outcome.ending), !whole, "seed {seed}: {outcome:?}");
-                    assert_eq!(reusable, link.idle());
+                    seen_endings.insert(outcome.ending);
+                    let never_ran = [Ending::WithdrawnUnsent, Ending::BrokenUnwritten];
+                    assert_eq!(
+                        never_ran.contains(&outcome.ending),
+                        !written_completely,
+                        "seed {seed}: {outcome:?}"
+                    );
+                    assert_eq!(reusable, connection.idle());
                     let rows = outcome.rows.windows(5).any(|w| w == b"value");
-                    assert!(rows || outcome.ending != Ending::Completed, "a value is never made up");
+                    assert!(
+                        rows || outcome.ending != Ending::Completed,
+                        "a completed answer contains the value of the host"
+                    );
                     ended = !reusable;
                 }
             }
         }
-        link.release(&mut budget);
+        connection.release(&mut budget);
         assert_eq!(budget.held(), (0, 0, 0), "seed {seed}");
     }
     use Ending::*;
@@ -209,105 +225,120 @@
         TimedOut,
         Withdrawn,
     ];
-    assert!(all.iter().all(|ending| seen.contains(ending)), "{seen:?}");
+    assert!(all.iter().all(|ending| seen_endings.contains(ending)), "{seen_endings:?}");
 }
 
 /// A pool whose connections come up, fail and take time, while tasks arrive and are cancelled and the host
 /// changes its address.
 #[test]
-fn every_job_of_a_pool_ends_once_and_none_waits_without_a_dial() {
+fn every_task_of_a_pool_ends_once_and_none_waits_without_a_dial() {
     let addresses: [SocketAddr; 2] =
-        ["127.0.0.1:1".parse().expect("one"), "127.0.0.1:2".parse().expect("two")];
+        ["127.0.0.1:1".parse().expect("first address"), "127.0.0.1:2".parse().expect("second address")];
     for seed in 0..4_000 {
-        let mut chance = Rand64::new(seed);
-        let mut below = |n: u64| chance.rand_range(0..n) as usize;
-        let (mut pool, mut next, mut stmts, now) = (Pool::default(), 0, 0, 100.0);
-        let (mut open, mut dials, mut idle) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
+        let mut rng = Rand64::new(seed);
+        let mut random_below = |n: u64| rng.rand_range(0..n) as usize;
+        let (mut pool, mut next_connection, mut last_statement_id, now) = (Pool::default(), 0, 0, 100.0);
+        let (mut open_statements, mut dials, mut idle) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
         let mut busy: BTreeMap<usize, u64> = BTreeMap::new();
-        let over = |task: HostTask, open: &mut BTreeSet<u64>| {
+        let end_task = |task: HostTask, open_statements: &mut BTreeSet<u64>| {
             let (statement_id, _) = task.execution_id().expect("a statement");
-            assert!(open.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
+            assert!(open_statements.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
         };
-        let has = |task: &HostTask| task.execution_id().expect("a statement").0;
-        let pick = |of: Vec<usize>, n: usize| of.get(n % of.len().max(1)).copied();
+        let statement_of = |task: &HostTask| task.execution_id().expect("a statement").0;
+        let pick_from =
+            |candidates: Vec<usize>, n: usize| candidates.get(n % candidates.len().max(1)).copied();
         for _ in 0..120 {
-            let n = below(1000);
-            match below(9) {
+            let n = random_below(1000);
+            match random_below(9) {
                 0 => {
-                    let gone = pool.set_address(addresses[below(2)]);
-                    for link in gone.into_iter().flatten() {
-                        assert!(idle.remove(&link));
+                    let former_connections = pool.set_address(addresses[random_below(2)]);
+                    for connection in former_connections.into_iter().flatten() {
+                        assert!(idle.remove(&connection));
                     }
                 }
                 1..=3 => {
-                    stmts += 1;
-                    open.insert(stmts);
-                    let mut wanted = Some(task(stmts, now + 1.0));
-                    while let Some(task) = wanted.take() {
+                    last_statement_id += 1;
+                    open_statements.insert(last_statement_id);
+                    let mut to_place = Some(task(last_statement_id, now + 1.0));
+                    while let Some(task) = to_place.take() {
                         match pool.begin(task) {
-                            Placement::Assign(link, task) if below(6) == 0 => {
+                            Placement::Assign(connection, task) if random_below(6) == 0 => {
                                 // The idle connection had already been closed by the host.
-                                assert!(idle.remove(&link));
-                                pool.remove_stale(link);
-                                wanted = Some(task);
+                                assert!(idle.remove(&connection));
+                                pool.remove_stale(connection);
+                                to_place = Some(task);
                             }
-                            Placement::Assign(link, task) => {
-                                assert!(idle.remove(&link) && busy.insert(link, has(&task)).is_none());
+                            Placement::Assign(connection, task) => {
+                                assert!(
+                                    idle.remove(&connection)
+                                        && busy.insert(connection, statement_of(&task)).is_none()
+                                );
                             }
                             Placement::Dial(_) => {
-                                next += 1;
-                                pool.dialled(next);
-                                dials.insert(next);
+                                next_connection += 1;
+                                pool.dialled(next_connection);
+                                dials.insert(next_connection);
                             }
                             Placement::End(task, ending) => {
                                 assert_eq!(ending, Ending::NoAddress);
-                                over(task, &mut open);
+                                end_task(task, &mut open_statements);
                             }
                         }
                     }
                 }
                 4 | 5 => {
-                    let Some(link) = pick(dials.iter().copied().collect(), n) else { continue };
-                    dials.remove(&link);
-                    let free = if below(4) == 0 { NextUse::Moved } else { pool.dial_succeeded(link, now) };
+                    let Some(connection) = pick_from(dials.iter().copied().collect(), n) else { continue };
+                    dials.remove(&connection);
+                    let free = if random_below(4) == 0 {
+                        NextUse::Moved
+                    } else {
+                        pool.dial_succeeded(connection, now)
+                    };
                     match free {
-                        NextUse::Assign(task) => assert!(busy.insert(link, has(&task)).is_none()),
-                        NextUse::Idle => assert!(idle.insert(link)),
-                        NextUse::Moved => {
-                            pool.dial_failed(link).into_iter().for_each(|task| over(task, &mut open))
+                        NextUse::Assign(task) => {
+                            assert!(busy.insert(connection, statement_of(&task)).is_none())
                         }
+                        NextUse::Idle => assert!(idle.insert(connection)),
+                        NextUse::Moved => pool
+                            .dial_failed(connection)
+                            .into_iter()
+                            .for_each(|task| end_task(task, &mut open_statements)),
                     }
                 }
                 6 | 7 => {
-                    let Some(link) = pick(busy.keys().copied().collect(), n) else { continue };
-                    let statement_id = busy.remove(&link).expect("picked");
-                    assert!(open.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
-                    match pool.task_done(link, below(4) > 0, now) {
-                        NextUse::Assign(task) => assert!(busy.insert(link, has(&task)).is_none()),
-                        NextUse::Idle => assert!(idle.insert(link)),
+                    let Some(connection) = pick_from(busy.keys().copied().collect(), n) else { continue };
+                    let statement_id = busy.remove(&connection).expect("the connection is busy");
+                    assert!(open_statements.remove(&statement_id), "seed {seed}: {statement_id} ended twice");
+                    match pool.task_done(connection, random_below(4) > 0, now) {
+                        NextUse::Assign(task) => {
+                            assert!(busy.insert(connection, statement_of(&task)).is_none())
+                        }
+                        NextUse::Idle => assert!(idle.insert(connection)),
                         NextUse::Moved => {}
                     }
                 }
                 _ => {
-                    let Some(statement_id) = pick(open.iter().map(|s| *s as usize).collect(), n) else {
+                    let Some(statement_id) =
+                        pick_from(open_statements.iter().map(|s| *s as usize).collect(), n)
+                    else {
                         continue;
                     };
                     match pool.find((statement_id as u64, 0)) {
-                        Lookup::Waiting(task) => over(task, &mut open),
-                        Lookup::Running(link) => {
-                            assert_eq!(busy.remove(&link), Some(statement_id as u64));
-                            open.remove(&(statement_id as u64));
-                            assert!(matches!(pool.task_done(link, false, now), NextUse::Moved));
+                        Lookup::Waiting(task) => end_task(task, &mut open_statements),
+                        Lookup::Running(connection) => {
+                            assert_eq!(busy.remove(&connection), Some(statement_id as u64));
+                            open_statements.remove(&(statement_id as u64));
+                            assert!(matches!(pool.task_done(connection, false, now), NextUse::Moved));
                         }
-                        Lookup::NotFound => panic!("seed {seed}: {statement_id} is out and nowhere"),
+                        Lookup::NotFound => panic!("seed {seed}: {statement_id} is open but was not found"),
                     }
                 }
             }
-            assert!(pool.waiting() <= dials.len(), "seed {seed}: a job that waits for nothing");
-            assert_eq!(open.len(), pool.waiting() + busy.len(), "seed {seed}");
+            assert!(pool.waiting() <= dials.len(), "seed {seed}: a task waits without a dial");
+            assert_eq!(open_statements.len(), pool.waiting() + busy.len(), "seed {seed}");
             let connections: BTreeSet<usize> = pool.connections().collect();
-            let ours: BTreeSet<usize> = idle.iter().chain(&dials).chain(busy.keys()).copied().collect();
-            assert_eq!(connections, ours, "seed {seed}");
+            let expected: BTreeSet<usize> = idle.iter().chain(&dials).chain(busy.keys()).copied().collect();
+            assert_eq!(connections, expected, "seed {seed}");
         }
     }
 }
--- a/crates/sandstile-hcl/src/lib.rs
+++ b/crates/sandstile-hcl/src/lib.rs
@@ -73,7 +73,7 @@
     }
 }
 
-fn start(span: Option<Range<usize>>) -> usize {
+fn span_start(span: Option<Range<usize>>) -> usize {
     span.map_or(0, |s| s.start)
 }
 
@@ -81,22 +81,22 @@
 pub struct Section<'a> {
     source: &'a Source<'a>,
     body: &'a Body,
-    /// How messages call the section.
+    /// How messages refer to the section.
     pub title: String,
     /// The block's label, empty if it has none.
     pub name: String,
     pub offset: usize,
-    taken: RefCell<BTreeSet<String>>,
+    requested: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> Section<'a> {
     pub fn root(source: &'a Source<'a>, body: &'a Body) -> Self {
-        let (title, name, taken) = ("the file".to_string(), String::new(), RefCell::default());
-        Section { source, body, title, name, offset: 0, taken }
+        let (title, name, requested) = ("the file".to_string(), String::new(), RefCell::default());
+        Section { source, body, title, name, offset: 0, requested }
     }
 
     fn block(source: &'a Source<'a>, block: &'a Block, labelled: bool) -> Self {
-        let offset = start(block.ident.span());
+        let offset = span_start(block.ident.span());
         let kind = block.ident.as_str();
         let name = block.labels.first().map_or(String::new(), |l| l.as_str().to_string());
         if block.labels.len() > 1 {
@@ -109,7 +109,7 @@
             source.problem(offset, format!("{kind} takes no name"), None);
         }
         let title = if name.is_empty() { kind.to_string() } else { format!("{kind} \"{name}\"") };
-        Section { source, body: &block.body, title, name, offset, taken: RefCell::default() }
+        Section { source, body: &block.body, title, name, offset, requested: RefCell::default() }
     }
 
     pub fn source(&self) -> &'a Source<'a> {
@@ -118,7 +118,7 @@
 
     /// All blocks of this kind in their order. Two with the same label are a problem.
     pub fn blocks(&self, kind: &str, labelled: bool) -> Vec<Section<'a>> {
-        self.taken.borrow_mut().insert(kind.to_string());
+        self.requested.borrow_mut().insert(kind.to_string());
         let mut names = BTreeSet::new();
         let blocks = self.body.iter().filter_map(|s| s.as_block()).filter(|b| b.ident.as_str() == kind);
         let mut found = Vec::new();
@@ -142,9 +142,9 @@
     }
 
     fn value(&self, key: &str) -> Option<(&'a Expression, usize)> {
-        self.taken.borrow_mut().insert(key.to_string());
+        self.requested.borrow_mut().insert(key.to_string());
         let attribute = self.body.get_attribute(key)?;
-        Some((&attribute.value, start(attribute.value.span().or(attribute.key.span()))))
+        Some((&attribute.value, span_start(attribute.value.span().or(attribute.key.span()))))
     }
 
     pub fn has(&self, key: &str) -> bool {
@@ -153,7 +153,7 @@
 
     /// The byte offset of the key's value, or of the section if the key is absent.
     pub fn offset_of(&self, key: &str) -> usize {
-        self.body.get_attribute(key).map_or(self.offset, |a| start(a.value.span().or(a.key.span())))
+        self.body.get_attribute(key).map_or(self.offset, |a| span_start(a.value.span().or(a.key.span())))
     }
 
     pub fn problem(&self, key: &str, message: impl Into<String>, hint: Option<String>) {
@@ -185,11 +185,11 @@
     }
 
     pub fn required_number(&self, key: &str, range: Range<f64>) -> f64 {
-        let least = range.start;
+        let min = range.start;
         if !self.has(key) {
             self.missing(key);
         }
-        self.optional_number(key, range).unwrap_or(least)
+        self.optional_number(key, range).unwrap_or(min)
     }
 
     /// Reads milliseconds and returns seconds.
@@ -299,14 +299,14 @@
 
     /// Reports every key and block that was not requested.
     pub fn finish(&self) {
-        let taken = self.taken.borrow();
-        let known: Vec<&str> = taken.iter().map(String::as_str).collect();
+        let requested = self.requested.borrow();
+        let known: Vec<&str> = requested.iter().map(String::as_str).collect();
         for structure in self.body.iter() {
             let (key, offset) = match structure {
-                Structure::Attribute(a) => (a.key.as_str(), start(a.key.span())),
-                Structure::Block(b) => (b.ident.as_str(), start(b.ident.span())),
+                Structure::Attribute(a) => (a.key.as_str(), span_start(a.key.span())),
+                Structure::Block(b) => (b.ident.as_str(), span_start(b.ident.span())),
             };
-            if !taken.contains(key) {
+            if !requested.contains(key) {
                 let message = format!("{} knows no {key}", self.title);
                 self.source.problem(offset, message, Some(hint(key, &known)));
             }
@@ -322,10 +322,10 @@
 }
 
 /// Suggests the most similar word, or lists all of them.
-fn hint(choice: &str, words: &[&str]) -> String {
-    let near = words.iter().map(|w| (distance(choice, w), w)).min();
-    match near {
-        Some((d, w)) if d <= 2 || d * 3 <= choice.len() => format!("did you mean {w}?"),
+fn hint(word: &str, words: &[&str]) -> String {
+    let nearest = words.iter().map(|w| (distance(word, w), w)).min();
+    match nearest {
+        Some((d, w)) if d <= 2 || d * 3 <= word.len() => format!("did you mean {w}?"),
         _ => format!("one of: {}", words.join(", ")),
     }
 }
--- a/crates/sandstile-pgwire/src/answer.rs
+++ b/crates/sandstile-pgwire/src/answer.rs
@@ -1,5 +1,5 @@
 //! Collects the frames that answer one query.
-use crate::frame::{be32, write_frame, BadFrame};
+use crate::frame::{read_be_i32, write_frame, BadFrame};
 use std::ops::Range;
 
 /// The SQLSTATE in the body of an ErrorResponse.
@@ -55,10 +55,10 @@
             }
             (b'T', Stage::Nothing) if body.starts_with(&[0, 1]) => Stage::Described,
             (b'D', Stage::Described) => {
-                let length = body.get(2..6).map(be32).and_then(|n| usize::try_from(n).ok());
-                let whole = body.starts_with(&[0, 1]) && length.is_some_and(|n| body.len() == 6 + n);
-                if !whole {
-                    return Err(BadFrame("row"));
+                let length = body.get(2..6).map(read_be_i32).and_then(|n| usize::try_from(n).ok());
+                let is_complete = body.starts_with(&[0, 1]) && length.is_some_and(|n| body.len() == 6 + n);
+                if !is_complete {
+                    return Err(BadFrame("malformed row"));
                 }
                 let start = self.rows.len() + 5 + 6;
                 self.value = start..start + body.len() - 6;
@@ -73,8 +73,8 @@
     }
 
     fn parameter(&mut self, body: &[u8]) {
-        let mut words = body.split(|b| *b == 0).map(|w| std::str::from_utf8(w).unwrap_or(""));
-        match (words.next().unwrap_or(""), words.next().unwrap_or("")) {
+        let mut strings = body.split(|b| *b == 0).map(|w| std::str::from_utf8(w).unwrap_or(""));
+        match (strings.next().unwrap_or(""), strings.next().unwrap_or("")) {
             ("wal_time", ms) => {
                 self.position = ms.parse::<f64>().ok().filter(|p| p.is_finite()).map(|p| p / 1e3)
             }
--- a/crates/sandstile-pgwire/src/frame.rs
+++ b/crates/sandstile-pgwire/src/frame.rs
@@ -7,7 +7,7 @@
 /// allows.
 pub const TYPICAL_VALUE_BYTES: usize = 64 * 1024;
 /// For frames that hold only names, texts and codes.
-const MOST_WORDS: usize = 8 * 1024;
+const MAX_TEXT_FRAME_BYTES: usize = 8 * 1024;
 /// A startup message holds a few short names; PostgreSQL itself accepts none longer than this.
 pub const MAX_STARTUP_BYTES: usize = 10_000;
 
@@ -28,7 +28,7 @@
     Cancel,
 }
 
-pub(crate) fn be32(bytes: &[u8]) -> i32 {
+pub(crate) fn read_be_i32(bytes: &[u8]) -> i32 {
     i32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]])
 }
 
@@ -37,12 +37,12 @@
     if buf.len() < 4 {
         return Ok(None);
     }
-    let length = usize::try_from(be32(buf)).ok().filter(|n| (8..=MAX_STARTUP_BYTES).contains(n));
+    let length = usize::try_from(read_be_i32(buf)).ok().filter(|n| (8..=MAX_STARTUP_BYTES).contains(n));
     let length = length.ok_or(BadFrame("startup length"))?;
     if buf.len() < length {
         return Ok(None);
     }
-    let kind = match be32(&buf[4..]) {
+    let kind = match read_be_i32(&buf[4..]) {
         SSL | GSS if length == 8 => Startup::Encrypt,
         CANCEL if length == 16 => Startup::Cancel,
         // Any minor version is accepted: the server's answers omit what newer ones ask for.
@@ -54,36 +54,37 @@
 
 /// The next frame's tag and the position of its body; `None` until it is complete.
 pub fn frame(buf: &[u8]) -> Result<Option<(u8, Range<usize>)>, BadFrame> {
-    let head = frame_end(buf, MAX_FRAME_BYTES)?;
-    Ok(head.filter(|end| buf.len() >= *end).map(|end| (buf[0], 5..end)))
+    let end = frame_end(buf, MAX_FRAME_BYTES)?;
+    Ok(end.filter(|end| buf.len() >= *end).map(|end| (buf[0], 5..end)))
 }
 
 /// Where the frame at the start of `buf` ends; `None` until its length has arrived.
-pub fn frame_end(buf: &[u8], most: usize) -> Result<Option<usize>, BadFrame> {
-    let Some(length) = buf.get(1..5).map(be32) else { return Ok(None) };
-    let length = usize::try_from(length).ok().filter(|n| (4..=most).contains(n));
+pub fn frame_end(buf: &[u8], max_length: usize) -> Result<Option<usize>, BadFrame> {
+    let Some(length) = buf.get(1..5).map(read_be_i32) else { return Ok(None) };
+    let length = usize::try_from(length).ok().filter(|n| (4..=max_length).contains(n));
     Ok(Some(1 + length.ok_or(BadFrame("frame length"))?))
 }
 
 /// Fails if a database host cannot have sent a frame that begins like this. Prevents waiting for the rest of
 /// something that is no frame: noise that happens to have a small length, or a row that is longer or shorter
 /// than its value.
-pub fn check_plausible(buf: &[u8], longest_value: usize) -> Result<(), BadFrame> {
+pub fn check_plausible(buf: &[u8], max_value_bytes: usize) -> Result<(), BadFrame> {
     let Some(tag) = buf.first() else { return Ok(()) };
-    let most = match tag {
-        b'D' => 4 + 6 + longest_value.max(TYPICAL_VALUE_BYTES),
-        b'T' | b'C' | b'S' | b'E' | b'N' | b'A' | b'R' => MOST_WORDS,
+    let max_length = match tag {
+        b'D' => 4 + 6 + max_value_bytes.max(TYPICAL_VALUE_BYTES),
+        b'T' | b'C' | b'S' | b'E' | b'N' | b'A' | b'R' => MAX_TEXT_FRAME_BYTES,
         b'K' => 12,
         b'Z' => 5,
         _ => return Err(BadFrame("unknown message")),
     };
-    let fits = |n: &usize| (4..=most).contains(n);
-    let Some(length) = buf.get(1..5).map(be32) else { return Ok(()) };
+    let fits = |n: &usize| (4..=max_length).contains(n);
+    let Some(length) = buf.get(1..5).map(read_be_i32) else { return Ok(()) };
     let length = usize::try_from(length).ok().filter(fits).ok_or(BadFrame("frame length"))?;
     let row = buf.get(5..11).filter(|_| *tag == b'D');
-    if row.is_some_and(|r| r[..2] != [0, 1] || usize::try_from(be32(&r[2..])) != Ok(length.wrapping_sub(10)))
-    {
-        return Err(BadFrame("row"));
+    if row.is_some_and(|r| {
+        r[..2] != [0, 1] || usize::try_from(read_be_i32(&r[2..])) != Ok(length.wrapping_sub(10))
+    }) {
+        return Err(BadFrame("malformed row"));
     }
     Ok(())
 }
--- a/crates/sandstile-pgwire/src/frontend.rs
+++ b/crates/sandstile-pgwire/src/frontend.rs
@@ -3,10 +3,10 @@
 
 /// The first message of a router to a database host. Hosts accept any user.
 pub fn startup_message() -> Vec<u8> {
-    let names = b"user\0web\0database\0orders\0\0";
-    let mut out = (8 + names.len() as u32).to_be_bytes().to_vec();
+    let parameters = b"user\0web\0database\0orders\0\0";
+    let mut out = (8 + parameters.len() as u32).to_be_bytes().to_vec();
     out.extend_from_slice(&PROTOCOL_3.to_be_bytes());
-    out.extend_from_slice(names);
+    out.extend_from_slice(parameters);
     out
 }
 
@@ -38,25 +38,25 @@
 #[derive(Debug, Default)]
 pub struct MessageReader {
     buf: Vec<u8>,
-    at: usize,
-    greeted: bool,
+    consumed: usize,
+    startup_complete: bool,
 }
 
 impl MessageReader {
     pub fn receive(&mut self, bytes: &[u8]) {
-        self.buf.drain(..std::mem::take(&mut self.at));
+        self.buf.drain(..std::mem::take(&mut self.consumed));
         self.buf.extend_from_slice(bytes);
     }
 
     /// The next complete message. After an error the remaining bytes can't be interpreted.
     pub fn message(&mut self) -> Result<Option<ClientMessage>, BadFrame> {
-        let buf = &self.buf[self.at..];
-        if !self.greeted {
+        let buf = &self.buf[self.consumed..];
+        if !self.startup_complete {
             let Some((kind, length)) = startup(buf)? else { return Ok(None) };
-            self.at += length;
+            self.consumed += length;
             return Ok(Some(match kind {
                 Startup::Begin => {
-                    self.greeted = true;
+                    self.startup_complete = true;
                     ClientMessage::Begin
                 }
                 Startup::Encrypt => ClientMessage::Encrypt,
@@ -65,14 +65,14 @@
         }
         let Some((tag, body)) = frame(buf)? else { return Ok(None) };
         let end = body.end;
-        let heard = match (tag, buf[body].split_last()) {
+        let message = match (tag, buf[body].split_last()) {
             (b'Q', Some((0, text))) if !text.contains(&0) => ClientMessage::Query(text.to_vec()),
             (b'Q', _) => return Err(BadFrame("query without an end")),
             (b'X', _) => ClientMessage::Terminate,
             (tag, _) => ClientMessage::Other(tag),
         };
-        self.at += end;
-        Ok(Some(heard))
+        self.consumed += end;
+        Ok(Some(message))
     }
 
     /// Number of received bytes that belong to no complete message yet.
@@ -82,6 +82,6 @@
 
     /// The received part of an incomplete message.
     pub fn incomplete_message(&self) -> &[u8] {
-        &self.buf[self.at..]
+        &self.buf[self.consumed..]
     }
 }
--- a/crates/sandstile-pgwire/tests/frames.rs
+++ b/crates/sandstile-pgwire/tests/frames.rs
@@ -6,41 +6,41 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(64, 0x5a5a)).tests(300)
 }
 
-fn text(raw: &[u8]) -> Vec<u8> {
+fn without_zeros(raw: &[u8]) -> Vec<u8> {
     raw.iter().copied().filter(|b| *b != 0).collect()
 }
 
 /// Everything that a client can send is decoded as it was encoded, in pieces of any size.
 #[test]
-fn what_is_asked_is_heard_however_it_is_cut() {
+fn client_messages_are_decoded_however_they_are_split() {
     fn holds(texts: Vec<Vec<u8>>, piece: u8) -> bool {
-        let texts: Vec<Vec<u8>> = texts.iter().map(|t| text(t)).collect();
+        let texts: Vec<Vec<u8>> = texts.iter().map(|t| without_zeros(t)).collect();
         let mut bytes = pg::startup_message();
         texts.iter().for_each(|t| pg::query(&mut bytes, t));
         pg::terminate(&mut bytes);
-        let (mut ear, mut heard) = (pg::MessageReader::default(), Vec::new());
+        let (mut reader, mut messages) = (pg::MessageReader::default(), Vec::new());
         for part in bytes.chunks(usize::from(piece) + 1) {
-            ear.receive(part);
-            while let Some(what) = ear.message().expect("own frames") {
-                heard.push(what);
+            reader.receive(part);
+            while let Some(message) = reader.message().expect("valid frames") {
+                messages.push(message);
             }
         }
-        let mut want = vec![pg::ClientMessage::Begin];
-        want.extend(texts.into_iter().map(pg::ClientMessage::Query));
-        want.push(pg::ClientMessage::Terminate);
-        heard == want && ear.buffered_bytes() == 0
+        let mut expected = vec![pg::ClientMessage::Begin];
+        expected.extend(texts.into_iter().map(pg::ClientMessage::Query));
+        expected.push(pg::ClientMessage::Terminate);
+        messages == expected && reader.buffered_bytes() == 0
     }
     check().quickcheck(holds as fn(Vec<Vec<u8>>, u8) -> bool);
 }
 
 /// An answer that is cut at any byte is not complete before its last byte, and no cut leads to a panic.
 #[test]
-fn an_answer_is_whole_at_its_last_byte_and_not_before() {
+fn an_answer_is_complete_at_its_last_byte_and_not_before() {
     fn fold(bytes: &[u8]) -> (pg::Answer, bool) {
-        let (mut answer, mut at, mut ready) = (pg::Answer::default(), 0, false);
-        while let Ok(Some((tag, body))) = pg::frame(&bytes[at..]) {
-            ready = answer.take(tag, &bytes[at..][body.clone()]).expect("own frames");
-            at += body.end;
+        let (mut answer, mut position, mut ready) = (pg::Answer::default(), 0, false);
+        while let Ok(Some((tag, body))) = pg::frame(&bytes[position..]) {
+            ready = answer.take(tag, &bytes[position..][body.clone()]).expect("valid frames");
+            position += body.end;
         }
         (answer, ready)
     }
@@ -55,7 +55,7 @@
             let (answer, ready) = fold(&bytes[..cut]);
             assert!(!ready);
             assert_eq!(answer.stage == pg::Stage::Complete, cut >= rows);
-            pg::check_plausible(&bytes[..cut], usize::MAX).expect("a host can say so");
+            pg::check_plausible(&bytes[..cut], usize::MAX).expect("a frame that a host can send");
         }
         let (answer, ready) = fold(&bytes);
         ready
@@ -69,17 +69,17 @@
 /// Noise is refused or waited for. It never leads to a panic or to buffering more than the longest frame.
 #[test]
 fn noise_is_refused_without_a_panic() {
-    fn holds(noise: Vec<u8>, incomplete_message: bool) -> bool {
-        let mut ear = pg::MessageReader::default();
-        if incomplete_message {
-            ear.receive(&pg::startup_message());
-            assert_eq!(ear.message(), Ok(Some(pg::ClientMessage::Begin)));
+    fn holds(noise: Vec<u8>, after_startup: bool) -> bool {
+        let mut reader = pg::MessageReader::default();
+        if after_startup {
+            reader.receive(&pg::startup_message());
+            assert_eq!(reader.message(), Ok(Some(pg::ClientMessage::Begin)));
         }
-        ear.receive(&noise);
-        while let Ok(Some(_)) = ear.message() {}
+        reader.receive(&noise);
+        while let Ok(Some(_)) = reader.message() {}
         let _ = pg::check_plausible(&noise, 1 << 20);
         let _ = pg::sqlstate(&noise);
-        ear.buffered_bytes() <= noise.len()
+        reader.buffered_bytes() <= noise.len()
     }
     check().tests(2000).quickcheck(holds as fn(Vec<u8>, bool) -> bool);
     for length in [i32::MIN, -1, 0, 3, pg::MAX_FRAME_BYTES as i32 + 1, i32::MAX] {
@@ -89,12 +89,12 @@
 }
 
 #[test]
-fn fields_of_errors_come_back() {
+fn error_fields_round_trip() {
     fn holds(message: Vec<u8>, ms: u16) -> bool {
-        let message: String = String::from_utf8_lossy(&text(&message)).into_owned();
+        let message: String = String::from_utf8_lossy(&without_zeros(&message)).into_owned();
         let mut out = Vec::new();
         pg::error(&mut out, false, "53300", &message, Some(&ms.to_string()));
-        let (tag, body) = pg::frame(&out).expect("own frame").expect("whole");
+        let (tag, body) = pg::frame(&out).expect("a valid frame").expect("whole frame");
         let body = &out[body];
         tag == b'E'
             && pg::sqlstate(body) == Some("53300")
