--- a/crates/sandstile-connections/src/budget.rs
+++ b/crates/sandstile-connections/src/budget.rs
@@ -1,167 +1,179 @@
-//! One budget of descriptors for clients and links, and one of memory for long commands and long values. What is
-//! idle is on record here, so that the oldest can be told to go when a descriptor is wanted: links first, for a
-//! client's connection costs the client a new one, and clients that have asked nothing before those that have.
+//! One budget of descriptors for client and upstream connections, and one of memory for long commands and
+//! long values. Idle connections are registered here, so that the oldest one can be evicted when a descriptor
+//! is needed. Upstream connections are evicted first, because closing a client connection costs the client a
+//! new one; among client connections those that have not sent a statement yet come first.
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Holder {
-    Link,
-    /// A client that has yet to ask something.
-    Stranger,
-    Client,
+    UpstreamConnection,
+    /// A client connection that has not sent a statement yet.
+    NewClientConnection,
+    ClientConnection,
 }
 
-/// The record that something is idle.
-pub type Rest = (Holder, u64);
+/// Identifies the entry of an idle connection.
+pub type IdleKey = (Holder, u64);
 
-/// What a wish for a descriptor comes to.
+/// The result of claiming a descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
     Granted,
-    /// This idle one, of this kind, is to go first; it is off the record. Ask again then.
+    /// This idle connection, held by this kind of holder, has to be closed first; its entry is already
+    /// removed. Claim again afterwards.
     Evict(Holder, usize),
-    /// Nothing is free and nothing idle: wait until something is.
+    /// No descriptor is free and no connection is idle: wait until one is.
     Full,
 }
 
-/// What becomes of a connection that has waited for a while and that no room is made for.
+/// What happens to an accepted connection that has waited for a while without a free descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is served beyond the clients' share.
+    /// Serve it beyond the clients' share.
     Serve,
-    /// Its statement is refused at once, and it goes.
+    /// Refuse its statement at once and close it.
     Refuse,
-    /// It waits on.
+    /// It keeps waiting.
     Wait,
 }
 
-/// Connections beyond all others that may be held to refuse their statements.
-pub const REFUSALS: usize = 4;
+/// How many connections may be held beyond the budget in order to refuse their statements.
+pub const MAX_REFUSED_CONNECTIONS: usize = 4;
 
 #[derive(Debug)]
 pub struct Budget {
-    most: usize,
-    most_clients: usize,
-    most_long: usize,
-    links: usize,
+    max_descriptors: usize,
+    max_clients: usize,
+    max_long_bytes: usize,
+    upstream_connections: usize,
     clients: usize,
     refused: usize,
-    long: usize,
-    idle: BTreeMap<Rest, usize>,
-    /// Clients among the idle.
-    resting: usize,
-    next: u64,
+    long_bytes: usize,
+    idle: BTreeMap<IdleKey, usize>,
+    /// Number of idle client connections.
+    idle_clients: usize,
+    next_entry: u64,
 }
 
 impl Budget {
-    /// Descriptors in all and for clients, and bytes for long frames.
-    pub fn new(most: usize, most_clients: usize, most_long: usize) -> Self {
+    /// `max_descriptors` in all, of which clients may hold `max_clients`, and `max_long_bytes` for long
+    /// frames.
+    pub fn new(max_descriptors: usize, max_clients: usize, max_long_bytes: usize) -> Self {
         Budget {
-            most,
-            most_clients,
-            most_long,
-            links: 0,
+            max_descriptors,
+            max_clients,
+            max_long_bytes,
+            upstream_connections: 0,
             clients: 0,
             refused: 0,
-            long: 0,
+            long_bytes: 0,
             idle: BTreeMap::new(),
-            resting: 0,
-            next: 0,
+            idle_clients: 0,
+            next_entry: 0,
         }
     }
 
-    /// Clients and hosts can make each connection hold a long frame; not all of them at once.
-    pub fn room(&mut self, bytes: usize) -> bool {
-        let fits = self.long + bytes <= self.most_long;
+    /// Reserves memory for a long frame, if there is room. Clients and hosts can make any connection hold a
+    /// long frame, but not all of them at once.
+    pub fn reserve_bytes(&mut self, bytes: usize) -> bool {
+        let fits = self.long_bytes + bytes <= self.max_long_bytes;
         if fits {
-            self.long += bytes;
+            self.long_bytes += bytes;
         }
         fits
     }
 
-    pub fn give_back(&mut self, bytes: usize) {
-        self.long -= bytes;
+    pub fn release_bytes(&mut self, bytes: usize) {
+        self.long_bytes -= bytes;
     }
 
-    /// One value takes no more than an eighth of the room, as it comes and as it goes on: what says to be longer
-    /// could not be passed on, whether it is true or not.
-    pub fn longest_value(&self) -> usize {
-        self.most_long / 16
+    /// The longest value that is accepted. A value is reserved twice, as it arrives and as it is forwarded,
+    /// and so takes at most an eighth of the memory. A longer one could not be forwarded, whether or not its
+    /// length field is true.
+    pub fn max_value_bytes(&self) -> usize {
+        self.max_long_bytes / 16
     }
 
     pub fn clients(&self) -> usize {
         self.clients
     }
 
-    /// Links, clients and bytes held.
+    /// Upstream connections, client connections and bytes held.
     pub fn held(&self) -> (usize, usize, usize) {
-        (self.links, self.clients, self.long)
+        (self.upstream_connections, self.clients, self.long_bytes)
     }
 
-    fn crowd(&self, holder: Holder) -> bool {
-        holder != Holder::Link && self.clients >= self.most_clients
+    fn client_share_is_full(&self, holder: Holder) -> bool {
+        holder != Holder::UpstreamConnection && self.clients >= self.max_clients
     }
 
-    fn full(&self, holder: Holder) -> bool {
-        self.crowd(holder) || self.links + self.clients >= self.most
+    fn is_full(&self, holder: Holder) -> bool {
+        self.client_share_is_full(holder) || self.upstream_connections + self.clients >= self.max_descriptors
     }
 
-    /// The idle one that would go for this one.
-    fn helps(&self, holder: Holder) -> Option<Rest> {
-        let from = if self.crowd(holder) { Holder::Stranger } else { Holder::Link };
+    /// The idle connection that would be evicted for this holder.
+    fn evictable_for(&self, holder: Holder) -> Option<IdleKey> {
+        let from = if self.client_share_is_full(holder) {
+            Holder::NewClientConnection
+        } else {
+            Holder::UpstreamConnection
+        };
         self.idle.range((from, 0)..).next().map(|(key, _)| *key)
     }
 
-    /// Whether one could be had now, if need be in place of an idle one.
-    pub fn could(&self, holder: Holder) -> bool {
-        !self.full(holder) || self.helps(holder).is_some()
+    /// Whether a descriptor could be claimed now, if necessary by evicting an idle connection.
+    pub fn can_claim(&self, holder: Holder) -> bool {
+        !self.is_full(holder) || self.evictable_for(holder).is_some()
     }
 
-    /// Wants a descriptor; where it is granted it is counted until `release`.
+    /// Claims a descriptor. If granted, it is counted until `release`.
     pub fn claim(&mut self, holder: Holder) -> Claim {
-        if !self.full(holder) {
+        if !self.is_full(holder) {
             self.take(holder);
             return Claim::Granted;
         }
-        match self.helps(holder) {
-            Some(key) => Claim::Evict(key.0, self.strike(key).expect("on record")),
+        match self.evictable_for(holder) {
+            Some(key) => Claim::Evict(key.0, self.remove_idle(key).expect("the entry was just found")),
             None => Claim::Full,
         }
     }
 
-    /// What becomes of a connection that has waited for long while nobody rests. `refuses` where it has waited for too long
-    /// to wait on, `serves` where those that are in are busy and nobody who has asked nothing is about to make room.
-    pub fn admission(&self, serves: bool, refuses: bool) -> Admission {
-        let spare = self.links + self.clients < self.most || self.idle_link().is_some();
+    /// What happens to a connection that has waited for a descriptor while no connection became idle.
+    /// `may_refuse`: it has waited too long to keep waiting. `may_serve`: the connections that are being
+    /// served are busy, and none that has not sent a statement is about to make room.
+    pub fn admission(&self, may_serve: bool, may_refuse: bool) -> Admission {
+        let spare = self.upstream_connections + self.clients < self.max_descriptors
+            || self.oldest_idle_upstream().is_some();
         match () {
-            () if serves && spare && self.below_bound() => Admission::Serve,
-            () if refuses && self.refused < REFUSALS => Admission::Refuse,
+            () if may_serve && spare && self.clients_below_limit() => Admission::Serve,
+            () if may_refuse && self.refused < MAX_REFUSED_CONNECTIONS => Admission::Refuse,
             () => Admission::Wait,
         }
     }
 
-    /// Whether clients may hold more, as long as what links leave: a quarter of all is for links.
-    pub fn below_bound(&self) -> bool {
-        self.clients < self.most - self.most / 4
+    /// Whether clients may hold more descriptors, provided that upstream connections leave some free. A
+    /// quarter of all descriptors is reserved for upstream connections.
+    pub fn clients_below_limit(&self) -> bool {
+        self.clients < self.max_descriptors - self.max_descriptors / 4
     }
 
-    /// A descriptor for a client beyond the clients' share, where `admission` says so.
+    /// Claims a descriptor for a client beyond the clients' share, after `admission` has allowed it.
     pub fn claim_beyond_share(&mut self) -> Claim {
-        if self.links + self.clients < self.most {
-            self.take(Holder::Client);
+        if self.upstream_connections + self.clients < self.max_descriptors {
+            self.take(Holder::ClientConnection);
             return Claim::Granted;
         }
-        match self.idle_link() {
-            Some(key) => Claim::Evict(key.0, self.strike(key).expect("on record")),
+        match self.oldest_idle_upstream() {
+            Some(key) => Claim::Evict(key.0, self.remove_idle(key).expect("the entry was just found")),
             None => Claim::Full,
         }
     }
 
-    fn idle_link(&self) -> Option<Rest> {
-        self.idle.range(..(Holder::Stranger, 0)).next().map(|(key, _)| *key)
+    fn oldest_idle_upstream(&self) -> Option<IdleKey> {
+        self.idle.range(..(Holder::NewClientConnection, 0)).next().map(|(key, _)| *key)
     }
 
-    /// Counts a connection that is held to refuse its statement.
+    /// Counts a connection that is held only to refuse its statement.
     pub fn take_refused(&mut self) {
         self.refused += 1;
     }
@@ -170,50 +182,52 @@
         self.refused -= 1;
     }
 
-    /// Counts one that is held already.
+    /// Counts a descriptor that is held already.
     pub fn take(&mut self, holder: Holder) {
         match holder {
-            Holder::Link => self.links += 1,
+            Holder::UpstreamConnection => self.upstream_connections += 1,
             _ => self.clients += 1,
         }
     }
 
     pub fn release(&mut self, holder: Holder) {
         match holder {
-            Holder::Link => self.links -= 1,
+            Holder::UpstreamConnection => self.upstream_connections -= 1,
             _ => self.clients -= 1,
         }
     }
 
-    /// Clients share what they may hold here: where more than a quarter rests, the oldest goes for each that comes,
-    /// or a crowd that asks nothing would leave the others no connection.
-    pub fn surplus(&mut self) -> Option<usize> {
-        if self.resting <= self.most_clients / 4 {
+    /// Removes the oldest idle client connection, to be closed, if more than a quarter of the clients' share
+    /// is idle. Called for each new client; otherwise many clients that send nothing would leave no
+    /// connection for the others.
+    pub fn take_surplus_client(&mut self) -> Option<usize> {
+        if self.idle_clients <= self.max_clients / 4 {
             return None;
         }
-        let key = self.idle.range((Holder::Stranger, 0)..).next().map(|(key, _)| *key)?;
-        self.strike(key)
+        let key = self.idle.range((Holder::NewClientConnection, 0)..).next().map(|(key, _)| *key)?;
+        self.remove_idle(key)
     }
 
-    /// The oldest idle one, where the platform gives fewer descriptors than were promised.
-    pub fn oldest(&mut self) -> Option<(Holder, usize)> {
+    /// Removes the oldest idle connection, to be closed, when the platform grants fewer descriptors than the
+    /// limit promised.
+    pub fn take_oldest_idle(&mut self) -> Option<(Holder, usize)> {
         let key = *self.idle.keys().next()?;
-        self.strike(key).map(|line| (key.0, line))
+        self.remove_idle(key).map(|connection| (key.0, connection))
     }
 
-    /// Puts on record that this line is idle, last in its kind.
-    pub fn rests(&mut self, holder: Holder, line: usize) -> Rest {
-        self.next += 1;
-        let key = (holder, self.next);
-        self.idle.insert(key, line);
-        self.resting += usize::from(holder != Holder::Link);
+    /// Registers a connection as idle; it becomes the last to be evicted of its kind.
+    pub fn mark_idle(&mut self, holder: Holder, connection: usize) -> IdleKey {
+        self.next_entry += 1;
+        let key = (holder, self.next_entry);
+        self.idle.insert(key, connection);
+        self.idle_clients += usize::from(holder != Holder::UpstreamConnection);
         key
     }
 
-    /// Strikes a record out; `None` where it was told to go already.
-    pub fn strike(&mut self, key: Rest) -> Option<usize> {
-        let line = self.idle.remove(&key)?;
-        self.resting -= usize::from(key.0 != Holder::Link);
-        Some(line)
+    /// Removes an idle entry; `None` if it was already removed for eviction.
+    pub fn remove_idle(&mut self, key: IdleKey) -> Option<usize> {
+        let connection = self.idle.remove(&key)?;
+        self.idle_clients -= usize::from(key.0 != Holder::UpstreamConnection);
+        Some(connection)
     }
 }
--- a/crates/sandstile-router/src/hosts.rs
+++ b/crates/sandstile-router/src/hosts.rs
@@ -1,19 +1,19 @@
 //! The database hosts: for each the pool of its links, and for each link its socket beside its state machine.
-use crate::budget::{Holder, Rest};
+use crate::budget::{Holder, IdleKey};
 use crate::counters::Counters;
 use crate::dialling::{dial_ending, is_up};
 use crate::errno::{accept_failure, is_local, AcceptFailure};
 use crate::loop_context::{LoopContext, TURN};
 use crate::mailbox::MailboxSender;
 use crate::outcome::{Ending, Outcome};
-use crate::pool::{Found, Free, Pool, Step};
+use crate::pool::{Lookup, NextUse, Placement, Pool};
 use crate::socket::{Moved, Wire};
-use crate::task::{Errand, Job};
-use crate::upstream_connection::{Event, Link};
+use crate::task::{HostTask, TaskKind};
+use crate::upstream_connection::{Event, UpstreamConnection};
 use mio::net::TcpStream;
 use mio::Token;
-use sandstile_dispatcher::{Mail, Order};
-use sandstile_restart_pacing::{Came, Dials, When};
+use sandstile_dispatcher::{Command, DispatcherMessage};
+use sandstile_restart_pacing::{DialDecision, DialOutcome, DialPacer};
 use slab::Slab;
 use slog::{debug, info, o, Logger};
 use std::collections::{BTreeMap, VecDeque};
@@ -31,11 +31,11 @@
 
 struct Seat {
     host: usize,
-    line: Link,
+    line: UpstreamConnection,
     wire: Option<Wire>,
     queued: bool,
     armed: f64,
-    idle: Option<Rest>,
+    idle: Option<IdleKey>,
     /// When its dial began, while that is under way and somebody counts.
     began: Option<f64>,
     wanted_at: f64,
@@ -58,7 +58,7 @@
 pub struct Hosts {
     hosts: Vec<Option<Host>>,
     seats: Slab<Seat>,
-    desk: MailboxSender<Mail>,
+    dispatcher: MailboxSender<DispatcherMessage>,
     counters: Arc<Counters>,
     log: Logger,
     /// Links that wait for a descriptor, with where they go.
@@ -66,7 +66,7 @@
     /// What has happened to links and is still to be acted on.
     events: VecDeque<(usize, Event)>,
     /// When a dial may begin, where our own file turns that on.
-    pub dials: Option<Dials>,
+    pub dials: Option<DialPacer>,
     /// When the next that waits for its turn may; infinite where none does.
     turn_at: f64,
     /// No dial begins before: the last one failed for this machine's own trouble.
@@ -102,7 +102,7 @@
 
 impl Hosts {
     pub fn new(
-        desk: MailboxSender<Mail>,
+        dispatcher: MailboxSender<DispatcherMessage>,
         counters: Arc<Counters>,
         log: Logger,
         dial_limit: f64,
@@ -111,7 +111,7 @@
         Hosts {
             hosts: Vec::new(),
             seats: Slab::new(),
-            desk,
+            dispatcher,
             counters,
             log,
             wanted: VecDeque::new(),
@@ -129,33 +129,33 @@
         self.hosts.get_mut(host).and_then(Option::as_mut).expect("a pool for each host")
     }
 
-    pub fn order(&mut self, order: Order, context: &mut LoopContext) {
+    pub fn order(&mut self, order: Command, context: &mut LoopContext) {
         match order {
-            Order::Known { host, name, address } => self.known(host, &name, address, context),
-            Order::End(host) => {
-                let links: Vec<usize> = self.host(host).pool.links().collect();
-                links.into_iter().for_each(|key| self.close(key, context));
+            Command::UpdateHost { host, name, address } => self.known(host, &name, address, context),
+            Command::RemoveHost(host) => {
+                let connections: Vec<usize> = self.host(host).pool.connections().collect();
+                connections.into_iter().for_each(|key| self.close(key, context));
                 self.hosts[host] = None;
-                self.counters.hosts.less();
+                self.counters.hosts.decrement();
                 if let Some(dials) = &mut self.dials {
                     dials.forget(host);
                 }
             }
-            Order::Do(host, job) => self.begin(host, job, context),
-            Order::Probe(host) => {
+            Command::Start(host, task) => self.begin(host, task, context),
+            Command::Probe(host) => {
                 self.counters.probes.add();
-                let until = context.clock.now() + self.dial_limit;
-                self.begin(host, Job { errand: Errand::Probe, until }, context);
+                let deadline = context.clock.now() + self.dial_limit;
+                self.begin(host, HostTask { kind: TaskKind::Probe, deadline }, context);
             }
-            Order::Cancel { host, statement_id, execution } => {
+            Command::Cancel { host, statement_id, execution } => {
                 self.recall(host, (statement_id, execution), true, context)
             }
-            Order::Unsend { host, statement_id, execution } => {
+            Command::CancelUnsent { host, statement_id, execution } => {
                 self.recall(host, (statement_id, execution), false, context)
             }
-            Order::Sharers(n) => {
+            Command::RouterCount(n) => {
                 if let Some(dials) = &mut self.dials {
-                    dials.shared_by(n);
+                    dials.set_router_count(n);
                 }
             }
         }
@@ -175,15 +175,15 @@
         }
         let Some(address) = address else { return };
         let known_before = self.host(host).pool.has_address();
-        let Some(links) = self.host(host).pool.moved(address) else { return };
+        let Some(connections) = self.host(host).pool.set_address(address) else { return };
         if known_before {
             info!(self.host(host).log, "address is {address}");
         }
-        for key in links {
+        for key in connections {
             self.counters.ended(Ending::Moved);
             self.close(key, context);
         }
-        for _ in 0..self.dials.as_ref().map_or(0, Dials::at_once) {
+        for _ in 0..self.dials.as_ref().map_or(0, DialPacer::initial_dials) {
             self.want(host, address, context);
         }
     }
@@ -191,7 +191,7 @@
     /// One more link is to be dialled.
     fn want(&mut self, host: usize, address: SocketAddr, context: &LoopContext) {
         self.counters.dialled.add();
-        let line = Link::wanted(context.clock.now() + self.dial_limit, self.dial_limit);
+        let line = UpstreamConnection::new(context.clock.now() + self.dial_limit, self.dial_limit);
         let (armed, idle, began, held) = (f64::INFINITY, None, None, false);
         let wanted_at = context.clock.now();
         let (wire, queued, local_until) = (None, false, None);
@@ -202,24 +202,24 @@
     }
 
     /// A job takes an idle link, if that is still of use, or waits for a dial.
-    fn begin(&mut self, host: usize, mut job: Job, context: &mut LoopContext) {
+    fn begin(&mut self, host: usize, mut task: HostTask, context: &mut LoopContext) {
         loop {
-            match self.host(host).pool.begin(job) {
-                Step::Hand(key, handed) => {
+            match self.host(host).pool.begin(task) {
+                Placement::Assign(key, handed) => {
                     self.wake(key, context);
                     if self.quiet(key) {
                         return self.hand(key, handed, context);
                     }
-                    self.host(host).pool.stale(key);
+                    self.host(host).pool.remove_stale(key);
                     self.counters.ended(Ending::IdleEnded);
                     self.close(key, context);
-                    job = handed;
+                    task = handed;
                 }
-                Step::Dial(address) => {
+                Placement::Dial(address) => {
                     self.want(host, address, context);
                     return;
                 }
-                Step::End(job, ending) => return self.report(host, job, ending.into(), context),
+                Placement::End(task, ending) => return self.report(host, task, ending.into(), context),
             }
         }
     }
@@ -231,36 +231,36 @@
     /// Strikes an idle link's record out.
     fn wake(&mut self, key: usize, context: &mut LoopContext) {
         if let Some(rest) = self.seats[key].idle.take() {
-            context.budget.strike(rest);
+            context.budget.remove_idle(rest);
         }
     }
 
-    fn hand(&mut self, key: usize, job: Job, context: &mut LoopContext) {
-        if job.which().is_some() {
+    fn hand(&mut self, key: usize, task: HostTask, context: &mut LoopContext) {
+        if task.execution_id().is_some() {
             self.counters.sent.add();
         }
-        if let Some(event) = self.seats[key].line.begin(context.clock.now(), job) {
+        if let Some(event) = self.seats[key].line.begin(context.clock.now(), task) {
             self.events.push_back((key, event));
         }
         self.run(key, context);
     }
 
     /// Ends an execution that waits for a link, and, where `sent` says so, one that is under way.
-    fn recall(&mut self, host: usize, which: (u64, usize), sent: bool, context: &mut LoopContext) {
-        match self.host(host).pool.find(which) {
-            Found::Waiting(job) => self.report(host, job, Ending::WithdrawnUnsent.into(), context),
-            Found::Under(key) if sent => {
+    fn recall(&mut self, host: usize, execution_id: (u64, usize), sent: bool, context: &mut LoopContext) {
+        match self.host(host).pool.find(execution_id) {
+            Lookup::Waiting(task) => self.report(host, task, Ending::WithdrawnUnsent.into(), context),
+            Lookup::Running(key) if sent => {
                 // An answer that has come by now counts: nobody has to wonder then whether it ran.
                 if let Some(wire) = &mut self.seats[key].wire {
                     wire.look();
                 }
                 self.run(key, context);
                 let Some(seat) = self.seats.get_mut(key) else { return };
-                if let Some(event) = seat.line.withdraw(which, &mut context.budget) {
+                if let Some(event) = seat.line.withdraw(execution_id, &mut context.budget) {
                     self.events.push_back((key, event));
                 }
             }
-            Found::Under(_) | Found::Nowhere => {}
+            Lookup::Running(_) | Lookup::NotFound => {}
         }
     }
 
@@ -286,17 +286,17 @@
         self.wanted.retain(|(key, _)| seats.get(*key).is_some_and(stands));
         for at in 0..self.wanted.len() {
             let Some(seat) = seats.get_mut(self.wanted[at].0) else { continue };
-            let when = dials.wanted(now, seat.host);
-            if when != When::Now && !std::mem::replace(&mut seat.held, true) {
+            let when = dials.decide(now, seat.host);
+            if when != DialDecision::Now && !std::mem::replace(&mut seat.held, true) {
                 self.counters.dials_held.add();
             }
             match when {
-                When::Now => {
+                DialDecision::Now => {
                     self.wanted.swap(0, at);
                     return true;
                 }
-                When::At(turn) => self.turn_at = self.turn_at.min(turn),
-                When::Ended => {}
+                DialDecision::At(turn) => self.turn_at = self.turn_at.min(turn),
+                DialDecision::AfterCurrent => {}
             }
         }
         false
@@ -312,11 +312,11 @@
         let Some(seat) = self.seats.get_mut(key) else { return };
         if let (Some(dials), Some(began)) = (&mut self.dials, seat.began.take()) {
             let came = match failed {
-                None => Came::Up(now - began),
-                Some(Ending::DialTimedOut) => Came::Late,
-                Some(_) => Came::Refused,
+                None => DialOutcome::Connected(now - began),
+                Some(Ending::DialTimedOut) => DialOutcome::TimedOut,
+                Some(_) => DialOutcome::Refused,
             };
-            dials.ended(now, seat.host, came);
+            dials.dial_ended(now, seat.host, came);
         }
     }
 
@@ -330,16 +330,16 @@
         });
         let now = context.clock.now();
         let seat = &mut self.seats[key];
-        self.counters.longest_dial_wait_ms.at_least_ms(now - seat.wanted_at);
+        self.counters.longest_dial_wait_ms.record_max_ms(now - seat.wanted_at);
         if let Some(e) = dialled.as_ref().err().filter(|e| is_local(e)) {
             if now < *seat.local_until.get_or_insert(now + LOCAL_PATIENCE) {
                 return self.dial_again(key, address, e, context);
             }
         }
         if let Some(dials) = &mut self.dials {
-            seat.line.dialled_by(now + self.dial_limit);
+            seat.line.dialled_with_deadline(now + self.dial_limit);
             seat.began = Some(now);
-            dials.began(now, seat.host);
+            dials.dial_started(now, seat.host);
         } else {
             seat.line.dialled();
         }
@@ -351,7 +351,7 @@
                 Dialled::Begun
             }
             Err(e) => {
-                context.budget.release(Holder::Link);
+                context.budget.release(Holder::UpstreamConnection);
                 let event = seat.line.failed(dial_ending(&e));
                 self.events.extend(event.map(|event| (key, event)));
                 self.act(context);
@@ -368,7 +368,7 @@
         error: &std::io::Error,
         context: &mut LoopContext,
     ) -> Dialled {
-        context.budget.release(Holder::Link);
+        context.budget.release(Holder::UpstreamConnection);
         context.counters.dials_repeated.add();
         let host = self.seats[key].host;
         debug!(self.host(host).log, "dialled again soon: {error}");
@@ -415,7 +415,7 @@
             }
             self.run(key, context);
             if let Some(seat) = self.seats.get_mut(key) {
-                if let Some(event) = seat.line.time(context.clock.now(), &mut context.budget) {
+                if let Some(event) = seat.line.handle_deadline(context.clock.now(), &mut context.budget) {
                     self.events.push_back((key, event));
                 }
             }
@@ -433,7 +433,7 @@
             return;
         };
         h.armed = f64::INFINITY;
-        while let Some((key, _)) = self.host(host).pool.oldest().filter(|(_, since)| *since <= before) {
+        while let Some((key, _)) = self.host(host).pool.oldest_idle().filter(|(_, since)| *since <= before) {
             self.leave(key, Ending::IdleExpired, context);
         }
         self.arm_host(host, context);
@@ -442,7 +442,7 @@
     fn arm_host(&mut self, host: usize, context: &mut LoopContext) {
         let limit = self.rest_limit;
         let h = self.host(host);
-        let due = h.pool.oldest().map_or(f64::INFINITY, |(_, since)| since + limit);
+        let due = h.pool.oldest_idle().map_or(f64::INFINITY, |(_, since)| since + limit);
         if due < h.armed {
             h.armed = due;
             context.timers.push(due, Token(HOSTS + host));
@@ -463,7 +463,7 @@
         let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.line.idle()) else { return };
         seat.line.leave();
         let host = seat.host;
-        self.host(host).pool.left(key);
+        self.host(host).pool.idle_closed(key);
         self.counters.ended(ending);
         self.close(key, context);
     }
@@ -471,12 +471,12 @@
     fn close(&mut self, key: usize, context: &mut LoopContext) {
         let Some(mut seat) = self.seats.try_remove(key) else { return };
         if let Some(rest) = seat.idle {
-            context.budget.strike(rest);
+            context.budget.remove_idle(rest);
         }
         seat.line.release(&mut context.budget);
         if let Some(wire) = seat.wire {
             wire.close(&context.registry);
-            context.budget.release(Holder::Link);
+            context.budget.release(Holder::UpstreamConnection);
         }
     }
 
@@ -503,7 +503,7 @@
                 };
             }
             let mut moved = false;
-            match wire.write(seat.line.out()) {
+            match wire.write(seat.line.pending_output()) {
                 Moved::Bytes(put) => {
                     seat.line.wrote(put);
                     wire.moved(context.clock.now());
@@ -514,15 +514,15 @@
                 Moved::Nothing => {}
             }
             if event.is_none() {
-                let wants = seat.line.wants().min(context.scratch.len());
-                match wire.read(&mut context.scratch[..wants]) {
+                let wanted_bytes = seat.line.wanted_bytes().min(context.scratch.len());
+                match wire.read(&mut context.scratch[..wanted_bytes]) {
                     Moved::Bytes(got) => {
                         let now = context.clock.now();
                         if wire.unannounced() {
                             context.counters.found_by_look.add();
                         }
                         wire.moved(now);
-                        event = seat.line.bytes(now, &context.scratch[..got], &mut context.budget);
+                        event = seat.line.receive(now, &context.scratch[..got], &mut context.budget);
                         moved = true;
                     }
                     Moved::Later => wire.moved(context.clock.now()),
@@ -553,34 +553,34 @@
             let Some(seat) = self.seats.get(key) else { continue };
             let host = seat.host;
             match event {
-                Event::Up => {
+                Event::Ready => {
                     self.dialled(key, None, context.clock.now());
                     if self.quiet(key) {
-                        let free = self.host(host).pool.up(key, context.clock.now());
+                        let free = self.host(host).pool.dial_succeeded(key, context.clock.now());
                         self.freed(host, key, free, true, context);
                     } else {
-                        self.undialled(host, key, Ending::DialBroken, context);
+                        self.dial_failed(host, key, Ending::DialBroken, context);
                     }
                 }
-                Event::Failed(ending) => self.undialled(host, key, ending, context),
-                Event::Over(ending) => {
-                    self.host(host).pool.left(key);
+                Event::Failed(ending) => self.dial_failed(host, key, ending, context),
+                Event::IdleClosed(ending) => {
+                    self.host(host).pool.idle_closed(key);
                     self.counters.ended(ending);
                     self.close(key, context);
                 }
-                Event::Done { job, outcome, goes_on } => {
+                Event::Done { task, outcome, reusable } => {
                     // With more behind the answer than belongs to it, it is of no use to what waits.
-                    let spoilt = goes_on && self.host(host).pool.waiting() > 0 && !self.quiet(key);
+                    let spoilt = reusable && self.host(host).pool.waiting() > 0 && !self.quiet(key);
                     if spoilt {
                         self.counters.ended(Ending::IdleEnded);
                     }
-                    let goes_on = goes_on && !spoilt;
-                    if !goes_on {
+                    let reusable = reusable && !spoilt;
+                    if !reusable {
                         self.close(key, context);
                     }
                     // The pool first: a further execution for this host is to find the link free.
-                    let free = self.host(host).pool.done(key, goes_on, context.clock.now());
-                    self.report(host, job, outcome, context);
+                    let free = self.host(host).pool.task_done(key, reusable, context.clock.now());
+                    self.report(host, task, outcome, context);
                     self.freed(host, key, free, false, context);
                 }
             }
@@ -588,15 +588,15 @@
     }
 
     /// A link with nothing to do has been given something, rests, or is of no use any more.
-    fn freed(&mut self, host: usize, key: usize, free: Free, fresh: bool, context: &mut LoopContext) {
+    fn freed(&mut self, host: usize, key: usize, free: NextUse, fresh: bool, context: &mut LoopContext) {
         match free {
-            Free::Hand(job) => self.hand(key, job, context),
-            Free::Rest => {
-                self.seats[key].idle = Some(context.budget.rests(Holder::Link, key));
+            NextUse::Assign(task) => self.hand(key, task, context),
+            NextUse::Idle => {
+                self.seats[key].idle = Some(context.budget.mark_idle(Holder::UpstreamConnection, key));
                 self.arm_host(host, context);
             }
-            Free::Moved if fresh => self.undialled(host, key, Ending::Moved, context),
-            Free::Moved => {
+            NextUse::Moved if fresh => self.dial_failed(host, key, Ending::Moved, context),
+            NextUse::Moved => {
                 if self.seats.contains(key) {
                     self.counters.ended(Ending::Moved);
                     self.close(key, context);
@@ -606,22 +606,22 @@
     }
 
     /// A dial less.
-    fn undialled(&mut self, host: usize, key: usize, ending: Ending, context: &mut LoopContext) {
+    fn dial_failed(&mut self, host: usize, key: usize, ending: Ending, context: &mut LoopContext) {
         self.dialled(key, Some(ending), context.clock.now());
         self.close(key, context);
-        match self.host(host).pool.undialled(key) {
-            Some(job) => self.report(host, job, ending.into(), context),
+        match self.host(host).pool.dial_failed(key) {
+            Some(task) => self.report(host, task, ending.into(), context),
             None => self.ended(host, ending, context),
         }
     }
 
-    fn report(&mut self, host: usize, job: Job, outcome: Outcome, context: &LoopContext) {
+    fn report(&mut self, host: usize, task: HostTask, outcome: Outcome, context: &LoopContext) {
         self.ended(host, outcome.ending, context);
-        self.desk.send(match job.errand {
-            Errand::Statement { statement_id, execution, .. } => {
-                Mail::Ended { statement_id, execution, outcome }
+        self.dispatcher.send(match task.kind {
+            TaskKind::Statement { statement_id, execution, .. } => {
+                DispatcherMessage::Ended { statement_id, execution, outcome }
             }
-            Errand::Probe => Mail::Probed { host, outcome },
+            TaskKind::Probe => DispatcherMessage::Probed { host, outcome },
         });
     }
 
