--- a/crates/sandstile-dispatcher/src/counters.rs
+++ b/crates/sandstile-dispatcher/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the desk took in and answered. Read by whoever prints it, from any thread.
+//! Counters of the statements that the dispatcher took in and answered. They may be read from any thread.
 use sandstile_policy::terms::{FailureCause, WaitReason};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
@@ -14,12 +14,12 @@
         self.0.fetch_sub(1, Relaxed);
     }
 
-    /// For what is counted elsewhere.
+    /// Overwrites the value; for numbers that are counted elsewhere.
     pub fn set(&self, to: u64) {
         self.0.store(to, Relaxed);
     }
 
-    /// For the longest of something, in milliseconds.
+    /// Keeps the longest duration seen, in milliseconds.
     pub fn record_max_ms(&self, seconds: f64) {
         self.0.fetch_max((seconds * 1e3) as u64, Relaxed);
     }
@@ -36,34 +36,34 @@
     pub rejected: Counter,
     pub aborted: Counter,
     pub clients_gone: Counter,
-    /// Storms seen, and later tries turned away in them.
+    /// Retry storms detected, and retries turned away during them.
     pub storms: Counter,
     pub turned_away: Counter,
-    /// Statements that a ramp turned away, after a start.
+    /// Statements that the admission ramp turned away after a start.
     pub ramped: Counter,
     /// Probes that were left to other routers.
     pub probes_left: Counter,
-    /// Times that this process stood still.
+    /// Stalls of this process, such as a SIGSTOP or a paused machine.
     pub stalls: Counter,
-    /// Executions beyond a statement's first.
+    /// Executions after the first of a statement.
     pub further_executions: Counter,
     refusals: [Counter; FailureCause::ALL.len()],
-    /// Statements refused without an execution, by what they had waited for.
+    /// Statements refused without an execution, by the reason for which they had waited.
     unsent: [Counter; WaitReason::ALL.len()],
 }
 
 impl DispatcherCounters {
-    /// A statement was rejected or aborted for this cause.
+    /// Counts a rejected or aborted statement by its cause.
     pub fn refused(&self, cause: FailureCause) {
         self.refusals[cause as usize].add();
     }
 
-    /// A statement was refused that was never sent, and had waited for this.
+    /// Counts a statement that was refused without being sent, by the reason for which it had waited.
     pub fn refused_unsent(&self, wait_reason: WaitReason) {
         self.unsent[wait_reason as usize].add();
     }
 
-    /// How many were refused unsent, by what they had waited for.
+    /// Statements refused without being sent, by wait reason.
     pub fn unsent(&self) -> impl Iterator<Item = (String, &Counter)> {
         WaitReason::ALL
             .into_iter()
@@ -71,7 +71,7 @@
             .map(|(wait_reason, count)| (format!("Unsent{wait_reason:?}"), count))
     }
 
-    /// How many were rejected or aborted, by cause.
+    /// Rejected and aborted statements, by cause.
     pub fn refusals(&self) -> impl Iterator<Item = (String, &Counter)> {
         FailureCause::ALL.into_iter().zip(&self.refusals).map(|(cause, count)| (format!("{cause:?}"), count))
     }
--- a/crates/sandstile-dispatcher/src/dispatcher.rs
+++ b/crates/sandstile-dispatcher/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! Takes mail and facts, lets the decisions say what follows, and says when they want to look again. It never touches a socket and
-//! knows no protocol.
+//! Passes messages and other inputs to the routing policy, turns its decisions into commands and final
+//! answers, and reports when the policy wants to run again. It uses no sockets and knows no protocol.
 use crate::counters::DispatcherCounters;
 use crate::messages::{Command, DispatcherMessage, FinalAnswer, HostListUpdate, LogEvent, StatementRequest};
 use crate::outcome::Ending;
@@ -14,13 +14,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A statement until the decisions let go of it.
+/// A statement that the policy still tracks.
 struct Open {
     id: String,
     taken_at: f64,
     group: usize,
     payload: Arc<dyn StatementPayload>,
-    /// Whom to answer; `None` once that is done, or its client has left.
+    /// The connection that waits for the answer; `None` once it was answered or the client has left.
     client_connection: Option<usize>,
     /// The database host of each execution.
     hosts: Vec<usize>,
@@ -39,39 +39,42 @@
     orders: VecDeque<Command>,
     answers: VecDeque<FinalAnswer>,
     said: Vec<LogEvent>,
-    /// Storms and what is done in them, where our own file turns that on; with the longest time to return.
+    /// Retry-storm limits and the longest retry delay in seconds, if the local configuration file enables
+    /// them.
     pub limits: Option<(Limits, f64)>,
-    /// What comes in right after the start, and whether this process stood still, where our own file turns that on.
+    /// The admission ramp with the longest retry delay in seconds, and the stall detector, if the local
+    /// configuration file enables them.
     pub ramp: Option<(AdmissionRamp, f64)>,
     pub stall: Option<StallDetector>,
-    /// Seconds, as the settings have it.
+    /// The longest retry delay from the settings, in seconds.
     pub max_return_delay: f64,
     open: BTreeMap<u64, Open>,
-    /// The ids of the open ones.
+    /// The client-supplied ids of the open statements.
     ids: BTreeSet<String>,
-    /// Final answers of this round. They go out behind its withdrawals, or a dial that comes up just then
-    /// could still write a statement that has been answered.
+    /// Rejections and aborts of the current round. They are handed out after the round's cancellations;
+    /// otherwise a connection that becomes ready in between could still write a statement that has been
+    /// answered.
     given_up: Vec<FinalAnswer>,
-    /// Probes out at each database host that has any.
+    /// Probes in flight for each database host.
     probes: BTreeMap<usize, usize>,
-    /// Statements that may be over once the decisions of this round are out.
+    /// Statements to check for completion once the decisions of this round are out.
     ending: Vec<u64>,
-    /// When it decided last.
+    /// When the policy last ran.
     decided: f64,
-    /// When it last said that a statement was refused unsent.
+    /// When a statement refused without being sent was last logged.
     unsent_said_at: f64,
-    /// Whether each step of each statement is said, for a log of everything.
+    /// Whether every step of every statement is logged.
     pub trace_steps: bool,
 }
 
-/// Seconds between looks that nothing but the time calls for. Timers of the platform are no finer; a sleep of nothing
-/// would spin.
+/// The shortest time in seconds between two runs that only a timer asks for. The platform's timers are no
+/// finer, and sleeping for zero seconds would spin.
 const SHORTEST_SLEEP: f64 = 0.001;
-/// Seconds between lines about statements that were refused unsent, where not every step is said.
+/// Seconds between log events about statements refused without being sent, unless every step is logged.
 const UNSENT_LOG_GAP: f64 = 0.25;
-/// Sessions that have written, the latest; about 0.5 MB of names. Their writes are what replicas may lag behind,
-/// for seconds. An index that is used again brings an older write's position along, so a read of the new session
-/// is at worst kept from a replica that lags behind that.
+/// Sessions that have written are remembered up to this number (about 0.5 MB of names), the most recent ones.
+/// Replicas may lag behind their writes for seconds. A reused index carries over the position of an older
+/// write, so at worst a read of the new session avoids a replica that lags behind that older write.
 const MOST_SESSIONS: usize = 1 << 12;
 
 impl Dispatcher {
@@ -102,17 +105,17 @@
         }
     }
 
-    /// Sources are asked in the order in which they came.
+    /// Sources are polled in the order in which they were added.
     pub fn add(&mut self, source: Box<dyn Source>) {
         self.sources.push(source);
     }
 
-    /// Whether a source has something to tell.
+    /// Whether a source has input.
     pub fn pending(&self) -> bool {
         self.sources.iter().any(|s| s.pending())
     }
 
-    /// What the sources have to tell; `false` where nothing.
+    /// Takes the input of all sources; returns `false` if there was none.
     pub fn poll_sources(&mut self, now: f64) -> bool {
         let facts: Vec<DispatcherInput> = self.sources.iter_mut().flat_map(|s| s.take_inputs(now)).collect();
         let any = !facts.is_empty();
@@ -134,11 +137,10 @@
         any
     }
 
-    /// Lets the decisions say what follows of what was taken, or where nothing was (`took` is `false`) looks whether they want to
-    /// look again. `false` where there was nothing to do.
+    /// Runs the policy if input was received or if it is due. Returns `false` if there was nothing to do.
     pub fn decide_if_due(&mut self, now: f64, took: bool) -> bool {
         if self.stall.as_ref().is_some_and(|s| s.holds(now)) {
-            // What is known is of before a stop: the list is to come in first.
+            // What is known dates from before the stall: wait for the host list first.
             return took;
         }
         if took || self.due(now) <= now {
@@ -148,7 +150,7 @@
         false
     }
 
-    /// When the decisions want to look again; infinite where never.
+    /// When the policy is next due; infinite if never.
     pub fn due(&self, now: f64) -> f64 {
         let decides = self.policy.wake_at().map_or(f64::INFINITY, |at| at.max(self.decided + SHORTEST_SLEEP));
         match &self.stall {
@@ -158,7 +160,8 @@
         }
     }
 
-    /// Who drives it looks at the time: a look that comes much too late tells that this process stood still.
+    /// To be called in each iteration of the event loop: a call that comes far too late shows that this
+    /// process stalled.
     pub fn check_for_stall(&mut self, now: f64) {
         if let Some(stood) = self.stall.as_mut().and_then(|s| s.look(now)) {
             self.said.push(LogEvent::Stalled(stood));
@@ -166,7 +169,7 @@
         }
     }
 
-    /// What is to be done next. Orders go before answers.
+    /// The next command. All commands are to be carried out before the next answer is sent.
     pub fn next_command(&mut self) -> Option<Command> {
         self.orders.pop_front()
     }
@@ -179,7 +182,7 @@
         std::mem::take(&mut self.said)
     }
 
-    /// Statements that are not over.
+    /// The number of statements that are not finished.
     pub fn open_statements(&self) -> usize {
         self.open.len()
     }
@@ -192,18 +195,19 @@
                 }
                 self.counts.taken.add();
                 self.sources.iter_mut().for_each(|s| s.statement_arrived(now, &asked));
-                // Groups that no list has named share one that has no members, or clients could fill the
-                // memory with names.
+                // Groups that are in no host list share one group without hosts. Otherwise clients could fill
+                // the memory with group names.
                 let group = self.groups.find(&asked.group).unwrap_or_else(|| self.groups.intern(""));
                 if let Some((limits, most)) = &mut self.limits {
                     if limits.asked(now, asked.workload, group, asked.retry) == RetryAdmission::TurnAway {
-                        // It never reaches the decisions: nothing was sent, so trying again is harmless.
+                        // The policy never sees it. Nothing was sent, so a retry is harmless.
                         let after = limits.retry_after(now, *most);
                         self.counts.turned_away.add();
                         return self.turn_away(&asked, after);
                     }
                 }
-                // Came while this process stood still, nobody knows when: its time may be over, and nothing was sent.
+                // It arrived at an unknown time during the stall, so its deadline may have passed. Nothing
+                // was sent.
                 let lost = self.stall.as_ref().map_or(0.0, |s| s.lost(now));
                 if lost > 0.0 && asked.deadline - lost <= now {
                     return self.turn_away(&asked, self.max_return_delay);
@@ -225,14 +229,15 @@
                 let arrival = Arrival {
                     workload: asked.workload,
                     group,
-                    // One that has written nothing needs nothing, and is not worth a name.
+                    // A session that has written nothing needs no entry.
                     session: asked.session.and_then(|name| match asked.writes {
                         true => Some(self.sessions.intern(&name)),
                         false => self.sessions.find(&name),
                     }),
                     time_left: asked.deadline - now,
                     wait: asked.wait,
-                    // Below 0 where the clock of whoever gave the position runs ahead: the position itself stands.
+                    // Negative if the clock of whoever issued the token runs ahead; the position is still
+                    // valid.
                     token_age: asked.last_write_at.map(|at| now - at),
                     retry: asked.retry,
                     read_requirement,
@@ -267,7 +272,7 @@
                 let Some(open) = self.open.get_mut(&statement_id) else { return };
                 if let (Some(term), Some(&host)) = (outcome.term, open.hosts.get(execution)) {
                     if !self.policy.record_term(host, term) {
-                        // Of an older term than its group's: how far it is there says nothing.
+                        // The host follows an older term than its group, so its position says nothing.
                         outcome.note.position = None;
                     }
                 }
@@ -319,14 +324,14 @@
         }
     }
 
-    /// Notes a step of one statement, where steps are logged.
+    /// Logs a step of a statement if steps are logged.
     fn trace(&mut self, step: impl FnOnce() -> LogEvent) {
         if self.trace_steps {
             self.said.push(step());
         }
     }
 
-    /// Counts and says what a statement waited for that is refused and was sent nowhere.
+    /// Counts and logs why a statement that is refused without being sent had waited.
     fn note_unsent(&mut self, now: f64, statement_id: u64, cause: FailureCause) {
         let Some(open) = self.open.get(&statement_id).filter(|open| open.hosts.is_empty()) else { return };
         let wait_reason = self.policy.wait_reason(statement_id);
@@ -348,7 +353,7 @@
         });
     }
 
-    /// It never reaches the decisions: nothing was sent, so trying again is harmless.
+    /// The policy never sees it. Nothing was sent, so a retry is harmless.
     fn turn_away(&mut self, asked: &StatementRequest, after: f64) {
         self.ids.remove(&asked.id);
         self.counts.rejected.add();
@@ -373,8 +378,9 @@
         self.forget_host();
     }
 
-    /// Lets go of hosts that have left for good, and of groups that have no host left. A host with a probe out
-    /// stays until the next list, or its answer would count for whoever has the index by then.
+    /// Removes hosts that have left for good and groups without hosts. A host with a probe in flight stays
+    /// until the next list; otherwise the probe's result would be attributed to the next host with the same
+    /// index.
     fn forget_host(&mut self) {
         let (policy, probes) = (&mut self.policy, &mut self.probes);
         probes.retain(|_, out| *out > 0);
@@ -436,7 +442,7 @@
                 }
                 Decision::Probe { host } => {
                     let name = self.hosts.name(host);
-                    // Who is primary can be heard of from others; how far a host has come has to be seen.
+                    // Peers may report who is primary, but a host's position has to be probed here.
                     if self.policy.group_lacks_primary(host)
                         && !self.sources.iter_mut().all(|s| s.may_probe(now, name))
                     {
@@ -446,7 +452,7 @@
                     *self.probes.entry(host).or_default() += 1;
                     self.orders.push_back(Command::Probe(host));
                 }
-                // The watch stands from the start and reopens by itself.
+                // Discovery is watched from the start and the watch reopens by itself.
                 Decision::Subscribe => {}
                 Decision::Log(text) => self.said.push(LogEvent::PolicyMessage(text)),
             }
@@ -470,8 +476,8 @@
         }
     }
 
-    /// What waits for a connection is no withdrawal on any wire, and is not begun whether executions may be
-    /// withdrawn or not.
+    /// Cancels the last execution if it still waits for a connection. That sends nothing to a host, so it is
+    /// allowed even where executions may not be cancelled.
     fn unsend(&mut self, statement_id: u64) {
         let Some(hosts) = self.open.get(&statement_id).map(|o| &o.hosts) else { return };
         if let (Some(&host), execution) = (hosts.last(), hosts.len().saturating_sub(1)) {
@@ -495,7 +501,7 @@
     }
 }
 
-/// Of two sources the one that asks for more is heard.
+/// Returns the stricter of two read requirements.
 fn further(one: ReadRequirement, other: ReadRequirement) -> ReadRequirement {
     match (one, other) {
         (ReadRequirement::Position(a), ReadRequirement::Position(b)) => ReadRequirement::Position(a.max(b)),
--- a/crates/sandstile-dispatcher/src/lib.rs
+++ b/crates/sandstile-dispatcher/src/lib.rs
@@ -1,6 +1,8 @@
-//! The only caller of the decisions: mail of clients and hosts and the facts of other sources go in, orders and final answers come
-//! out. Pure: no socket, no clock, no thread, no protocol; a statement comes as an opaque parcel, times are Unix seconds of the
-//! caller's. `docs/architecture.md` draws a statement's way.
+//! The only caller of the routing policy: messages of clients and hosts and inputs of other sources go in,
+//! commands and final answers come out.
+//!
+//! It uses no sockets, clocks, threads or protocols. A statement is an opaque payload, and times are Unix
+//! seconds supplied by the caller. `docs/architecture.md` shows how a statement passes through.
 pub mod counters;
 pub mod dispatcher;
 pub mod messages;
--- a/crates/sandstile-dispatcher/src/messages.rs
+++ b/crates/sandstile-dispatcher/src/messages.rs
@@ -1,4 +1,4 @@
-//! What goes to the desk and what comes from it.
+//! Messages that the dispatcher receives, and the commands, answers and log events that it produces.
 use crate::outcome::{Ending, Outcome};
 use crate::task::{Answer, HostTask, StatementPayload};
 use sandstile_deployment::host_list::HostEntry;
@@ -7,24 +7,24 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A statement, as a front has taken it.
+/// A statement received from a client.
 pub struct StatementRequest {
     pub statement_id: u64,
-    /// Who is to have the answer, by a number of the front's own.
+    /// The connection that waits for the answer, by a key of the sender's choice.
     pub client_connection: usize,
-    /// As the client names it.
+    /// The id supplied by the client.
     pub id: String,
     pub workload: usize,
     pub group: String,
     pub session: Option<String>,
     pub writes: bool,
-    /// When the client's time is up, and how many seconds it gave the statement.
+    /// The client's deadline in Unix seconds, and the number of seconds that the client allowed.
     pub deadline: f64,
     pub wait: f64,
-    /// When the session last wrote, where the client says so.
+    /// When the session last wrote, if the client says so.
     pub last_write_at: Option<f64>,
     pub retry: bool,
-    /// The mark that the session carries.
+    /// The session's mark as sent by the client.
     pub mark: Option<String>,
     pub payload: Arc<dyn StatementPayload>,
 }
@@ -36,7 +36,7 @@
     Probed { host: usize, outcome: Outcome },
 }
 
-/// One change of the list, or the whole list.
+/// A change of the host list, or a snapshot of the whole list.
 pub struct HostListUpdate {
     pub index: u64,
     pub is_snapshot: bool,
@@ -44,7 +44,8 @@
     pub addresses: Vec<(String, Option<SocketAddr>)>,
 }
 
-/// The one final answer of a statement, on its way to the line that asked. A client that has left no longer reads it.
+/// The one final answer of a statement, addressed to the client connection that sent it. It is dropped if
+/// that connection has closed.
 #[derive(Debug, PartialEq)]
 pub struct FinalAnswer {
     pub client_connection: usize,
@@ -52,16 +53,16 @@
     pub answer: Answer,
 }
 
-/// What the desk has done.
+/// What the caller has to carry out.
 #[derive(Debug)]
 pub enum Command {
-    /// A database host of the list and its address there. An entry that has left may come without one.
+    /// A database host and its address. An entry that has left may come without an address.
     UpdateHost {
         host: usize,
         name: String,
         address: Option<SocketAddr>,
     },
-    /// It has left for good, and nothing is under way.
+    /// The host has left for good and has no execution or probe in flight.
     RemoveHost(usize),
     Start(usize, HostTask),
     Probe(usize),
@@ -70,28 +71,29 @@
         statement_id: u64,
         execution: usize,
     },
-    /// Nobody waits for this execution any more: it ends if it was not written yet, and else as it may.
+    /// Nobody waits for this execution any more. It is cancelled if it was not written yet, and goes on
+    /// otherwise.
     CancelUnsent {
         host: usize,
         statement_id: u64,
         execution: usize,
     },
-    /// So many routers share the hosts, as far as can be said: paces follow that.
+    /// The estimated number of routers that share the hosts, which dial pacing depends on.
     RouterCount(f64),
 }
 
-/// What is worth a line of log.
+/// An event worth a log line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     GroupAdded(usize, String),
     HostRemoved(usize, String),
     PolicyMessage(String),
-    /// Whether it begins, and its sign.
+    /// Whether the storm begins, and the sign by which it was detected.
     Storm(bool, String),
-    /// Seconds for which this process stood still.
+    /// The duration of a stall of this process, in seconds.
     Stalled(f64),
     RouterCount(f64),
-    /// A step of one statement, where the desk traces them.
+    /// A step of one statement, if steps are logged.
     Sent {
         statement_id: u64,
         execution: usize,
@@ -106,7 +108,7 @@
         statement_id: u64,
         cause: FailureCause,
     },
-    /// A statement was refused that had been sent nowhere, after so many seconds.
+    /// A statement was refused without being sent, after waiting for `waited` seconds.
     RefusedUnsent {
         statement_id: u64,
         id: String,
@@ -118,7 +120,7 @@
 }
 
 impl LogEvent {
-    /// Whether it is a step of one statement, and not news of the router as a whole.
+    /// Whether it is a step of one statement and not an event of the router as a whole.
     pub fn is_statement_step(&self) -> bool {
         matches!(self, LogEvent::Sent { .. } | LogEvent::Ended { .. } | LogEvent::Refused { .. })
     }
--- a/crates/sandstile-dispatcher/src/outcome.rs
+++ b/crates/sandstile-dispatcher/src/outcome.rs
@@ -1,55 +1,57 @@
-//! Every way in which a connection to a database host, or an execution on it, can end, and what each means.
+//! All outcomes of a connection to a database host or of an execution on it, and their meaning for the
+//! policy.
 use sandstile_policy::terms::{HostReport, OutcomeClass};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ending {
-    /// The row came whole.
+    /// The complete answer was received.
     Completed,
-    /// 25006 or 72000: turned away untouched.
+    /// SQLSTATE 25006 or 72000: the host refused the statement without running it.
     Missed,
-    /// 53300: turned away unseen.
+    /// SQLSTATE 53300: the host was full and did not look at the statement.
     TurnedAway,
     /// Any other error.
     Failed,
-    /// No address, or one that nothing can be dialled at.
+    /// The host has no address, or one that cannot be dialled.
     NoAddress,
-    /// No socket was to be had here, or no way out of this machine, in the time of a dial: the host is not to blame.
+    /// No socket or no route was available on this machine within the dial limit; the host is not to blame.
     NoRoom,
     DialRefused,
-    /// The network says that there is no way to the host.
+    /// The network reported that the host is unreachable.
     DialUnreachable,
-    /// Neither refused nor up within the dial limit.
+    /// The dial was neither refused nor completed within the dial limit.
     DialTimedOut,
-    /// Broke, or spoke nonsense, before it was ready for a first statement.
+    /// The connection broke or violated the protocol before it was ready for a first statement.
     DialBroken,
-    /// 53300 or the like in place of a welcome.
+    /// SQLSTATE 53300 or similar during connection setup.
     DialTurnedAway,
-    /// The statement's time was over, or it was withdrawn, before anything was written.
+    /// The deadline passed or the statement was cancelled before anything was written.
     WithdrawnUnsent,
-    /// Broke before the last byte was written.
+    /// The connection broke before the last byte was written.
     BrokenUnwritten,
-    /// Written whole on a new connection, then broken or ended without a byte of an answer.
+    /// Fully written on a new connection, which then broke or closed without a byte of an answer.
     Broken,
-    /// The same where the connection had answered before: hosts and what lies between close those that rest, and
-    /// the statement crossed it. A host that has gone is told by the next dial.
+    /// As `Broken`, on a connection that had answered before. Hosts and middleboxes close idle connections,
+    /// and the statement may have crossed such a close. Whether the host is gone is found out by the next
+    /// dial.
     Crossed,
-    /// Written whole, then broken or ended in the midst of the answer of a host that is alive.
+    /// Fully written; the connection broke or closed in the middle of an answer, so the host is alive.
     CutShort,
-    /// Written whole, then answered out of protocol, or with an answer that began and did not go on.
+    /// Fully written; the answer violated the protocol, or began and did not continue.
     Garbled,
-    /// 08P01: the database host could not read the statement, which is the client's doing.
+    /// SQLSTATE 08P01: the database host could not parse the statement, which is the client's fault.
     Unreadable,
-    /// Written whole, then silent until the time-out.
+    /// Fully written; no answer until the timeout.
     TimedOut,
-    /// Written whole, then withdrawn by closing the socket.
+    /// Fully written, then cancelled by closing the socket.
     Withdrawn,
-    /// An idle connection had ended when it was looked at; nothing was under way on it.
+    /// An idle connection turned out to be closed; it had no statement in flight.
     IdleEnded,
-    /// Closed here, well before the database host would.
+    /// An idle connection closed here, well before the database host would close it.
     IdleExpired,
-    /// Closed here to make room for another descriptor.
+    /// An idle connection closed here to free a file descriptor.
     IdleEvicted,
-    /// Closed here, for its host has another address now.
+    /// Closed here because the address of its host has changed.
     Moved,
 }
 
@@ -84,9 +86,9 @@
 };
 
 impl Ending {
-    /// What the decisions are told. Not written whole means never ran; written whole and then anything but an
-    /// answer means it may have run. Endings of idle connections end no execution, so nobody is told of them;
-    /// were one to end an execution, nothing would have been written.
+    /// The outcome as reported to the policy. A statement that was not fully written never ran; one that was
+    /// fully written and not answered may have run. Idle connections have no execution, so their endings are
+    /// not reported; if one were, nothing would have been written.
     pub fn verdict(self) -> OutcomeClass {
         use Ending::*;
         match self {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Part of a good day, and no cause for a line of log.
+    /// Whether the outcome occurs in normal operation and is not logged.
     pub fn ordinary(self) -> bool {
         use Ending::*;
         matches!(
@@ -115,14 +117,14 @@
     }
 }
 
-/// How one execution or probe ended, with what the answer told.
+/// The outcome of one execution or probe, with what the host reported about itself.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub ending: Ending,
     pub note: HostReport,
-    /// The term of its primary that the host follows, where hosts tell it.
+    /// The term of the primary that the host follows, if hosts report it.
     pub term: Option<u64>,
-    /// The database host's bytes for the client, where it completed.
+    /// The database host's answer for the client, if it completed.
     pub rows: Vec<u8>,
 }
 
--- a/crates/sandstile-dispatcher/src/source.rs
+++ b/crates/sandstile-dispatcher/src/source.rs
@@ -1,31 +1,31 @@
-//! Where facts come from that no answer tells: discovery, what sessions have seen, the other routers. Each source is asked at the
-//! same few places, and knows nothing of the desk.
+//! Inputs other than clients' statements and hosts' answers: discovery, session state and other routers. The
+//! dispatcher calls every source at the same few points; sources do not depend on the dispatcher.
 use crate::messages::{FinalAnswer, HostListUpdate, StatementRequest};
 use crate::outcome::Outcome;
 use sandstile_policy::terms::ReadRequirement;
 
-/// What a source has to tell the decisions.
+/// An input to the routing policy.
 pub enum DispatcherInput {
     HostList(HostListUpdate),
-    /// So many routers share the hosts.
+    /// The number of routers that share the hosts.
     RouterCount(f64),
-    /// Another router met the host of this name refusing, so many seconds ago.
+    /// Another router was refused by the host of this name, this many seconds ago.
     RefusedElsewhere(String, f64),
 }
 
-/// All methods have a default for sources that have nothing to say there.
+/// A source of inputs. Every method has a default for sources that do not use it.
 pub trait Source: Send {
-    /// Whether something waits to be told: who drives the desk must not sleep over it.
+    /// Whether inputs wait to be taken; the event loop must not sleep in that case.
     fn pending(&self) -> bool {
         false
     }
 
-    /// What has come since this was asked last.
+    /// Takes the inputs that have come since the last call.
     fn take_inputs(&mut self, _now: f64) -> Vec<DispatcherInput> {
         Vec::new()
     }
 
-    /// The decisions look for the primary of a group, and want this host of it probed: `false` where another router does that.
+    /// Whether this router may probe the host to find its group's primary; `false` if another router does so.
     fn may_probe(&mut self, _now: f64, _host: &str) -> bool {
         true
     }
@@ -33,14 +33,14 @@
     /// A probe of this host has ended.
     fn probe_ended(&mut self, _now: f64, _host: &str, _outcome: &Outcome) {}
 
-    /// An execution at this host has ended.
+    /// An execution on this host has ended.
     fn execution_ended_on_host(&mut self, _now: f64, _host: &str, _outcome: &Outcome) {}
 
-    /// A statement has come, and may still be turned away.
+    /// A statement has arrived. It may still be turned away.
     fn statement_arrived(&mut self, _now: f64, _asked: &StatementRequest) {}
 
-    /// It goes to the decisions: what its read has to reach by what is known here. `term` is what its group's hosts have told, 0
-    /// where nothing.
+    /// The statement was admitted. Returns the position that its read has to see, as far as this source
+    /// knows. `term` is the term reported by the hosts of its group, 0 if none was.
     fn read_requirement(
         &mut self,
         _now: f64,
@@ -50,17 +50,18 @@
         None
     }
 
-    /// An execution of it has ended. An answer that holds less than it must is made none here.
+    /// An execution of the statement has ended. A source may change the outcome, for example if the answer
+    /// lacks writes that the read has to see.
     fn execution_ended(&mut self, _now: f64, _stmt: u64, _outcome: &mut Outcome) {}
 
-    /// It completes. The answer comes back, or is kept until the source gives it by a way of its own.
+    /// The statement completes. Returns the answer, or keeps it if the source delivers it later by itself.
     fn completed(&mut self, _now: f64, _outcome: &Outcome, answer: FinalAnswer) -> Option<FinalAnswer> {
         Some(answer)
     }
 
-    /// It has completed behind its client's back.
+    /// The statement completed after its client had left.
     fn completed_without_client(&mut self, _now: f64, _stmt: u64, _outcome: &Outcome) {}
 
-    /// Nothing more comes of it.
+    /// The statement is finished.
     fn statement_closed(&mut self, _stmt: u64) {}
 }
--- a/crates/sandstile-dispatcher/src/task.rs
+++ b/crates/sandstile-dispatcher/src/task.rs
@@ -1,8 +1,9 @@
-//! What goes to a database host and what comes back to a client, as the desk hands it over.
+//! Tasks for database hosts and answers for clients.
 use std::fmt;
 use std::sync::Arc;
 
-/// What goes to a database host; `wait` is how many seconds this router will wait for the answer.
+/// Encodes a statement for a database host; `wait` is the number of seconds for which this router waits for
+/// the answer.
 pub trait StatementPayload: Send + Sync {
     fn message(&self, wait: f64) -> Vec<u8>;
 }
@@ -10,18 +11,18 @@
 /// The one final answer of a statement.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// With the mark that the session is to carry, where marks are handed out.
+    /// The rows, and the new session mark if marks are issued.
     Completed(Vec<u8>, Option<String>),
-    /// Trying again is harmless, best after so many seconds where above 0.
+    /// A retry is harmless, best after this many seconds if above 0.
     Rejected(f64),
     Aborted,
-    /// Its id is that of a statement that is open: one of the two is no honest one, and hosts would take them
-    /// for one.
+    /// The statement's id is already that of an open statement. One of the two clients misuses it, and hosts
+    /// that remove duplicates would take both for one.
     Unusable,
 }
 
 impl Answer {
-    /// Its kind, for a log.
+    /// The kind of answer, for the log.
     pub fn name(&self) -> &'static str {
         match self {
             Answer::Completed(..) => "completed",
@@ -38,7 +39,7 @@
     Probe,
 }
 
-/// One execution or probe; it is over at `deadline`, in Unix seconds.
+/// One execution or probe; `deadline` is in Unix seconds.
 #[derive(Clone)]
 pub struct HostTask {
     pub kind: TaskKind,
@@ -50,7 +51,7 @@
         self.execution_id() == Some(execution_id)
     }
 
-    /// Statement and execution; `None` for a probe.
+    /// Statement id and execution number; `None` for a probe.
     pub fn execution_id(&self) -> Option<(u64, usize)> {
         match self.kind {
             TaskKind::Statement { statement_id, execution, .. } => Some((statement_id, execution)),
--- a/crates/sandstile-dispatcher/tests/dispatcher.rs
+++ b/crates/sandstile-dispatcher/tests/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The desk alone, with a clock that the test moves: one final answer each, in the order that the links need, on facts of several
-//! sources.
+//! Tests the dispatcher alone with a simulated clock: one final answer for each statement, commands before
+//! answers, and input from several sources.
 use oorandom::Rand64;
 use sandstile_deployment::host_list::HostEntry;
 use sandstile_dispatcher::*;
@@ -61,12 +61,12 @@
     HostListUpdate { index, is_snapshot: true, entries: hosts.iter().map(entry).collect(), addresses }
 }
 
-/// Tells what a test puts there; claims that own reads need so much.
+/// A source with the inputs that a test provides; `required` is what session reads must see.
 struct Told {
     facts: Arc<Mutex<Vec<DispatcherInput>>>,
     read_requirement: Option<ReadRequirement>,
     over: Arc<Mutex<Vec<u64>>>,
-    /// Another router probes.
+    /// Pretends that another router does the probing.
     leaves: bool,
 }
 
@@ -136,8 +136,8 @@
     out
 }
 
-/// Any order of arrivals, endings, departures and lists: each statement that was taken has one final answer or its client has
-/// gone, and nothing is held for one that is over.
+/// For any order of arrivals, outcomes, disconnects and host lists, each accepted statement gets one final
+/// answer unless its client has left, and no state remains for finished statements.
 #[test]
 fn each_statement_has_one_answer_whatever_comes() {
     for seed in 0..60 {
@@ -198,7 +198,7 @@
                 *answers.entry(given.statement_id).or_default() += 1;
             }
         }
-        // All time is over; what is out ends unanswered.
+        // All deadlines pass; executions in flight end without an answer.
         for _ in 0..2000 {
             now += 0.05;
             for (_, statement_id, execution) in std::mem::take(&mut out) {
@@ -238,7 +238,7 @@
     assert_eq!(sent(&mut dispatcher).len(), 1);
 }
 
-/// Two sources that differ on what an own read must reach: the one that asks for more is heard, in either order.
+/// If two sources differ on what a session read must see, the stricter one counts, in either order.
 #[test]
 fn of_two_sources_the_more_careful_is_heard() {
     let near = Some(ReadRequirement::Position(0.0));
@@ -255,7 +255,7 @@
                 primary = primary.or((name == "a").then_some(host));
             }
         }
-        // One each round: a host that has not answered holds one or two.
+        // One statement per round: a host that has not answered yet gets only one or two.
         dispatcher.handle(1000.0, asked(1, "r", 2, 1000.0));
         dispatcher.decide_if_due(1000.0, true);
         assert_eq!(sent(&mut dispatcher).iter().map(|(h, ..)| Some(*h)).collect::<Vec<_>>(), vec![primary]);
@@ -272,7 +272,7 @@
     assert!(!dispatcher.poll_sources(1000.0), "told once");
 }
 
-/// A host that refused another router is spared for a while, and no longer; one that has answered here since is not.
+/// A host that refused another router is avoided for a while, unless it has answered this router since then.
 #[test]
 fn a_host_that_refused_another_rests_unless_it_answered_here() {
     for answered in [false, true] {
@@ -292,7 +292,7 @@
         while now < 1002.0 {
             now += 0.02;
             if (1001.0..1001.02).contains(&now) {
-                // Met a while ago, or a moment ago.
+                // The refusal is either older than the host's last answer here or newer.
                 facts.lock().unwrap().push(DispatcherInput::RefusedElsewhere(
                     "b".to_string(),
                     if answered { 0.5 } else { 0.0 },
@@ -322,7 +322,7 @@
     }
 }
 
-/// While nobody leads, a source may leave a probe to another router; the decisions ask again by and by.
+/// While a group has no primary, a source may leave its probes to another router; the policy keeps asking.
 #[test]
 fn probes_are_left_to_others_while_nobody_leads() {
     for leaves in [false, true] {
@@ -342,7 +342,7 @@
             while let Some(order) = dispatcher.next_command() {
                 probes += usize::from(matches!(order, Command::Probe(_)));
                 if let Command::Start(_, job) = order {
-                    // Each says that it is no primary.
+                    // Each host replies that it is not the primary.
                     let (statement_id, execution) = job.execution_id().expect("a statement");
                     let mut outcome = Outcome::from(Ending::Missed);
                     outcome.note.primary = Some(false);
--- a/crates/sandstile-limits/src/budget.rs
+++ b/crates/sandstile-limits/src/budget.rs
@@ -1,10 +1,10 @@
-//! Budgets of later tries: each completed first try of a workload and group earns a part of one. Where nothing completes,
-//! nothing is tried again, and what comes back when a group returns is in proportion to what it serves.
+//! Retry budgets: each completed first try of a workload and group earns a fraction of a retry. Without
+//! completions there are no retries, and after an outage retries grow in proportion to what the group serves.
 use std::collections::BTreeMap;
 
-/// Whole tries kept at most, so that a long calm buys no burst.
+/// Limits the tokens saved, so that a long calm period does not allow a burst.
 const MOST: f64 = 10.0;
-/// Pairs of workload and group that are remembered; the least used goes first.
+/// The number of pairs of workload and group that are tracked; the least recently used one is dropped.
 const MOST_PAIRS: usize = 1024;
 
 pub struct Budgets {
@@ -14,7 +14,7 @@
 }
 
 impl Budgets {
-    /// Later tries for each completed first try.
+    /// `ratio` is the number of retries for each completed first try.
     pub fn new(share: f64) -> Self {
         Budgets { share, pairs: BTreeMap::new(), uses: 0 }
     }
@@ -26,7 +26,7 @@
             let oldest = self.pairs.iter().min_by_key(|(_, (_, used))| *used).map(|(key, _)| *key);
             oldest.map(|key| self.pairs.remove(&key));
         }
-        // One to begin with: the first later try is the one that finds out that a group is back.
+        // Starts with one token: the first retry finds out whether the group is back.
         let (tokens, used) = self.pairs.entry(key).or_insert((1.0, 0));
         *used = self.uses;
         tokens
@@ -38,7 +38,7 @@
         *tokens = (*tokens + share).min(MOST);
     }
 
-    /// Takes one, if there is one.
+    /// Takes a token if there is one.
     pub fn spend(&mut self, workload: usize, group: usize) -> bool {
         let tokens = self.pair(workload, group);
         let has = *tokens >= 1.0;
--- a/crates/sandstile-limits/src/lib.rs
+++ b/crates/sandstile-limits/src/lib.rs
@@ -1,8 +1,10 @@
-//! What a front does about a storm of returning clients: whether there is one (`storm`), which later tries come in
-//! (`budget`), and when the others are to come back (`slots`). `Limits` puts the three together. The decisions of
-//! `sandstile-policy` stay what they are: what is let in, they decide on; what they reject, this only gives a time.
+//! Limits for storms of returning clients: detects a storm (`storm`), budgets retries (`budget`) and assigns
+//! times to return (`slots`). `Limits` combines the three. It leaves the decisions of `sandstile-policy`
+//! unchanged: the policy decides on admitted statements, and for those that it rejects only the retry delay
+//! is set here.
 //!
-//! Times are Unix seconds handed in; nothing here reads a clock. `docs/design/limits.md` weighs the options.
+//! Times are Unix seconds supplied by the caller; no clock is read here. `docs/design/limits.md` compares the
+//! alternatives.
 pub mod budget;
 pub mod slots;
 pub mod storm;
@@ -11,14 +13,14 @@
 use slots::Slots;
 use storm::{Change, Storm, Watch};
 
-/// What our own file says. Shares are of 1, times in seconds.
+/// Settings from the local configuration file. Shares are fractions of 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Later tries that each completed first try earns, while there is a storm.
+    /// Retries that each completed first try earns during a storm.
     pub retry_ratio: f64,
-    /// False alarms that a day of ordinary traffic may have.
+    /// Accepted number of false alarms per day of ordinary traffic.
     pub false_alarms_per_day: f64,
-    /// The share of what completes that returning clients may fill.
+    /// The share of the completion rate that returning clients may use.
     pub returning_share: f64,
 }
 
@@ -28,20 +30,20 @@
     }
 }
 
-/// What becomes of a statement at the door.
+/// Whether a statement is admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryAdmission {
     Admit,
-    /// Turned away at once: it has not run, and trying again is harmless.
+    /// Rejected at once. It has not run, so a retry is harmless.
     TurnAway,
 }
 
-/// One router's limits.
+/// The limits of one router.
 pub struct Limits {
     watch: Watch,
     budgets: Budgets,
     slots: Slots,
-    /// Completions a second, over the last seconds.
+    /// Completions per second, averaged over the last seconds.
     rate: storm::Rate,
 }
 
@@ -55,7 +57,8 @@
         }
     }
 
-    /// A statement asks to come in: a first try always does, a later one in a storm only by its budget.
+    /// Decides whether a statement is admitted: first tries always are, retries during a storm only within
+    /// the budget.
     pub fn asked(&mut self, now: f64, workload: usize, group: usize, later: bool) -> RetryAdmission {
         self.watch.asked(now, later);
         if later && self.watch.storm().is_some() && !self.budgets.spend(workload, group) {
@@ -64,7 +67,7 @@
         RetryAdmission::Admit
     }
 
-    /// A statement was answered; `first` says that it was no later try.
+    /// Records the answer to a statement; `first_try` is false for a retry.
     pub fn answered(&mut self, now: f64, workload: usize, group: usize, completed: bool, first: bool) {
         self.watch.answered(now, completed);
         if completed {
@@ -75,8 +78,9 @@
         }
     }
 
-    /// When one that is turned away is to come back: seconds from now, `most` at the most. Outside a storm that is
-    /// `most`, as the decisions have it; in one, a place of its own in what is likely to be free.
+    /// The delay in seconds after which a rejected client is to return, at most `max_delay`. Outside a storm
+    /// it is `max_delay`, as the policy has it. During a storm each client gets a place in the capacity that
+    /// is expected to be free.
     pub fn retry_after(&mut self, now: f64, most: f64) -> f64 {
         match self.watch.storm() {
             Some(_) if most > 0.0 => self.slots.hand_out(now, most, self.rate.at(now)),
@@ -88,12 +92,12 @@
         self.watch.storm()
     }
 
-    /// Storms that began or ended since this was asked last, for the log.
+    /// Storms that began or ended since the last call, for the log.
     pub fn changes(&mut self) -> Vec<Change> {
         self.watch.changes()
     }
 
-    /// Entries of state, which has a bound whatever names come.
+    /// The number of entries held, which is bounded for any input.
     pub fn held(&self) -> usize {
         self.budgets.held() + self.slots.held()
     }
--- a/crates/sandstile-limits/src/slots.rs
+++ b/crates/sandstile-limits/src/slots.rs
@@ -1,36 +1,37 @@
-//! Times to return that spread a crowd: places are handed out in slices of time, no more to a slice than returning clients
-//! may take of what is served. Where all slices up to the longest time are taken, clients are spread evenly over the later
-//! half of it, and the next that come find those places counted.
+//! Spreads the times at which clients return. Time is divided into slots, and each slot takes no more clients
+//! than the share of the completion rate that is set aside for them. If all slots up to the longest delay are
+//! full, clients are spread evenly over its later half; they are not counted in the slots.
 use oorandom::Rand64;
 use std::collections::VecDeque;
 
-/// Seconds of one slice.
+/// Seconds per slot.
 pub const SLICE: f64 = 0.1;
-/// Nobody is told to come back sooner: what refused it has hardly changed.
+/// The shortest delay in seconds: earlier, the cause of the rejection would hardly have changed.
 const SOONEST: f64 = 0.2;
-/// Slices that are planned at most.
+/// The number of slots that are planned ahead.
 const MOST_SLICES: usize = 6000;
-/// Places a second where nothing completes: somebody has to find out that it does again.
+/// Clients per second that may return where nothing completes, to find out when it does again.
 const LEAST: f64 = 10.0;
 
 pub struct Slots {
     share: f64,
     chance: Rand64,
-    /// The number of the first slice that is planned, and how many places of each are taken.
+    /// The number of the first planned slot, and the clients assigned to each slot from there.
     first: u64,
     taken: VecDeque<u32>,
-    /// Told to come back when no place was left.
+    /// Clients that were assigned a time when all slots were full.
     pub beyond: u64,
 }
 
 impl Slots {
-    /// The share of what completes that may come back.
+    /// `returning_share` is the share of the completion rate that returning clients may use.
     pub fn new(share: f64, seed: u64) -> Self {
         let chance = Rand64::new(u128::from(seed));
         Slots { share, chance, first: 0, taken: VecDeque::new(), beyond: 0 }
     }
 
-    /// Seconds after which to come back, `most` at the most, where so many complete a second.
+    /// The delay in seconds after which a client is to return, at most `max_delay`, at this completion rate
+    /// per second.
     pub fn hand_out(&mut self, now: f64, most: f64, rate: f64) -> f64 {
         let here = (now / SLICE) as u64;
         self.drop_past(here);
@@ -45,7 +46,7 @@
             }
             if self.taken[at] < places {
                 self.taken[at] += 1;
-                // Anywhere in the slice, or all of it would come in one instant.
+                // A random time within the slot, so that its clients do not return all at once.
                 let within = (slice as f64 + self.chance.rand_float()) * SLICE;
                 return (within - now).clamp(0.0, most);
             }
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Places taken in the slices from now on.
+    /// The clients assigned to each slot from now on.
     pub fn planned(&self) -> impl Iterator<Item = u32> + '_ {
         self.taken.iter().copied()
     }
--- a/crates/sandstile-limits/src/storm.rs
+++ b/crates/sandstile-limits/src/storm.rs
@@ -1,8 +1,9 @@
-//! Is there a storm? What tells one from an honest jump of load is not how much comes but what comes: the share of later
-//! tries among statements, and of refusals among answers. Both are watched by the cumulative sums of Page (1954) for a
-//! Bernoulli share, whose threshold follows from how many false alarms a day may have (Wald's bound).
+//! Detects retry storms. An ordinary rise of the load is told from a storm by the kind of traffic and not by
+//! its volume: by the share of retries among statements and of refusals among answers. Each share is watched
+//! with Page's CUSUM test (1954) for a Bernoulli variable; the threshold follows from the accepted number of
+//! false alarms per day (Wald's bound).
 
-/// Events a second, over about so many seconds.
+/// Events per second, as an exponential average over `window` seconds.
 #[derive(Clone, Debug)]
 pub struct Rate {
     over: f64,
@@ -32,28 +33,29 @@
     }
 }
 
-/// One share under watch.
+/// Detects a change of one share.
 #[derive(Clone, Debug)]
 struct Share {
-    /// The usual share, learnt slowly and never from a storm.
+    /// The usual share, learnt slowly and only outside storms.
     usual: f64,
     seen: u64,
-    /// How much speaks for a storm, and in one, for its end.
+    /// The evidence for a storm or, during one, for its end.
     sum: f64,
     stormy: bool,
-    /// The sum at which it is believed.
+    /// The evidence at which a change is accepted.
     threshold: f64,
 }
 
-/// Shares below this are ordinary whatever was usual: a quiet day's single retry is no doubling.
+/// Shares below this are always ordinary: on a quiet day, a single retry would double the usual share.
 const LEAST: f64 = 0.1;
-/// A storm is this many times the usual share, and at least so much.
+/// The share in a storm is at least this multiple of the usual one, and at least `MIN_STORM_SHARE`.
 const TIMES: f64 = 3.0;
 const STORMY: f64 = 0.4;
-/// What was usual is learnt over about so many events.
+/// The number of events over which the usual share is averaged.
 const MEMORY: f64 = 20_000.0;
-/// A new watch takes itself to have seen so many ordinary events: a router that starts into a storm would learn that as
-/// usual otherwise, and with many more one that starts into many honest retries would take them for a storm.
+/// The number of ordinary events that a new detector assumes to have seen. With fewer, a router that starts
+/// during a storm would learn its share as usual; with many more, a router that starts among many ordinary
+/// retries would take them for a storm.
 const BEFORE: f64 = 100.0;
 
 impl Share {
@@ -61,26 +63,27 @@
         Share { usual: 0.0, seen: 0, sum: 0.0, stormy: false, threshold }
     }
 
-    /// The shares that are told apart.
+    /// The usual share and the storm share between which the test decides.
     fn both(&self) -> (f64, f64) {
         let calm = (1.5 * self.usual).clamp(LEAST, 0.6);
         (calm, (TIMES * calm).clamp(STORMY, 0.9))
     }
 
-    /// `true` where a storm begins or ends with this.
+    /// Returns `true` if a storm begins or ends with this event.
     fn note(&mut self, hit: bool) -> bool {
         let (calm, stormy) = self.both();
         let speaks = if hit { (stormy / calm).ln() } else { ((1.0 - stormy) / (1.0 - calm)).ln() };
         let speaks = if self.stormy { -speaks } else { speaks };
         self.sum = (self.sum + speaks).max(0.0);
         if !self.stormy {
-            // It is learnt only as far as it speaks for no storm.
+            // Counted only while the evidence for a storm is low, so that a storm is not learnt.
             self.seen += 1;
             let weight = (1.0 / (self.seen as f64 + BEFORE)).max(1.0 / MEMORY);
             let hit = f64::from(u8::from(hit && self.sum < self.threshold / 2.0));
             self.usual += weight * (hit - self.usual);
         }
-        // An end is believed sooner than a beginning: it costs nothing but the limits' return.
+        // The end needs less evidence than the beginning: if it is wrong, it only costs the time until the
+        // limits return.
         let enough = if self.stormy { self.threshold / 2.0 } else { self.threshold };
         if self.sum < enough {
             return false;
@@ -92,9 +95,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// Clients ask again what failed or was refused.
+    /// Clients retry what failed or was refused.
     LaterTries,
-    /// Most of what is asked can't be served.
+    /// Most statements cannot be served.
     Refusals,
 }
 
@@ -111,26 +114,26 @@
     pub begins: bool,
 }
 
-/// Watches one router's traffic.
+/// Detects storms in the traffic of one router.
 pub struct Watch {
     later: Share,
     refused: Share,
-    /// When each began.
+    /// When the storm of each sign began.
     since: [Option<f64>; 2],
     last: f64,
     changes: Vec<Change>,
 }
 
-/// Seconds of silence that end any storm: nobody is left to come back.
+/// Seconds without traffic that end any storm, as no client is left to return.
 const SILENCE: f64 = 10.0;
-/// Events in a day of a busy router; a threshold grows with their logarithm only.
+/// Events per day of a busy router; the threshold grows only with their logarithm.
 const EVENTS_A_DAY: f64 = 1e8;
-/// Changes kept for who asks.
+/// The number of changes kept until they are read.
 const MOST_CHANGES: usize = 16;
 
 impl Watch {
     pub fn new(false_alarms_per_day: f64, now: f64) -> Self {
-        // Each event begins a test that is wrong with a chance of at most exp(-threshold).
+        // Each event starts a test whose false-alarm probability is at most exp(-threshold).
         let threshold = (EVENTS_A_DAY / false_alarms_per_day.max(1e-6)).ln();
         Watch {
             later: Share::new(threshold),
@@ -177,8 +180,8 @@
         }
     }
 
-    /// The storm there is. Refusals alone are an overload, which the decisions deal with: it is a storm where clients
-    /// come again, or for as long as they can't tell us that they do.
+    /// The current storm. Refusals alone mean an overload, which the policy handles; they count as a storm
+    /// because clients may return without marking their retries.
     pub fn storm(&self) -> Option<Storm> {
         let of = |n: usize, sign| self.since[n].map(|since| Storm { since, sign });
         of(0, Sign::LaterTries).or(of(1, Sign::Refusals))
--- a/crates/sandstile-limits/tests/limits.rs
+++ b/crates/sandstile-limits/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Storms are told from honest jumps, budgets hold their share, and times to return never sum over the room.
+//! Storms are told from ordinary load jumps, retry budgets keep their ratio, and returning clients stay
+//! within the capacity set aside for them.
 use oorandom::Rand64;
 use quickcheck::{Gen, QuickCheck};
 use sandstile_limits::budget::Budgets;
@@ -9,7 +10,7 @@
 
 const START: f64 = 1_700_000_000.0;
 
-/// Traffic at so many a second, of which this share are later tries: plays until an alarm or the end of `events`.
+/// Generates traffic with a given rate and share of retries.
 struct Traffic {
     watch: Watch,
     chance: Rand64,
@@ -35,13 +36,14 @@
     }
 }
 
-/// Ten million ordinary statements with jumps of the load to 2.5 times and back, at several shares of retries.
+/// Ten million ordinary statements at several shares of retries, with the load jumping to 2.5 times and back.
 #[test]
 fn an_honest_jump_is_no_storm() {
     for (seed, share) in [(1, 0.0), (2, 0.01), (3, 0.03), (4, 0.1), (5, 0.25)] {
         let mut traffic = Traffic::new(seed);
         if share > 0.2 {
-            // A watch that has just begun may take a quarter of later tries for a storm, for some seconds, until it knows them.
+            // A new detector may take a quarter of retries for a storm for some seconds, until it has learnt
+            // them.
             traffic.play(2_000, 300.0, share, None);
             assert!(traffic.watch.storm().is_none() && traffic.watch.changes().len() <= 2);
         }
@@ -73,7 +75,7 @@
     assert!(worst.0 < 150 && worst.1 < 300, "{worst:?}");
 }
 
-/// A router that starts into a storm sees it, and does not learn it as what is usual.
+/// A router that starts during a storm detects it and does not learn its share as usual.
 #[test]
 fn a_router_that_starts_into_a_storm_sees_it() {
     for seed in 0..50 {
@@ -83,14 +85,14 @@
         traffic.play(2_000, 300.0, 0.7, None);
         assert!(traffic.watch.storm().is_some());
     }
-    // Nobody left: it is over.
+    // No client is left, so the storm is over.
     let mut traffic = Traffic::new(1);
     traffic.play(5_000, 300.0, 0.7, Some(true));
     traffic.watch.asked(traffic.now + 60.0, false);
     assert_eq!(traffic.watch.storm(), None);
 }
 
-/// Whatever the order: later tries are no more than what was earned and the one to begin with, per pair.
+/// In any order of events, retries per pair never exceed those earned plus the initial one.
 #[test]
 fn budgets_hold_their_share_and_their_bound() {
     fn holds(steps: Vec<(u8, u16, bool)>) -> bool {
@@ -116,7 +118,8 @@
     assert!(budgets.held() <= 1024, "{}", budgets.held());
 }
 
-/// A million clients are refused within a second and obey: what comes back in any slice stays within its room.
+/// A million clients are rejected within a second and follow their delays: those that return in any slot stay
+/// within its capacity.
 #[test]
 fn a_million_clients_return_within_the_room() {
     let (rate, most) = (10_000.0, 300.0);
@@ -130,7 +133,7 @@
     }
     assert_eq!(slots.beyond, 0);
     let most_in_one = back.iter().copied().max().expect("slices");
-    // A slice here may straddle two of the plan's.
+    // A slot of this count may overlap two slots of the schedule.
     assert!(f64::from(most_in_one) <= 2.0 * 0.5 * rate * SLICE, "{most_in_one}");
     assert!(slots.planned().all(|taken| f64::from(taken) <= 0.5 * rate * SLICE));
     let last = back.iter().rposition(|n| *n > 0).expect("some") as f64 * SLICE;
@@ -153,14 +156,15 @@
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(500, 11)).tests(300);
     check.quickcheck(holds as fn(Vec<(u8, u8, u16)>) -> bool);
-    // The same rate throughout: exactly its room.
+    // At a constant rate, slots hold exactly their capacity.
     let mut slots = Slots::new(0.5, 7);
     let last = (0..1000).map(|_| slots.hand_out(START, 2.0, 400.0)).last();
     assert!(last.is_some_and(|after| after >= 1.0), "beyond the room: late, and spread");
     assert!(slots.planned().all(|taken| taken <= 20) && slots.beyond > 0);
 }
 
-/// While there is room and no storm nothing is held back; in one, first tries come in and later ones by their budget.
+/// Without a storm all statements are admitted; during one, first tries are admitted and retries only within
+/// the budget.
 #[test]
 fn limits_hold_back_later_tries_in_a_storm_alone() {
     let mut limits = Limits::new(&Settings::default(), 1, START);
--- a/crates/sandstile-restart-pacing/src/admission_ramp.rs
+++ b/crates/sandstile-restart-pacing/src/admission_ramp.rs
@@ -1,18 +1,18 @@
-//! The crowd that comes back with a router comes in as fast as answers come: so many statements are under way at most, one
-//! more with each that completes, and the ramp is over once it has held nobody up for a while.
+//! Ramps up the load after a restart as fast as answers come: the number of statements in flight is limited,
+//! each completion raises the limit by one, and the ramp ends once it has rejected nothing for a while.
 use std::collections::BTreeSet;
 
-/// Statements under way to begin with.
+/// The initial limit of statements in flight.
 const FIRST: f64 = 8.0;
-/// Completions without anybody held up, after which the ramp is over.
+/// The number of completions without a rejection after which the ramp ends.
 const CALM: u32 = 200;
-/// A window beyond which no router of ours goes.
+/// The ramp ends at this limit, which no router of these deployments exceeds.
 const WIDE: f64 = 256.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     Admit,
-    /// Turned away at once, unsent.
+    /// Rejected at once and not sent.
     TurnAway,
 }
 
@@ -42,7 +42,7 @@
         Admission::Admit
     }
 
-    /// A statement that came in has its end.
+    /// An admitted statement has ended.
     pub fn ended(&mut self, statement_id: u64, completed: bool) {
         if self.over || !self.under_way.remove(&statement_id) || !completed {
             return;
--- a/crates/sandstile-restart-pacing/src/dial_pacing.rs
+++ b/crates/sandstile-restart-pacing/src/dial_pacing.rs
@@ -1,68 +1,74 @@
-//! When a dial may begin. A statement that finds no idle link waits for the first that is free, so that a dial held back
-//! costs nothing where answers come; where none comes yet, one dial is always allowed.
+//! Decides when a dial may begin. A statement without an idle connection waits for the first one that becomes
+//! free, so a delayed dial costs nothing while answers come. Where none has come yet, one dial is always
+//! allowed.
 use crate::Pace;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-/// Links that a plain pool opens to each host at its start.
+/// Connections that `Pace::Plainest` opens to each host at the start.
 pub const PLAIN_POOL: usize = 8;
-/// Seconds over which first dials are spread by chance.
+/// Seconds over which the first dials are spread at random (`Pace::Jitter`).
 const JITTER: f64 = 0.5;
-/// Dials a second and host of all routers together.
+/// Dials per second and host, of all routers together (`Pace::Tokens`).
 const TOKENS: f64 = 50.0;
-/// Seconds of one router's turn, and how many turns make a round at most: beyond, several share one.
+/// Seconds of one router's slot and the largest number of slots in a round; with more routers, several share
+/// a slot (`Pace::Slots`).
 const SLOT: f64 = 0.02;
 const MOST_SLOTS: usize = 25;
-/// Seconds a router by which first dials are spread, so that the first handshakes of hundreds do not meet.
+/// Seconds per router over which first dials are spread, so that the first handshakes of hundreds of routers
+/// do not coincide.
 const EACH: f64 = 0.002;
-/// And the longest that one router waits for it.
+/// The longest such spread in seconds.
 const LONGEST_SPREAD: f64 = 1.0;
-/// A handshake that takes so many times the quickest, and a little, tells of a crowd at that host.
+/// A handshake is slow, a sign of a crowd at the host, if it takes this multiple of the fastest one plus a
+/// margin in seconds.
 const SLOW: f64 = 2.0;
 const LITTLE: f64 = 0.005;
-/// Each quick handshake lets so much more go at once: a router cannot see how many others do the same.
+/// Growth of the window with each fast handshake; small because a router cannot see how many others grow
+/// theirs.
 const GROWS: f64 = 0.5;
-/// So many at once are no matter any more.
+/// At this window the number of dials in flight is no longer limited.
 const FREE: f64 = 16.0;
 
-/// Seconds within which the next dial comes after one that was too late, by chance; twice as many with each further one.
+/// Seconds within which, at a random time, the next dial follows one that timed out; doubled by each further
+/// timeout.
 const LATE: f64 = 0.25;
-/// At the longest a second, or so many a router where that is more: a host that takes the longest to greet one has to greet
-/// them all within their time.
+/// The longest backoff in seconds, and its minimum per router: a host with the slowest handshakes has to get
+/// through those of all routers within their backoff.
 const LONGEST: f64 = 1.0;
 const LONGEST_EACH: f64 = 0.05;
-/// A host that refuses is asked again after so long: a refusal costs it nothing.
+/// Seconds until the next dial to a host that refused one: a refusal costs the host nothing.
 const REFUSED: f64 = 0.1;
 
 /// How a dial ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DialOutcome {
-    /// Greeted, after so many seconds.
+    /// The connection was ready after this many seconds.
     Connected(f64),
-    /// Nobody is there, or the host has no place.
+    /// Nothing listens there, or the host has no free connection.
     Refused,
-    /// Nothing came in time: a host that has gone, or one with a crowd before it, whose work for this dial is lost.
+    /// No handshake in time: the host is gone or overloaded, and its work for this dial is lost.
     TimedOut,
 }
 
-/// When a dial that is wanted may begin.
+/// When a requested dial may begin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DialDecision {
     Now,
     At(f64),
-    /// Once one that is under way at this host has ended.
+    /// After one of the dials in flight to this host has ended.
     AfterCurrent,
 }
 
 struct Host {
-    /// How many may be under way, as far as its handshakes have told.
+    /// The number of dials that may be in flight, derived from handshake times.
     window: f64,
     under_way: usize,
-    /// Seconds of its quickest handshake.
+    /// The duration of the fastest handshake, in seconds.
     quickest: f64,
-    /// No dial before that.
+    /// No dial begins before this time.
     not_before: f64,
-    /// Dials that were too late, one after the other.
+    /// Consecutive dials that timed out.
     late: u32,
 }
 
@@ -76,7 +82,7 @@
 }
 
 impl DialPacer {
-    /// `number` tells this router from its peers, as far as that is known.
+    /// `number` identifies this router among its peers, as far as it is known.
     pub fn new(pace: Pace, peers: usize, number: u64, seed: u64, now: f64) -> DialPacer {
         let peers = peers.max(1);
         let slot = (number % peers.min(MOST_SLOTS) as u64) as usize;
@@ -84,12 +90,12 @@
         DialPacer { pace, peers, slot, start: now, chance, hosts: BTreeMap::new() }
     }
 
-    /// So many routers share the hosts, as lived: pauses and spreads that follow how many there are follow that.
+    /// Sets the estimated number of routers that share the hosts, on which spreads and backoffs depend.
     pub fn set_router_count(&mut self, routers: f64) {
         self.peers = routers.max(1.0) as usize;
     }
 
-    /// Links to open to a host that has just become known, beside what statements want.
+    /// Connections to open to a new host before any statement needs them.
     pub fn initial_dials(&self) -> usize {
         match self.pace {
             Pace::Plainest => PLAIN_POOL,
@@ -99,7 +105,7 @@
 
     fn host(&mut self, now: f64, host: usize) -> &mut Host {
         let spread = match self.pace {
-            // Hosts that come later are met one by one, as need has it.
+            // Hosts that are discovered later are dialled on demand, one after another.
             _ if now > self.start + LONGEST_SPREAD => 0.0,
             Pace::Jitter => JITTER,
             Pace::Answers => (self.peers as f64 * EACH).min(LONGEST_SPREAD),
@@ -115,7 +121,7 @@
         })
     }
 
-    /// A dial is wanted at this host.
+    /// Decides on a dial that is wanted to this host.
     pub fn decide(&mut self, now: f64, host: usize) -> DialDecision {
         let (pace, slot, peers) = (self.pace, self.slot, self.peers);
         let h = self.host(now, host);
@@ -126,7 +132,7 @@
                 let into = (now - slot as f64 * SLOT).rem_euclid(round);
                 match into < SLOT {
                     true => DialDecision::Now,
-                    // A little into it, or rounding would ask again and again.
+                    // A little after the slot begins: rounding could otherwise lead to repeated calls.
                     false => DialDecision::At(now + round - into + 1e-4),
                 }
             }
@@ -147,7 +153,7 @@
         }
     }
 
-    /// One that had begun has ended.
+    /// A dial that was started has ended.
     pub fn dial_ended(&mut self, now: f64, host: usize, came: DialOutcome) {
         let (pace, longest) = (self.pace, LONGEST.max(self.peers as f64 * LONGEST_EACH));
         let chance = self.chance.rand_float();
@@ -165,7 +171,8 @@
             DialOutcome::TimedOut => {
                 h.late = (h.late + 1).min(16);
                 h.window = 1.0;
-                // By chance over the whole of it: all that were too late were so at the same time.
+                // A random part of the whole backoff: dials that timed out together would otherwise repeat
+                // together.
                 pause = (LATE * f64::powi(2.0, h.late as i32 - 1)).min(longest) * chance;
             }
         }
--- a/crates/sandstile-restart-pacing/src/lib.rs
+++ b/crates/sandstile-restart-pacing/src/lib.rs
@@ -1,9 +1,11 @@
-//! The return of a router that has just started, beside many others that have just started too: how fast it may dial
-//! (`dial_pacing`), when it asks for lists again (`list_polling`), how many of the crowd that came with it come in at once (`admission_ramp`),
-//! and whether it stood still itself and knows only of yesterday (`stall`). `sandstile-policy` decides which host gets a
-//! statement; this only says how soon a connection that it needs may be begun.
+//! Limits the load that a router causes after its start, when many others may have started too: how fast it
+//! dials (`dial_pacing`), when it asks for host lists again (`list_polling`), how many of the returning
+//! statements it admits at once (`admission_ramp`), and whether the process itself stalled and has outdated
+//! state (`stall`). `sandstile-policy` decides which host gets a statement; this crate only decides how soon
+//! a connection may be opened.
 //!
-//! Times are Unix seconds handed in; nothing here reads a clock or opens a socket. `docs/design/return.md` weighs the paces.
+//! Times are Unix seconds supplied by the caller; nothing here reads a clock or opens a socket.
+//! `docs/design/return.md` compares the paces.
 pub mod admission_ramp;
 pub mod dial_pacing;
 pub mod list_polling;
@@ -14,18 +16,18 @@
 pub use list_polling::ListBackoff;
 pub use stall::StallDetector;
 
-/// How a router comes back. All but `Answers` are there to be measured against.
+/// How a router paces its dials. All but `Answers` serve as baselines for measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pace {
-    /// A pool of its usual size at every host at once, and every dial as soon as it is wanted: the plainest return.
+    /// A pool of the usual size to every host at once, and each further dial as soon as it is wanted.
     Plainest,
-    /// The first dial of each host after a while drawn by chance.
+    /// The first dial to each host after a random delay.
     Jitter,
-    /// A router's part of so many dials a second and host.
+    /// Each router's share of a fixed number of dials per second and host.
     Tokens,
-    /// Each router in its own turn of time, by its number.
+    /// Each router dials in its own time slot, by its number.
     Slots,
-    /// As many dials under way at a host as its handshakes come back quickly.
+    /// The number of dials in flight to a host follows its handshake times.
     Answers,
 }
 
@@ -37,13 +39,14 @@
     ("answers", Pace::Answers),
 ];
 
-/// What our own file says.
+/// Settings from the local configuration file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     pub pace: Pace,
-    /// Statements of a crowd come in as fast as answers come.
+    /// Whether returning statements are admitted as fast as answers come.
     pub ramp: bool,
-    /// Seconds by which a turn of the loop may be late before the router counts as having stood still; 0 for never.
+    /// Seconds by which the event loop may be late before the process counts as stalled; 0 disables the
+    /// check.
     pub stall_s: f64,
 }
 
--- a/crates/sandstile-restart-pacing/tests/pacing.rs
+++ b/crates/sandstile-restart-pacing/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! What each pace promises, over random events: nothing stands still for ever, and nothing exceeds its share.
+//! Checks the paces with random events: none blocks for ever, and none exceeds its limits.
 use oorandom::Rand64;
 use sandstile_restart_pacing::dial_pacing::PLAIN_POOL;
 use sandstile_restart_pacing::stall::{LOOK, NEWS};
@@ -7,9 +7,9 @@
 };
 use std::collections::BTreeMap;
 
-/// A host whose handshakes take work of one core each, and those that dial it.
+/// A host whose handshakes are processed one after another.
 struct Handshakes {
-    /// When each that is under way ends, and whose it is.
+    /// The end time of each handshake in progress, and its router.
     line: Vec<(f64, usize)>,
     busy_until: f64,
     work: f64,
@@ -22,8 +22,8 @@
     }
 }
 
-/// All routers of a fleet start at once, and each wants so many links to one host. Yields when the last was up, and the most
-/// handshakes that were under way at one time.
+/// All routers of a fleet start at once and each wants `connections` connections to one host. Returns the
+/// seconds until the last one was up and the largest number of concurrent handshakes.
 fn start(pace: Pace, routers: usize, links: usize, work: f64) -> (f64, usize) {
     let mut all: Vec<DialPacer> =
         (0..routers).map(|n| DialPacer::new(pace, routers, n as u64, 7, 100.0)).collect();
@@ -81,11 +81,11 @@
     let (took, paced) = start(Pace::Answers, 40, 4, 0.005);
     assert_eq!(plain, 160);
     assert!(paced <= 60, "{paced}");
-    // All of the host's work, and no more than a third beyond.
+    // The host's total work, plus at most a third.
     assert!(took < 160.0 * 0.005 * 1.34, "{took}");
 }
 
-/// Whatever comes when, and in whichever order dials end, there is always either a dial allowed, or one under way, or a time.
+/// In any order of events there is always a dial allowed, a dial in flight or a time for the next one.
 #[test]
 fn dials_never_wait_for_nothing() {
     fn holds(seed: u64) -> bool {
@@ -122,15 +122,15 @@
     quickcheck::QuickCheck::new().tests(200).quickcheck(holds as fn(u64) -> bool);
 }
 
-/// A host so slow that those who start together are all too late, and whose work for them is lost: whoever comes again at
-/// once keeps it so for ever.
+/// A host is so slow that all routers that dial together time out, and its work for them is lost. Routers
+/// that retry at once keep it in this state for ever.
 #[test]
 fn a_host_that_greets_nobody_in_time_is_found_by_backing_off() {
     let (routers, work, limit) = (16, 0.035, 0.25);
     let up_after = |pace: Pace| {
         let mut all: Vec<DialPacer> =
             (0..routers).map(|n| DialPacer::new(pace, routers, n as u64, 7, 100.0)).collect();
-        // Handshakes share the host evenly; one whose dialler has left goes on all the same.
+        // Concurrent handshakes share the host evenly; those whose router gave up still take their share.
         let mut jobs: Vec<(usize, f64, f64)> = Vec::new();
         let (mut up, mut out, step) = (vec![false; routers], vec![None; routers], 0.001);
         for tick in 0..30_000 {
@@ -182,7 +182,7 @@
         assert_eq!(dials.decide(now, 0), DialDecision::Now, "free by now");
         dials.dial_started(now, 0);
     }
-    // A crowd at the host: each handshake takes ten times as long.
+    // Overload at the host: each handshake takes ten times as long.
     for _ in 0..6 {
         now += 0.1;
         dials.dial_ended(now, 0, DialOutcome::Connected(0.1));
@@ -203,7 +203,7 @@
             }
             match ramp.asked(statement_id) {
                 Admission::Admit => inside.push(statement_id),
-                // It lets in as many as it has seen answered, and eight.
+                // It admits at least eight statements at a time.
                 Admission::TurnAway if inside.len() < 8 => return false,
                 Admission::TurnAway => {}
             }
@@ -217,11 +217,11 @@
                 completed += usize::from(done);
             }
         }
-        // With answers coming all the time it must have ended.
+        // With a steady flow of answers the ramp must have ended by now.
         false
     }
     quickcheck::QuickCheck::new().tests(100).quickcheck(holds as fn(u64) -> bool);
-    // Where nothing completes nobody is let in beyond the first, for ever.
+    // Without completions, no more than the initial statements are ever admitted.
     let mut ramp = AdmissionRamp::default();
     for statement_id in 0..1000 {
         if ramp.asked(statement_id) == Admission::Admit {
@@ -240,7 +240,7 @@
         assert_eq!(stall.look(now + 0.01), None);
         assert!(!stall.holds(now));
     }
-    // Ten seconds in which nobody looked.
+    // Ten seconds without a check.
     now += 10.0;
     let stood = stall.look(now).unwrap();
     assert!((stood - 10.0).abs() < 0.1, "{stood}");
--- a/crates/sandstile-timers/examples/timers.rs
+++ b/crates/sandstile-timers/examples/timers.rs
@@ -1,5 +1,6 @@
-//! Wheel against heap: so many timers stand, and each that falls due is made anew. Prints nanoseconds a step.
-//! `cargo run --release -p sandstile-timers --example timers`
+//! Compares the wheel with the heap: a constant number of timers is pending, and each that is due is
+//! replaced. Prints nanoseconds per step. Run with `cargo run --release -p sandstile-timers --example
+//! timers`.
 
 use sandstile_timers::{TimerHeap, TimerWheel};
 use std::time::Instant;
--- a/crates/sandstile-timers/src/lib.rs
+++ b/crates/sandstile-timers/src/lib.rs
@@ -1,6 +1,6 @@
-//! The model's timers: earliest first, and in the order of their making where times are equal. Two structures with
-//! one face; `examples/timers.rs` measures them against each other and `docs/design/emulator.md` says which one
-//! the model uses and why.
+//! Timers of the emulator, ordered by time and, for equal times, by insertion. Two structures have the same
+//! interface: `examples/timers.rs` compares their speed, and `docs/design/emulator.md` says which one is used
+//! and why.
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
@@ -11,7 +11,7 @@
 }
 
 impl<T> Ord for Entry<T> {
-    /// Turned round, for the standard heap yields its greatest.
+    /// Reversed, because the standard heap pops its greatest element.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.total_cmp(&self.at).then(other.order.cmp(&self.order))
     }
@@ -31,7 +31,7 @@
 
 impl<T> Eq for Entry<T> {}
 
-/// The plain one.
+/// Timers in a binary heap.
 pub struct TimerHeap<T> {
     heap: BinaryHeap<Entry<T>>,
     made: u64,
@@ -53,7 +53,7 @@
         self.heap.peek().map(|e| e.at)
     }
 
-    /// The earliest that is due.
+    /// Removes the earliest timer if it is due.
     pub fn pop(&mut self, now: f64) -> Option<(f64, T)> {
         if self.earliest()? > now {
             return None;
@@ -73,7 +73,7 @@
 const BITS: u32 = 8;
 const SLOTS: usize = 1 << BITS;
 const LEVELS: usize = 4;
-/// Ticks a second: slots of the lowest level are about a millisecond.
+/// Ticks per second: slots of the lowest level are about a millisecond long.
 const TICKS: f64 = 1024.0;
 
 struct Level<T> {
@@ -96,7 +96,7 @@
         std::mem::take(&mut self.slots[slot])
     }
 
-    /// The first taken slot from this one on.
+    /// The first occupied slot from this one on.
     fn first(&self, from: usize) -> Option<usize> {
         let (word, bit) = (from / 64, from % 64);
         let mut bits = *self.taken.get(word)? & (u64::MAX << bit);
@@ -112,11 +112,12 @@
     }
 }
 
-/// A hierarchical wheel: four levels of 256 slots from about a millisecond up, what lies beyond them (48 days) in
-/// the last. Within the slot that is under way a small heap keeps the exact order, so that nothing is rounded.
+/// A hierarchical timing wheel with four levels of 256 slots, the lowest of about a millisecond each. Times
+/// beyond its range (48 days) go to the last slot. The entries of the current slot are in a small heap that
+/// keeps their exact order, so no time is rounded.
 pub struct TimerWheel<T> {
     levels: Vec<Level<T>>,
-    /// The tick up to which all entries have moved to `due`.
+    /// All entries up to this tick have moved to `due`.
     cursor: u64,
     due: BinaryHeap<Entry<T>>,
     made: u64,
@@ -130,7 +131,7 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// A wheel whose time begins here.
+    /// Creates a wheel whose range begins at `start`.
     pub fn starting_at(start: f64) -> Self {
         let levels = (0..LEVELS).map(|_| Level::new()).collect();
         TimerWheel { levels, cursor: tick(start), due: BinaryHeap::new(), made: 0, len: 0 }
@@ -147,7 +148,7 @@
         if to <= self.cursor {
             return self.due.push(entry);
         }
-        // The level whose slot is the highest digit in which the tick differs from the cursor.
+        // The level of the highest digit in which the tick differs from the cursor.
         let differs = 63 - (to ^ self.cursor).leading_zeros();
         let level = ((differs / BITS) as usize).min(LEVELS - 1);
         let beyond = differs >= BITS * LEVELS as u32;
@@ -158,7 +159,7 @@
         self.levels[level].put(slot, entry);
     }
 
-    /// Moves on until something is due or nothing is left.
+    /// Advances the cursor until an entry is due or none is left.
     fn turn(&mut self) {
         while self.due.is_empty() && self.len > 0 {
             let found = (0..LEVELS).find_map(|level| {
@@ -166,7 +167,7 @@
                 self.levels[level].first(here).map(|slot| (level, slot))
             });
             let Some((level, slot)) = found else {
-                // Only what lies beyond the last turn of the highest level: that turn begins anew.
+                // All remaining entries are beyond the current range, so the next range begins.
                 self.cursor = ((self.cursor >> (BITS * LEVELS as u32)) + 1) << (BITS * LEVELS as u32);
                 for slot in 0..SLOTS {
                     let entries = self.levels[LEVELS - 1].take(slot);
@@ -189,7 +190,7 @@
                 }
             }
             if again.len() == before && before > 0 {
-                // The last slot held nothing of this turn.
+                // The last slot held no entry of the current range.
                 self.cursor = ((self.cursor >> (BITS * LEVELS as u32)) + 1) << (BITS * LEVELS as u32);
             }
             again.into_iter().for_each(|e| self.place(e));
--- a/crates/sandstile-timers/tests/timers.rs
+++ b/crates/sandstile-timers/tests/timers.rs
@@ -1,4 +1,4 @@
-//! The wheel and the heap tell the same order, whatever comes and goes.
+//! The wheel and the heap return the same timers in the same order.
 use quickcheck::{Gen, QuickCheck};
 use sandstile_timers::{TimerHeap, TimerWheel};
 
@@ -8,7 +8,7 @@
         let start = 1_700_000_000.0;
         let (mut wheel, mut heap, mut now) = (TimerWheel::starting_at(start), TimerHeap::default(), start);
         for (n, (raw, scale, step)) in steps.into_iter().enumerate() {
-            // From microseconds to months ahead, and now and then in the past.
+            // From microseconds to months ahead, and sometimes in the past.
             let ahead = f64::from(raw) * 10f64.powi(i32::from(scale % 10) - 8) - 0.01;
             wheel.push(now + ahead, n);
             heap.push(now + ahead, n);
