--- a/crates/sandstile-dispatcher/src/counters.rs
+++ b/crates/sandstile-dispatcher/src/counters.rs
@@ -15,8 +15,8 @@
     }
 
     /// Overwrites the value; for numbers that are counted elsewhere.
-    pub fn set(&self, to: u64) {
-        self.0.store(to, Relaxed);
+    pub fn set(&self, value: u64) {
+        self.0.store(value, Relaxed);
     }
 
     /// Keeps the longest duration seen, in milliseconds.
@@ -43,7 +43,7 @@
     pub ramped: Counter,
     /// Probes that were left to other routers.
     pub probes_left: Counter,
-    /// Stalls of this process, such as a SIGSTOP or a paused machine.
+    /// Times that this process was stopped, as noticed once it ran again.
     pub stalls: Counter,
     /// Executions after the first of a statement.
     pub further_executions: Counter,
--- a/crates/sandstile-dispatcher/src/dispatcher.rs
+++ b/crates/sandstile-dispatcher/src/dispatcher.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 /// A statement that the policy still tracks.
-struct Open {
+struct OpenStatement {
     id: String,
     taken_at: f64,
     group: usize,
@@ -30,15 +30,15 @@
 
 pub struct Dispatcher {
     policy: Instance,
-    pub counts: Arc<DispatcherCounters>,
+    pub counters: Arc<DispatcherCounters>,
     hosts: Interner,
     groups: Interner,
     sessions: Interner,
     list: HostList,
     sources: Vec<Box<dyn Source>>,
-    orders: VecDeque<Command>,
+    commands: VecDeque<Command>,
     answers: VecDeque<FinalAnswer>,
-    said: Vec<LogEvent>,
+    log_events: Vec<LogEvent>,
     /// Retry-storm limits and the longest retry delay in seconds, if the local configuration file enables
     /// them.
     pub limits: Option<(Limits, f64)>,
@@ -48,60 +48,60 @@
     pub stall: Option<StallDetector>,
     /// The longest retry delay from the settings, in seconds.
     pub max_return_delay: f64,
-    open: BTreeMap<u64, Open>,
+    open: BTreeMap<u64, OpenStatement>,
     /// The client-supplied ids of the open statements.
-    ids: BTreeSet<String>,
+    open_ids: BTreeSet<String>,
     /// Rejections and aborts of the current round. They are handed out after the round's cancellations;
     /// otherwise a connection that becomes ready in between could still write a statement that has been
     /// answered.
-    given_up: Vec<FinalAnswer>,
+    round_refusals: Vec<FinalAnswer>,
     /// Probes in flight for each database host.
     probes: BTreeMap<usize, usize>,
     /// Statements to check for completion once the decisions of this round are out.
-    ending: Vec<u64>,
+    finish_candidates: Vec<u64>,
     /// When the policy last ran.
-    decided: f64,
+    decided_at: f64,
     /// When a statement refused without being sent was last logged.
-    unsent_said_at: f64,
+    unsent_logged_at: f64,
     /// Whether every step of every statement is logged.
     pub trace_steps: bool,
 }
 
 /// The shortest time in seconds between two runs that only a timer asks for. The platform's timers are no
 /// finer, and sleeping for zero seconds would spin.
-const SHORTEST_SLEEP: f64 = 0.001;
+const MIN_RUN_INTERVAL: f64 = 0.001;
 /// Seconds between log events about statements refused without being sent, unless every step is logged.
-const UNSENT_LOG_GAP: f64 = 0.25;
+const UNSENT_LOG_INTERVAL: f64 = 0.25;
 /// Sessions that have written are remembered up to this number (about 0.5 MB of names), the most recent ones.
 /// Replicas may lag behind their writes for seconds. A reused index carries over the position of an older
 /// write, so at worst a read of the new session avoids a replica that lags behind that older write.
-const MOST_SESSIONS: usize = 1 << 12;
+const MAX_SESSIONS: usize = 1 << 12;
 
 impl Dispatcher {
-    pub fn new(policy: Instance, counts: Arc<DispatcherCounters>) -> Self {
+    pub fn new(policy: Instance, counters: Arc<DispatcherCounters>) -> Self {
         Dispatcher {
             policy,
-            counts,
+            counters,
             limits: None,
             ramp: None,
             stall: None,
             max_return_delay: 0.0,
-            decided: f64::NEG_INFINITY,
-            unsent_said_at: f64::NEG_INFINITY,
+            decided_at: f64::NEG_INFINITY,
+            unsent_logged_at: f64::NEG_INFINITY,
             trace_steps: false,
             hosts: Interner::default(),
             groups: Interner::default(),
-            sessions: Interner::with_limit(MOST_SESSIONS),
+            sessions: Interner::with_limit(MAX_SESSIONS),
             list: HostList::default(),
             sources: Vec::new(),
-            orders: VecDeque::new(),
+            commands: VecDeque::new(),
             answers: VecDeque::new(),
-            said: Vec::new(),
+            log_events: Vec::new(),
             open: BTreeMap::new(),
-            ids: BTreeSet::new(),
-            given_up: Vec::new(),
+            open_ids: BTreeSet::new(),
+            round_refusals: Vec::new(),
             probes: BTreeMap::new(),
-            ending: Vec::new(),
+            finish_candidates: Vec::new(),
         }
     }
 
@@ -117,15 +117,15 @@
 
     /// Takes the input of all sources; returns `false` if there was none.
     pub fn poll_sources(&mut self, now: f64) -> bool {
-        let facts: Vec<DispatcherInput> = self.sources.iter_mut().flat_map(|s| s.take_inputs(now)).collect();
-        let any = !facts.is_empty();
-        for fact in facts {
-            match fact {
-                DispatcherInput::HostList(update) => self.listed(now, update),
-                DispatcherInput::RouterCount(n) => {
-                    self.policy.set_router_count(n);
-                    self.orders.push_back(Command::RouterCount(n));
-                    self.said.push(LogEvent::RouterCount(n));
+        let inputs: Vec<DispatcherInput> = self.sources.iter_mut().flat_map(|s| s.take_inputs(now)).collect();
+        let has_input = !inputs.is_empty();
+        for input in inputs {
+            match input {
+                DispatcherInput::HostList(update) => self.apply_host_list(now, update),
+                DispatcherInput::RouterCount(routers) => {
+                    self.policy.set_router_count(routers);
+                    self.commands.push_back(Command::RouterCount(routers));
+                    self.log_events.push(LogEvent::RouterCount(routers));
                 }
                 DispatcherInput::RefusedElsewhere(host, age) => {
                     if let Some(host) = self.hosts.find(&host) {
@@ -134,16 +134,16 @@
                 }
             }
         }
-        any
+        has_input
     }
 
     /// Runs the policy if input was received or if it is due. Returns `false` if there was nothing to do.
-    pub fn decide_if_due(&mut self, now: f64, took: bool) -> bool {
-        if self.stall.as_ref().is_some_and(|s| s.holds(now)) {
+    pub fn decide_if_due(&mut self, now: f64, received: bool) -> bool {
+        if self.stall.as_ref().is_some_and(|s| s.blocks_decisions(now)) {
             // What is known dates from before the stall: wait for the host list first.
-            return took;
+            return received;
         }
-        if took || self.due(now) <= now {
+        if received || self.due(now) <= now {
             self.decide(now);
             return true;
         }
@@ -152,26 +152,29 @@
 
     /// When the policy is next due; infinite if never.
     pub fn due(&self, now: f64) -> f64 {
-        let decides = self.policy.wake_at().map_or(f64::INFINITY, |at| at.max(self.decided + SHORTEST_SLEEP));
+        let policy_due = self
+            .policy
+            .wake_at()
+            .map_or(f64::INFINITY, |wake_at| wake_at.max(self.decided_at + MIN_RUN_INTERVAL));
         match &self.stall {
-            Some(stall) if stall.holds(now) => stall.due(),
-            Some(stall) => decides.min(stall.due()),
-            None => decides,
+            Some(stall) if stall.blocks_decisions(now) => stall.next_check_at(),
+            Some(stall) => policy_due.min(stall.next_check_at()),
+            None => policy_due,
         }
     }
 
     /// To be called in each iteration of the event loop: a call that comes far too late shows that this
     /// process stalled.
     pub fn check_for_stall(&mut self, now: f64) {
-        if let Some(stood) = self.stall.as_mut().and_then(|s| s.look(now)) {
-            self.said.push(LogEvent::Stalled(stood));
-            self.counts.stalls.add();
+        if let Some(stalled_for) = self.stall.as_mut().and_then(|s| s.check(now)) {
+            self.log_events.push(LogEvent::Stalled(stalled_for));
+            self.counters.stalls.add();
         }
     }
 
     /// The next command. All commands are to be carried out before the next answer is sent.
     pub fn next_command(&mut self) -> Option<Command> {
-        self.orders.pop_front()
+        self.commands.pop_front()
     }
 
     pub fn next_answer(&mut self) -> Option<FinalAnswer> {
@@ -179,7 +182,7 @@
     }
 
     pub fn take_log_events(&mut self) -> Vec<LogEvent> {
-        std::mem::take(&mut self.said)
+        std::mem::take(&mut self.log_events)
     }
 
     /// The number of statements that are not finished.
@@ -187,85 +190,88 @@
         self.open.len()
     }
 
-    pub fn handle(&mut self, now: f64, mail: DispatcherMessage) {
-        match mail {
-            DispatcherMessage::StatementRequest(asked) => {
-                if !self.ids.insert(asked.id.clone()) {
-                    return self.give(&asked, Answer::Unusable);
+    pub fn handle(&mut self, now: f64, message: DispatcherMessage) {
+        match message {
+            DispatcherMessage::StatementRequest(request) => {
+                if !self.open_ids.insert(request.id.clone()) {
+                    return self.answer_request(&request, Answer::Unusable);
                 }
-                self.counts.taken.add();
-                self.sources.iter_mut().for_each(|s| s.statement_arrived(now, &asked));
+                self.counters.taken.add();
+                self.sources.iter_mut().for_each(|s| s.statement_arrived(now, &request));
                 // Groups that are in no host list share one group without hosts. Otherwise clients could fill
                 // the memory with group names.
-                let group = self.groups.find(&asked.group).unwrap_or_else(|| self.groups.intern(""));
-                if let Some((limits, most)) = &mut self.limits {
-                    if limits.asked(now, asked.workload, group, asked.retry) == RetryAdmission::TurnAway {
+                let group = self.groups.find(&request.group).unwrap_or_else(|| self.groups.intern(""));
+                if let Some((limits, max_delay)) = &mut self.limits {
+                    if limits.admit(now, request.workload, group, request.retry) == RetryAdmission::TurnAway {
                         // The policy never sees it. Nothing was sent, so a retry is harmless.
-                        let after = limits.retry_after(now, *most);
-                        self.counts.turned_away.add();
-                        return self.turn_away(&asked, after);
+                        let delay = limits.retry_after(now, *max_delay);
+                        self.counters.turned_away.add();
+                        return self.turn_away(&request, delay);
                     }
                 }
                 // It arrived at an unknown time during the stall, so its deadline may have passed. Nothing
                 // was sent.
-                let lost = self.stall.as_ref().map_or(0.0, |s| s.lost(now));
-                if lost > 0.0 && asked.deadline - lost <= now {
-                    return self.turn_away(&asked, self.max_return_delay);
+                let time_lost = self.stall.as_ref().map_or(0.0, |s| s.time_lost(now));
+                if time_lost > 0.0 && request.deadline - time_lost <= now {
+                    return self.turn_away(&request, self.max_return_delay);
                 }
-                if let Some((ramp, most)) = &mut self.ramp {
-                    if ramp.asked(asked.statement_id) == Admission::TurnAway {
-                        let most = *most;
-                        let after = self.limits.as_mut().map_or(most, |(l, most)| l.retry_after(now, *most));
-                        self.counts.ramped.add();
-                        return self.turn_away(&asked, after);
+                if let Some((ramp, max_delay)) = &mut self.ramp {
+                    if ramp.admit(request.statement_id) == Admission::TurnAway {
+                        let max_delay = *max_delay;
+                        let delay = self
+                            .limits
+                            .as_mut()
+                            .map_or(max_delay, |(limits, max_delay)| limits.retry_after(now, *max_delay));
+                        self.counters.ramped.add();
+                        return self.turn_away(&request, delay);
                     }
                 }
                 let term = self.policy.term(group);
                 let read_requirement = self
                     .sources
                     .iter_mut()
-                    .filter_map(|s| s.read_requirement(now, &asked, term))
-                    .reduce(further);
+                    .filter_map(|s| s.read_requirement(now, &request, term))
+                    .reduce(stricter);
                 let arrival = Arrival {
-                    workload: asked.workload,
+                    workload: request.workload,
                     group,
                     // A session that has written nothing needs no entry.
-                    session: asked.session.and_then(|name| match asked.writes {
+                    session: request.session.and_then(|name| match request.writes {
                         true => Some(self.sessions.intern(&name)),
                         false => self.sessions.find(&name),
                     }),
-                    time_left: asked.deadline - now,
-                    wait: asked.wait,
+                    time_left: request.deadline - now,
+                    wait: request.wait,
                     // Negative if the clock of whoever issued the token runs ahead; the position is still
                     // valid.
-                    token_age: asked.last_write_at.map(|at| now - at),
-                    retry: asked.retry,
+                    token_age: request.last_write_at.map(|written_at| now - written_at),
+                    retry: request.retry,
                     read_requirement,
                 };
-                let open = Open {
-                    id: asked.id,
+                let open = OpenStatement {
+                    id: request.id,
                     taken_at: now,
                     group: arrival.group,
-                    payload: asked.payload,
-                    client_connection: Some(asked.client_connection),
+                    payload: request.payload,
+                    client_connection: Some(request.client_connection),
                     hosts: Vec::new(),
-                    workload: asked.workload,
-                    retry: asked.retry,
+                    workload: request.workload,
+                    retry: request.retry,
                 };
-                self.open.insert(asked.statement_id, open);
-                self.policy.statement_arrived(now, asked.statement_id, &arrival);
+                self.open.insert(request.statement_id, open);
+                self.policy.statement_arrived(now, request.statement_id, &arrival);
             }
             DispatcherMessage::ClientGone(statement_id) => {
                 if let Some(open) = self.open.get_mut(&statement_id).filter(|o| o.client_connection.is_some())
                 {
-                    self.counts.clients_gone.add();
+                    self.counters.clients_gone.add();
                     open.client_connection = None;
-                    self.ending.push(statement_id);
+                    self.finish_candidates.push(statement_id);
                     if let Some((ramp, _)) = &mut self.ramp {
-                        ramp.ended(statement_id, false);
+                        ramp.statement_ended(statement_id, false);
                     }
                     self.policy.client_gone(now, statement_id);
-                    self.unsend(statement_id);
+                    self.cancel_unsent(statement_id);
                 }
             }
             DispatcherMessage::Ended { statement_id, execution, mut outcome } => {
@@ -283,39 +289,46 @@
                 }
                 if outcome.ending == Ending::Completed {
                     if let Some(client_connection) = open.client_connection.take() {
-                        self.counts.completed.add();
+                        self.counters.completed.add();
                         if let Some((ramp, _)) = &mut self.ramp {
-                            ramp.ended(statement_id, true);
+                            ramp.statement_ended(statement_id, true);
                         }
                         if let Some((limits, _)) = &mut self.limits {
-                            limits.answered(now, open.workload, open.group, true, !open.retry);
+                            limits.record_answer(now, open.workload, open.group, true, !open.retry);
                         }
                         let rows = std::mem::take(&mut outcome.rows);
-                        let given = FinalAnswer {
+                        let answer = FinalAnswer {
                             client_connection,
                             statement_id,
                             answer: Answer::Completed(rows, None),
                         };
                         let mut sources = self.sources.iter_mut();
-                        let given = sources.try_fold(given, |given, s| s.completed(now, &outcome, given));
-                        self.answers.extend(given);
+                        let answer = sources.try_fold(answer, |answer, s| s.completed(now, &outcome, answer));
+                        self.answers.extend(answer);
                     } else {
                         self.sources
                             .iter_mut()
                             .for_each(|s| s.completed_without_client(now, statement_id, &outcome));
                     }
                 }
-                let over = open.client_connection.is_none();
-                self.ending.push(statement_id);
+                let client_done = open.client_connection.is_none();
+                self.finish_candidates.push(statement_id);
                 self.trace(|| LogEvent::Ended { statement_id, execution, ending: outcome.ending });
-                self.policy.ended(now, statement_id, execution, outcome.ending.verdict(), over, outcome.note);
+                self.policy.ended(
+                    now,
+                    statement_id,
+                    execution,
+                    outcome.ending.verdict(),
+                    client_done,
+                    outcome.note,
+                );
             }
             DispatcherMessage::Probed { host, mut outcome } => {
                 if outcome.term.is_some_and(|term| !self.policy.record_term(host, term)) {
                     outcome.note.position = None;
                 }
-                if let Some(out) = self.probes.get_mut(&host) {
-                    *out = out.saturating_sub(1);
+                if let Some(in_flight) = self.probes.get_mut(&host) {
+                    *in_flight = in_flight.saturating_sub(1);
                 }
                 let name = self.hosts.name(host);
                 self.sources.iter_mut().for_each(|s| s.probe_ended(now, name, &outcome));
@@ -327,69 +340,77 @@
     /// Logs a step of a statement if steps are logged.
     fn trace(&mut self, step: impl FnOnce() -> LogEvent) {
         if self.trace_steps {
-            self.said.push(step());
+            self.log_events.push(step());
         }
     }
 
     /// Counts and logs why a statement that is refused without being sent had waited.
-    fn note_unsent(&mut self, now: f64, statement_id: u64, cause: FailureCause) {
+    fn report_unsent(&mut self, now: f64, statement_id: u64, cause: FailureCause) {
         let Some(open) = self.open.get(&statement_id).filter(|open| open.hosts.is_empty()) else { return };
         let wait_reason = self.policy.wait_reason(statement_id);
         if let Some(wait_reason) = wait_reason {
-            self.counts.refused_unsent(wait_reason);
+            self.counters.refused_unsent(wait_reason);
         }
-        if self.trace_steps || now >= self.unsent_said_at + UNSENT_LOG_GAP {
-            self.unsent_said_at = now;
+        if self.trace_steps || now >= self.unsent_logged_at + UNSENT_LOG_INTERVAL {
+            self.unsent_logged_at = now;
             let (id, group, waited) = (open.id.clone(), open.group, now - open.taken_at);
-            self.said.push(LogEvent::RefusedUnsent { statement_id, id, group, cause, wait_reason, waited });
+            self.log_events.push(LogEvent::RefusedUnsent {
+                statement_id,
+                id,
+                group,
+                cause,
+                wait_reason,
+                waited,
+            });
         }
     }
 
-    fn give(&mut self, asked: &StatementRequest, answer: Answer) {
+    fn answer_request(&mut self, request: &StatementRequest, answer: Answer) {
         self.answers.push_back(FinalAnswer {
-            client_connection: asked.client_connection,
-            statement_id: asked.statement_id,
+            client_connection: request.client_connection,
+            statement_id: request.statement_id,
             answer,
         });
     }
 
     /// The policy never sees it. Nothing was sent, so a retry is harmless.
-    fn turn_away(&mut self, asked: &StatementRequest, after: f64) {
-        self.ids.remove(&asked.id);
-        self.counts.rejected.add();
-        self.give(asked, Answer::Rejected(after));
+    fn turn_away(&mut self, request: &StatementRequest, delay: f64) {
+        self.open_ids.remove(&request.id);
+        self.counters.rejected.add();
+        self.answer_request(request, Answer::Rejected(delay));
     }
 
-    fn listed(&mut self, now: f64, update: HostListUpdate) {
+    fn apply_host_list(&mut self, now: f64, update: HostListUpdate) {
         if let Some(stall) = &mut self.stall {
-            stall.heard();
+            stall.list_received();
         }
         for (name, address) in update.addresses {
             let host = self.hosts.intern(&name);
-            self.orders.push_back(Command::UpdateHost { host, name, address });
+            self.commands.push_back(Command::UpdateHost { host, name, address });
         }
         for entry in &update.entries {
             if self.groups.find(&entry.group).is_none() {
-                self.said.push(LogEvent::GroupAdded(self.groups.intern(&entry.group), entry.group.clone()));
+                self.log_events
+                    .push(LogEvent::GroupAdded(self.groups.intern(&entry.group), entry.group.clone()));
             }
         }
         let list = self.list.merge(update.is_snapshot, &update.entries, &mut self.hosts, &mut self.groups);
         self.policy.update_hosts(now, &list);
-        self.forget_host();
+        self.remove_departed();
     }
 
     /// Removes hosts that have left for good and groups without hosts. A host with a probe in flight stays
     /// until the next list; otherwise the probe's result would be attributed to the next host with the same
     /// index.
-    fn forget_host(&mut self) {
+    fn remove_departed(&mut self) {
         let (policy, probes) = (&mut self.policy, &mut self.probes);
-        probes.retain(|_, out| *out > 0);
+        probes.retain(|_, in_flight| *in_flight > 0);
         for (name, host) in
             self.list.drop_gone(|host| !probes.contains_key(&host) && policy.forget_host(host))
         {
-            self.orders.push_back(Command::RemoveHost(host));
+            self.commands.push_back(Command::RemoveHost(host));
             self.hosts.release(&name);
-            self.said.push(LogEvent::HostRemoved(host, name));
+            self.log_events.push(LogEvent::HostRemoved(host, name));
         }
         let open = &self.open;
         let unused = |group: usize| !open.values().any(|open| open.group == group);
@@ -399,7 +420,7 @@
     }
 
     fn decide(&mut self, now: f64) {
-        self.decided = now;
+        self.decided_at = now;
         self.policy.advance_time(now);
         while let Some(decision) = self.policy.decide() {
             match decision {
@@ -413,31 +434,31 @@
                     let execution = open.hosts.len();
                     open.hosts.push(host);
                     if execution > 0 {
-                        self.counts.further_executions.add();
+                        self.counters.further_executions.add();
                     }
                     self.trace(|| LogEvent::Sent { statement_id, execution, host });
-                    self.orders.push_back(Command::Start(host, HostTask { kind, deadline: now + timeout }));
+                    self.commands.push_back(Command::Start(host, HostTask { kind, deadline: now + timeout }));
                 }
                 Decision::Reject { statement_id, retry_after, cause } => {
-                    self.counts.rejected.add();
-                    self.counts.refused(cause);
+                    self.counters.rejected.add();
+                    self.counters.refused(cause);
                     self.trace(|| LogEvent::Refused { statement_id, cause });
-                    self.note_unsent(now, statement_id, cause);
-                    let after = match &mut self.limits {
+                    self.report_unsent(now, statement_id, cause);
+                    let delay = match &mut self.limits {
                         Some((limits, _)) => limits.retry_after(now, retry_after),
                         None => retry_after,
                     };
-                    self.answer(statement_id, Answer::Rejected(after));
+                    self.answer(statement_id, Answer::Rejected(delay));
                 }
                 Decision::Abort { statement_id, cause } => {
-                    self.counts.aborted.add();
-                    self.counts.refused(cause);
+                    self.counters.aborted.add();
+                    self.counters.refused(cause);
                     self.trace(|| LogEvent::Refused { statement_id, cause });
                     self.answer(statement_id, Answer::Aborted);
                 }
                 Decision::Cancel { statement_id, execution } => {
                     if let Some(&host) = self.open.get(&statement_id).and_then(|o| o.hosts.get(execution)) {
-                        self.orders.push_back(Command::Cancel { host, statement_id, execution });
+                        self.commands.push_back(Command::Cancel { host, statement_id, execution });
                     }
                 }
                 Decision::Probe { host } => {
@@ -446,30 +467,30 @@
                     if self.policy.group_lacks_primary(host)
                         && !self.sources.iter_mut().all(|s| s.may_probe(now, name))
                     {
-                        self.counts.probes_left.add();
+                        self.counters.probes_left.add();
                         continue;
                     }
                     *self.probes.entry(host).or_default() += 1;
-                    self.orders.push_back(Command::Probe(host));
+                    self.commands.push_back(Command::Probe(host));
                 }
                 // Discovery is watched from the start and the watch reopens by itself.
                 Decision::Subscribe => {}
-                Decision::Log(text) => self.said.push(LogEvent::PolicyMessage(text)),
+                Decision::Log(text) => self.log_events.push(LogEvent::PolicyMessage(text)),
             }
         }
         if let Some((limits, _)) = &mut self.limits {
-            for change in limits.changes() {
-                self.said.push(LogEvent::Storm(change.begins, format!("{:?}", change.sign)));
+            for change in limits.take_changes() {
+                self.log_events.push(LogEvent::Storm(change.begins, format!("{:?}", change.sign)));
                 if change.begins {
-                    self.counts.storms.add();
+                    self.counters.storms.add();
                 }
             }
         }
-        self.answers.extend(self.given_up.drain(..));
-        for statement_id in self.ending.drain(..) {
+        self.answers.extend(self.round_refusals.drain(..));
+        for statement_id in self.finish_candidates.drain(..) {
             if !self.policy.is_tracked(statement_id) {
                 if let Some(open) = self.open.remove(&statement_id) {
-                    self.ids.remove(&open.id);
+                    self.open_ids.remove(&open.id);
                     self.sources.iter_mut().for_each(|s| s.statement_closed(statement_id));
                 }
             }
@@ -478,31 +499,31 @@
 
     /// Cancels the last execution if it still waits for a connection. That sends nothing to a host, so it is
     /// allowed even where executions may not be cancelled.
-    fn unsend(&mut self, statement_id: u64) {
+    fn cancel_unsent(&mut self, statement_id: u64) {
         let Some(hosts) = self.open.get(&statement_id).map(|o| &o.hosts) else { return };
         if let (Some(&host), execution) = (hosts.last(), hosts.len().saturating_sub(1)) {
-            self.orders.push_back(Command::CancelUnsent { host, statement_id, execution });
+            self.commands.push_back(Command::CancelUnsent { host, statement_id, execution });
         }
     }
 
     fn answer(&mut self, statement_id: u64, answer: Answer) {
-        self.ending.push(statement_id);
-        self.unsend(statement_id);
+        self.finish_candidates.push(statement_id);
+        self.cancel_unsent(statement_id);
         let Some(open) = self.open.get_mut(&statement_id) else { return };
         if let Some(client_connection) = open.client_connection.take() {
             if let Some((ramp, _)) = &mut self.ramp {
-                ramp.ended(statement_id, false);
+                ramp.statement_ended(statement_id, false);
             }
             if let Some((limits, _)) = &mut self.limits {
-                limits.answered(self.decided, open.workload, open.group, false, !open.retry);
+                limits.record_answer(self.decided_at, open.workload, open.group, false, !open.retry);
             }
-            self.given_up.push(FinalAnswer { client_connection, statement_id, answer });
+            self.round_refusals.push(FinalAnswer { client_connection, statement_id, answer });
         }
     }
 }
 
 /// Returns the stricter of two read requirements.
-fn further(one: ReadRequirement, other: ReadRequirement) -> ReadRequirement {
+fn stricter(one: ReadRequirement, other: ReadRequirement) -> ReadRequirement {
     match (one, other) {
         (ReadRequirement::Position(a), ReadRequirement::Position(b)) => ReadRequirement::Position(a.max(b)),
         _ => ReadRequirement::Primary,
--- a/crates/sandstile-dispatcher/src/messages.rs
+++ b/crates/sandstile-dispatcher/src/messages.rs
@@ -134,8 +134,8 @@
             LogEvent::PolicyMessage(text) => write!(f, "decisions: {text}"),
             LogEvent::Storm(true, sign) => write!(f, "a storm begins: {sign}"),
             LogEvent::Storm(false, sign) => write!(f, "a storm is over: {sign}"),
-            LogEvent::Stalled(s) => write!(f, "stood still for {s:.1} s: what is known is of before that"),
-            LogEvent::RouterCount(n) => write!(f, "{n:.0} routers share the hosts"),
+            LogEvent::Stalled(seconds) => write!(f, "stood still for {seconds:.1} s; what is known is stale"),
+            LogEvent::RouterCount(routers) => write!(f, "{routers:.0} routers share the hosts"),
             LogEvent::Sent { statement_id, execution, host } => {
                 write!(f, "statement {statement_id}: execution {execution} to host {host}")
             }
--- a/crates/sandstile-dispatcher/src/source.rs
+++ b/crates/sandstile-dispatcher/src/source.rs
@@ -37,14 +37,14 @@
     fn execution_ended_on_host(&mut self, _now: f64, _host: &str, _outcome: &Outcome) {}
 
     /// A statement has arrived. It may still be turned away.
-    fn statement_arrived(&mut self, _now: f64, _asked: &StatementRequest) {}
+    fn statement_arrived(&mut self, _now: f64, _request: &StatementRequest) {}
 
     /// The statement was admitted. Returns the position that its read has to see, as far as this source
     /// knows. `term` is the term reported by the hosts of its group, 0 if none was.
     fn read_requirement(
         &mut self,
         _now: f64,
-        _asked: &StatementRequest,
+        _request: &StatementRequest,
         _term: u64,
     ) -> Option<ReadRequirement> {
         None
@@ -52,7 +52,7 @@
 
     /// An execution of the statement has ended. A source may change the outcome, for example if the answer
     /// lacks writes that the read has to see.
-    fn execution_ended(&mut self, _now: f64, _stmt: u64, _outcome: &mut Outcome) {}
+    fn execution_ended(&mut self, _now: f64, _statement_id: u64, _outcome: &mut Outcome) {}
 
     /// The statement completes. Returns the answer, or keeps it if the source delivers it later by itself.
     fn completed(&mut self, _now: f64, _outcome: &Outcome, answer: FinalAnswer) -> Option<FinalAnswer> {
@@ -60,8 +60,8 @@
     }
 
     /// The statement completed after its client had left.
-    fn completed_without_client(&mut self, _now: f64, _stmt: u64, _outcome: &Outcome) {}
+    fn completed_without_client(&mut self, _now: f64, _statement_id: u64, _outcome: &Outcome) {}
 
     /// The statement is finished.
-    fn statement_closed(&mut self, _stmt: u64) {}
+    fn statement_closed(&mut self, _statement_id: u64) {}
 }
--- a/crates/sandstile-dispatcher/src/task.rs
+++ b/crates/sandstile-dispatcher/src/task.rs
@@ -62,6 +62,6 @@
 
 impl fmt::Debug for HostTask {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "Job({:?} until {})", self.execution_id(), self.deadline)
+        write!(f, "HostTask({:?} until {})", self.execution_id(), self.deadline)
     }
 }
--- a/crates/sandstile-dispatcher/tests/dispatcher.rs
+++ b/crates/sandstile-dispatcher/tests/dispatcher.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-struct Nothing;
-impl StatementPayload for Nothing {
+struct EmptyPayload;
+impl StatementPayload for EmptyPayload {
     fn message(&self, _: f64) -> Vec<u8> {
         Vec::new()
     }
@@ -57,38 +57,38 @@
         since: 0.0,
         readiness: Readiness::Active,
     };
-    let addresses = hosts.iter().map(|(h, _)| (h.to_string(), "127.0.0.1:5433".parse().ok())).collect();
+    let addresses = hosts.iter().map(|(host, _)| (host.to_string(), "127.0.0.1:5433".parse().ok())).collect();
     HostListUpdate { index, is_snapshot: true, entries: hosts.iter().map(entry).collect(), addresses }
 }
 
-/// A source with the inputs that a test provides; `required` is what session reads must see.
-struct Told {
-    facts: Arc<Mutex<Vec<DispatcherInput>>>,
+/// A source with the inputs that a test provides; `read_requirement` is what session reads must see.
+struct TestSource {
+    inputs: Arc<Mutex<Vec<DispatcherInput>>>,
     read_requirement: Option<ReadRequirement>,
-    over: Arc<Mutex<Vec<u64>>>,
+    closed: Arc<Mutex<Vec<u64>>>,
     /// Pretends that another router does the probing.
-    leaves: bool,
+    peer_probes: bool,
 }
 
-impl Source for Told {
+impl Source for TestSource {
     fn pending(&self) -> bool {
-        !self.facts.lock().unwrap().is_empty()
+        !self.inputs.lock().unwrap().is_empty()
     }
     fn take_inputs(&mut self, _: f64) -> Vec<DispatcherInput> {
-        std::mem::take(&mut self.facts.lock().unwrap())
+        std::mem::take(&mut self.inputs.lock().unwrap())
     }
-    fn read_requirement(&mut self, _: f64, asked: &StatementRequest, _: u64) -> Option<ReadRequirement> {
-        self.read_requirement.filter(|_| asked.workload == 2)
+    fn read_requirement(&mut self, _: f64, request: &StatementRequest, _: u64) -> Option<ReadRequirement> {
+        self.read_requirement.filter(|_| request.workload == 2)
     }
     fn may_probe(&mut self, _: f64, _: &str) -> bool {
-        !self.leaves
+        !self.peer_probes
     }
     fn statement_closed(&mut self, statement_id: u64) {
-        self.over.lock().unwrap().push(statement_id);
+        self.closed.lock().unwrap().push(statement_id);
     }
 }
 
-fn asked(statement_id: u64, id: &str, workload: usize, now: f64) -> DispatcherMessage {
+fn request(statement_id: u64, id: &str, workload: usize, now: f64) -> DispatcherMessage {
     DispatcherMessage::StatementRequest(StatementRequest {
         statement_id,
         client_connection: statement_id as usize + 100,
@@ -102,80 +102,80 @@
         last_write_at: None,
         retry: false,
         mark: None,
-        payload: Arc::new(Nothing),
+        payload: Arc::new(EmptyPayload),
     })
 }
 
 type Shared<T> = Arc<Mutex<Vec<T>>>;
 
-fn dispatcher(
+fn new_dispatcher(
     now: f64,
-    reaches: &[Option<ReadRequirement>],
+    requirements: &[Option<ReadRequirement>],
 ) -> (Dispatcher, Shared<DispatcherInput>, Shared<u64>) {
     let mut dispatcher = Dispatcher::new(Instance::new(&terms(), 7, now), Arc::default());
-    let (facts, over) = (Shared::default(), Shared::default());
-    for (n, read_requirement) in reaches.iter().enumerate() {
-        let facts = if n == 0 { Arc::clone(&facts) } else { Arc::default() };
-        dispatcher.add(Box::new(Told {
-            facts,
+    let (inputs, closed) = (Shared::default(), Shared::default());
+    for (n, read_requirement) in requirements.iter().enumerate() {
+        let inputs = if n == 0 { Arc::clone(&inputs) } else { Arc::default() };
+        dispatcher.add(Box::new(TestSource {
+            inputs,
             read_requirement: *read_requirement,
-            over: Arc::clone(&over),
-            leaves: false,
+            closed: Arc::clone(&closed),
+            peer_probes: false,
         }));
     }
-    (dispatcher, facts, over)
+    (dispatcher, inputs, closed)
 }
 
-fn sent(dispatcher: &mut Dispatcher) -> Vec<(usize, u64, usize)> {
-    let mut out = Vec::new();
-    while let Some(order) = dispatcher.next_command() {
-        if let Command::Start(host, job) = order {
-            out.extend(job.execution_id().map(|(statement_id, execution)| (host, statement_id, execution)));
+fn sent_executions(dispatcher: &mut Dispatcher) -> Vec<(usize, u64, usize)> {
+    let mut sent = Vec::new();
+    while let Some(command) = dispatcher.next_command() {
+        if let Command::Start(host, task) = command {
+            sent.extend(task.execution_id().map(|(statement_id, execution)| (host, statement_id, execution)));
         }
     }
-    out
+    sent
 }
 
 /// For any order of arrivals, outcomes, disconnects and host lists, each accepted statement gets one final
 /// answer unless its client has left, and no state remains for finished statements.
 #[test]
-fn each_statement_has_one_answer_whatever_comes() {
+fn each_statement_gets_one_final_answer_in_any_order_of_events() {
     for seed in 0..60 {
-        let mut chance = Rand64::new(seed);
+        let mut rng = Rand64::new(seed);
         let mut now = 1000.0;
-        let (mut dispatcher, facts, over) = dispatcher(now, &[None]);
-        facts
+        let (mut dispatcher, inputs, closed) = new_dispatcher(now, &[None]);
+        inputs
             .lock()
             .unwrap()
             .push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
         assert!(dispatcher.pending());
         dispatcher.poll_sources(now);
-        let (mut answers, mut gone) = (BTreeMap::<u64, usize>::new(), 0);
-        let (mut out, mut asked_for) = (Vec::new(), 0u64);
+        let (mut answers, mut clients_gone) = (BTreeMap::<u64, usize>::new(), 0);
+        let (mut in_flight, mut requested) = (Vec::new(), 0u64);
         for step in 0..400 {
-            now += chance.rand_float() * 0.02;
-            match chance.rand_range(0..10) {
+            now += rng.rand_float() * 0.02;
+            match rng.rand_range(0..10) {
                 0..=3 if step < 300 => {
-                    asked_for += 1;
+                    requested += 1;
                     dispatcher.handle(
                         now,
-                        asked(asked_for, &format!("i{asked_for}"), (asked_for % 3) as usize, now),
+                        request(requested, &format!("i{requested}"), (requested % 3) as usize, now),
                     );
                 }
-                4 if asked_for > 0 => {
-                    let statement_id = chance.rand_range(1..asked_for + 1);
-                    gone += 1;
+                4 if requested > 0 => {
+                    let statement_id = rng.rand_range(1..requested + 1);
+                    clients_gone += 1;
                     dispatcher.handle(now, DispatcherMessage::ClientGone(statement_id));
                 }
                 5 => {
                     let hosts = [("a", true), ("b", false), ("c", false)];
-                    let some = &hosts[..chance.rand_range(1..4) as usize];
-                    facts.lock().unwrap().push(DispatcherInput::HostList(update(step, some)));
+                    let present = &hosts[..rng.rand_range(1..4) as usize];
+                    inputs.lock().unwrap().push(DispatcherInput::HostList(update(step, present)));
                     dispatcher.poll_sources(now);
                 }
-                _ if !out.is_empty() => {
+                _ if !in_flight.is_empty() => {
                     let (host, statement_id, execution) =
-                        out.swap_remove(chance.rand_range(0..out.len() as u64) as usize);
+                        in_flight.swap_remove(rng.rand_range(0..in_flight.len() as u64) as usize);
                     let endings = [
                         Ending::Completed,
                         Ending::Completed,
@@ -184,7 +184,7 @@
                         Ending::Failed,
                         Ending::TimedOut,
                     ];
-                    let ending = endings[chance.rand_range(0..6) as usize];
+                    let ending = endings[rng.rand_range(0..6) as usize];
                     let mut outcome = Outcome::from(ending);
                     outcome.note = HostReport { position: Some(now), primary: Some(host == 0) };
                     dispatcher.handle(now, DispatcherMessage::Ended { statement_id, execution, outcome });
@@ -192,120 +192,129 @@
                 _ => {}
             }
             dispatcher.decide_if_due(now, true);
-            out.extend(sent(&mut dispatcher));
-            while let Some(given) = dispatcher.next_answer() {
-                assert_eq!(given.client_connection, given.statement_id as usize + 100);
-                *answers.entry(given.statement_id).or_default() += 1;
+            in_flight.extend(sent_executions(&mut dispatcher));
+            while let Some(answer) = dispatcher.next_answer() {
+                assert_eq!(answer.client_connection, answer.statement_id as usize + 100);
+                *answers.entry(answer.statement_id).or_default() += 1;
             }
         }
         // All deadlines pass; executions in flight end without an answer.
         for _ in 0..2000 {
             now += 0.05;
-            for (_, statement_id, execution) in std::mem::take(&mut out) {
+            for (_, statement_id, execution) in std::mem::take(&mut in_flight) {
                 dispatcher.handle(
                     now,
                     DispatcherMessage::Ended { statement_id, execution, outcome: Ending::TimedOut.into() },
                 );
             }
             dispatcher.decide_if_due(now, true);
-            out.extend(sent(&mut dispatcher));
-            while let Some(given) = dispatcher.next_answer() {
-                *answers.entry(given.statement_id).or_default() += 1;
+            in_flight.extend(sent_executions(&mut dispatcher));
+            while let Some(answer) = dispatcher.next_answer() {
+                *answers.entry(answer.statement_id).or_default() += 1;
             }
-            if dispatcher.open_statements() == 0 && out.is_empty() {
+            if dispatcher.open_statements() == 0 && in_flight.is_empty() {
                 break;
             }
         }
         assert_eq!(dispatcher.open_statements(), 0, "seed {seed}");
-        assert!(answers.values().all(|n| *n == 1), "seed {seed}: {answers:?}");
-        assert!(answers.len() + gone >= asked_for as usize, "seed {seed}");
-        assert_eq!(over.lock().unwrap().len(), asked_for as usize, "sources hear of each end");
+        assert!(answers.values().all(|count| *count == 1), "seed {seed}: {answers:?}");
+        assert!(answers.len() + clients_gone >= requested as usize, "seed {seed}");
+        assert_eq!(
+            closed.lock().unwrap().len(),
+            requested as usize,
+            "sources are told of each finished statement"
+        );
     }
 }
 
 #[test]
-fn an_open_statements_name_is_nobody_elses() {
-    let (mut dispatcher, facts, _) = dispatcher(1000.0, &[None]);
-    facts.lock().unwrap().push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false)])));
+fn a_statement_with_the_id_of_an_open_one_is_unusable() {
+    let (mut dispatcher, inputs, _) = new_dispatcher(1000.0, &[None]);
+    inputs.lock().unwrap().push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false)])));
     dispatcher.poll_sources(1000.0);
-    dispatcher.handle(1000.0, asked(1, "x", 0, 1000.0));
-    dispatcher.handle(1000.0, asked(2, "x", 0, 1000.0));
+    dispatcher.handle(1000.0, request(1, "x", 0, 1000.0));
+    dispatcher.handle(1000.0, request(2, "x", 0, 1000.0));
     dispatcher.decide_if_due(1000.0, true);
     assert_eq!(
         dispatcher.next_answer(),
         Some(FinalAnswer { client_connection: 102, statement_id: 2, answer: Answer::Unusable })
     );
-    assert_eq!(sent(&mut dispatcher).len(), 1);
+    assert_eq!(sent_executions(&mut dispatcher).len(), 1);
 }
 
 /// If two sources differ on what a session read must see, the stricter one counts, in either order.
 #[test]
-fn of_two_sources_the_more_careful_is_heard() {
-    let near = Some(ReadRequirement::Position(0.0));
-    for reaches in [[near, Some(ReadRequirement::Primary)], [Some(ReadRequirement::Primary), near]] {
-        let (mut dispatcher, facts, _) = dispatcher(1000.0, &reaches);
-        facts
+fn the_stricter_read_requirement_of_two_sources_counts() {
+    let any_position = Some(ReadRequirement::Position(0.0));
+    for requirements in
+        [[any_position, Some(ReadRequirement::Primary)], [Some(ReadRequirement::Primary), any_position]]
+    {
+        let (mut dispatcher, inputs, _) = new_dispatcher(1000.0, &requirements);
+        inputs
             .lock()
             .unwrap()
             .push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
         dispatcher.poll_sources(1000.0);
         let mut primary = None;
-        while let Some(order) = dispatcher.next_command() {
-            if let Command::UpdateHost { host, name, .. } = order {
+        while let Some(command) = dispatcher.next_command() {
+            if let Command::UpdateHost { host, name, .. } = command {
                 primary = primary.or((name == "a").then_some(host));
             }
         }
         // One statement per round: a host that has not answered yet gets only one or two.
-        dispatcher.handle(1000.0, asked(1, "r", 2, 1000.0));
+        dispatcher.handle(1000.0, request(1, "r", 2, 1000.0));
         dispatcher.decide_if_due(1000.0, true);
-        assert_eq!(sent(&mut dispatcher).iter().map(|(h, ..)| Some(*h)).collect::<Vec<_>>(), vec![primary]);
+        assert_eq!(
+            sent_executions(&mut dispatcher).iter().map(|(host, ..)| Some(*host)).collect::<Vec<_>>(),
+            vec![primary]
+        );
     }
 }
 
 #[test]
-fn what_peers_share_is_ordered_on_and_said() {
-    let (mut dispatcher, facts, _) = dispatcher(1000.0, &[None]);
-    facts.lock().unwrap().push(DispatcherInput::RouterCount(5.0));
+fn a_router_count_is_passed_on_as_a_command_and_logged_once() {
+    let (mut dispatcher, inputs, _) = new_dispatcher(1000.0, &[None]);
+    inputs.lock().unwrap().push(DispatcherInput::RouterCount(5.0));
     assert!(dispatcher.poll_sources(1000.0));
     assert!(matches!(dispatcher.next_command(), Some(Command::RouterCount(n)) if n == 5.0));
     assert_eq!(dispatcher.take_log_events(), vec![LogEvent::RouterCount(5.0)]);
-    assert!(!dispatcher.poll_sources(1000.0), "told once");
+    assert!(!dispatcher.poll_sources(1000.0), "reported only once");
 }
 
 /// A host that refused another router is avoided for a while, unless it has answered this router since then.
 #[test]
-fn a_host_that_refused_another_rests_unless_it_answered_here() {
+fn a_host_that_refused_another_router_is_avoided_unless_it_answered_here() {
     for answered in [false, true] {
-        let (mut dispatcher, facts, _) = dispatcher(1000.0, &[None]);
-        facts
+        let (mut dispatcher, inputs, _) = new_dispatcher(1000.0, &[None]);
+        inputs
             .lock()
             .unwrap()
             .push(DispatcherInput::HostList(update(1, &[("a", true), ("b", false), ("c", false)])));
         dispatcher.poll_sources(1000.0);
         let mut names = BTreeMap::new();
-        while let Some(order) = dispatcher.next_command() {
-            if let Command::UpdateHost { host, name, .. } = order {
+        while let Some(command) = dispatcher.next_command() {
+            if let Command::UpdateHost { host, name, .. } = command {
                 names.insert(name, host);
             }
         }
-        let (mut now, mut statement_id, mut at_b) = (1000.0, 0, Vec::new());
+        let (mut now, mut statement_id, mut sent_to_b) = (1000.0, 0, Vec::new());
         while now < 1002.0 {
             now += 0.02;
             if (1001.0..1001.02).contains(&now) {
                 // The refusal is either older than the host's last answer here or newer.
-                facts.lock().unwrap().push(DispatcherInput::RefusedElsewhere(
+                inputs.lock().unwrap().push(DispatcherInput::RefusedElsewhere(
                     "b".to_string(),
                     if answered { 0.5 } else { 0.0 },
                 ));
-                facts.lock().unwrap().push(DispatcherInput::RefusedElsewhere("unheard of".to_string(), 0.0));
+                inputs.lock().unwrap().push(DispatcherInput::RefusedElsewhere("unheard of".to_string(), 0.0));
                 dispatcher.poll_sources(now);
             }
             statement_id += 1;
-            dispatcher.handle(now, asked(statement_id, &format!("w{statement_id}"), 0, now));
+            dispatcher.handle(now, request(statement_id, &format!("w{statement_id}"), 0, now));
             dispatcher.decide_if_due(now, true);
-            for (host, statement_id, execution) in sent(&mut dispatcher) {
+            for (host, statement_id, execution) in sent_executions(&mut dispatcher) {
                 if host == names["b"] {
-                    at_b.push(now);
+                    sent_to_b.push(now);
                 }
                 let mut outcome = Outcome::from(Ending::Completed);
                 outcome.note = HostReport { position: Some(now), primary: Some(host == names["a"]) };
@@ -313,44 +322,50 @@
             }
             dispatcher.decide_if_due(now + 0.002, true);
         }
-        let within = |from: f64, to: f64| at_b.iter().filter(|t| (from..to).contains(*t)).count();
+        let sent_between =
+            |from: f64, to: f64| sent_to_b.iter().filter(|time| (from..to).contains(*time)).count();
         assert!(
-            within(1000.5, 1001.0) > 3 && within(1001.5, 1002.0) > 3,
-            "used before, and after a while: {at_b:?}"
+            sent_between(1000.5, 1001.0) > 3 && sent_between(1001.5, 1002.0) > 3,
+            "used before, and after a while: {sent_to_b:?}"
         );
-        assert_eq!(within(1001.03, 1001.24) > 0, answered, "{at_b:?}");
+        assert_eq!(sent_between(1001.03, 1001.24) > 0, answered, "{sent_to_b:?}");
     }
 }
 
 /// While a group has no primary, a source may leave its probes to another router; the policy keeps asking.
 #[test]
-fn probes_are_left_to_others_while_nobody_leads() {
-    for leaves in [false, true] {
+fn probes_are_left_to_other_routers_while_no_primary_is_known() {
+    for peer_probes in [false, true] {
         let mut dispatcher = Dispatcher::new(Instance::new(&terms(), 7, 1000.0), Arc::default());
-        let facts = Shared::default();
-        facts
+        let inputs = Shared::default();
+        inputs
             .lock()
             .unwrap()
             .push(DispatcherInput::HostList(update(1, &[("a", false), ("b", false), ("c", false)])));
-        dispatcher.add(Box::new(Told { facts, read_requirement: None, over: Shared::default(), leaves }));
+        dispatcher.add(Box::new(TestSource {
+            inputs,
+            read_requirement: None,
+            closed: Shared::default(),
+            peer_probes,
+        }));
         dispatcher.poll_sources(1000.0);
-        dispatcher.handle(1000.0, asked(1, "x", 1, 1000.0));
+        dispatcher.handle(1000.0, request(1, "x", 1, 1000.0));
         let mut probes = 0;
         for n in 0..90 {
             let now = 1000.0 + f64::from(n) * 0.01;
             dispatcher.decide_if_due(now, true);
-            while let Some(order) = dispatcher.next_command() {
-                probes += usize::from(matches!(order, Command::Probe(_)));
-                if let Command::Start(_, job) = order {
+            while let Some(command) = dispatcher.next_command() {
+                probes += usize::from(matches!(command, Command::Probe(_)));
+                if let Command::Start(_, task) = command {
                     // Each host replies that it is not the primary.
-                    let (statement_id, execution) = job.execution_id().expect("a statement");
+                    let (statement_id, execution) = task.execution_id().expect("a statement");
                     let mut outcome = Outcome::from(Ending::Missed);
                     outcome.note.primary = Some(false);
                     dispatcher.handle(now, DispatcherMessage::Ended { statement_id, execution, outcome });
                 }
             }
         }
-        assert_eq!(probes == 0, leaves, "{probes}");
-        assert_eq!(dispatcher.counts.probes_left.get() > 3, leaves);
+        assert_eq!(probes == 0, peer_probes, "{probes}");
+        assert_eq!(dispatcher.counters.probes_left.get() > 3, peer_probes);
     }
 }
--- a/crates/sandstile-limits/src/lib.rs
+++ b/crates/sandstile-limits/src/lib.rs
@@ -9,9 +9,9 @@
 pub mod slots;
 pub mod storm;
 
-use budget::Budgets;
-use slots::Slots;
-use storm::{Change, Storm, Watch};
+use budget::RetryBudgets;
+use slots::ReturnSlots;
+use storm::{Storm, StormChange, StormDetector};
 
 /// Settings from the local configuration file. Shares are fractions of 1.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,65 +40,72 @@
 
 /// The limits of one router.
 pub struct Limits {
-    watch: Watch,
-    budgets: Budgets,
-    slots: Slots,
+    detector: StormDetector,
+    budgets: RetryBudgets,
+    slots: ReturnSlots,
     /// Completions per second, averaged over the last seconds.
-    rate: storm::Rate,
+    completions: storm::Rate,
 }
 
 impl Limits {
-    pub fn new(terms: &Settings, seed: u64, now: f64) -> Self {
+    pub fn new(settings: &Settings, seed: u64, now: f64) -> Self {
         Limits {
-            watch: Watch::new(terms.false_alarms_per_day, now),
-            budgets: Budgets::new(terms.retry_ratio),
-            slots: Slots::new(terms.returning_share, seed),
-            rate: storm::Rate::new(2.0, now),
+            detector: StormDetector::new(settings.false_alarms_per_day, now),
+            budgets: RetryBudgets::new(settings.retry_ratio),
+            slots: ReturnSlots::new(settings.returning_share, seed),
+            completions: storm::Rate::new(2.0, now),
         }
     }
 
     /// Decides whether a statement is admitted: first tries always are, retries during a storm only within
     /// the budget.
-    pub fn asked(&mut self, now: f64, workload: usize, group: usize, later: bool) -> RetryAdmission {
-        self.watch.asked(now, later);
-        if later && self.watch.storm().is_some() && !self.budgets.spend(workload, group) {
+    pub fn admit(&mut self, now: f64, workload: usize, group: usize, is_retry: bool) -> RetryAdmission {
+        self.detector.record_request(now, is_retry);
+        if is_retry && self.detector.storm().is_some() && !self.budgets.spend(workload, group) {
             return RetryAdmission::TurnAway;
         }
         RetryAdmission::Admit
     }
 
     /// Records the answer to a statement; `first_try` is false for a retry.
-    pub fn answered(&mut self, now: f64, workload: usize, group: usize, completed: bool, first: bool) {
-        self.watch.answered(now, completed);
+    pub fn record_answer(
+        &mut self,
+        now: f64,
+        workload: usize,
+        group: usize,
+        completed: bool,
+        first_try: bool,
+    ) {
+        self.detector.record_answer(now, completed);
         if completed {
-            self.rate.note(now);
-            if first {
+            self.completions.record(now);
+            if first_try {
                 self.budgets.earn(workload, group);
             }
         }
     }
 
     /// The delay in seconds after which a rejected client is to return, at most `max_delay`. Outside a storm
-    /// it is `max_delay`, as the policy has it. During a storm each client gets a place in the capacity that
-    /// is expected to be free.
-    pub fn retry_after(&mut self, now: f64, most: f64) -> f64 {
-        match self.watch.storm() {
-            Some(_) if most > 0.0 => self.slots.hand_out(now, most, self.rate.at(now)),
-            _ => most,
+    /// it is `max_delay`, as the policy decided. During a storm each client gets its own part of the capacity
+    /// that is expected to be free.
+    pub fn retry_after(&mut self, now: f64, max_delay: f64) -> f64 {
+        match self.detector.storm() {
+            Some(_) if max_delay > 0.0 => self.slots.assign(now, max_delay, self.completions.per_second(now)),
+            _ => max_delay,
         }
     }
 
     pub fn storm(&self) -> Option<Storm> {
-        self.watch.storm()
+        self.detector.storm()
     }
 
     /// Storms that began or ended since the last call, for the log.
-    pub fn changes(&mut self) -> Vec<Change> {
-        self.watch.changes()
+    pub fn take_changes(&mut self) -> Vec<StormChange> {
+        self.detector.take_changes()
     }
 
     /// The number of entries held, which is bounded for any input.
-    pub fn held(&self) -> usize {
-        self.budgets.held() + self.slots.held()
+    pub fn entry_count(&self) -> usize {
+        self.budgets.entry_count() + self.slots.entry_count()
     }
 }
--- a/crates/sandstile-limits/tests/limits.rs
+++ b/crates/sandstile-limits/tests/limits.rs
@@ -2,33 +2,34 @@
 //! within the capacity set aside for them.
 use oorandom::Rand64;
 use quickcheck::{Gen, QuickCheck};
-use sandstile_limits::budget::Budgets;
-use sandstile_limits::slots::{Slots, SLICE};
-use sandstile_limits::storm::{Rate, Sign, Watch};
+use sandstile_limits::budget::RetryBudgets;
+use sandstile_limits::slots::{ReturnSlots, SLOT_SECONDS};
+use sandstile_limits::storm::{Rate, Sign, StormDetector};
 use sandstile_limits::{Limits, RetryAdmission, Settings};
 use std::collections::BTreeMap;
 
 const START: f64 = 1_700_000_000.0;
 
-/// Generates traffic with a given rate and share of retries.
+/// Generates traffic with a given rate and share of retries. `play` stops after `events` statements, or once a
+/// storm is detected or over, as `until_storm` asks.
 struct Traffic {
-    watch: Watch,
-    chance: Rand64,
+    detector: StormDetector,
+    rng: Rand64,
     now: f64,
 }
 
 impl Traffic {
     fn new(seed: u128) -> Self {
-        Traffic { watch: Watch::new(0.1, START), chance: Rand64::new(seed), now: START }
+        Traffic { detector: StormDetector::new(0.1, START), rng: Rand64::new(seed), now: START }
     }
 
-    fn play(&mut self, events: u64, rate: f64, later: f64, until_storm: Option<bool>) -> u64 {
+    fn play(&mut self, events: u64, rate: f64, retry_share: f64, until_storm: Option<bool>) -> u64 {
         for n in 0..events {
             self.now += 1.0 / rate;
-            let later = self.chance.rand_float() < later;
-            self.watch.asked(self.now, later);
-            self.watch.answered(self.now, true);
-            if until_storm.is_some_and(|wanted| self.watch.storm().is_some() == wanted) {
+            let is_retry = self.rng.rand_float() < retry_share;
+            self.detector.record_request(self.now, is_retry);
+            self.detector.record_answer(self.now, true);
+            if until_storm.is_some_and(|wanted| self.detector.storm().is_some() == wanted) {
                 return n + 1;
             }
         }
@@ -38,69 +39,72 @@
 
 /// Ten million ordinary statements at several shares of retries, with the load jumping to 2.5 times and back.
 #[test]
-fn an_honest_jump_is_no_storm() {
+fn an_ordinary_load_jump_is_no_storm() {
     for (seed, share) in [(1, 0.0), (2, 0.01), (3, 0.03), (4, 0.1), (5, 0.25)] {
         let mut traffic = Traffic::new(seed);
         if share > 0.2 {
             // A new detector may take a quarter of retries for a storm for some seconds, until it has learnt
             // them.
             traffic.play(2_000, 300.0, share, None);
-            assert!(traffic.watch.storm().is_none() && traffic.watch.changes().len() <= 2);
+            assert!(traffic.detector.storm().is_none() && traffic.detector.take_changes().len() <= 2);
         }
-        for turn in 0..100 {
-            let rate = if turn % 4 == 1 { 750.0 } else { 300.0 };
+        for round in 0..100 {
+            let rate = if round % 4 == 1 { 750.0 } else { 300.0 };
             traffic.play(20_000, rate, share, None);
         }
-        assert_eq!(traffic.watch.changes(), [], "at a share of {share}");
+        assert_eq!(traffic.detector.take_changes(), [], "at a share of {share}");
     }
 }
 
 #[test]
-fn a_storm_is_seen_within_a_second_and_its_end_too() {
-    let mut worst = (0, 0);
+fn a_storm_and_its_end_are_detected_within_a_second() {
+    let mut slowest = (0, 0);
     for seed in 0..200 {
         let mut traffic = Traffic::new(seed);
         traffic.play(30_000, 300.0, 0.03, None);
-        assert_eq!(traffic.watch.storm(), None);
-        let seen = traffic.play(3_000, 300.0, 0.5, Some(true));
-        assert_eq!(traffic.watch.storm().map(|s| s.sign), Some(Sign::LaterTries));
+        assert_eq!(traffic.detector.storm(), None);
+        let detected_after = traffic.play(3_000, 300.0, 0.5, Some(true));
+        assert_eq!(traffic.detector.storm().map(|storm| storm.sign), Some(Sign::LaterTries));
         traffic.play(20_000, 300.0, 0.5, None);
-        assert!(traffic.watch.storm().is_some(), "it goes on");
-        let over = traffic.play(3_000, 300.0, 0.03, Some(false));
-        assert_eq!(traffic.watch.storm(), None);
-        worst = (worst.0.max(seen), worst.1.max(over));
-        assert_eq!(traffic.watch.changes().iter().map(|c| c.begins).collect::<Vec<_>>(), [true, false]);
+        assert!(traffic.detector.storm().is_some(), "the storm goes on");
+        let ended_after = traffic.play(3_000, 300.0, 0.03, Some(false));
+        assert_eq!(traffic.detector.storm(), None);
+        slowest = (slowest.0.max(detected_after), slowest.1.max(ended_after));
+        assert_eq!(
+            traffic.detector.take_changes().iter().map(|change| change.begins).collect::<Vec<_>>(),
+            [true, false]
+        );
     }
-    println!("seen after {} statements at most, over after {}", worst.0, worst.1);
-    assert!(worst.0 < 150 && worst.1 < 300, "{worst:?}");
+    println!("detected after at most {} statements, over after at most {}", slowest.0, slowest.1);
+    assert!(slowest.0 < 150 && slowest.1 < 300, "{slowest:?}");
 }
 
 /// A router that starts during a storm detects it and does not learn its share as usual.
 #[test]
-fn a_router_that_starts_into_a_storm_sees_it() {
+fn a_router_started_during_a_storm_detects_it() {
     for seed in 0..50 {
         let mut traffic = Traffic::new(seed);
-        let seen = traffic.play(5_000, 300.0, 0.7, Some(true));
-        assert!(seen < 400, "{seen}");
+        let detected_after = traffic.play(5_000, 300.0, 0.7, Some(true));
+        assert!(detected_after < 400, "{detected_after}");
         traffic.play(2_000, 300.0, 0.7, None);
-        assert!(traffic.watch.storm().is_some());
+        assert!(traffic.detector.storm().is_some());
     }
     // No client is left, so the storm is over.
     let mut traffic = Traffic::new(1);
     traffic.play(5_000, 300.0, 0.7, Some(true));
-    traffic.watch.asked(traffic.now + 60.0, false);
-    assert_eq!(traffic.watch.storm(), None);
+    traffic.detector.record_request(traffic.now + 60.0, false);
+    assert_eq!(traffic.detector.storm(), None);
 }
 
 /// In any order of events, retries per pair never exceed those earned plus the initial one.
 #[test]
-fn budgets_hold_their_share_and_their_bound() {
-    fn holds(steps: Vec<(u8, u16, bool)>) -> bool {
-        let mut budgets = Budgets::new(0.2);
-        let mut books: BTreeMap<(usize, usize), (u64, u64)> = BTreeMap::new();
+fn retries_stay_within_their_budget_and_tracked_pairs_within_their_bound() {
+    fn property(steps: Vec<(u8, u16, bool)>) -> bool {
+        let mut budgets = RetryBudgets::new(0.2);
+        let mut ledger: BTreeMap<(usize, usize), (u64, u64)> = BTreeMap::new();
         for (workload, group, spends) in steps {
             let pair = (usize::from(workload % 4), usize::from(group % 50));
-            let (earned, spent) = books.entry(pair).or_default();
+            let (earned, spent) = ledger.entry(pair).or_default();
             if spends {
                 *spent += u64::from(budgets.spend(pair.0, pair.1));
             } else {
@@ -112,96 +116,99 @@
         true
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(400, 4)).tests(300);
-    check.quickcheck(holds as fn(Vec<(u8, u16, bool)>) -> bool);
-    let mut budgets = Budgets::new(0.2);
+    check.quickcheck(property as fn(Vec<(u8, u16, bool)>) -> bool);
+    let mut budgets = RetryBudgets::new(0.2);
     (0..1_000_000).for_each(|n| budgets.earn(n % 7, n));
-    assert!(budgets.held() <= 1024, "{}", budgets.held());
+    assert!(budgets.entry_count() <= 1024, "{}", budgets.entry_count());
 }
 
 /// A million clients are rejected within a second and follow their delays: those that return in any slot stay
 /// within its capacity.
 #[test]
-fn a_million_clients_return_within_the_room() {
-    let (rate, most) = (10_000.0, 300.0);
-    let mut slots = Slots::new(0.5, 1);
-    let mut back: Vec<u32> = vec![0; 3100];
+fn a_million_rejected_clients_return_within_the_capacity() {
+    let (rate, max_delay) = (10_000.0, 300.0);
+    let mut slots = ReturnSlots::new(0.5, 1);
+    let mut returns: Vec<u32> = vec![0; 3100];
     for n in 0..1_000_000u32 {
         let now = START + f64::from(n) * 1e-6;
-        let after = slots.hand_out(now, most, rate);
-        assert!((0.0..=most).contains(&after));
-        back[((now + after - START) / SLICE) as usize] += 1;
+        let delay = slots.assign(now, max_delay, rate);
+        assert!((0.0..=max_delay).contains(&delay));
+        returns[((now + delay - START) / SLOT_SECONDS) as usize] += 1;
     }
-    assert_eq!(slots.beyond, 0);
-    let most_in_one = back.iter().copied().max().expect("slices");
+    assert_eq!(slots.overflowed, 0);
+    let max_per_slot = returns.iter().copied().max().expect("slots");
     // A slot of this count may overlap two slots of the schedule.
-    assert!(f64::from(most_in_one) <= 2.0 * 0.5 * rate * SLICE, "{most_in_one}");
-    assert!(slots.planned().all(|taken| f64::from(taken) <= 0.5 * rate * SLICE));
-    let last = back.iter().rposition(|n| *n > 0).expect("some") as f64 * SLICE;
-    assert!((195.0..=210.0).contains(&last), "the last is back after {last} s");
+    assert!(f64::from(max_per_slot) <= 2.0 * 0.5 * rate * SLOT_SECONDS, "{max_per_slot}");
+    assert!(slots.assigned_per_slot().all(|count| f64::from(count) <= 0.5 * rate * SLOT_SECONDS));
+    let last = returns.iter().rposition(|n| *n > 0).expect("some returns") as f64 * SLOT_SECONDS;
+    assert!((195.0..=210.0).contains(&last), "the last client is back after {last} s");
 }
 
 #[test]
-fn places_never_sum_over_the_room_and_take_no_more_than_their_bound() {
-    fn holds(steps: Vec<(u8, u8, u16)>) -> bool {
-        let (mut slots, mut now) = (Slots::new(0.5, 7), START);
-        for (step, most, rate) in steps {
+fn slots_never_exceed_their_capacity_or_their_number() {
+    fn property(steps: Vec<(u8, u8, u16)>) -> bool {
+        let (mut slots, mut now) = (ReturnSlots::new(0.5, 7), START);
+        for (step, max_delay, rate) in steps {
             now += f64::from(step) / 50.0;
-            let most = f64::from(most) / 10.0;
-            let after = slots.hand_out(now, most, f64::from(rate));
-            assert!(after >= 0.0 && after <= most + 1e-9);
-            let room = (0.5 * 65_535.0 * SLICE).ceil() as u32;
-            assert!(slots.planned().all(|taken| taken <= room));
+            let max_delay = f64::from(max_delay) / 10.0;
+            let delay = slots.assign(now, max_delay, f64::from(rate));
+            assert!(delay >= 0.0 && delay <= max_delay + 1e-9);
+            let capacity = (0.5 * 65_535.0 * SLOT_SECONDS).ceil() as u32;
+            assert!(slots.assigned_per_slot().all(|count| count <= capacity));
         }
-        slots.held() <= 6000
+        slots.entry_count() <= 6000
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(500, 11)).tests(300);
-    check.quickcheck(holds as fn(Vec<(u8, u8, u16)>) -> bool);
+    check.quickcheck(property as fn(Vec<(u8, u8, u16)>) -> bool);
     // At a constant rate, slots hold exactly their capacity.
-    let mut slots = Slots::new(0.5, 7);
-    let last = (0..1000).map(|_| slots.hand_out(START, 2.0, 400.0)).last();
-    assert!(last.is_some_and(|after| after >= 1.0), "beyond the room: late, and spread");
-    assert!(slots.planned().all(|taken| taken <= 20) && slots.beyond > 0);
+    let mut slots = ReturnSlots::new(0.5, 7);
+    let last = (0..1000).map(|_| slots.assign(START, 2.0, 400.0)).last();
+    assert!(last.is_some_and(|delay| delay >= 1.0), "beyond the capacity: late and spread");
+    assert!(slots.assigned_per_slot().all(|count| count <= 20) && slots.overflowed > 0);
 }
 
 /// Without a storm all statements are admitted; during one, first tries are admitted and retries only within
 /// the budget.
 #[test]
-fn limits_hold_back_later_tries_in_a_storm_alone() {
+fn retries_are_rejected_only_during_a_storm() {
     let mut limits = Limits::new(&Settings::default(), 1, START);
     let mut now = START;
     for n in 0..10_000 {
         now += 0.003;
-        assert_eq!(limits.asked(now, 0, n % 5, n % 40 == 0), RetryAdmission::Admit);
-        limits.answered(now, 0, n % 5, true, n % 40 != 0);
+        assert_eq!(limits.admit(now, 0, n % 5, n % 40 == 0), RetryAdmission::Admit);
+        limits.record_answer(now, 0, n % 5, true, n % 40 != 0);
         assert_eq!(limits.retry_after(now, 2.0), 2.0);
     }
-    let (mut first, mut later, mut held) = (0u32, 0u32, 0u32);
+    let (mut first_tries, mut retries, mut rejected) = (0u32, 0u32, 0u32);
     for n in 0..10_000 {
         now += 0.003;
-        let again = n % 3 != 0;
-        match limits.asked(now, 0, n % 5, again) {
+        let is_retry = n % 3 != 0;
+        match limits.admit(now, 0, n % 5, is_retry) {
             RetryAdmission::Admit => {
-                *(if again { &mut later } else { &mut first }) += 1;
-                limits.answered(now, 0, n % 5, true, !again);
+                *(if is_retry { &mut retries } else { &mut first_tries }) += 1;
+                limits.record_answer(now, 0, n % 5, true, !is_retry);
             }
             RetryAdmission::TurnAway => {
-                assert!(again, "a first try always comes in");
-                held += 1;
-                let after = limits.retry_after(now, 2.0);
-                assert!((0.1..=2.0).contains(&after));
+                assert!(is_retry, "a first try is always admitted");
+                rejected += 1;
+                let delay = limits.retry_after(now, 2.0);
+                assert!((0.1..=2.0).contains(&delay));
             }
         }
     }
-    assert!(limits.storm().is_some() && first >= 3_333);
-    assert!(f64::from(later) < 0.2 * f64::from(first) + 250.0 && held > 5_000, "{first} {later} {held}");
-    assert_eq!(limits.changes().len(), 1);
-    assert!(limits.held() < 100);
+    assert!(limits.storm().is_some() && first_tries >= 3_333);
+    assert!(
+        f64::from(retries) < 0.2 * f64::from(first_tries) + 250.0 && rejected > 5_000,
+        "{first_tries} {retries} {rejected}"
+    );
+    assert_eq!(limits.take_changes().len(), 1);
+    assert!(limits.entry_count() < 100);
 }
 
 #[test]
-fn a_rate_is_what_was_noted_and_fades() {
+fn a_rate_follows_recorded_events_and_decays() {
     let mut rate = Rate::new(2.0, START);
-    (1..=20_000).for_each(|n| rate.note(START + f64::from(n) / 1000.0));
-    assert!((rate.at(START + 20.0) / 1000.0 - 1.0).abs() < 0.01);
-    assert!(rate.at(START + 40.0) < 0.1);
+    (1..=20_000).for_each(|n| rate.record(START + f64::from(n) / 1000.0));
+    assert!((rate.per_second(START + 20.0) / 1000.0 - 1.0).abs() < 0.01);
+    assert!(rate.per_second(START + 40.0) < 0.1);
 }
--- a/crates/sandstile-restart-pacing/src/admission_ramp.rs
+++ b/crates/sandstile-restart-pacing/src/admission_ramp.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeSet;
 
 /// The initial limit of statements in flight.
-const FIRST: f64 = 8.0;
+const INITIAL_WINDOW: f64 = 8.0;
 /// The number of completions without a rejection after which the ramp ends.
-const CALM: u32 = 200;
+const CALM_COMPLETIONS: u32 = 200;
 /// The ramp ends at this limit, which no router of these deployments exceeds.
-const WIDE: f64 = 256.0;
+const MAX_WINDOW: f64 = 256.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
@@ -18,48 +18,53 @@
 
 pub struct AdmissionRamp {
     window: f64,
-    under_way: BTreeSet<u64>,
-    calm: u32,
-    over: bool,
+    in_flight: BTreeSet<u64>,
+    completions_since_rejection: u32,
+    finished: bool,
 }
 
 impl Default for AdmissionRamp {
     fn default() -> Self {
-        AdmissionRamp { window: FIRST, under_way: BTreeSet::new(), calm: 0, over: false }
+        AdmissionRamp {
+            window: INITIAL_WINDOW,
+            in_flight: BTreeSet::new(),
+            completions_since_rejection: 0,
+            finished: false,
+        }
     }
 }
 
 impl AdmissionRamp {
-    pub fn asked(&mut self, statement_id: u64) -> Admission {
-        if self.over {
+    pub fn admit(&mut self, statement_id: u64) -> Admission {
+        if self.finished {
             return Admission::Admit;
         }
-        if self.under_way.len() as f64 >= self.window {
-            self.calm = 0;
+        if self.in_flight.len() as f64 >= self.window {
+            self.completions_since_rejection = 0;
             return Admission::TurnAway;
         }
-        self.under_way.insert(statement_id);
+        self.in_flight.insert(statement_id);
         Admission::Admit
     }
 
     /// An admitted statement has ended.
-    pub fn ended(&mut self, statement_id: u64, completed: bool) {
-        if self.over || !self.under_way.remove(&statement_id) || !completed {
+    pub fn statement_ended(&mut self, statement_id: u64, completed: bool) {
+        if self.finished || !self.in_flight.remove(&statement_id) || !completed {
             return;
         }
         self.window += 1.0;
-        self.calm += 1;
-        if self.calm >= CALM || self.window >= WIDE {
-            self.over = true;
-            self.under_way.clear();
+        self.completions_since_rejection += 1;
+        if self.completions_since_rejection >= CALM_COMPLETIONS || self.window >= MAX_WINDOW {
+            self.finished = true;
+            self.in_flight.clear();
         }
     }
 
-    pub fn over(&self) -> bool {
-        self.over
+    pub fn finished(&self) -> bool {
+        self.finished
     }
 
-    pub fn held(&self) -> usize {
-        self.under_way.len()
+    pub fn entry_count(&self) -> usize {
+        self.in_flight.len()
     }
 }
--- a/crates/sandstile-restart-pacing/src/list_polling.rs
+++ b/crates/sandstile-restart-pacing/src/list_polling.rs
@@ -3,29 +3,29 @@
 use oorandom::Rand64;
 
 /// The first and the longest pause in seconds: an absent agent costs little, and changes must not wait long.
-const FIRST: f64 = 0.2;
-const LONGEST: f64 = 1.0;
+const INITIAL_PAUSE: f64 = 0.2;
+const MAX_PAUSE: f64 = 1.0;
 
 pub struct ListBackoff {
-    chance: Rand64,
+    rng: Rand64,
     pause: f64,
 }
 
 impl ListBackoff {
     pub fn new(seed: u64) -> ListBackoff {
-        ListBackoff { chance: Rand64::new(u128::from(seed)), pause: FIRST }
+        ListBackoff { rng: Rand64::new(u128::from(seed)), pause: INITIAL_PAUSE }
     }
 
     /// A watch ended or failed. Returns the seconds until the next one: between half and one and a half times
     /// a pause that grows until a list is received.
     pub fn next_delay(&mut self) -> f64 {
-        let pause = self.pause * (0.5 + self.chance.rand_float());
-        self.pause = (self.pause * 1.5).min(LONGEST);
+        let pause = self.pause * (0.5 + self.rng.rand_float());
+        self.pause = (self.pause * 1.5).min(MAX_PAUSE);
         pause
     }
 
     /// A list was received.
     pub fn reset(&mut self) {
-        self.pause = FIRST;
+        self.pause = INITIAL_PAUSE;
     }
 }
--- a/crates/sandstile-restart-pacing/tests/pacing.rs
+++ b/crates/sandstile-restart-pacing/tests/pacing.rs
@@ -1,7 +1,7 @@
 //! Checks the paces with random events: none blocks for ever, and none exceeds its limits.
 use oorandom::Rand64;
-use sandstile_restart_pacing::dial_pacing::PLAIN_POOL;
-use sandstile_restart_pacing::stall::{LOOK, NEWS};
+use sandstile_restart_pacing::dial_pacing::PLAIN_POOL_SIZE;
+use sandstile_restart_pacing::stall::{CHECK_INTERVAL, SETTLE_SECONDS};
 use sandstile_restart_pacing::{
     Admission, AdmissionRamp, DialDecision, DialOutcome, DialPacer, ListBackoff, Pace, StallDetector, PACES,
 };
@@ -10,148 +10,155 @@
 /// A host whose handshakes are processed one after another.
 struct Handshakes {
     /// The end time of each handshake in progress, and its router.
-    line: Vec<(f64, usize)>,
+    in_progress: Vec<(f64, usize)>,
     busy_until: f64,
     work: f64,
 }
 
 impl Handshakes {
-    fn dial(&mut self, now: f64, who: usize) {
+    fn dial(&mut self, now: f64, router: usize) {
         self.busy_until = self.busy_until.max(now) + self.work;
-        self.line.push((self.busy_until, who));
+        self.in_progress.push((self.busy_until, router));
     }
 }
 
 /// All routers of a fleet start at once and each wants `connections` connections to one host. Returns the
 /// seconds until the last one was up and the largest number of concurrent handshakes.
-fn start(pace: Pace, routers: usize, links: usize, work: f64) -> (f64, usize) {
-    let mut all: Vec<DialPacer> =
+fn start_fleet(pace: Pace, routers: usize, connections: usize, work: f64) -> (f64, usize) {
+    let mut pacers: Vec<DialPacer> =
         (0..routers).map(|n| DialPacer::new(pace, routers, n as u64, 7, 100.0)).collect();
-    let mut left: Vec<usize> = vec![links; routers];
-    let mut host = Handshakes { line: Vec::new(), busy_until: 0.0, work };
-    let (mut now, mut most, mut began) = (100.0, 0, BTreeMap::new());
+    let mut remaining: Vec<usize> = vec![connections; routers];
+    let mut host = Handshakes { in_progress: Vec::new(), busy_until: 0.0, work };
+    let (mut now, mut max_concurrent, mut started_at) = (100.0, 0, BTreeMap::new());
     for _ in 0..2_000_000 {
         let mut next = f64::INFINITY;
-        for who in 0..routers {
-            while left[who] > 0 {
-                match all[who].decide(now, 0) {
+        for router in 0..routers {
+            while remaining[router] > 0 {
+                match pacers[router].decide(now, 0) {
                     DialDecision::Now => {
-                        all[who].dial_started(now, 0);
-                        host.dial(now, who);
-                        began.entry(who).or_insert_with(Vec::new).push(now);
-                        left[who] -= 1;
+                        pacers[router].dial_started(now, 0);
+                        host.dial(now, router);
+                        started_at.entry(router).or_insert_with(Vec::new).push(now);
+                        remaining[router] -= 1;
                     }
                     DialDecision::At(at) => {
-                        assert!(at > now, "a time to ask again lies ahead");
+                        assert!(at > now, "the time to ask again is in the future");
                         next = next.min(at);
                         break;
                     }
                     DialDecision::AfterCurrent => {
-                        assert!(all[who].under_way(0) > 0, "it waits for an end, so one is under way");
+                        assert!(
+                            pacers[router].in_flight(0) > 0,
+                            "it waits for the end of a dial, so one is in flight"
+                        );
                         break;
                     }
                 }
             }
         }
-        most = most.max(host.line.len());
-        let first = host.line.iter().map(|(at, _)| *at).fold(f64::INFINITY, f64::min);
+        max_concurrent = max_concurrent.max(host.in_progress.len());
+        let first = host.in_progress.iter().map(|(at, _)| *at).fold(f64::INFINITY, f64::min);
         next = next.min(first);
         if next.is_infinite() {
-            return (now - 100.0, most);
+            return (now - 100.0, max_concurrent);
         }
         now = next;
-        let (up, line): (Vec<_>, Vec<_>) = host.line.drain(..).partition(|(at, _)| *at <= now);
-        host.line = line;
-        for (_, who) in up {
-            let since = began.get_mut(&who).map(|b| b.remove(0)).unwrap();
-            all[who].dial_ended(now, 0, DialOutcome::Connected(now - since));
+        let (up, in_progress): (Vec<_>, Vec<_>) = host.in_progress.drain(..).partition(|(at, _)| *at <= now);
+        host.in_progress = in_progress;
+        for (_, router) in up {
+            let since = started_at.get_mut(&router).map(|times| times.remove(0)).unwrap();
+            pacers[router].dial_ended(now, 0, DialOutcome::Connected(now - since));
         }
     }
-    panic!("{pace:?}: not all links came up");
+    panic!("{pace:?}: not all connections came up");
 }
 
 #[test]
-fn no_pace_stands_still_and_answers_keeps_the_crowd_small() {
-    for (word, pace) in PACES {
-        let (took, most) = start(pace, 40, 4, 0.005);
-        println!("{word}: all up after {took:.2} s, {most} at one time");
-        assert!(took < 20.0, "{word}: {took}");
+fn all_paces_connect_every_router_and_answers_limits_concurrent_handshakes() {
+    for (name, pace) in PACES {
+        let (duration, max_concurrent) = start_fleet(pace, 40, 4, 0.005);
+        println!("{name}: all up after {duration:.2} s, at most {max_concurrent} handshakes at one time");
+        assert!(duration < 20.0, "{name}: {duration}");
     }
-    let (_, plain) = start(Pace::Plainest, 40, 4, 0.005);
-    let (took, paced) = start(Pace::Answers, 40, 4, 0.005);
+    let (_, plain) = start_fleet(Pace::Plainest, 40, 4, 0.005);
+    let (duration, paced) = start_fleet(Pace::Answers, 40, 4, 0.005);
     assert_eq!(plain, 160);
     assert!(paced <= 60, "{paced}");
     // The host's total work, plus at most a third.
-    assert!(took < 160.0 * 0.005 * 1.34, "{took}");
+    assert!(duration < 160.0 * 0.005 * 1.34, "{duration}");
 }
 
 /// In any order of events there is always a dial allowed, a dial in flight or a time for the next one.
 #[test]
-fn dials_never_wait_for_nothing() {
-    fn holds(seed: u64) -> bool {
-        let mut chance = Rand64::new(u128::from(seed));
-        let pace = PACES[chance.rand_range(0..5) as usize].1;
-        let mut dials = DialPacer::new(pace, chance.rand_range(1..400) as usize, seed, seed, 50.0);
-        let (mut now, mut out) = (50.0, Vec::new());
+fn a_waiting_dial_always_has_a_time_or_a_dial_in_flight() {
+    fn property(seed: u64) -> bool {
+        let mut rng = Rand64::new(u128::from(seed));
+        let pace = PACES[rng.rand_range(0..5) as usize].1;
+        let mut pacer = DialPacer::new(pace, rng.rand_range(1..400) as usize, seed, seed, 50.0);
+        let (mut now, mut pending) = (50.0, Vec::new());
         for _ in 0..500 {
-            now += chance.rand_float() * 0.1;
-            let host = chance.rand_range(0..4) as usize;
-            match dials.decide(now, host) {
+            now += rng.rand_float() * 0.1;
+            let host = rng.rand_range(0..4) as usize;
+            match pacer.decide(now, host) {
                 DialDecision::Now => {
-                    dials.dial_started(now, host);
-                    out.push((host, now));
+                    pacer.dial_started(now, host);
+                    pending.push((host, now));
                 }
                 DialDecision::At(at) if at <= now || at > now + 20.0 => return false,
-                DialDecision::AfterCurrent if dials.under_way(host) == 0 => return false,
+                DialDecision::AfterCurrent if pacer.in_flight(host) == 0 => return false,
                 _ => {}
             }
-            if !out.is_empty() && chance.rand_range(0..3) == 0 {
-                let (host, since) = out.swap_remove(chance.rand_range(0..out.len() as u64) as usize);
-                let up = chance.rand_range(0..4) > 0;
-                let late =
-                    if chance.rand_range(0..2) == 0 { DialOutcome::TimedOut } else { DialOutcome::Refused };
-                dials.dial_ended(now, host, if up { DialOutcome::Connected(now - since) } else { late });
+            if !pending.is_empty() && rng.rand_range(0..3) == 0 {
+                let (host, since) = pending.swap_remove(rng.rand_range(0..pending.len() as u64) as usize);
+                let up = rng.rand_range(0..4) > 0;
+                let failure =
+                    if rng.rand_range(0..2) == 0 { DialOutcome::TimedOut } else { DialOutcome::Refused };
+                pacer.dial_ended(now, host, if up { DialOutcome::Connected(now - since) } else { failure });
             }
-            if dials.under_way(0) + dials.under_way(1) + dials.under_way(2) + dials.under_way(3) != out.len()
+            if pacer.in_flight(0) + pacer.in_flight(1) + pacer.in_flight(2) + pacer.in_flight(3)
+                != pending.len()
             {
                 return false;
             }
         }
-        dials.held() <= 4
+        pacer.host_count() <= 4
     }
-    quickcheck::QuickCheck::new().tests(200).quickcheck(holds as fn(u64) -> bool);
+    quickcheck::QuickCheck::new().tests(200).quickcheck(property as fn(u64) -> bool);
 }
 
 /// A host is so slow that all routers that dial together time out, and its work for them is lost. Routers
 /// that retry at once keep it in this state for ever.
 #[test]
-fn a_host_that_greets_nobody_in_time_is_found_by_backing_off() {
+fn backoff_lets_routers_connect_to_an_overloaded_host() {
     let (routers, work, limit) = (16, 0.035, 0.25);
     let up_after = |pace: Pace| {
-        let mut all: Vec<DialPacer> =
+        let mut pacers: Vec<DialPacer> =
             (0..routers).map(|n| DialPacer::new(pace, routers, n as u64, 7, 100.0)).collect();
         // Concurrent handshakes share the host evenly; those whose router gave up still take their share.
-        let mut jobs: Vec<(usize, f64, f64)> = Vec::new();
-        let (mut up, mut out, step) = (vec![false; routers], vec![None; routers], 0.001);
+        let mut handshakes: Vec<(usize, f64, f64)> = Vec::new();
+        let (mut up, mut dialling_since, step) = (vec![false; routers], vec![None; routers], 0.001);
         for tick in 0..30_000 {
             let now = 100.0 + f64::from(tick) * step;
-            for who in 0..routers {
-                if out[who].is_none() && !up[who] && all[who].decide(now, 0) == DialDecision::Now {
-                    all[who].dial_started(now, 0);
-                    out[who] = Some(now);
-                    jobs.push((who, now, work));
+            for router in 0..routers {
+                if dialling_since[router].is_none()
+                    && !up[router]
+                    && pacers[router].decide(now, 0) == DialDecision::Now
+                {
+                    pacers[router].dial_started(now, 0);
+                    dialling_since[router] = Some(now);
+                    handshakes.push((router, now, work));
                 }
-                if out[who].is_some_and(|since| now - since > limit) {
-                    all[who].dial_ended(now, 0, DialOutcome::TimedOut);
-                    out[who] = None;
+                if dialling_since[router].is_some_and(|since| now - since > limit) {
+                    pacers[router].dial_ended(now, 0, DialOutcome::TimedOut);
+                    dialling_since[router] = None;
                 }
             }
-            let share = step / jobs.len().max(1) as f64;
-            jobs.iter_mut().for_each(|job| job.2 -= share);
-            for (who, began, _) in jobs.extract_if(.., |job| job.2 <= 0.0) {
-                if out[who] == Some(began) {
-                    all[who].dial_ended(now, 0, DialOutcome::Connected(now - began));
-                    (out[who], up[who]) = (None, true);
+            let share = step / handshakes.len().max(1) as f64;
+            handshakes.iter_mut().for_each(|handshake| handshake.2 -= share);
+            for (router, started_at, _) in handshakes.extract_if(.., |handshake| handshake.2 <= 0.0) {
+                if dialling_since[router] == Some(started_at) {
+                    pacers[router].dial_ended(now, 0, DialOutcome::Connected(now - started_at));
+                    (dialling_since[router], up[router]) = (None, true);
                 }
             }
             if up.iter().all(|up| *up) {
@@ -161,107 +168,114 @@
         None
     };
     assert_eq!(up_after(Pace::Plainest), None);
-    let took = up_after(Pace::Answers).expect("all come up");
-    println!("answers: all of 16 up after {took:.1} s, where {:.2} s is the work", routers as f64 * work);
-    assert!(took < 8.0, "{took}");
+    let duration = up_after(Pace::Answers).expect("all routers are up");
+    println!(
+        "answers: all of 16 up after {duration:.1} s, of which {:.2} s is the work of the host",
+        routers as f64 * work
+    );
+    assert!(duration < 8.0, "{duration}");
 }
 
 #[test]
-fn hosts_that_answer_slowly_get_fewer_and_quick_ones_are_free_soon() {
-    let mut dials = DialPacer::new(Pace::Answers, 1, 0, 1, 0.0);
+fn slow_hosts_get_fewer_dials_and_fast_ones_soon_have_no_limit() {
+    let mut pacer = DialPacer::new(Pace::Answers, 1, 0, 1, 0.0);
     let mut now = 1.0;
-    assert_eq!(dials.decide(now, 0), DialDecision::Now);
-    dials.dial_started(now, 0);
-    assert_eq!(dials.decide(now, 0), DialDecision::AfterCurrent, "one to begin with");
+    assert_eq!(pacer.decide(now, 0), DialDecision::Now);
+    pacer.dial_started(now, 0);
+    assert_eq!(pacer.decide(now, 0), DialDecision::AfterCurrent, "one dial to begin with");
     for _ in 0..40 {
         now += 0.01;
-        dials.dial_ended(now, 0, DialOutcome::Connected(0.01));
-        dials.dial_started(now, 0);
+        pacer.dial_ended(now, 0, DialOutcome::Connected(0.01));
+        pacer.dial_started(now, 0);
     }
     for _ in 0..100 {
-        assert_eq!(dials.decide(now, 0), DialDecision::Now, "free by now");
-        dials.dial_started(now, 0);
+        assert_eq!(pacer.decide(now, 0), DialDecision::Now, "no limit by now");
+        pacer.dial_started(now, 0);
     }
     // Overload at the host: each handshake takes ten times as long.
     for _ in 0..6 {
         now += 0.1;
-        dials.dial_ended(now, 0, DialOutcome::Connected(0.1));
+        pacer.dial_ended(now, 0, DialOutcome::Connected(0.1));
     }
-    assert_eq!(dials.decide(now, 0), DialDecision::AfterCurrent);
-    assert_eq!(dials.initial_dials(), 0);
-    assert_eq!(DialPacer::new(Pace::Plainest, 1, 0, 1, 0.0).initial_dials(), PLAIN_POOL);
+    assert_eq!(pacer.decide(now, 0), DialDecision::AfterCurrent);
+    assert_eq!(pacer.initial_dials(), 0);
+    assert_eq!(DialPacer::new(Pace::Plainest, 1, 0, 1, 0.0).initial_dials(), PLAIN_POOL_SIZE);
 }
 
 #[test]
-fn the_ramp_opens_with_answers_and_ends_by_what_is_seen() {
-    fn holds(seed: u64) -> bool {
-        let mut chance = Rand64::new(u128::from(seed));
-        let (mut ramp, mut inside, mut completed) = (AdmissionRamp::default(), Vec::new(), 0usize);
+fn the_ramp_widens_with_completions_and_ends() {
+    fn property(seed: u64) -> bool {
+        let mut rng = Rand64::new(u128::from(seed));
+        let (mut ramp, mut admitted, mut completed) = (AdmissionRamp::default(), Vec::new(), 0usize);
         for statement_id in 0..20_000u64 {
-            if ramp.over() {
-                return ramp.held() == 0;
+            if ramp.finished() {
+                return ramp.entry_count() == 0;
             }
-            match ramp.asked(statement_id) {
-                Admission::Admit => inside.push(statement_id),
-                // It admits at least eight statements at a time.
-                Admission::TurnAway if inside.len() < 8 => return false,
+            match ramp.admit(statement_id) {
+                Admission::Admit => admitted.push(statement_id),
+                // The limit is eight plus the statements completed, so eight are always admitted.
+                Admission::TurnAway if admitted.len() < 8 => return false,
                 Admission::TurnAway => {}
             }
-            if inside.len() > 8 + completed {
+            if admitted.len() > 8 + completed {
                 return false;
             }
-            while !inside.is_empty() && chance.rand_range(0..3) > 0 {
-                let statement_id = inside.swap_remove(chance.rand_range(0..inside.len() as u64) as usize);
-                let done = chance.rand_range(0..5) > 0;
-                ramp.ended(statement_id, done);
+            while !admitted.is_empty() && rng.rand_range(0..3) > 0 {
+                let statement_id = admitted.swap_remove(rng.rand_range(0..admitted.len() as u64) as usize);
+                let done = rng.rand_range(0..5) > 0;
+                ramp.statement_ended(statement_id, done);
                 completed += usize::from(done);
             }
         }
         // With a steady flow of answers the ramp must have ended by now.
         false
     }
-    quickcheck::QuickCheck::new().tests(100).quickcheck(holds as fn(u64) -> bool);
+    quickcheck::QuickCheck::new().tests(100).quickcheck(property as fn(u64) -> bool);
     // Without completions, no more than the initial statements are ever admitted.
     let mut ramp = AdmissionRamp::default();
     for statement_id in 0..1000 {
-        if ramp.asked(statement_id) == Admission::Admit {
-            ramp.ended(statement_id, false);
+        if ramp.admit(statement_id) == Admission::Admit {
+            ramp.statement_ended(statement_id, false);
         }
     }
-    assert!(!ramp.over());
+    assert!(!ramp.finished());
 }
 
 #[test]
-fn a_stop_is_told_from_a_loop_with_nothing_to_do() {
+fn a_stall_is_told_from_an_idle_event_loop() {
     let mut stall = StallDetector::new(1.0, 10.0);
     let mut now = 10.0;
     for _ in 0..100 {
-        now = stall.due();
-        assert_eq!(stall.look(now + 0.01), None);
-        assert!(!stall.holds(now));
+        now = stall.next_check_at();
+        assert_eq!(stall.check(now + 0.01), None);
+        assert!(!stall.blocks_decisions(now));
     }
     // Ten seconds without a check.
     now += 10.0;
-    let stood = stall.look(now).unwrap();
-    assert!((stood - 10.0).abs() < 0.1, "{stood}");
-    assert!(stall.holds(now) && stall.due() <= now + NEWS && stall.lost(now) == stood);
-    assert!(!stall.holds(now + NEWS) && stall.lost(now + NEWS) == 0.0);
-    stall.heard();
-    assert!(!stall.holds(now), "the list has come: nothing to wait for");
-    assert_eq!(stall.look(now + LOOK), None);
+    let stalled_for = stall.check(now).unwrap();
+    assert!((stalled_for - 10.0).abs() < 0.1, "{stalled_for}");
+    assert!(
+        stall.blocks_decisions(now)
+            && stall.next_check_at() <= now + SETTLE_SECONDS
+            && stall.time_lost(now) == stalled_for
+    );
+    assert!(!stall.blocks_decisions(now + SETTLE_SECONDS) && stall.time_lost(now + SETTLE_SECONDS) == 0.0);
+    stall.list_received();
+    assert!(!stall.blocks_decisions(now), "the list has come, so there is nothing to wait for");
+    assert_eq!(stall.check(now + CHECK_INTERVAL), None);
 }
 
 #[test]
-fn lists_are_asked_for_out_of_step_and_no_less_often_than_said() {
+fn list_requests_are_spread_and_within_the_longest_pause() {
     let mut pauses = BTreeMap::new();
     for seed in 0..100 {
-        let mut lists = ListBackoff::new(seed);
+        let mut backoff = ListBackoff::new(seed);
         for _ in 0..10 {
-            let pause = lists.next_delay();
+            let pause = backoff.next_delay();
             assert!((0.1..=1.5).contains(&pause), "{pause}");
         }
-        lists.reset();
-        pauses.insert((lists.next_delay() * 1e6) as u64, seed);
+        backoff.reset();
+        pauses.insert((backoff.next_delay() * 1e6) as u64, seed);
     }
     assert!(pauses.len() > 95 && *pauses.keys().next().unwrap() < 110_000, "{}", pauses.len());
 }
--- a/crates/sandstile-timers/examples/timers.rs
+++ b/crates/sandstile-timers/examples/timers.rs
@@ -1,34 +1,35 @@
 //! Compares the wheel with the heap: a constant number of timers is pending, and each that is due is
-//! replaced. Prints nanoseconds per step. Run with `cargo run --release -p sandstile-timers --example
-//! timers`.
+//! replaced. Prints nanoseconds per step.
+//!
+//! `cargo run --release -p sandstile-timers --example timers`
 
 use sandstile_timers::{TimerHeap, TimerWheel};
 use std::time::Instant;
 
 fn main() {
-    println!("standing   spread      heap ns   wheel ns");
-    for standing in [1_000, 100_000, 1_000_000] {
+    println!("pending    spread      heap ns   wheel ns");
+    for pending in [1_000, 100_000, 1_000_000] {
         for spread in [0.01, 1.0, 60.0] {
             let steps = 2_000_000;
-            let mut chance = oorandom::Rand64::new(1);
-            let delays: Vec<f64> = (0..65_536).map(|_| -spread * (1.0 - chance.rand_float()).ln()).collect();
+            let mut rng = oorandom::Rand64::new(1);
+            let delays: Vec<f64> = (0..65_536).map(|_| -spread * (1.0 - rng.rand_float()).ln()).collect();
             let mut heap = TimerHeap::default();
-            (0..standing).for_each(|n| heap.push(delays[n % delays.len()], n));
-            let begun = Instant::now();
+            (0..pending).for_each(|n| heap.push(delays[n % delays.len()], n));
+            let started = Instant::now();
             for n in 0..steps {
-                let (at, item) = heap.pop(f64::INFINITY).expect("a timer");
-                heap.push(at + delays[n % delays.len()], item);
+                let (time, item) = heap.pop(f64::INFINITY).expect("a timer");
+                heap.push(time + delays[n % delays.len()], item);
             }
-            let plain = begun.elapsed().as_nanos() as f64 / steps as f64;
+            let heap_ns = started.elapsed().as_nanos() as f64 / steps as f64;
             let mut wheel = TimerWheel::default();
-            (0..standing).for_each(|n| wheel.push(delays[n % delays.len()], n));
-            let begun = Instant::now();
+            (0..pending).for_each(|n| wheel.push(delays[n % delays.len()], n));
+            let started = Instant::now();
             for n in 0..steps {
-                let (at, item) = wheel.pop(f64::INFINITY).expect("a timer");
-                wheel.push(at + delays[n % delays.len()], item);
+                let (time, item) = wheel.pop(f64::INFINITY).expect("a timer");
+                wheel.push(time + delays[n % delays.len()], item);
             }
-            let own = begun.elapsed().as_nanos() as f64 / steps as f64;
-            println!("{standing:8}   {spread:6} s   {plain:7.0}   {own:8.0}");
+            let wheel_ns = started.elapsed().as_nanos() as f64 / steps as f64;
+            println!("{pending:8}   {spread:6} s   {heap_ns:7.0}   {wheel_ns:8.0}");
         }
     }
 }
--- a/crates/sandstile-timers/src/lib.rs
+++ b/crates/sandstile-timers/src/lib.rs
@@ -1,19 +1,19 @@
-//! Timers of the emulator, ordered by time and, for equal times, by insertion. Two structures have the same
-//! interface: `examples/timers.rs` compares their speed, and `docs/design/emulator.md` says which one is used
+//! Timers ordered by time and, for equal times, by insertion. Two structures have the same interface:
+//! `examples/timers.rs` compares their speed, and `docs/design/emulator.md` says which one the emulator uses
 //! and why.
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 struct Entry<T> {
-    at: f64,
-    order: u64,
+    time: f64,
+    sequence: u64,
     item: T,
 }
 
 impl<T> Ord for Entry<T> {
     /// Reversed, because the standard heap pops its greatest element.
     fn cmp(&self, other: &Self) -> Ordering {
-        other.at.total_cmp(&self.at).then(other.order.cmp(&self.order))
+        other.time.total_cmp(&self.time).then(other.sequence.cmp(&self.sequence))
     }
 }
 
@@ -34,23 +34,23 @@
 /// Timers in a binary heap.
 pub struct TimerHeap<T> {
     heap: BinaryHeap<Entry<T>>,
-    made: u64,
+    pushed: u64,
 }
 
 impl<T> Default for TimerHeap<T> {
     fn default() -> Self {
-        TimerHeap { heap: BinaryHeap::new(), made: 0 }
+        TimerHeap { heap: BinaryHeap::new(), pushed: 0 }
     }
 }
 
 impl<T> TimerHeap<T> {
-    pub fn push(&mut self, at: f64, item: T) {
-        self.made += 1;
-        self.heap.push(Entry { at, order: self.made, item });
+    pub fn push(&mut self, time: f64, item: T) {
+        self.pushed += 1;
+        self.heap.push(Entry { time, sequence: self.pushed, item });
     }
 
     pub fn earliest(&self) -> Option<f64> {
-        self.heap.peek().map(|e| e.at)
+        self.heap.peek().map(|entry| entry.time)
     }
 
     /// Removes the earliest timer if it is due.
@@ -58,7 +58,7 @@
         if self.earliest()? > now {
             return None;
         }
-        self.heap.pop().map(|e| (e.at, e.item))
+        self.heap.pop().map(|entry| (entry.time, entry.item))
     }
 
     pub fn len(&self) -> usize {
@@ -70,42 +70,42 @@
     }
 }
 
-const BITS: u32 = 8;
-const SLOTS: usize = 1 << BITS;
+const SLOT_BITS: u32 = 8;
+const SLOTS: usize = 1 << SLOT_BITS;
 const LEVELS: usize = 4;
 /// Ticks per second: slots of the lowest level are about a millisecond long.
-const TICKS: f64 = 1024.0;
+const TICKS_PER_SECOND: f64 = 1024.0;
 
 struct Level<T> {
     slots: Vec<Vec<Entry<T>>>,
-    taken: [u64; SLOTS / 64],
+    occupied: [u64; SLOTS / 64],
 }
 
 impl<T> Level<T> {
     fn new() -> Self {
-        Level { slots: (0..SLOTS).map(|_| Vec::new()).collect(), taken: [0; SLOTS / 64] }
+        Level { slots: (0..SLOTS).map(|_| Vec::new()).collect(), occupied: [0; SLOTS / 64] }
     }
 
-    fn put(&mut self, slot: usize, entry: Entry<T>) {
-        self.taken[slot / 64] |= 1 << (slot % 64);
+    fn insert(&mut self, slot: usize, entry: Entry<T>) {
+        self.occupied[slot / 64] |= 1 << (slot % 64);
         self.slots[slot].push(entry);
     }
 
-    fn take(&mut self, slot: usize) -> Vec<Entry<T>> {
-        self.taken[slot / 64] &= !(1 << (slot % 64));
+    fn take_slot(&mut self, slot: usize) -> Vec<Entry<T>> {
+        self.occupied[slot / 64] &= !(1 << (slot % 64));
         std::mem::take(&mut self.slots[slot])
     }
 
     /// The first occupied slot from this one on.
-    fn first(&self, from: usize) -> Option<usize> {
+    fn first_occupied(&self, from: usize) -> Option<usize> {
         let (word, bit) = (from / 64, from % 64);
-        let mut bits = *self.taken.get(word)? & (u64::MAX << bit);
-        for at in word..self.taken.len() {
-            if at > word {
-                bits = self.taken[at];
+        let mut bits = *self.occupied.get(word)? & (u64::MAX << bit);
+        for index in word..self.occupied.len() {
+            if index > word {
+                bits = self.occupied[index];
             }
             if bits != 0 {
-                return Some(at * 64 + bits.trailing_zeros() as usize);
+                return Some(index * 64 + bits.trailing_zeros() as usize);
             }
         }
         None
@@ -120,7 +120,7 @@
     /// All entries up to this tick have moved to `due`.
     cursor: u64,
     due: BinaryHeap<Entry<T>>,
-    made: u64,
+    pushed: u64,
     len: usize,
 }
 
@@ -134,72 +134,76 @@
     /// Creates a wheel whose range begins at `start`.
     pub fn starting_at(start: f64) -> Self {
         let levels = (0..LEVELS).map(|_| Level::new()).collect();
-        TimerWheel { levels, cursor: tick(start), due: BinaryHeap::new(), made: 0, len: 0 }
+        TimerWheel { levels, cursor: tick(start), due: BinaryHeap::new(), pushed: 0, len: 0 }
     }
 
-    pub fn push(&mut self, at: f64, item: T) {
-        self.made += 1;
+    pub fn push(&mut self, time: f64, item: T) {
+        self.pushed += 1;
         self.len += 1;
-        self.place(Entry { at, order: self.made, item });
+        self.schedule(Entry { time, sequence: self.pushed, item });
     }
 
-    fn place(&mut self, entry: Entry<T>) {
-        let to = tick(entry.at);
-        if to <= self.cursor {
+    fn schedule(&mut self, entry: Entry<T>) {
+        let target = tick(entry.time);
+        if target <= self.cursor {
             return self.due.push(entry);
         }
         // The level of the highest digit in which the tick differs from the cursor.
-        let differs = 63 - (to ^ self.cursor).leading_zeros();
-        let level = ((differs / BITS) as usize).min(LEVELS - 1);
-        let beyond = differs >= BITS * LEVELS as u32;
-        let slot = match beyond {
+        let highest_bit = 63 - (target ^ self.cursor).leading_zeros();
+        let level = ((highest_bit / SLOT_BITS) as usize).min(LEVELS - 1);
+        let out_of_range = highest_bit >= SLOT_BITS * LEVELS as u32;
+        let slot = match out_of_range {
             true => SLOTS - 1,
-            false => (to >> (BITS * level as u32)) as usize % SLOTS,
+            false => (target >> (SLOT_BITS * level as u32)) as usize % SLOTS,
         };
-        self.levels[level].put(slot, entry);
+        self.levels[level].insert(slot, entry);
     }
 
     /// Advances the cursor until an entry is due or none is left.
-    fn turn(&mut self) {
+    fn advance(&mut self) {
         while self.due.is_empty() && self.len > 0 {
-            let found = (0..LEVELS).find_map(|level| {
-                let here = (self.cursor >> (BITS * level as u32)) as usize % SLOTS;
-                self.levels[level].first(here).map(|slot| (level, slot))
+            let next_slot = (0..LEVELS).find_map(|level| {
+                let current_slot = (self.cursor >> (SLOT_BITS * level as u32)) as usize % SLOTS;
+                self.levels[level].first_occupied(current_slot).map(|slot| (level, slot))
             });
-            let Some((level, slot)) = found else {
+            let Some((level, slot)) = next_slot else {
                 // All remaining entries are beyond the current range, so the next range begins.
-                self.cursor = ((self.cursor >> (BITS * LEVELS as u32)) + 1) << (BITS * LEVELS as u32);
+                self.cursor =
+                    ((self.cursor >> (SLOT_BITS * LEVELS as u32)) + 1) << (SLOT_BITS * LEVELS as u32);
                 for slot in 0..SLOTS {
-                    let entries = self.levels[LEVELS - 1].take(slot);
-                    entries.into_iter().for_each(|e| self.place(e));
+                    let entries = self.levels[LEVELS - 1].take_slot(slot);
+                    entries.into_iter().for_each(|entry| self.schedule(entry));
                 }
                 continue;
             };
-            let shift = BITS * level as u32;
-            let above = self.cursor >> (shift + BITS) << (shift + BITS);
-            let to = above | ((slot as u64) << shift);
-            self.cursor = self.cursor.max(to);
-            let entries = self.levels[level].take(slot);
-            let before = entries.len();
-            let mut again = Vec::new();
+            let shift = SLOT_BITS * level as u32;
+            let range_start = self.cursor >> (shift + SLOT_BITS) << (shift + SLOT_BITS);
+            let target = range_start | ((slot as u64) << shift);
+            self.cursor = self.cursor.max(target);
+            let entries = self.levels[level].take_slot(slot);
+            let taken_out = entries.len();
+            let mut next_range = Vec::new();
             for entry in entries {
-                if tick(entry.at) >> (BITS * LEVELS as u32) > self.cursor >> (BITS * LEVELS as u32) {
-                    again.push(entry);
+                if tick(entry.time) >> (SLOT_BITS * LEVELS as u32)
+                    > self.cursor >> (SLOT_BITS * LEVELS as u32)
+                {
+                    next_range.push(entry);
                 } else {
-                    self.place(entry);
+                    self.schedule(entry);
                 }
             }
-            if again.len() == before && before > 0 {
+            if next_range.len() == taken_out && taken_out > 0 {
                 // The last slot held no entry of the current range.
-                self.cursor = ((self.cursor >> (BITS * LEVELS as u32)) + 1) << (BITS * LEVELS as u32);
+                self.cursor =
+                    ((self.cursor >> (SLOT_BITS * LEVELS as u32)) + 1) << (SLOT_BITS * LEVELS as u32);
             }
-            again.into_iter().for_each(|e| self.place(e));
+            next_range.into_iter().for_each(|entry| self.schedule(entry));
         }
     }
 
     pub fn earliest(&mut self) -> Option<f64> {
-        self.turn();
-        self.due.peek().map(|e| e.at)
+        self.advance();
+        self.due.peek().map(|entry| entry.time)
     }
 
     pub fn pop(&mut self, now: f64) -> Option<(f64, T)> {
@@ -207,7 +211,7 @@
             return None;
         }
         self.len -= 1;
-        self.due.pop().map(|e| (e.at, e.item))
+        self.due.pop().map(|entry| (entry.time, entry.item))
     }
 
     pub fn len(&self) -> usize {
@@ -219,6 +223,6 @@
     }
 }
 
-fn tick(at: f64) -> u64 {
-    (at.max(0.0) * TICKS) as u64
+fn tick(time: f64) -> u64 {
+    (time.max(0.0) * TICKS_PER_SECOND) as u64
 }
