--- a/crates/sandstile-connections/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -1,31 +1,32 @@
-//! The links of one database host: which are idle, which are busy, and the jobs that wait for a dial. A dial belongs
-//! to nobody: whichever link is free first takes the job that waits longest.
+//! The connection pool of one database host: idle and busy connections, and the tasks that wait for a dial. A
+//! dial is not bound to the task that caused it: whichever connection becomes free first takes the task that
+//! has waited longest.
 use crate::outcome::Ending;
 use crate::task::HostTask;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// What becomes of a job.
+/// Where a new task goes.
 #[derive(Debug)]
 pub enum Placement {
-    /// This link takes it, once the socket has been looked at.
+    /// This idle connection takes it, after the caller has checked that its socket is still usable.
     Assign(usize, HostTask),
-    /// It waits; one more link is to be dialled at this address and made known by `dialled`.
+    /// The task waits. The caller has to dial one more connection to this address and report it by `dialled`.
     Dial(SocketAddr),
-    /// It ends here.
+    /// The task fails at once.
     End(HostTask, Ending),
 }
 
-/// What becomes of a link that is free.
+/// What happens to a connection that has become free.
 #[derive(Debug)]
 pub enum NextUse {
     Assign(HostTask),
     Idle,
-    /// The host has another address by now.
+    /// The host has another address by now, so the connection is of no further use.
     Moved,
 }
 
-/// Where an execution was found that is to be withdrawn.
+/// Where an execution that is to be cancelled was found.
 #[derive(Debug)]
 pub enum Lookup {
     Waiting(HostTask),
@@ -36,129 +37,132 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     address: Option<SocketAddr>,
-    /// Counts the addresses: a link of an earlier one is not used again.
-    address_no: u64,
-    /// Last used last, each with the time since when.
+    /// Number of the current address. Connections to an earlier address are not reused.
+    address_number: u64,
+    /// Idle connections with the time since which they are idle, the most recently used one last.
     idle: Vec<(usize, f64)>,
-    /// Each link that is up and not idle, with its address and what it does.
+    /// Connected and not idle: for each the number of its address, and the statement and execution that it
+    /// runs.
     busy: BTreeMap<usize, (u64, Option<(u64, usize)>)>,
-    /// Each with the dial that was begun for it.
+    /// Waiting tasks, each with the dial that was started for it.
     waiting: VecDeque<(usize, HostTask)>,
-    /// The job that the next dial is begun for.
-    wanting: Option<HostTask>,
-    /// Dials under way, with the number of the address they went to.
+    /// The task for which the next dial is started.
+    awaiting_dial: Option<HostTask>,
+    /// Dials in progress, each with the number of the address that it goes to.
     dials: BTreeMap<usize, u64>,
 }
 
 impl Pool {
-    /// Whether the list has told an address of this host.
+    /// Whether discovery has reported an address of this host.
     pub fn has_address(&self) -> bool {
         self.address.is_some()
     }
 
-    /// The host's address as the list now has it: the idle links of the former one are to be closed.
-    /// `None` where it has not changed.
+    /// Sets the host's address from the latest host list. Returns the idle connections to the previous
+    /// address, which have to be closed, or `None` if the address has not changed.
     pub fn set_address(&mut self, address: SocketAddr) -> Option<Vec<usize>> {
         if self.address == Some(address) {
             return None;
         }
-        (self.address, self.address_no) = (Some(address), self.address_no + 1);
-        Some(self.idle.drain(..).map(|(link, _)| link).collect())
+        (self.address, self.address_number) = (Some(address), self.address_number + 1);
+        Some(self.idle.drain(..).map(|(connection, _)| connection).collect())
     }
 
-    /// A job comes.
-    pub fn begin(&mut self, job: HostTask) -> Placement {
-        if let Some((link, _)) = self.idle.pop() {
-            return self.hand(link, self.address_no, job);
+    /// Places a new task.
+    pub fn begin(&mut self, task: HostTask) -> Placement {
+        if let Some((connection, _)) = self.idle.pop() {
+            return self.assign(connection, self.address_number, task);
         }
-        let Some(address) = self.address else { return Placement::End(job, Ending::NoAddress) };
-        self.wanting = Some(job);
+        let Some(address) = self.address else { return Placement::End(task, Ending::NoAddress) };
+        self.awaiting_dial = Some(task);
         Placement::Dial(address)
     }
 
-    fn hand(&mut self, link: usize, address_no: u64, job: HostTask) -> Placement {
-        self.busy.insert(link, (address_no, job.execution_id()));
-        Placement::Assign(link, job)
+    fn assign(&mut self, connection: usize, address_number: u64, task: HostTask) -> Placement {
+        self.busy.insert(connection, (address_number, task.execution_id()));
+        Placement::Assign(connection, task)
     }
 
-    /// The dial that was asked for last, under its name.
-    pub fn dialled(&mut self, link: usize) {
-        self.dials.insert(link, self.address_no);
-        if let Some(job) = self.wanting.take() {
-            self.waiting.push_back((link, job));
+    /// Reports the id of the dial that `begin` asked for last.
+    pub fn dialled(&mut self, connection: usize) {
+        self.dials.insert(connection, self.address_number);
+        if let Some(task) = self.awaiting_dial.take() {
+            self.waiting.push_back((connection, task));
         }
     }
 
-    /// A link that was handed a job had ended unseen: the job takes another.
-    pub fn remove_stale(&mut self, link: usize) {
-        self.busy.remove(&link);
+    /// A connection that was given a task turned out to be closed. The caller places the task again.
+    pub fn remove_stale(&mut self, connection: usize) {
+        self.busy.remove(&connection);
     }
 
     pub fn find(&mut self, execution_id: (u64, usize)) -> Lookup {
-        if let Some(at) = self.waiting.iter().position(|(_, job)| job.is_execution(execution_id)) {
-            let (_, job) = self.waiting.remove(at).expect("found just now");
-            return Lookup::Waiting(job);
+        if let Some(index) = self.waiting.iter().position(|(_, task)| task.is_execution(execution_id)) {
+            let (_, task) = self.waiting.remove(index).expect("the index was just found");
+            return Lookup::Waiting(task);
         }
-        let under = self.busy.iter().find(|(_, (_, does))| *does == Some(execution_id));
-        under.map_or(Lookup::NotFound, |(link, _)| Lookup::Running(*link))
+        let running =
+            self.busy.iter().find(|(_, (_, running_execution))| *running_execution == Some(execution_id));
+        running.map_or(Lookup::NotFound, |(connection, _)| Lookup::Running(*connection))
     }
 
-    /// A dial is up.
-    pub fn dial_succeeded(&mut self, link: usize, now: f64) -> NextUse {
-        match self.dials.remove(&link) {
-            Some(address_no) => self.free(link, address_no, now),
+    /// A dial succeeded.
+    pub fn dial_succeeded(&mut self, connection: usize, now: f64) -> NextUse {
+        match self.dials.remove(&connection) {
+            Some(address_number) => self.free(connection, address_number, now),
             None => NextUse::Moved,
         }
     }
 
-    /// A link's job is done.
-    pub fn task_done(&mut self, link: usize, reusable: bool, now: f64) -> NextUse {
-        match self.busy.remove(&link).filter(|_| reusable) {
-            Some((address_no, _)) => self.free(link, address_no, now),
+    /// A connection has finished its task.
+    pub fn task_done(&mut self, connection: usize, reusable: bool, now: f64) -> NextUse {
+        match self.busy.remove(&connection).filter(|_| reusable) {
+            Some((address_number, _)) => self.free(connection, address_number, now),
             None => NextUse::Moved,
         }
     }
 
-    /// A link with nothing to do takes what waits longest, or rests.
-    fn free(&mut self, link: usize, address_no: u64, now: f64) -> NextUse {
-        if address_no != self.address_no {
+    /// Gives a free connection the task that has waited longest, or makes it idle.
+    fn free(&mut self, connection: usize, address_number: u64, now: f64) -> NextUse {
+        if address_number != self.address_number {
             return NextUse::Moved;
         }
-        if let Some((_, job)) = self.waiting.pop_front() {
-            self.busy.insert(link, (address_no, job.execution_id()));
-            return NextUse::Assign(job);
+        if let Some((_, task)) = self.waiting.pop_front() {
+            self.busy.insert(connection, (address_number, task.execution_id()));
+            return NextUse::Assign(task);
         }
-        self.idle.push((link, now));
+        self.idle.push((connection, now));
         NextUse::Idle
     }
 
-    /// A dial less: its own job ends with it, if there are now fewer dials than jobs that wait.
-    pub fn dial_failed(&mut self, link: usize) -> Option<HostTask> {
-        self.dials.remove(&link);
+    /// A dial failed. If there are now fewer dials than waiting tasks, returns the task that fails with it: its
+    /// own one, or the oldest if another connection has taken that.
+    pub fn dial_failed(&mut self, connection: usize) -> Option<HostTask> {
+        self.dials.remove(&connection);
         if self.waiting.len() <= self.dials.len() {
             return None;
         }
-        let at = self.waiting.iter().position(|(dial, _)| *dial == link).unwrap_or(0);
-        self.waiting.remove(at).map(|(_, job)| job)
+        let index = self.waiting.iter().position(|(dial, _)| *dial == connection).unwrap_or(0);
+        self.waiting.remove(index).map(|(_, task)| task)
     }
 
-    /// An idle link has ended or is told to go.
-    pub fn idle_closed(&mut self, link: usize) {
-        self.idle.retain(|(other, _)| *other != link);
+    /// An idle connection has closed or is being closed.
+    pub fn idle_closed(&mut self, connection: usize) {
+        self.idle.retain(|(other, _)| *other != connection);
     }
 
-    /// The idle link that has rested longest and since when.
+    /// The connection that has been idle longest, and since when.
     pub fn oldest_idle(&self) -> Option<(usize, f64)> {
         self.idle.first().copied()
     }
 
-    /// Links and dials of this host.
+    /// All connections and dials of this host.
     pub fn connections(&self) -> impl Iterator<Item = usize> + '_ {
-        let idle = self.idle.iter().map(|(link, _)| *link);
+        let idle = self.idle.iter().map(|(connection, _)| *connection);
         idle.chain(self.busy.keys().copied()).chain(self.dials.keys().copied())
     }
 
-    /// Jobs that wait.
+    /// Number of waiting tasks.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -1,80 +1,83 @@
-//! One connection to a database host, from the wish for it to its end: it is dialled, greeted, and then does one job
-//! at a time. Nothing is ever written twice, and a job that was not written whole never ran.
+//! One connection to a database host as a state machine without I/O, from the request to dial it until it
+//! closes. It is dialled, completes the startup, and then runs one task at a time. Nothing is written twice,
+//! and a task whose message was not written completely never ran.
 use crate::budget::Budget;
 use crate::outcome::{Ending, Outcome};
 use crate::task::{HostTask, TaskKind};
 use sandstile_pgwire::{self as pg, Answer, BadFrame, Stage};
 use sandstile_policy::terms::{HostReport, OutcomeClass};
 
-/// The reads of one answer of the usual size fit in one.
-const READ: usize = 8 * 1024;
+/// One read takes a whole answer of the usual size.
+const READ_BYTES: usize = 8 * 1024;
 
-/// What has happened to a link. After `Failed`, `IdleClosed` and a `Done` that does not go on, the link has ended: its
-/// socket is to be closed before anybody hears of it, or an execution would still be out beside the next.
+/// What has happened to an upstream connection. After `Failed`, `IdleClosed` and a `Done` that is not
+/// `reusable` the connection has ended. Its socket has to be closed before anybody learns of it; otherwise
+/// its execution could still be running while the next one starts.
 #[derive(Debug)]
 pub enum Event {
-    /// It takes a first job.
-    Up,
-    /// It never came up.
+    /// Ready for its first task.
+    Ready,
+    /// It was never established.
     Failed(Ending),
     Done {
-        job: HostTask,
+        task: HostTask,
         outcome: Outcome,
         reusable: bool,
     },
-    /// It ended while it had nothing to do.
+    /// It ended while it was idle.
     IdleClosed(Ending),
 }
 
-/// Bytes that came and are not yet taken, frame by frame.
+/// Received bytes that have not been processed yet, split into frames.
 #[derive(Debug, Default)]
-struct Inbox {
+struct ReceiveBuffer {
     buf: Vec<u8>,
-    /// Bytes held of the budget's room, for a long value.
-    room: usize,
+    /// Bytes reserved in the budget for a long value.
+    reserved_bytes: usize,
 }
 
-impl Inbox {
-    /// Where the frame that has begun ends, once that is known: never where no host can have begun one, nor where
-    /// it is longer than there is room for.
-    fn end(&mut self, at: usize, budget: &mut Budget) -> Result<Option<usize>, BadFrame> {
-        let begun = &self.buf[at..];
-        pg::check_plausible(begun, budget.max_value_bytes())?;
-        let end = pg::frame_end(begun, usize::MAX)?;
-        if let Some(long) = end.filter(|end| *end > 2 * pg::TYPICAL_VALUE_BYTES && self.room == 0) {
-            if !budget.reserve_bytes(2 * long) {
-                return Err(BadFrame("no room"));
+impl ReceiveBuffer {
+    /// Where the frame at `start` ends, once its length is known. Fails if no host can have sent such a
+    /// frame, or if the budget has no room for it.
+    fn frame_end(&mut self, start: usize, budget: &mut Budget) -> Result<Option<usize>, BadFrame> {
+        let unread = &self.buf[start..];
+        pg::check_plausible(unread, budget.max_value_bytes())?;
+        let end = pg::frame_end(unread, usize::MAX)?;
+        if let Some(length) = end.filter(|end| *end > 2 * pg::TYPICAL_VALUE_BYTES && self.reserved_bytes == 0)
+        {
+            if !budget.reserve_bytes(2 * length) {
+                return Err(BadFrame("no room in the memory budget"));
             }
-            self.room = 2 * long;
+            self.reserved_bytes = 2 * length;
         }
         Ok(end)
     }
 
-    /// Hands each whole frame to `take`, until that says it has heard enough.
-    fn frames(
+    /// Hands each complete frame to `take` until that returns `true`.
+    fn for_each_frame(
         &mut self,
         budget: &mut Budget,
         mut take: impl FnMut(u8, &[u8]) -> Result<bool, BadFrame>,
     ) -> Result<bool, BadFrame> {
-        let mut at = 0;
-        let enough = loop {
-            let end = self.end(at, budget)?;
-            let Some(end) = end.filter(|end| self.buf.len() - at >= *end) else {
-                // What is known to come takes no more than its room.
-                let missing = end.map_or(0, |end| (at + end).saturating_sub(self.buf.len()));
-                self.buf.drain(..at);
+        let mut start = 0;
+        let finished = loop {
+            let end = self.frame_end(start, budget)?;
+            let Some(end) = end.filter(|end| self.buf.len() - start >= *end) else {
+                // Reserves exactly the bytes that are still expected.
+                let missing = end.map_or(0, |end| (start + end).saturating_sub(self.buf.len()));
+                self.buf.drain(..start);
                 self.buf.reserve_exact(missing);
                 return Ok(false);
             };
-            let frame = &self.buf[at..at + end];
-            let enough = take(frame[0], &frame[5..])?;
-            at += end;
-            if enough {
-                break enough;
+            let frame = &self.buf[start..start + end];
+            let finished = take(frame[0], &frame[5..])?;
+            start += end;
+            if finished {
+                break finished;
             }
         };
-        self.buf.drain(..at);
-        Ok(enough)
+        self.buf.drain(..start);
+        Ok(finished)
     }
 
     fn is_empty(&self) -> bool {
@@ -83,12 +86,12 @@
 
     fn wanted_bytes(&self) -> usize {
         let end = pg::frame_end(&self.buf, usize::MAX).ok().flatten().unwrap_or(0);
-        end.saturating_sub(self.buf.len()).clamp(READ, pg::TYPICAL_VALUE_BYTES)
+        end.saturating_sub(self.buf.len()).clamp(READ_BYTES, pg::TYPICAL_VALUE_BYTES)
     }
 
     fn clear(&mut self, budget: &mut Budget) {
         self.buf = Vec::new();
-        budget.release_bytes(std::mem::take(&mut self.room));
+        budget.release_bytes(std::mem::take(&mut self.reserved_bytes));
     }
 }
 
@@ -101,8 +104,8 @@
     Dialling {
         deadline: f64,
     },
-    /// The connection is up; the host has yet to admit it.
-    Greeting {
+    /// Connected; the host has not yet accepted the session.
+    StartingUp {
         deadline: f64,
     },
     Idle,
@@ -112,71 +115,72 @@
 
 #[derive(Debug)]
 struct Busy {
-    job: HostTask,
+    task: HostTask,
     answer: Answer,
-    /// An answer that has begun goes on by then.
-    more_by: f64,
+    /// When an answer that has begun has to continue, at the latest.
+    continuation_deadline: f64,
 }
 
-/// How an exchange came to its end on the wire.
+/// Why an exchange with the host is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Heard {
-    Ready,
+enum ExchangeEnd {
+    ReadyForQuery,
     Closed,
     TimedOut,
-    Nonsense,
+    ProtocolError,
     Withdrawn,
 }
 
 #[derive(Debug)]
 pub struct UpstreamConnection {
     state: State,
-    inbox: Inbox,
-    out: Vec<u8>,
+    received: ReceiveBuffer,
+    output: Vec<u8>,
     written: usize,
-    /// It has answered before.
-    used: bool,
+    /// It has completed a task before.
+    has_answered: bool,
     /// Seconds for which an answer that has begun may pause.
-    pause: f64,
+    max_pause: f64,
 }
 
 impl UpstreamConnection {
-    /// One that is wanted: it is up by `deadline` or not at all. `pause` is how many seconds an answer that has begun
-    /// may take to go on.
-    pub fn new(deadline: f64, pause: f64) -> Self {
+    /// A connection that is to be dialled and that fails if it is not ready by `deadline`. `max_pause` is the
+    /// number of seconds for which an answer that has begun may pause.
+    pub fn new(deadline: f64, max_pause: f64) -> Self {
         UpstreamConnection {
             state: State::Queued { deadline },
-            inbox: Inbox::default(),
-            out: Vec::new(),
+            received: ReceiveBuffer::default(),
+            output: Vec::new(),
             written: 0,
-            used: false,
-            pause,
+            has_answered: false,
+            max_pause,
         }
     }
 
-    /// It has its descriptor and is being dialled.
+    /// It has a descriptor and is being dialled.
     pub fn dialled(&mut self) {
         if let State::Queued { deadline } = self.state {
             self.state = State::Dialling { deadline };
         }
     }
 
-    /// It begins only now, after it waited for its turn: the host is to have all of its time.
-    pub fn dialled_with_deadline(&mut self, by: f64) {
+    /// Like `dialled`, for a dial that was delayed to limit concurrent dials: the host gets the whole dial
+    /// timeout from now on.
+    pub fn dialled_with_deadline(&mut self, deadline: f64) {
         if let State::Queued { .. } = self.state {
-            self.state = State::Dialling { deadline: by };
+            self.state = State::Dialling { deadline };
         }
     }
 
-    /// The connection is up: the greeting goes out.
+    /// The TCP connection is established: sends the startup message.
     pub fn connected(&mut self) {
         if let State::Dialling { deadline } = self.state {
-            self.say(pg::startup_message());
-            self.state = State::Greeting { deadline };
+            self.start_writing(pg::startup_message());
+            self.state = State::StartingUp { deadline };
         }
     }
 
-    /// The dial came to nothing.
+    /// The dial failed.
     pub fn failed(&mut self, ending: Ending) -> Option<Event> {
         match self.state {
             State::Queued { .. } | State::Dialling { .. } => {
@@ -195,75 +199,76 @@
         matches!(self.state, State::Idle)
     }
 
-    /// What it does, where it is a statement's.
-    pub fn job(&self) -> Option<&HostTask> {
+    /// The task that it runs.
+    pub fn task(&self) -> Option<&HostTask> {
         match &self.state {
-            State::Busy(busy) => Some(&busy.job),
+            State::Busy(busy) => Some(&busy.task),
             _ => None,
         }
     }
 
-    /// How many bytes may come now. What a host says before it has heard a statement whole waits in the socket.
+    /// How many bytes may be read now. Whatever a host sends before the statement has been written completely
+    /// stays in the socket.
     pub fn wanted_bytes(&self) -> usize {
         match self.state {
             State::Queued { .. } | State::Dialling { .. } | State::Ended => 0,
             _ if !self.pending_output().is_empty() => 0,
             State::Idle => 1,
-            _ => self.inbox.wanted_bytes(),
+            _ => self.received.wanted_bytes(),
         }
     }
 
-    /// What waits to be written.
+    /// Bytes that are still to be written.
     pub fn pending_output(&self) -> &[u8] {
-        &self.out[self.written..]
+        &self.output[self.written..]
     }
 
     pub fn wrote(&mut self, bytes: usize) {
         self.written += bytes;
-        if self.written >= self.out.len() {
-            // A long one is not kept for as long as its answer takes.
-            (self.out, self.written) = (Vec::new(), 0);
+        if self.written >= self.output.len() {
+            // Frees a long message at once instead of keeping it until its answer is complete.
+            (self.output, self.written) = (Vec::new(), 0);
         }
     }
 
-    fn say(&mut self, out: Vec<u8>) {
-        (self.out, self.written) = (out, 0);
+    fn start_writing(&mut self, output: Vec<u8>) {
+        (self.output, self.written) = (output, 0);
     }
 
-    /// Takes a job. The socket was looked at just before: what came behind the last answer would be taken for
-    /// this one's.
-    pub fn begin(&mut self, now: f64, job: HostTask) -> Option<Event> {
-        if !self.idle() || now >= job.deadline {
+    /// Starts a task. The caller must have checked just before that the socket holds no bytes: bytes behind
+    /// the previous answer would be taken for this task's answer.
+    pub fn begin(&mut self, now: f64, task: HostTask) -> Option<Event> {
+        if !self.idle() || now >= task.deadline {
             let outcome = Ending::WithdrawnUnsent.into();
-            return Some(Event::Done { job, outcome, reusable: self.idle() });
+            return Some(Event::Done { task, outcome, reusable: self.idle() });
         }
-        let message = match &job.kind {
-            TaskKind::Statement { payload, .. } => payload.message(job.deadline - now),
+        let message = match &task.kind {
+            TaskKind::Statement { payload, .. } => payload.message(task.deadline - now),
             TaskKind::Probe => {
-                let mut out = Vec::new();
-                pg::query(&mut out, b"SHOW stats");
-                out
+                let mut output = Vec::new();
+                pg::query(&mut output, b"SHOW stats");
+                output
             }
         };
-        self.say(message);
+        self.start_writing(message);
         let answer = Answer::default();
-        self.state = State::Busy(Box::new(Busy { job, answer, more_by: f64::INFINITY }));
+        self.state = State::Busy(Box::new(Busy { task, answer, continuation_deadline: f64::INFINITY }));
         None
     }
 
     pub fn receive(&mut self, now: f64, bytes: &[u8], budget: &mut Budget) -> Option<Event> {
         match &mut self.state {
-            State::Greeting { .. } => {
-                self.inbox.buf.extend_from_slice(bytes);
-                let mut seen = None;
-                let heard = self.inbox.frames(budget, |tag, body| {
-                    seen = greeted(tag, body)?;
-                    Ok(seen.is_some())
+            State::StartingUp { .. } => {
+                self.received.buf.extend_from_slice(bytes);
+                let mut startup_result = None;
+                let result = self.received.for_each_frame(budget, |tag, body| {
+                    startup_result = startup_outcome(tag, body)?;
+                    Ok(startup_result.is_some())
                 });
-                let ending = match (heard, seen) {
-                    (Ok(_), Some(Ok(()))) if self.inbox.is_empty() => {
+                let ending = match (result, startup_result) {
+                    (Ok(_), Some(Ok(()))) if self.received.is_empty() => {
                         self.state = State::Idle;
-                        return Some(Event::Up);
+                        return Some(Event::Ready);
                     }
                     (Ok(_), None) => return None,
                     (Ok(_), Some(Err(ending))) => ending,
@@ -277,29 +282,30 @@
                 Some(Event::IdleClosed(Ending::IdleEnded))
             }
             State::Busy(busy) => {
-                self.inbox.buf.extend_from_slice(bytes);
-                busy.more_by = now + self.pause;
+                self.received.buf.extend_from_slice(bytes);
+                busy.continuation_deadline = now + self.max_pause;
                 let answer = &mut busy.answer;
-                let heard = match self.inbox.frames(budget, |tag, body| answer.take(tag, body)) {
-                    Ok(false) => return None,
-                    Ok(true) => Heard::Ready,
-                    Err(_) => Heard::Nonsense,
-                };
-                self.done(heard, budget)
+                let exchange_end =
+                    match self.received.for_each_frame(budget, |tag, body| answer.take(tag, body)) {
+                        Ok(false) => return None,
+                        Ok(true) => ExchangeEnd::ReadyForQuery,
+                        Err(_) => ExchangeEnd::ProtocolError,
+                    };
+                self.finish_task(exchange_end, budget)
             }
             State::Queued { .. } | State::Dialling { .. } | State::Ended => None,
         }
     }
 
-    /// The host has closed the connection, or it broke.
+    /// The host has closed the connection, or the connection broke.
     pub fn closed(&mut self, budget: &mut Budget) -> Option<Event> {
         match self.state {
-            State::Busy(_) => self.done(Heard::Closed, budget),
+            State::Busy(_) => self.finish_task(ExchangeEnd::Closed, budget),
             State::Idle => {
                 self.state = State::Ended;
                 Some(Event::IdleClosed(Ending::IdleEnded))
             }
-            State::Queued { .. } | State::Dialling { .. } | State::Greeting { .. } => {
+            State::Queued { .. } | State::Dialling { .. } | State::StartingUp { .. } => {
                 self.state = State::Ended;
                 Some(Event::Failed(Ending::DialBroken))
             }
@@ -307,25 +313,28 @@
         }
     }
 
-    /// When `handle_deadline` has something to do; infinite where never.
+    /// When `handle_deadline` has to be called; infinite if it need not be.
     pub fn due(&self) -> f64 {
         match &self.state {
-            State::Queued { deadline } | State::Dialling { deadline } | State::Greeting { deadline } => {
+            State::Queued { deadline } | State::Dialling { deadline } | State::StartingUp { deadline } => {
                 *deadline
             }
-            State::Busy(busy) => busy.job.deadline.min(busy.more_by),
+            State::Busy(busy) => busy.task.deadline.min(busy.continuation_deadline),
             State::Idle | State::Ended => f64::INFINITY,
         }
     }
 
-    /// What has come is to be handed in first: what came while this machine had to wait for its core counts.
+    /// Ends whatever is overdue. Hand in the bytes that have arrived first: bytes that arrived while this
+    /// process waited for a processor count as in time.
     pub fn handle_deadline(&mut self, now: f64, budget: &mut Budget) -> Option<Event> {
         if now < self.due() {
             return None;
         }
         let ending = match &self.state {
-            State::Busy(busy) if now >= busy.job.deadline => return self.done(Heard::TimedOut, budget),
-            State::Busy(_) => return self.done(Heard::Nonsense, budget),
+            State::Busy(busy) if now >= busy.task.deadline => {
+                return self.finish_task(ExchangeEnd::TimedOut, budget)
+            }
+            State::Busy(_) => return self.finish_task(ExchangeEnd::ProtocolError, budget),
             State::Queued { .. } => Ending::NoRoom,
             _ => Ending::DialTimedOut,
         };
@@ -333,63 +342,67 @@
         Some(Event::Failed(ending))
     }
 
-    /// Closes the connection under this execution, whatever has come of it.
+    /// Closes the connection that runs this execution, whatever has arrived of its answer.
     pub fn withdraw(&mut self, execution_id: (u64, usize), budget: &mut Budget) -> Option<Event> {
         match &self.state {
-            State::Busy(busy) if busy.job.is_execution(execution_id) => self.done(Heard::Withdrawn, budget),
+            State::Busy(busy) if busy.task.is_execution(execution_id) => {
+                self.finish_task(ExchangeEnd::Withdrawn, budget)
+            }
             _ => None,
         }
     }
 
-    /// Closed here while it had nothing to do.
+    /// Closes it while it is idle.
     pub fn leave(&mut self) {
         self.state = State::Ended;
     }
 
-    /// Gives back what it holds; the last thing to be done with it.
+    /// Returns the memory it holds to the budget; call it last.
     pub fn release(&mut self, budget: &mut Budget) {
-        self.inbox.clear(budget);
+        self.received.clear(budget);
     }
 
-    /// The one ending of a job. An answer that came whole counts, even where the connection ends right behind it;
-    /// not where nonsense stands in its midst, for then nothing of it is sure.
-    fn done(&mut self, heard: Heard, budget: &mut Budget) -> Option<Event> {
+    /// Ends the running task, once. A complete answer counts even if the connection closes right behind it;
+    /// it does not count if it contains a protocol violation, because then no part of it can be trusted.
+    fn finish_task(&mut self, exchange_end: ExchangeEnd, budget: &mut Budget) -> Option<Event> {
         let State::Busy(busy) = std::mem::replace(&mut self.state, State::Ended) else { return None };
-        let Busy { job, answer, more_by } = *busy;
-        let ending = match (&answer.stage, heard) {
-            (_, Heard::Withdrawn) if !self.pending_output().is_empty() => Ending::WithdrawnUnsent,
-            (_, Heard::Withdrawn) => Ending::Withdrawn,
+        let Busy { task, answer, continuation_deadline } = *busy;
+        let ending = match (&answer.stage, exchange_end) {
+            (_, ExchangeEnd::Withdrawn) if !self.pending_output().is_empty() => Ending::WithdrawnUnsent,
+            (_, ExchangeEnd::Withdrawn) => Ending::Withdrawn,
             _ if !self.pending_output().is_empty() => Ending::BrokenUnwritten,
-            (_, Heard::Nonsense) => Ending::Garbled,
-            (Stage::Whole, _) => Ending::Completed,
+            (_, ExchangeEnd::ProtocolError) => Ending::Garbled,
+            (Stage::Complete, _) => Ending::Completed,
             (Stage::Failed(code), _) => crate::sqlstate::ending(code),
-            (_, Heard::Closed) if more_by.is_finite() => Ending::CutShort,
-            (_, Heard::Closed) if self.used => Ending::Crossed,
-            (_, Heard::Closed) => Ending::Broken,
-            (_, Heard::TimedOut) => Ending::TimedOut,
-            (_, Heard::Ready) => Ending::Garbled,
+            (_, ExchangeEnd::Closed) if continuation_deadline.is_finite() => Ending::CutShort,
+            (_, ExchangeEnd::Closed) if self.has_answered => Ending::Crossed,
+            (_, ExchangeEnd::Closed) => Ending::Broken,
+            (_, ExchangeEnd::TimedOut) => Ending::TimedOut,
+            (_, ExchangeEnd::ReadyForQuery) => Ending::Garbled,
         };
-        let spoilt = ending.verdict() == OutcomeClass::UnusableAnswer;
-        let mut note = match spoilt {
+        let unusable = ending.verdict() == OutcomeClass::UnusableAnswer;
+        let mut note = match unusable {
             true => HostReport::default(),
             false => HostReport { position: answer.position, primary: answer.primary },
         };
-        if matches!(job.kind, TaskKind::Probe) && ending == Ending::Completed {
-            report(answer.text(), &mut note);
+        if matches!(task.kind, TaskKind::Probe) && ending == Ending::Completed {
+            parse_load_report(answer.text(), &mut note);
         }
-        let reusable = heard == Heard::Ready && self.inbox.is_empty() && ending != Ending::Garbled;
-        let term = answer.timeline.filter(|_| !spoilt);
-        self.inbox.clear(budget);
-        self.used = true;
+        let reusable = exchange_end == ExchangeEnd::ReadyForQuery
+            && self.received.is_empty()
+            && ending != Ending::Garbled;
+        let term = answer.timeline.filter(|_| !unusable);
+        self.received.clear(budget);
+        self.has_answered = true;
         if reusable {
             self.state = State::Idle;
         }
-        Some(Event::Done { job, outcome: Outcome { ending, note, term, rows: answer.rows }, reusable })
+        Some(Event::Done { task, outcome: Outcome { ending, note, term, rows: answer.rows }, reusable })
     }
 }
 
-/// What a frame before the first statement means: up, failed, or nothing yet.
-fn greeted(tag: u8, body: &[u8]) -> Result<Option<Result<(), Ending>>, BadFrame> {
+/// What a frame during the startup means: ready, failed, or nothing yet.
+fn startup_outcome(tag: u8, body: &[u8]) -> Result<Option<Result<(), Ending>>, BadFrame> {
     Ok(match tag {
         b'Z' => Some(Ok(())),
         b'E' => Some(Err(match pg::sqlstate(body) {
@@ -398,12 +411,12 @@
         })),
         b'R' if body != [0; 4] => Some(Err(Ending::DialBroken)),
         b'R' | b'S' | b'K' | b'N' => None,
-        _ => return Err(BadFrame("greeting")),
+        _ => return Err(BadFrame("unexpected message in the greeting")),
     })
 }
 
-/// A load report's position, in Unix seconds there, and role.
-fn report(text: &str, note: &mut HostReport) {
+/// Reads the position (Unix seconds on the host's clock) and the role out of a load report.
+fn parse_load_report(text: &str, note: &mut HostReport) {
     for (key, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         match (key.trim(), value.trim().parse::<f64>()) {
             ("x0", Ok(position)) if position.is_finite() => note.position = Some(position),
