--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -380,13 +380,13 @@
             (_, ExchangeEnd::TimedOut) => Ending::TimedOut,
             (_, ExchangeEnd::ReadyForQuery) => Ending::Garbled,
         };
-        let unusable = ending.verdict() == OutcomeClass::UnusableAnswer;
-        let mut note = match unusable {
+        let unusable = ending.outcome_class() == OutcomeClass::UnusableAnswer;
+        let mut host_report = match unusable {
             true => HostReport::default(),
             false => HostReport { position: answer.position, primary: answer.primary },
         };
         if matches!(task.kind, TaskKind::Probe) && ending == Ending::Completed {
-            parse_load_report(answer.text(), &mut note);
+            parse_load_report(answer.text(), &mut host_report);
         }
         let reusable = exchange_end == ExchangeEnd::ReadyForQuery
             && self.received.is_empty()
@@ -397,7 +397,11 @@
         if reusable {
             self.state = State::Idle;
         }
-        Some(Event::Done { task, outcome: Outcome { ending, note, term, rows: answer.rows }, reusable })
+        Some(Event::Done {
+            task,
+            outcome: Outcome { ending, host_report, term, rows: answer.rows },
+            reusable,
+        })
     }
 }
 
@@ -416,11 +420,11 @@
 }
 
 /// Reads the position (Unix seconds on the host's clock) and the role out of a load report.
-fn parse_load_report(text: &str, note: &mut HostReport) {
+fn parse_load_report(text: &str, host_report: &mut HostReport) {
     for (key, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         match (key.trim(), value.trim().parse::<f64>()) {
-            ("x0", Ok(position)) if position.is_finite() => note.position = Some(position),
-            ("x1", Ok(primary)) => note.primary = Some(primary > 0.5),
+            ("x0", Ok(position)) if position.is_finite() => host_report.position = Some(position),
+            ("x1", Ok(primary)) => host_report.primary = Some(primary > 0.5),
             _ => {}
         }
     }
--- a/crates/sandstile-connections/tests/upstream_connections.rs
+++ b/crates/sandstile-connections/tests/upstream_connections.rs
@@ -86,8 +86,8 @@
                 position = end;
             }
             let Some(Event::Done { outcome, reusable: true, .. }) = done else { panic!("{done:?}") };
-            assert_eq!((outcome.ending, outcome.note.primary), (Ending::Completed, Some(false)));
-            assert_eq!(outcome.note.position, Some(1_700_000_000.123));
+            assert_eq!((outcome.ending, outcome.host_report.primary), (Ending::Completed, Some(false)));
+            assert_eq!(outcome.host_report.position, Some(1_700_000_000.123));
             assert!(outcome.rows.windows(value.len().max(1)).any(|w| w == value) || value.is_empty());
             assert_eq!(budget.held(), (0, 0, 0));
         }
@@ -170,7 +170,7 @@
                     assert!(
                         open_statement.is_none()
                             && matches!(
-                                ending.verdict(),
+                                ending.outcome_class(),
                                 OutcomeClass::ConnectFailed | OutcomeClass::NotSent | OutcomeClass::Full
                             )
                     );
--- a/crates/sandstile-dispatcher/src/dispatcher.rs
+++ b/crates/sandstile-dispatcher/src/dispatcher.rs
@@ -279,7 +279,7 @@
                 if let (Some(term), Some(&host)) = (outcome.term, open.hosts.get(execution)) {
                     if !self.policy.record_term(host, term) {
                         // The host follows an older term than its group, so its position says nothing.
-                        outcome.note.position = None;
+                        outcome.host_report.position = None;
                     }
                 }
                 self.sources.iter_mut().for_each(|s| s.execution_ended(now, statement_id, &mut outcome));
@@ -318,21 +318,21 @@
                     now,
                     statement_id,
                     execution,
-                    outcome.ending.verdict(),
+                    outcome.ending.outcome_class(),
                     client_done,
-                    outcome.note,
+                    outcome.host_report,
                 );
             }
             DispatcherMessage::Probed { host, mut outcome } => {
                 if outcome.term.is_some_and(|term| !self.policy.record_term(host, term)) {
-                    outcome.note.position = None;
+                    outcome.host_report.position = None;
                 }
                 if let Some(in_flight) = self.probes.get_mut(&host) {
                     *in_flight = in_flight.saturating_sub(1);
                 }
                 let name = self.hosts.name(host);
                 self.sources.iter_mut().for_each(|s| s.probe_ended(now, name, &outcome));
-                self.policy.probed(now, host, outcome.ending == Ending::Completed, outcome.note);
+                self.policy.probed(now, host, outcome.ending == Ending::Completed, outcome.host_report);
             }
         }
     }
--- a/crates/sandstile-dispatcher/src/outcome.rs
+++ b/crates/sandstile-dispatcher/src/outcome.rs
@@ -89,7 +89,7 @@
     /// The outcome as reported to the policy. A statement that was not fully written never ran; one that was
     /// fully written and not answered may have run. Idle connections have no execution, so their endings are
     /// not reported; if one were, nothing would have been written.
-    pub fn verdict(self) -> OutcomeClass {
+    pub fn outcome_class(self) -> OutcomeClass {
         use Ending::*;
         match self {
             Completed => OutcomeClass::Completed,
@@ -121,7 +121,7 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub ending: Ending,
-    pub note: HostReport,
+    pub host_report: HostReport,
     /// The term of the primary that the host follows, if hosts report it.
     pub term: Option<u64>,
     /// The database host's answer for the client, if it completed.
@@ -130,6 +130,6 @@
 
 impl From<Ending> for Outcome {
     fn from(ending: Ending) -> Self {
-        Outcome { ending, note: HostReport::default(), term: None, rows: Vec::new() }
+        Outcome { ending, host_report: HostReport::default(), term: None, rows: Vec::new() }
     }
 }
--- a/crates/sandstile-dispatcher/tests/dispatcher.rs
+++ b/crates/sandstile-dispatcher/tests/dispatcher.rs
@@ -186,7 +186,7 @@
                     ];
                     let ending = endings[rng.rand_range(0..6) as usize];
                     let mut outcome = Outcome::from(ending);
-                    outcome.note = HostReport { position: Some(now), primary: Some(host == 0) };
+                    outcome.host_report = HostReport { position: Some(now), primary: Some(host == 0) };
                     dispatcher.handle(now, DispatcherMessage::Ended { statement_id, execution, outcome });
                 }
                 _ => {}
@@ -317,7 +317,7 @@
                     sent_to_b.push(now);
                 }
                 let mut outcome = Outcome::from(Ending::Completed);
-                outcome.note = HostReport { position: Some(now), primary: Some(host == names["a"]) };
+                outcome.host_report = HostReport { position: Some(now), primary: Some(host == names["a"]) };
                 dispatcher.handle(now + 0.001, DispatcherMessage::Ended { statement_id, execution, outcome });
             }
             dispatcher.decide_if_due(now + 0.002, true);
@@ -360,7 +360,7 @@
                     // Each host replies that it is not the primary.
                     let (statement_id, execution) = task.execution_id().expect("a statement");
                     let mut outcome = Outcome::from(Ending::Missed);
-                    outcome.note.primary = Some(false);
+                    outcome.host_report.primary = Some(false);
                     dispatcher.handle(now, DispatcherMessage::Ended { statement_id, execution, outcome });
                 }
             }
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -261,7 +261,7 @@
 
     pub fn probed(&mut self, now: f64, host: &str, outcome: &Outcome) {
         let Some(duties) = &mut self.duties else { return };
-        let told = match (outcome.ending == Ending::Completed, outcome.note.primary) {
+        let told = match (outcome.ending == Ending::Completed, outcome.host_report.primary) {
             (false, _) => Told::Silent,
             (true, Some(true)) => Told::Primary,
             (true, _) => Told::Answers,
@@ -279,7 +279,7 @@
         if outcome.ending == Ending::Completed {
             self.warnings.answered(now, host);
         }
-        match outcome.ending.verdict() {
+        match outcome.ending.outcome_class() {
             OutcomeClass::ConnectFailed | OutcomeClass::Reset | OutcomeClass::Full => {
                 if self.refused.len() >= MOST_HOSTS {
                     self.refused.clear();
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -208,14 +208,14 @@
     /// An answer by a host that turns out to hold less than the read must see is none: another host serves it. That
     /// is no fault of the host's, which may have been demoted on the way.
     fn verify(&mut self, wish: &Wish, outcome: &mut Outcome) {
-        if outcome.ending != Ending::Completed || outcome.note.primary == Some(true) {
+        if outcome.ending != Ending::Completed || outcome.host_report.primary == Some(true) {
             return;
         }
         let holds = match wish.floor {
             None | Some(Floor::Nothing) => true,
             Some(Floor::Unknown(_)) => false,
             // Where hosts tell no term, there is none to differ.
-            Some(Floor::Known(position)) => outcome.note.position.is_some_and(|at| at >= position),
+            Some(Floor::Known(position)) => outcome.host_report.position.is_some_and(|at| at >= position),
         };
         if !holds {
             self.counts.unserved += 1;
@@ -226,8 +226,8 @@
     /// What an answer tells of its session's place: after a write its commit, after a read by the primary all that it
     /// can have written before.
     fn mark(wish: &Wish, outcome: &Outcome) -> Option<Mark> {
-        let at_primary = wish.writes || outcome.note.primary == Some(true);
-        let (term, position) = (outcome.term?, outcome.note.position?);
+        let at_primary = wish.writes || outcome.host_report.primary == Some(true);
+        let (term, position) = (outcome.term?, outcome.host_report.position?);
         at_primary.then_some(Mark { term: Term(term), position })
     }
 
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -130,7 +130,7 @@
     use Ending::*;
     let never_ran = |e: &Ending| {
         matches!(
-            e.verdict(),
+            e.outcome_class(),
             OutcomeClass::Full
                 | OutcomeClass::ConnectFailed
                 | OutcomeClass::NotSent
