--- a/crates/sandstile-restart-pacing/src/stall.rs
+++ b/crates/sandstile-restart-pacing/src/stall.rs
@@ -1,61 +1,64 @@
-//! A process that was stopped goes on as if nothing had been: its list, its positions and the statements in its sockets are
-//! of yesterday. The loop looks at the time at least every so often; a look that comes much too late tells of a stop, and
-//! nothing is decided after it until news had their time to come in.
+//! Detects that the process was stopped. It resumes as if nothing had happened, but its host list, its
+//! positions and the statements in its sockets are outdated. The event loop calls `check` at least every
+//! `CHECK_INTERVAL` seconds; a call that is far too late shows a stall, and decisions then wait until current
+//! data had time to arrive.
 
-/// Seconds between looks, so that a stop is told from a loop that had nothing to do.
-pub const LOOK: f64 = 0.25;
-/// Seconds after a stop that news in the sockets of this machine need to come in, one thread after the other.
-pub const NEWS: f64 = 0.05;
+/// Seconds between checks, so that a stall can be told from an idle event loop.
+pub const CHECK_INTERVAL: f64 = 0.25;
+/// Seconds after a stall until the threads of this process have read what waits in their sockets, one after
+/// another.
+pub const SETTLE_SECONDS: f64 = 0.05;
 
 #[derive(Clone, Debug)]
 pub struct StallDetector {
-    limit: f64,
-    looked: f64,
-    /// Nothing is decided before that.
-    until: f64,
-    /// When it went on after the last stop, and how long that was.
-    last: Option<(f64, f64)>,
+    tolerance: f64,
+    checked_at: f64,
+    /// No decisions before this time.
+    blocked_until: f64,
+    /// When the last stall ended, and its duration in seconds.
+    last_stall: Option<(f64, f64)>,
 }
 
 impl StallDetector {
-    /// `limit`: seconds by which a look may be late.
-    pub fn new(limit: f64, now: f64) -> StallDetector {
-        StallDetector { limit, looked: now, until: f64::NEG_INFINITY, last: None }
+    /// `tolerance`: seconds by which a check may be late.
+    pub fn new(tolerance: f64, now: f64) -> StallDetector {
+        StallDetector { tolerance, checked_at: now, blocked_until: f64::NEG_INFINITY, last_stall: None }
     }
 
-    /// When it wants to look next.
-    pub fn due(&self) -> f64 {
-        let held = if self.until > self.looked { self.until } else { f64::INFINITY };
-        (self.looked + LOOK).min(held)
+    /// When the next check is due.
+    pub fn next_check_at(&self) -> f64 {
+        let unblock_at =
+            if self.blocked_until > self.checked_at { self.blocked_until } else { f64::INFINITY };
+        (self.checked_at + CHECK_INTERVAL).min(unblock_at)
     }
 
-    /// A look. Yields for how long the router stood still, where it did.
-    pub fn look(&mut self, now: f64) -> Option<f64> {
-        let late = now - (self.looked + LOOK);
-        self.looked = now;
-        if late <= self.limit {
+    /// Returns the duration of the stall if there was one.
+    pub fn check(&mut self, now: f64) -> Option<f64> {
+        let delay = now - (self.checked_at + CHECK_INTERVAL);
+        self.checked_at = now;
+        if delay <= self.tolerance {
             return None;
         }
-        self.until = now + NEWS;
-        self.last = Some((now, late + LOOK));
-        Some(late + LOOK)
+        self.blocked_until = now + SETTLE_SECONDS;
+        self.last_stall = Some((now, delay + CHECK_INTERVAL));
+        Some(delay + CHECK_INTERVAL)
     }
 
-    /// Whether decisions have to wait for news.
-    pub fn holds(&self, now: f64) -> bool {
-        now < self.until
+    /// Whether decisions have to wait for current data.
+    pub fn blocks_decisions(&self, now: f64) -> bool {
+        now < self.blocked_until
     }
 
-    /// The last list has come: there is no better news to wait for.
-    pub fn heard(&mut self) {
-        self.until = f64::NEG_INFINITY;
+    /// The current host list has arrived, so there is nothing left to wait for.
+    pub fn list_received(&mut self) {
+        self.blocked_until = f64::NEG_INFINITY;
     }
 
-    /// How much of its time a statement had lost before it was read, whose bytes came during the stop: nobody can tell when
-    /// within it they came, so all of it, the careful end.
-    pub fn lost(&self, now: f64) -> f64 {
-        match self.last {
-            Some((since, lasted)) if now < since + NEWS => lasted,
+    /// The seconds that a statement may have lost before it was read, if its bytes arrived during the stall.
+    /// The time of arrival is unknown, so the whole duration is assumed.
+    pub fn time_lost(&self, now: f64) -> f64 {
+        match self.last_stall {
+            Some((ended_at, duration)) if now < ended_at + SETTLE_SECONDS => duration,
             _ => 0.0,
         }
     }
