--- a/crates/sandstile-durable-state/src/lib.rs
+++ b/crates/sandstile-durable-state/src/lib.rs
@@ -1,12 +1,12 @@
 //! The kept state on a disk. One file holds a copy and, behind it, what changed since; a witness, best on another disk and in no backup,
 //! names the life that wrote it and the number that it ended with. Whoever opens the file takes up its facts whatever befell it; that
-//! it holds *all* is believed only where the witness says so too (`sandstile_replicated_state::catchup::believe`). A disk that fails ends the
+//! it holds *all* is believed only where the witness says so too (`sandstile_replicated_state::catchup::assess_trust`). A disk that fails ends the
 //! writing, loudly, and nothing else: what is there has no end in order, so it is never taken for all.
 mod folder;
 
 pub use folder::Folder;
-use sandstile_replicated_state::catchup::{Stored, Witness};
-use sandstile_replicated_state::stored::{self, Found};
+use sandstile_replicated_state::catchup::{StoredCopy, Witness};
+use sandstile_replicated_state::stored::{self, FileContents};
 use sandstile_replicated_state::Snapshot;
 use std::io;
 
@@ -30,17 +30,17 @@
 /// The file of one life.
 pub struct Shelf {
     place: Box<dyn Place>,
-    life: u64,
+    generation: u64,
     bytes: usize,
     copied: usize,
     /// Up to which of the copy's numbers all is on the disk.
-    number: u64,
+    version: u64,
 }
 
 /// What the disk says of the former life.
 pub struct Opened {
-    pub found: Found,
-    pub stored: Stored,
+    pub found: FileContents,
+    pub stored: StoredCopy,
     pub witness: Witness,
     /// `None` where the disk takes nothing: why.
     pub shelf: Result<Shelf, io::Error>,
@@ -48,20 +48,22 @@
 
 /// Reads what a former life left, and begins the file of this one. The witness comes first: from then on no copy of a former life is
 /// taken for the latest, wherever this start breaks off.
-pub fn open(mut place: Box<dyn Place>, life: u64) -> Opened {
+pub fn open(mut place: Box<dyn Place>, generation: u64) -> Opened {
     let bytes = place.read();
     let told = place.witness();
     let file = told.ok().flatten().and_then(|w| stored::read_witness(&w));
     let found = bytes.as_ref().ok().and_then(Option::as_ref).map(|b| stored::read(b)).unwrap_or_default();
-    let stored = match found.life {
-        Some(of) if found.whole() => Stored::Whole { life: of, number: found.number, ended: found.ended },
-        _ => Stored::Lost,
+    let stored = match found.generation {
+        Some(of) if found.is_intact() => {
+            StoredCopy::Intact { generation: of, version: found.version, ended_cleanly: found.ended_cleanly }
+        }
+        _ => StoredCopy::Unreadable,
     };
     let witness = Witness { file, peers: None };
     let begin = |mut place: Box<dyn Place>| {
         bytes?;
-        place.put_witness(&stored::witness(life, 0))?;
-        Ok(Shelf { place, life, bytes: 0, copied: 0, number: 0 })
+        place.put_witness(&stored::witness(generation, 0))?;
+        Ok(Shelf { place, generation, bytes: 0, copied: 0, version: 0 })
     };
     Opened { shelf: begin(place), found, stored, witness }
 }
@@ -69,21 +71,21 @@
 impl Shelf {
     /// Puts down what has changed; a copy of all where the file has grown too long. An error is the end of it.
     pub fn put(&mut self, now: f64, held: &Snapshot) -> io::Result<()> {
-        let number = held.number();
+        let version = held.version();
         if self.bytes == 0 || self.bytes > (self.copied * GROWN).max(LEAST) {
-            let mut out = stored::head(self.life);
-            held.iter().for_each(|(key, fact)| stored::put(&mut out, self.life, now, key, fact));
-            stored::number(&mut out, self.life, number);
+            let mut out = stored::header(self.generation);
+            held.iter().for_each(|(key, fact)| stored::write_fact(&mut out, self.generation, now, key, fact));
+            stored::write_version(&mut out, self.generation, version);
             self.place.replace(&out)?;
-            (self.bytes, self.copied, self.number) = (out.len(), out.len(), number);
-        } else if number > self.number {
+            (self.bytes, self.copied, self.version) = (out.len(), out.len(), version);
+        } else if version > self.version {
             let mut out = Vec::new();
-            for (key, fact) in held.changes(self.number) {
-                stored::put(&mut out, self.life, now, key, fact);
+            for (key, fact) in held.changes(self.version) {
+                stored::write_fact(&mut out, self.generation, now, key, fact);
             }
-            stored::number(&mut out, self.life, number);
+            stored::write_version(&mut out, self.generation, version);
             self.place.append(&out)?;
-            (self.bytes, self.number) = (self.bytes + out.len(), number);
+            (self.bytes, self.version) = (self.bytes + out.len(), version);
         }
         Ok(())
     }
@@ -92,8 +94,8 @@
     pub fn end(mut self, now: f64, held: &Snapshot) -> io::Result<()> {
         self.put(now, held)?;
         let mut out = Vec::new();
-        stored::ended(&mut out, self.life, self.number);
+        stored::write_end(&mut out, self.generation, self.version);
         self.place.append(&out)?;
-        self.place.put_witness(&stored::witness(self.life, self.number))
+        self.place.put_witness(&stored::witness(self.generation, self.version))
     }
 }
--- a/crates/sandstile-durable-state/tests/disks.rs
+++ b/crates/sandstile-durable-state/tests/disks.rs
@@ -1,7 +1,7 @@
 //! Disks that fail, files that are damaged, two processes in one folder.
 use oorandom::Rand64;
 use sandstile_durable_state::{open, Folder, Place};
-use sandstile_replicated_state::catchup::{believe, Belief};
+use sandstile_replicated_state::catchup::{assess_trust, Trust};
 use sandstile_replicated_state::{stored, wire, Fact, Key, Kind, Replica, Value};
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -65,14 +65,14 @@
 }
 
 fn learn(replica: &mut Replica, n: usize) {
-    let fact = Fact { value: Value::Most(NOW - 1.0), born: NOW };
-    replica.learn(NOW, &Key::of(Kind::Floor, &format!("g{n:05}")), &fact);
+    let fact = Fact { value: Value::Max(NOW - 1.0), created_at: NOW };
+    replica.learn(NOW, &Key::shared(Kind::LogPosition, &format!("g{n:05}")), &fact);
 }
 
 /// A whole life: so many facts, put down by and by; `true` where it ends in order.
-fn live(disk: &Disk, life: u64, facts: usize, ends: bool) -> (Belief, usize) {
-    let opened = open(Box::new(disk.clone()), life);
-    let believed = believe(opened.stored, opened.witness);
+fn live(disk: &Disk, generation: u64, facts: usize, ends: bool) -> (Trust, usize) {
+    let opened = open(Box::new(disk.clone()), generation);
+    let believed = assess_trust(opened.stored, opened.witness);
     let mut replica = Replica::new(300.0);
     for (key, fact) in &opened.found.facts {
         replica.learn(NOW, key, fact);
@@ -81,7 +81,7 @@
     if let Ok(mut shelf) = opened.shelf {
         let mut well = true;
         for n in 0..facts {
-            learn(&mut replica, life as usize * 1000 + n);
+            learn(&mut replica, generation as usize * 1000 + n);
             well = well && (n % 7 > 0 || shelf.put(NOW, &replica.snapshot()).is_ok());
         }
         if ends && well {
@@ -94,19 +94,19 @@
 #[test]
 fn a_life_that_ended_in_order_is_believed_and_no_other() {
     let disk = Disk::default();
-    assert_eq!(live(&disk, 1, 100, true), (Belief::None, 0));
+    assert_eq!(live(&disk, 1, 100, true), (Trust::None, 0));
     let copy = disk.0.lock().unwrap().file.clone();
-    assert_eq!(live(&disk, 2, 50, false), (Belief::All, 100));
+    assert_eq!(live(&disk, 2, 50, false), (Trust::All, 100));
     // Killed: what was put down is there, and may not be all.
     let (believed, found) = live(&disk, 3, 50, true);
-    assert!(believed == Belief::Some && (140..=150).contains(&found), "{believed:?} {found}");
+    assert!(believed == Trust::Some && (140..=150).contains(&found), "{believed:?} {found}");
     // The copy of the first life is put back: whole, ended in order, and old.
     disk.0.lock().unwrap().file = copy;
-    assert_eq!(live(&disk, 4, 0, true).0, Belief::Some);
+    assert_eq!(live(&disk, 4, 0, true).0, Trust::Some);
     disk.0.lock().unwrap().witness = None;
-    assert_eq!(live(&disk, 5, 0, true).0, Belief::Some, "without a witness a copy is not all");
+    assert_eq!(live(&disk, 5, 0, true).0, Trust::Some, "without a witness a copy is not all");
     disk.0.lock().unwrap().file = None;
-    assert_eq!(live(&disk, 6, 0, true), (Belief::None, 0));
+    assert_eq!(live(&disk, 6, 0, true), (Trust::None, 0));
 }
 
 /// Wherever a disk fills up or turns read-only, what is found later is never taken for all that was known.
@@ -119,7 +119,7 @@
         live(&disk, 2, 100, true);
         disk.0.lock().unwrap().room = None;
         let opened = open(Box::new(disk.clone()), 3);
-        let all = believe(opened.stored, opened.witness) == Belief::All;
+        let all = assess_trust(opened.stored, opened.witness) == Trust::All;
         let mut replica = Replica::new(300.0);
         for (key, fact) in &opened.found.facts {
             replica.learn(NOW, key, fact);
@@ -150,14 +150,15 @@
     let dir = std::env::temp_dir().join(format!("sandstile-durable-state-real-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     let (state, witness) = (dir.join("state"), dir.join("elsewhere"));
-    let life = |life: u64| open(Box::new(Folder::open(&state, Some(&witness)).expect("a folder")), life);
+    let generation =
+        |generation: u64| open(Box::new(Folder::open(&state, Some(&witness)).expect("a folder")), generation);
     let mut replica = Replica::new(300.0);
     (0..300).for_each(|n| learn(&mut replica, n));
-    life(1).shelf.expect("a disk").end(NOW, &replica.snapshot()).expect("room");
+    generation(1).shelf.expect("a disk").end(NOW, &replica.snapshot()).expect("room");
     std::fs::write(state.join("state.new"), b"half").expect("room");
-    let opened = life(2);
-    assert_eq!((opened.found.facts.len(), opened.found.spoilt), (300, 0));
-    assert_eq!(believe(opened.stored, opened.witness), Belief::All);
+    let opened = generation(2);
+    assert_eq!((opened.found.facts.len(), opened.found.corrupt), (300, 0));
+    assert_eq!(assess_trust(opened.stored, opened.witness), Trust::All);
     let _ = std::fs::remove_dir_all(dir);
 }
 
@@ -197,13 +198,13 @@
         let found = stored::read(&bytes);
         assert!(
             found.facts.len() <= whole.len()
-                && (found.spoilt > 0 || found.life.is_none() || bytes.len() <= whole.len() + 600)
+                && (found.corrupt > 0 || found.generation.is_none() || bytes.len() <= whole.len() + 600)
         );
-        assert!(found.facts.iter().all(|(key, _)| key.sound()));
+        assert!(found.facts.iter().all(|(key, _)| key.is_valid()));
         let _ = stored::read_witness(&bytes);
         // The same bytes as a message.
-        if let Some((message, _)) = wire::read(&bytes, NOW) {
-            let _ = wire::write(&message, NOW);
+        if let Some((message, _)) = wire::decode(&bytes, NOW) {
+            let _ = wire::encode(&message, NOW);
         }
     }
 }
@@ -216,8 +217,8 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     let found = stored::read(&bytes);
-    assert_eq!((found.spoilt, found.facts.len()), (1, facts - 1), "one record, and no other");
-    assert!(!found.whole());
+    assert_eq!((found.corrupt, found.facts.len()), (1, facts - 1), "one record, and no other");
+    assert!(!found.is_intact());
 }
 
 /// Out of CI: `cargo test -p sandstile-durable-state --release -- --ignored`.
@@ -233,7 +234,7 @@
     let mut replica = Replica::new(300.0);
     (0..40).for_each(|n| learn(&mut replica, n));
     let facts: Vec<_> = replica.iter().map(|(k, f)| (k.clone(), f.clone())).collect();
-    let whole = wire::write(&sandstile_replicated_state::Message::Facts(facts), NOW);
+    let whole = wire::encode(&sandstile_replicated_state::Message::Facts(facts), NOW);
     let mut chance = Rand64::new(3);
     let mut some = 0;
     for _ in 0..20_000 {
@@ -242,8 +243,9 @@
             let at = chance.rand_range(0..bytes.len() as u64) as usize;
             bytes[at] ^= 1 + (chance.rand_u64() % 255) as u8;
         }
-        if let Some((sandstile_replicated_state::Message::Facts(facts), spoilt)) = wire::read(&bytes, NOW) {
-            assert!(facts.len() + spoilt <= 40);
+        if let Some((sandstile_replicated_state::Message::Facts(facts), corrupt)) = wire::decode(&bytes, NOW)
+        {
+            assert!(facts.len() + corrupt <= 40);
             some += usize::from(!facts.is_empty());
         }
     }
--- a/crates/sandstile-lab/src/copies.rs
+++ b/crates/sandstile-lab/src/copies.rs
@@ -1,7 +1,7 @@
 //! How keeping the same grows with the number of routers: the very keepers of the router (`sandstile-replication`) in virtual time. How long
 //! until what one learns is everywhere, what it costs, and what one that lost all costs the others when it returns.
 use crate::charts::{self, Line};
-use sandstile_replicated_state::catchup::Belief;
+use sandstile_replicated_state::catchup::Trust;
 use sandstile_replicated_state::{Fact, Key, Kind, Replica, Value};
 use sandstile_replication::sim::{Net, Sim};
 use sandstile_sessions::mark::{Mark, Seen, Term};
@@ -26,7 +26,7 @@
     /// Bytes a second that a router tells in the calm.
     bytes: f64,
     /// Seconds until one that lost all was in step, and the bytes that it was told; the most that one peer told of them.
-    in_step: Option<f64>,
+    in_sync: Option<f64>,
     told: u64,
     by_one: u64,
 }
@@ -46,32 +46,32 @@
     let mut copy = Replica::new(HORIZON);
     for n in 0..sessions {
         let at = BEGIN - 120.0 + n as f64 / sessions.max(1) as f64 * 100.0;
-        copy.learn(BEGIN, &Key::of(Kind::Mark, &session(n)), &Fact { value: wrote(at), born: at });
+        copy.learn(BEGIN, &Key::shared(Kind::Mark, &session(n)), &Fact { value: wrote(at), created_at: at });
     }
     for place in 0..routers {
-        sim.start(place, Vec::new(), Belief::None, None);
-        sim.keeper(place).expect("just started").take_over(copy.clone());
+        sim.start(place, Vec::new(), Trust::None, None);
+        sim.replication(place).expect("just started").replace_replica(copy.clone());
     }
     sim.run(BEGIN + 8.0);
-    let (before, from) = (sim.told.iter().sum::<u64>(), sim.now());
+    let (before, from) = (sim.bytes_sent.iter().sum::<u64>(), sim.now());
     let (mut facts, mut n) = (Vec::new(), 0);
     while sim.now() < from + WATCHES {
         let (at, subject) = (sim.now(), session(sessions + n));
-        let key = Key::of(Kind::Mark, &subject);
+        let key = Key::shared(Kind::Mark, &subject);
         if n % 10 == 0 {
             sim.watch(&key);
             facts.push((key, at, n % routers));
         }
-        sim.keeper(n % routers).expect("nobody died").learn(at, Kind::Mark, &subject, wrote(at));
+        sim.replication(n % routers).expect("nobody died").learn(at, Kind::Mark, &subject, wrote(at));
         n += 1;
         sim.run(from + n as f64 / RATE);
     }
-    let bytes = (sim.told.iter().sum::<u64>() - before) as f64 / WATCHES / routers as f64;
+    let bytes = (sim.bytes_sent.iter().sum::<u64>() - before) as f64 / WATCHES / routers as f64;
     sim.run(from + WATCHES + 3.0);
     let (mut everywhere, mut never) = (Vec::new(), 0);
     for (key, at, writer) in &facts {
-        let had = sim.had(key, *at);
-        let others = had.iter().enumerate().filter(|(place, _)| place != writer);
+        let arrival_delays = sim.arrival_delays(key, *at);
+        let others = arrival_delays.iter().enumerate().filter(|(place, _)| place != writer);
         match others.map(|(_, at)| *at).collect::<Option<Vec<f64>>>() {
             Some(all) => everywhere.push(all.into_iter().fold(0.0, f64::max)),
             None => never += 1,
@@ -81,15 +81,15 @@
     let back = routers / 2;
     sim.kill(back);
     sim.run(sim.now() + 1.0);
-    let (told, at) = (sim.told.clone(), sim.now());
-    sim.start(back, Vec::new(), Belief::None, None);
-    while !sim.in_step(back) && sim.now() < at + RETURNS {
+    let (told, at) = (sim.bytes_sent.clone(), sim.now());
+    sim.start(back, Vec::new(), Trust::None, None);
+    while !sim.in_sync(back) && sim.now() < at + RETURNS {
         sim.run(sim.now() + 0.05);
     }
-    let in_step = sim.in_step(back).then(|| sim.now() - at);
-    let more: Vec<u64> = sim.told.iter().zip(&told).map(|(a, b)| a - b).collect();
+    let in_sync = sim.in_sync(back).then(|| sim.now() - at);
+    let more: Vec<u64> = sim.bytes_sent.iter().zip(&told).map(|(a, b)| a - b).collect();
     let by_one = more.iter().enumerate().filter(|(n, _)| *n != back).map(|(_, b)| *b).max().unwrap_or(0);
-    Run { everywhere, never, bytes, in_step, told: more.iter().sum(), by_one }
+    Run { everywhere, never, bytes, in_sync, told: more.iter().sum(), by_one }
 }
 
 fn quantile(sorted: &[f64], q: f64) -> f64 {
@@ -118,7 +118,7 @@
             let run = play(*routers, sessions, loss, 1);
             info!(routers, loss, "played");
             let (p50, p99) = (quantile(&run.everywhere, 0.5), quantile(&run.everywhere, 0.99));
-            let step = run.in_step.map_or(format!("not in {RETURNS:.0}"), |s| format!("{s:.2}"));
+            let step = run.in_sync.map_or(format!("not in {RETURNS:.0}"), |s| format!("{s:.2}"));
             let _ = writeln!(
                 text,
                 "| {routers} | {loss} | {p50:.2} | {p99:.2} | {} | {:.0} | {step} | {:.1} | {:.1} |",
--- a/crates/sandstile-probe-sharing/src/lib.rs
+++ b/crates/sandstile-probe-sharing/src/lib.rs
@@ -11,16 +11,16 @@
 
 /// What a probe told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ProbeResult {
     /// Nothing, in its time.
-    Silent,
+    NoAnswer,
     /// It answers, and is not primary.
-    Answers,
+    NotPrimary,
     Primary,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct ProbeSharingSettings {
     /// Seconds between the probes of the first in rank.
     pub interval: f64,
     /// Seconds more for each rank behind it.
@@ -29,13 +29,13 @@
     pub own: f64,
 }
 
-impl Default for Terms {
+impl Default for ProbeSharingSettings {
     fn default() -> Self {
-        Terms { interval: 0.2, step: 0.3, own: 1.5 }
+        ProbeSharingSettings { interval: 0.2, step: 0.3, own: 1.5 }
     }
 }
 
-impl Terms {
+impl ProbeSharingSettings {
     /// No host that everybody wants probed goes unprobed for longer than this and the asker's own pace: the last in rank looks itself.
     pub fn longest_gap(&self) -> f64 {
         self.own
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Result {
     at: f64,
-    told: Told,
+    told: ProbeResult,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -72,9 +72,9 @@
     pub late: u64,
 }
 
-pub struct Duties {
+pub struct ProbeSharing {
     own: String,
-    terms: Terms,
+    settings: ProbeSharingSettings,
     there: BTreeSet<String>,
     hosts: BTreeMap<String, Host>,
     /// This router's rank for each host now, and the one before it until when.
@@ -87,11 +87,11 @@
     counts: Counts,
 }
 
-impl Duties {
-    pub fn new(own: &str, terms: Terms) -> Duties {
-        Duties {
+impl ProbeSharing {
+    pub fn new(own: &str, settings: ProbeSharingSettings) -> ProbeSharing {
+        ProbeSharing {
             own: own.to_string(),
-            terms,
+            settings,
             there: BTreeSet::new(),
             hosts: BTreeMap::new(),
             ranks: BTreeMap::new(),
@@ -108,7 +108,7 @@
     }
 
     /// These others can be heard now.
-    pub fn there(&mut self, now: f64, there: &BTreeSet<String>) {
+    pub fn set_reachable_peers(&mut self, now: f64, there: &BTreeSet<String>) {
         if *there != self.there {
             self.there = there.iter().filter(|n| **n != self.own).take(MOST).cloned().collect();
             self.changes(now);
@@ -153,16 +153,16 @@
     }
 
     /// Whether this router is to probe the host that its decisions want probed now.
-    pub fn probes(&mut self, now: f64, host: &str) -> bool {
+    pub fn should_probe(&mut self, now: f64, host: &str) -> bool {
         self.host(now, host);
         let rank = self.rank(now, host);
         let Some(h) = self.hosts.get(host) else { return true };
         let own = h.own.map_or(f64::NEG_INFINITY, |r| r.at);
         let known = h.others.map_or(own, |r| own.max(r.at));
-        let patience = self.terms.interval + self.terms.step * rank as f64;
+        let patience = self.settings.interval + self.settings.step * rank as f64;
         // Good news are seen with own eyes at once; nobody is used again on another's word.
         let good = h.good.is_some_and(|at| at > own);
-        let probes = good || now >= own + self.terms.own || now >= known + patience;
+        let probes = good || now >= own + self.settings.own || now >= known + patience;
         match probes {
             true => self.counts.made += 1,
             false => self.counts.spared += 1,
@@ -171,7 +171,7 @@
     }
 
     /// A probe of this router's own has ended.
-    pub fn probed(&mut self, now: f64, host: &str, told: Told) {
+    pub fn record_own_probe(&mut self, now: f64, host: &str, told: ProbeResult) {
         self.host(now, host);
         if let Some(h) = self.hosts.get_mut(host) {
             h.own = Some(Result { at: now, told });
@@ -180,24 +180,32 @@
 
     /// What another's probe told, and when that was, by this router's clock and with the age that it had. A result of a former life, or
     /// one older than what its author told before, is of no use; how it came is no matter.
-    pub fn heard(&mut self, by: &str, life: u64, number: u64, host: &str, at: f64, told: Told) {
+    pub fn record_peer_probe(
+        &mut self,
+        by: &str,
+        generation: u64,
+        version: u64,
+        host: &str,
+        at: f64,
+        told: ProbeResult,
+    ) {
         if by == self.own {
             return;
         }
         let key = (by.to_string(), host.to_string());
-        if self.heard.get(&key).is_some_and(|last| (life, number) <= *last) {
+        if self.heard.get(&key).is_some_and(|last| (generation, version) <= *last) {
             self.counts.late += 1;
             return;
         }
         if self.heard.len() >= MOST * 16 {
             self.heard.pop_first();
         }
-        self.heard.insert(key, (life, number));
+        self.heard.insert(key, (generation, version));
         let Some(h) = self.hosts.get_mut(host) else { return };
         if h.others.is_none_or(|r| r.at < at) {
             h.others = Some(Result { at, told });
         }
-        if told == Told::Primary {
+        if told == ProbeResult::Primary {
             h.good = Some(h.good.map_or(at, |good| good.max(at)));
         }
     }
--- a/crates/sandstile-probe-sharing/src/warnings.rs
+++ b/crates/sandstile-probe-sharing/src/warnings.rs
@@ -27,7 +27,7 @@
 
 impl Warnings {
     /// This one says that the host refuses; whether that is to be heeded.
-    pub fn heed(&mut self, now: f64, by: &str, host: &str) -> bool {
+    pub fn accept(&mut self, now: f64, by: &str, host: &str) -> bool {
         if self.records.get(by).is_some_and(|r| now < r.unheeded_until) {
             self.unheeded += 1;
             return false;
--- a/crates/sandstile-probe-sharing/tests/probe_sharing.rs
+++ b/crates/sandstile-probe-sharing/tests/probe_sharing.rs
@@ -1,6 +1,6 @@
 //! Several routers and what they hear of each other, in virtual time: load, takeover, splits, liars; and a model check of the gap.
 use oorandom::Rand64;
-use sandstile_probe_sharing::{ranks, Duties, Terms, Told, Warnings};
+use sandstile_probe_sharing::{ranks, ProbeResult, ProbeSharing, ProbeSharingSettings, Warnings};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -11,9 +11,9 @@
 /// Routers that want all hosts probed all the time, each at a pace of its own, as the decisions do while a primary is lost.
 struct World {
     now: f64,
-    routers: Vec<Duties>,
+    routers: Vec<ProbeSharing>,
     next: Vec<f64>,
-    number: u64,
+    version: u64,
     /// Who is stopped; who can't hear whom.
     stopped: BTreeSet<usize>,
     cut: Option<usize>,
@@ -29,13 +29,14 @@
 impl World {
     fn new(routers: usize, hosts: usize, seed: u64) -> World {
         let all: BTreeSet<String> = (0..routers).map(name).collect();
-        let mut made: Vec<Duties> = (0..routers).map(|n| Duties::new(&name(n), Terms::default())).collect();
-        made.iter_mut().for_each(|d| d.there(0.0, &all));
+        let mut made: Vec<ProbeSharing> =
+            (0..routers).map(|n| ProbeSharing::new(&name(n), ProbeSharingSettings::default())).collect();
+        made.iter_mut().for_each(|d| d.set_reachable_peers(0.0, &all));
         World {
             now: 0.0,
             routers: made,
             next: vec![0.0; routers],
-            number: 0,
+            version: 0,
             stopped: BTreeSet::new(),
             cut: None,
             probes: vec![Vec::new(); hosts],
@@ -54,13 +55,20 @@
             let now = self.now;
             let (due, left): (Vec<_>, Vec<_>) = self.way.drain(..).partition(|w| w.0 <= now);
             self.way = left;
-            for (_, to, by, number, host, at) in due {
+            for (_, to, by, version, host, at) in due {
                 if self.stopped.contains(&to) || self.parted(by, to) {
                     // It stays on the way: streams lose nothing.
-                    self.way.push((now + DELAY, to, by, number, host, at));
+                    self.way.push((now + DELAY, to, by, version, host, at));
                     continue;
                 }
-                self.routers[to].heard(&name(by), 1, number, &format!("h{host}"), at, Told::Answers);
+                self.routers[to].record_peer_probe(
+                    &name(by),
+                    1,
+                    version,
+                    &format!("h{host}"),
+                    at,
+                    ProbeResult::NotPrimary,
+                );
             }
             for n in 0..self.routers.len() {
                 if now < self.next[n] || self.stopped.contains(&n) {
@@ -68,12 +76,12 @@
                 }
                 self.next[n] = now + 0.2 + 0.2 * self.chance.rand_float();
                 for host in 0..self.probes.len() {
-                    if self.routers[n].probes(now, &format!("h{host}")) {
+                    if self.routers[n].should_probe(now, &format!("h{host}")) {
                         self.probes[host].push((now, n));
-                        self.number += 1;
-                        self.routers[n].probed(now, &format!("h{host}"), Told::Answers);
+                        self.version += 1;
+                        self.routers[n].record_own_probe(now, &format!("h{host}"), ProbeResult::NotPrimary);
                         for to in (0..self.routers.len()).filter(|to| *to != n) {
-                            self.way.push((now + DELAY, to, n, self.number, host, now));
+                            self.way.push((now + DELAY, to, n, self.version, host, now));
                         }
                     }
                 }
@@ -122,7 +130,7 @@
 
 #[test]
 fn the_owner_dies_stands_still_or_is_cut_off_and_others_take_over() {
-    let longest = Terms::default().longest_gap() + PACE;
+    let longest = ProbeSharingSettings::default().longest_gap() + PACE;
     for seed in 1..6 {
         let mut world = World::new(5, 6, seed);
         world.run(10.0);
@@ -145,19 +153,19 @@
 /// One says that it looks at all hosts and that all is as it was: the others look themselves all the same.
 #[test]
 fn a_liar_keeps_nobody_blind() {
-    let mut honest = Duties::new("a", Terms::default());
-    honest.there(0.0, &BTreeSet::from(["liar".to_string()]));
+    let mut honest = ProbeSharing::new("a", ProbeSharingSettings::default());
+    honest.set_reachable_peers(0.0, &BTreeSet::from(["liar".to_string()]));
     let (mut now, mut last, mut longest) = (0.0, 0.0f64, 0.0f64);
-    for number in 0..2000 {
+    for version in 0..2000 {
         now += 0.01;
-        honest.heard("liar", 1, number, "h", now, Told::Silent);
-        if honest.probes(now, "h") {
+        honest.record_peer_probe("liar", 1, version, "h", now, ProbeResult::NoAnswer);
+        if honest.should_probe(now, "h") {
             longest = longest.max(now - last);
             last = now;
-            honest.probed(now, "h", Told::Answers);
+            honest.record_own_probe(now, "h", ProbeResult::NotPrimary);
         }
     }
-    assert!(longest <= Terms::default().own + 0.02, "{longest}");
+    assert!(longest <= ProbeSharingSettings::default().own + 0.02, "{longest}");
 }
 
 /// Warned again and again of hosts that answer, a router soon goes by its own eyes; of one that is right it hears on.
@@ -167,27 +175,27 @@
     let (mut heeded, mut right) = (0, 0);
     for n in 0..600 {
         let now = f64::from(n) * 0.1;
-        heeded += usize::from(warnings.heed(now, "liar", "well"));
+        heeded += usize::from(warnings.accept(now, "liar", "well"));
         warnings.answered(now + 0.05, "well");
-        right += usize::from(warnings.heed(now, "honest", "ill"));
+        right += usize::from(warnings.accept(now, "honest", "ill"));
     }
     assert!(heeded <= 6 && right == 600, "{heeded} {right}");
-    assert!(warnings.heed(1000.0, "liar", "well"), "not for ever");
+    assert!(warnings.accept(1000.0, "liar", "well"), "not for ever");
 }
 
 #[test]
 fn good_news_are_looked_at_and_words_of_a_former_life_are_not_heard() {
-    let mut a = Duties::new("a", Terms::default());
-    a.there(0.0, &BTreeSet::from(["b".to_string()]));
-    assert!(a.probes(0.0, "h"));
-    a.probed(0.1, "h", Told::Answers);
-    a.heard("b", 7, 3, "h", 0.2, Told::Primary);
-    assert!(a.probes(0.21, "h"), "with own eyes, at once");
-    a.probed(0.22, "h", Told::Primary);
-    assert!(!a.probes(0.25, "h"));
-    a.heard("b", 6, 9, "h", 0.3, Told::Primary);
-    a.heard("b", 7, 2, "h", 0.3, Told::Primary);
-    assert!(!a.probes(0.31, "h"), "of a former life, and taken back");
+    let mut a = ProbeSharing::new("a", ProbeSharingSettings::default());
+    a.set_reachable_peers(0.0, &BTreeSet::from(["b".to_string()]));
+    assert!(a.should_probe(0.0, "h"));
+    a.record_own_probe(0.1, "h", ProbeResult::NotPrimary);
+    a.record_peer_probe("b", 7, 3, "h", 0.2, ProbeResult::Primary);
+    assert!(a.should_probe(0.21, "h"), "with own eyes, at once");
+    a.record_own_probe(0.22, "h", ProbeResult::Primary);
+    assert!(!a.should_probe(0.25, "h"));
+    a.record_peer_probe("b", 6, 9, "h", 0.3, ProbeResult::Primary);
+    a.record_peer_probe("b", 7, 2, "h", 0.3, ProbeResult::Primary);
+    assert!(!a.should_probe(0.31, "h"), "of a former life, and taken back");
     assert_eq!(a.counts().late, 2);
 }
 
@@ -206,7 +214,7 @@
 }
 
 /// Two routers and one host, times in tenths of a second: every order of looks, words that arrive late, a stop, a split. The very
-/// `Duties`, made anew in each state from what it was told.
+/// `ProbeSharing`, made anew in each state from what it was told.
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 struct Place {
     /// When it probed last, and of when the freshest word of the other is that it heard.
@@ -255,31 +263,31 @@
 const LONGEST: i32 = 6;
 
 impl Gaps {
-    fn probes(&self, n: usize, state: &State) -> bool {
+    fn should_probe(&self, n: usize, state: &State) -> bool {
         // Places as the router has them: the first is first in rank.
-        let terms = Terms { interval: 0.3, step: STEP, own: 1e9 };
+        let settings = ProbeSharingSettings { interval: 0.3, step: STEP, own: 1e9 };
         let names = ["n0", "n1"];
         let first = ranks("n0", &BTreeSet::from(["n1".to_string()]), &["h"])["h"];
         let own = names[if first == 0 { n } else { 1 - n }];
-        let mut duties = Duties::new(own, terms);
-        duties.there(-1000.0, &names.iter().map(|s| s.to_string()).collect());
+        let mut probe_sharing = ProbeSharing::new(own, settings);
+        probe_sharing.set_reachable_peers(-1000.0, &names.iter().map(|s| s.to_string()).collect());
         let p = &state.places[n];
         // The host is known from long ago.
-        duties.probed(-1000.0, "h", Told::Answers);
+        probe_sharing.record_own_probe(-1000.0, "h", ProbeResult::NotPrimary);
         if let Some(at) = p.own {
-            duties.probed(f64::from(at) * 0.1, "h", Told::Answers);
+            probe_sharing.record_own_probe(f64::from(at) * 0.1, "h", ProbeResult::NotPrimary);
         }
         if let Some(at) = p.other {
-            duties.heard(
+            probe_sharing.record_peer_probe(
                 names[if own == "n0" { 1 } else { 0 }],
                 1,
                 1,
                 "h",
                 f64::from(at) * 0.1,
-                Told::Answers,
+                ProbeResult::NotPrimary,
             );
         }
-        let due = duties.probes(f64::from(state.now) * 0.1 + 1e-6, "h");
+        let due = probe_sharing.should_probe(f64::from(state.now) * 0.1 + 1e-6, "h");
         due && (self.0 != Mutant::OwnersOnly || n == 0)
     }
 }
@@ -317,7 +325,7 @@
                 // A word of the same side takes less than a tick; what a cut or a stop holds back waits.
                 s.now += 1;
                 for n in 0..2 {
-                    if s.places[n].stopped || !self.probes(n, &s) {
+                    if s.places[n].stopped || !self.should_probe(n, &s) {
                         continue;
                     }
                     s.places[n].own = Some(s.now);
--- a/crates/sandstile-replicated-state/src/catchup.rs
+++ b/crates/sandstile-replicated-state/src/catchup.rs
@@ -4,11 +4,11 @@
 
 /// What the disk held, as far as it could be read.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stored {
+pub enum StoredCopy {
     /// Nothing, cut short, or spoilt.
-    Lost,
+    Unreadable,
     /// Whole in itself: the life that wrote it, its last number, and whether that life said at its end that this is all.
-    Whole { life: u64, number: u64, ended: bool },
+    Intact { generation: u64, version: u64, ended_cleanly: bool },
 }
 
 /// What is known of this instance's former life from elsewhere: a witness file that is not backed up with the copy, and peers.
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
+pub enum Trust {
     /// Its facts are taken up, and what is not found was not written.
     All,
     /// Its facts are taken up, for facts bind whoever reads them to more; what is not found may have been written.
@@ -32,29 +32,29 @@
 
 /// How far a copy from the disk is believed. A copy that is whole and old looks like one that is whole and new: only what was
 /// kept apart from it tells them from each other. Alone and without a witness it says nothing of what it lacks.
-pub fn believe(stored: Stored, witness: Witness) -> Belief {
-    let Stored::Whole { life, number, ended } = stored else { return Belief::None };
-    let later_life =
-        witness.peers.is_some_and(|met| met > life) || witness.file.is_some_and(|(began, _)| began > life);
-    let later_number = witness.file.is_some_and(|(began, put)| began == life && put > number);
-    let vouched = witness.file.is_some_and(|(began, put)| (began, put) == (life, number));
-    if later_life || later_number || !vouched || !ended {
-        return Belief::Some;
+pub fn assess_trust(stored: StoredCopy, witness: Witness) -> Trust {
+    let StoredCopy::Intact { generation, version, ended_cleanly } = stored else { return Trust::None };
+    let later_life = witness.peers.is_some_and(|met| met > generation)
+        || witness.file.is_some_and(|(began, _)| began > generation);
+    let later_number = witness.file.is_some_and(|(began, put)| began == generation && put > version);
+    let vouched = witness.file.is_some_and(|(began, put)| (began, put) == (generation, version));
+    if later_life || later_number || !vouched || !ended_cleanly {
+        return Trust::Some;
     }
-    Belief::All
+    Trust::All
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum SyncState {
     /// Nobody was asked yet.
-    New,
+    NotStarted,
     CatchingUp,
     /// Knows all that those asked know.
-    InStep,
+    InSync,
     /// Knew all at that time; nobody could be asked since.
-    InStepAsOf(f64),
+    InSyncAsOf(f64),
     /// Nobody is left that knows: all that is not found counts as written.
-    Careful,
+    Isolated,
 }
 
 /// Peers that are asked: one may have missed what the other heard.
@@ -75,38 +75,38 @@
 #[derive(Clone, Debug)]
 pub struct CatchUp {
     own: String,
-    life: u64,
+    generation: u64,
     began: f64,
-    standing: Standing,
+    sync_state: SyncState,
     asked: Vec<Ask>,
     tried: BTreeSet<String>,
     same_at: Option<f64>,
 }
 
 /// Spreads those that return over their peers: each has an order of its own, by its name and life.
-fn weight(own: &str, life: u64, peer: &str) -> u64 {
+fn weight(own: &str, generation: u64, peer: &str) -> u64 {
     let mut hash = blake3::Hasher::new();
     hash.update(own.as_bytes());
-    hash.update(&life.to_be_bytes());
+    hash.update(&generation.to_be_bytes());
     hash.update(peer.as_bytes());
     crate::fact::eight(&hash)
 }
 
 impl CatchUp {
-    pub fn new(own: &str, life: u64, believed: Belief, now: f64) -> CatchUp {
+    pub fn new(own: &str, generation: u64, trust: Trust, now: f64) -> CatchUp {
         // All that the former life knew is not all that was written since.
-        let standing = if believed == Belief::All { Standing::InStepAsOf(now) } else { Standing::New };
+        let sync_state = if trust == Trust::All { SyncState::InSyncAsOf(now) } else { SyncState::NotStarted };
         let (asked, tried) = (Vec::new(), BTreeSet::new());
-        CatchUp { own: own.to_string(), life, began: now, standing, asked, tried, same_at: None }
+        CatchUp { own: own.to_string(), generation, began: now, sync_state, asked, tried, same_at: None }
     }
 
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn sync_state(&self) -> SyncState {
+        self.sync_state
     }
 
     /// Whether what is not found in the copy was not written. A mark that is found binds in every standing.
     pub fn knows_all(&self) -> bool {
-        self.standing == Standing::InStep
+        self.sync_state == SyncState::InSync
     }
 
     /// Peers with whom a comparison is to go on.
@@ -131,8 +131,8 @@
 
     /// What was believed of a stored copy is not any more: it was an old one.
     pub fn doubt(&mut self) {
-        if let Standing::InStepAsOf(_) = self.standing {
-            self.standing = Standing::CatchingUp;
+        if let SyncState::InSyncAsOf(_) = self.sync_state {
+            self.sync_state = SyncState::CatchingUp;
         }
     }
 
@@ -142,7 +142,7 @@
         // A same of long ago says nothing of now: it is asked again.
         self.asked.iter_mut().filter(|a| a.same && now > a.since + COUNTS).for_each(|a| a.same = false);
         let mut order: Vec<&String> = there.iter().filter(|p| **p != self.own).collect();
-        order.sort_by_key(|p| (self.tried.contains(*p), weight(&self.own, self.life, p)));
+        order.sort_by_key(|p| (self.tried.contains(*p), weight(&self.own, self.generation, p)));
         for peer in order {
             if self.asked.len() >= ASKED {
                 break;
@@ -157,19 +157,19 @@
         }
         let wanted = there.iter().filter(|p| **p != self.own).count().min(ASKED);
         let whole = wanted > 0 && self.asked.iter().filter(|a| a.same).count() >= wanted;
-        self.standing = match self.standing {
+        self.sync_state = match self.sync_state {
             _ if whole => {
                 self.same_at = Some(now);
-                Standing::InStep
+                SyncState::InSync
             }
-            Standing::InStep => Standing::InStepAsOf(self.same_at.unwrap_or(now)),
-            Standing::InStepAsOf(at) if wanted == 0 || now < at + COUNTS => Standing::InStepAsOf(at),
-            Standing::New | Standing::Careful if wanted == 0 => match now >= self.began + NOBODY {
-                true => Standing::Careful,
-                false => self.standing,
+            SyncState::InSync => SyncState::InSyncAsOf(self.same_at.unwrap_or(now)),
+            SyncState::InSyncAsOf(at) if wanted == 0 || now < at + COUNTS => SyncState::InSyncAsOf(at),
+            SyncState::NotStarted | SyncState::Isolated if wanted == 0 => match now >= self.began + NOBODY {
+                true => SyncState::Isolated,
+                false => self.sync_state,
             },
-            _ if wanted == 0 => Standing::Careful,
-            _ => Standing::CatchingUp,
+            _ if wanted == 0 => SyncState::Isolated,
+            _ => SyncState::CatchingUp,
         };
     }
 }
--- a/crates/sandstile-replicated-state/src/deltas.rs
+++ b/crates/sandstile-replicated-state/src/deltas.rs
@@ -23,8 +23,8 @@
 
 impl Deltas {
     /// For a peer that holds all up to this number, or is to hear of that by a comparison.
-    pub fn from(number: u64) -> Deltas {
-        Deltas { acked: number, sent: number, facts_out: 0 }
+    pub fn from(version: u64) -> Deltas {
+        Deltas { acked: version, sent: version, facts_out: 0 }
     }
 
     /// The connection ended: what was not acknowledged is sent again.
@@ -43,7 +43,7 @@
     }
 
     pub fn behind(&self, replica: &Replica) -> bool {
-        self.sent < replica.number()
+        self.sent < replica.version()
     }
 
     /// What goes out next; `None` where nothing is to, or too much is on its way. What this peer told itself is left out.
@@ -53,18 +53,18 @@
         }
         let (mut upto, mut passed) = (self.sent, 0);
         let mut facts: Vec<(Key, Fact)> = Vec::new();
-        for (number, by, key, fact) in replica.changes(self.sent) {
+        for (version, by, key, fact) in replica.changes(self.sent) {
             if facts.len() == AT_ONCE || passed == LOOKED_AT {
                 break;
             }
-            (upto, passed) = (number, passed + 1);
+            (upto, passed) = (version, passed + 1);
             if by != COMPARED && (by == 0 || by != peer) {
                 facts.push((key.clone(), fact.clone()));
             }
         }
         if passed == 0 {
             // All that changed has been forgotten since.
-            upto = replica.number();
+            upto = replica.version();
         }
         let nothing_out = self.acked == self.sent;
         self.sent = upto;
--- a/crates/sandstile-replicated-state/src/differ.rs
+++ b/crates/sandstile-replicated-state/src/differ.rs
@@ -17,8 +17,8 @@
 pub fn rule(kind: Kind) -> Rule {
     match kind {
         Kind::Mark => Rule::Both,
-        Kind::Floor | Kind::Life => Rule::Higher,
-        Kind::Leads | Kind::Refuses | Kind::Drains | Kind::Cold | Kind::Storm | Kind::Probed => Rule::Later,
+        Kind::LogPosition | Kind::Generation => Rule::Higher,
+        Kind::Leader | Kind::Refusal | Kind::Draining | Kind::Cold | Kind::Storm | Kind::Probe => Rule::Later,
     }
 }
 
@@ -41,7 +41,7 @@
 }
 
 /// The facts of a copy, each once: a file has one for each time that it changed.
-pub fn gather(all: &[(Key, Fact)]) -> BTreeMap<Key, Value> {
+pub fn merge_by_key(all: &[(Key, Fact)]) -> BTreeMap<Key, Value> {
     let mut by_key: BTreeMap<Key, Value> = BTreeMap::new();
     for (key, fact) in all {
         match by_key.get_mut(key) {
@@ -54,7 +54,7 @@
 
 /// The facts in which two copies differ, in the order of their keys. Ages are no difference.
 pub fn compare(one: &[(Key, Fact)], other: &[(Key, Fact)]) -> Vec<Difference> {
-    let (one, mut other) = (gather(one), gather(other));
+    let (one, mut other) = (merge_by_key(one), merge_by_key(other));
     let mut out = Vec::new();
     for (key, a) in one {
         let how = match other.remove(&key) {
@@ -84,12 +84,12 @@
                     seen.marks().map(|m| format!("{:016x}@{:.3}", m.term.0, m.position)).collect();
                 write!(f, "{}", all.join(" "))
             }
-            Value::Most(most) => write!(f, "{most}"),
-            Value::Said(said) => {
+            Value::Max(most) => write!(f, "{most}"),
+            Value::Report(said) => {
                 write!(
                     f,
                     "life {} number {} careful {} \"{}\"",
-                    said.life, said.number, said.careful, said.body
+                    said.generation, said.version, said.severity, said.body
                 )
             }
         }
@@ -99,7 +99,7 @@
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let by = if self.key.owner.is_empty() { String::new() } else { format!(" by {}", self.key.owner) };
-        write!(f, "{} {}{by}: ", self.key.kind.word(), self.key.subject)?;
+        write!(f, "{} {}{by}: ", self.key.kind.name(), self.key.subject)?;
         match &self.how {
             How::First(value) => write!(f, "only the first has it: {value}"),
             How::Second(value) => write!(f, "only the second has it: {value}"),
--- a/crates/sandstile-replicated-state/src/fact.rs
+++ b/crates/sandstile-replicated-state/src/fact.rs
@@ -7,66 +7,66 @@
     /// What a session has seen in a group. Merged by all.
     Mark,
     /// How far a group's log reached under a term, by the answers of its primary. Merged by all.
-    Floor,
+    LogPosition,
     /// The highest life of an instance that anybody met. Merged by all.
-    Life,
+    Generation,
     /// A host's words of itself as one router heard them: who leads. One writer.
-    Leads,
+    Leader,
     /// A host refuses, drains, is cold, as one router saw it. One writer.
-    Refuses,
-    Drains,
+    Refusal,
+    Draining,
     Cold,
     /// A storm is under way, as one router sees it. One writer.
     Storm,
     /// What a router's own probe of a host told. One writer.
-    Probed,
+    Probe,
 }
 
 pub const KINDS: [Kind; 9] = [
     Kind::Mark,
-    Kind::Floor,
-    Kind::Life,
-    Kind::Leads,
-    Kind::Refuses,
-    Kind::Drains,
+    Kind::LogPosition,
+    Kind::Generation,
+    Kind::Leader,
+    Kind::Refusal,
+    Kind::Draining,
     Kind::Cold,
     Kind::Storm,
-    Kind::Probed,
+    Kind::Probe,
 ];
 
 impl Kind {
-    pub fn of(number: u8) -> Option<Kind> {
-        KINDS.get(usize::from(number)).copied()
+    pub fn from_code(version: u8) -> Option<Kind> {
+        KINDS.get(usize::from(version)).copied()
     }
 
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Kind::Mark => "mark",
-            Kind::Floor => "floor",
-            Kind::Life => "life",
-            Kind::Leads => "leads",
-            Kind::Refuses => "refuses",
-            Kind::Drains => "drains",
+            Kind::LogPosition => "floor",
+            Kind::Generation => "life",
+            Kind::Leader => "leads",
+            Kind::Refusal => "refuses",
+            Kind::Draining => "drains",
             Kind::Cold => "cold",
             Kind::Storm => "storm",
-            Kind::Probed => "probed",
+            Kind::Probe => "probed",
         }
     }
 
     /// Whether one router alone writes each fact of it.
-    pub fn owned(self) -> bool {
-        !matches!(self, Kind::Mark | Kind::Floor | Kind::Life)
+    pub fn has_single_writer(self) -> bool {
+        !matches!(self, Kind::Mark | Kind::LogPosition | Kind::Generation)
     }
 
     /// Seconds for which a fact of it says anything. Marks and floors age by their own positions.
     pub fn lasts(self) -> f64 {
         match self {
-            Kind::Mark | Kind::Floor => f64::INFINITY,
+            Kind::Mark | Kind::LogPosition => f64::INFINITY,
             // Longer than any router is away with a copy that may be put back.
-            Kind::Life => 30.0 * 86_400.0,
-            Kind::Leads | Kind::Drains => 60.0,
-            Kind::Refuses | Kind::Cold | Kind::Storm => 15.0,
-            Kind::Probed => 5.0,
+            Kind::Generation => 30.0 * 86_400.0,
+            Kind::Leader | Kind::Draining => 60.0,
+            Kind::Refusal | Kind::Cold | Kind::Storm => 15.0,
+            Kind::Probe => 5.0,
         }
     }
 
@@ -74,9 +74,9 @@
     pub fn most(self) -> usize {
         match self {
             Kind::Mark => 1 << 16,
-            Kind::Floor => 4096,
-            Kind::Life => 2048,
-            Kind::Leads | Kind::Refuses | Kind::Drains | Kind::Cold | Kind::Probed => 8192,
+            Kind::LogPosition => 4096,
+            Kind::Generation => 2048,
+            Kind::Leader | Kind::Refusal | Kind::Draining | Kind::Cold | Kind::Probe => 8192,
             Kind::Storm => 2048,
         }
     }
@@ -95,7 +95,7 @@
 
 impl Key {
     /// Of a fact that all merge.
-    pub fn of(kind: Kind, subject: &str) -> Key {
+    pub fn shared(kind: Kind, subject: &str) -> Key {
         Key { kind, subject: subject.into(), owner: "".into() }
     }
 
@@ -104,9 +104,9 @@
     }
 
     /// Whether its owner is named just where its kind has one, and names are no longer than they may be.
-    pub fn sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let fits = |name: &str| name.len() <= LONGEST_NAME;
-        self.owner.is_empty() != self.kind.owned()
+        self.owner.is_empty() != self.kind.has_single_writer()
             && !self.subject.is_empty()
             && fits(&self.subject)
             && fits(&self.owner)
@@ -129,11 +129,11 @@
 
 /// What one router says of something, under its life and a number that it raises with each word.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Said {
-    pub life: u64,
-    pub number: u64,
+pub struct Report {
+    pub generation: u64,
+    pub version: u64,
     /// How careful it makes whoever hears it: 0 that all is well. Of two words under one number the more careful counts.
-    pub careful: u8,
+    pub severity: u8,
     pub body: Box<str>,
 }
 
@@ -141,9 +141,9 @@
 pub enum Value {
     Seen(Seen),
     /// The highest counts: positions, lives.
-    Most(f64),
+    Max(f64),
     /// The latest word of its one writer.
-    Said(Said),
+    Report(Report),
 }
 
 /// What a join came to.
@@ -161,8 +161,8 @@
     pub fn fits(&self, kind: Kind) -> bool {
         match (self, kind) {
             (Value::Seen(_), Kind::Mark) => true,
-            (Value::Most(most), Kind::Floor | Kind::Life) => most.is_finite() && *most >= 0.0,
-            (Value::Said(said), kind) => kind.owned() && said.body.len() <= LONGEST_NAME,
+            (Value::Max(most), Kind::LogPosition | Kind::Generation) => most.is_finite() && *most >= 0.0,
+            (Value::Report(said), kind) => kind.has_single_writer() && said.body.len() <= LONGEST_NAME,
             _ => false,
         }
     }
@@ -179,12 +179,12 @@
                     Joined::More
                 }
             }
-            (Value::Most(mine), Value::Most(theirs)) if theirs > mine => {
+            (Value::Max(mine), Value::Max(theirs)) if theirs > mine => {
                 *mine = *theirs;
                 Joined::More
             }
-            (Value::Said(mine), Value::Said(theirs)) if theirs != mine => {
-                let twice = (theirs.life, theirs.number) == (mine.life, mine.number);
+            (Value::Report(mine), Value::Report(theirs)) if theirs != mine => {
+                let twice = (theirs.generation, theirs.version) == (mine.generation, mine.version);
                 let more = theirs > mine;
                 if more {
                     *mine = theirs.clone();
@@ -212,14 +212,14 @@
                 hash.update(&[1]);
                 hash.update(&latest.to_bits().to_be_bytes());
             }
-            Value::Most(most) => {
+            Value::Max(most) => {
                 hash.update(&[2]);
                 hash.update(&most.to_bits().to_be_bytes());
             }
-            Value::Said(said) => {
-                hash.update(&[3, said.careful]);
-                hash.update(&said.life.to_be_bytes());
-                hash.update(&said.number.to_be_bytes());
+            Value::Report(said) => {
+                hash.update(&[3, said.severity]);
+                hash.update(&said.generation.to_be_bytes());
+                hash.update(&said.version.to_be_bytes());
                 hash.update(said.body.as_bytes());
             }
         }
@@ -232,7 +232,7 @@
 pub struct Fact {
     pub value: Value,
     /// When it came up, on the caller's clock.
-    pub born: f64,
+    pub created_at: f64,
 }
 
 impl Fact {
@@ -248,8 +248,8 @@
     pub fn over(&self, kind: Kind, now: f64, horizon: f64) -> bool {
         match &self.value {
             Value::Seen(seen) => seen.latest() + horizon < now,
-            Value::Most(position) if kind == Kind::Floor => position + horizon < now,
-            _ => self.born + kind.lasts() < now,
+            Value::Max(position) if kind == Kind::LogPosition => position + horizon < now,
+            _ => self.created_at + kind.lasts() < now,
         }
     }
 
@@ -258,9 +258,13 @@
         let before = self.value.clone();
         let joined = self.value.join(&other.value);
         if self.value != before {
-            self.born = if self.value == other.value { other.born } else { self.born.max(other.born) };
+            self.created_at = if self.value == other.value {
+                other.created_at
+            } else {
+                self.created_at.max(other.created_at)
+            };
         } else if self.value == other.value {
-            self.born = self.born.min(other.born);
+            self.created_at = self.created_at.min(other.created_at);
         }
         joined
     }
--- a/crates/sandstile-replicated-state/src/lib.rs
+++ b/crates/sandstile-replicated-state/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod tree;
 pub mod wire;
 
-pub use catchup::{CatchUp, Standing};
+pub use catchup::{CatchUp, SyncState};
 pub use deltas::Deltas;
 pub use fact::{Fact, Key, Kind, Value};
 pub use state::{Came, Replica, Snapshot};
--- a/crates/sandstile-replicated-state/src/state.rs
+++ b/crates/sandstile-replicated-state/src/state.rs
@@ -30,8 +30,8 @@
     pub conflicts: u64,
     pub refused: u64,
     /// Facts that were given up for want of room.
-    pub given_up: u64,
-    pub forgotten: u64,
+    pub evicted: u64,
+    pub expired: u64,
 }
 
 /// Seconds before its end for which a fact stands in no comparison as of a time: copies let go of it at times that differ.
@@ -54,7 +54,7 @@
     /// Keys in the order of their last change, with who told of it: 0 for this router itself.
     log: OrdMap<u64, (Key, u32)>,
     changed: OrdMap<Key, u64>,
-    number: u64,
+    version: u64,
     /// By kind, what goes first: what is least careful, then what is oldest.
     order: BTreeMap<Kind, OrdSet<(u8, u64, Key)>>,
     /// Marks of at most this position were given up: whoever is not found may have been among them.
@@ -76,7 +76,7 @@
             tree: Tree::default(),
             log: OrdMap::new(),
             changed: OrdMap::new(),
-            number: 0,
+            version: 0,
             order: KINDS.iter().map(|kind| (*kind, OrdSet::new())).collect(),
             lost_to: 0.0,
             horizon,
@@ -121,22 +121,22 @@
     }
 
     /// The number of its last change.
-    pub fn number(&self) -> u64 {
-        self.number
+    pub fn version(&self) -> u64 {
+        self.version
     }
 
     fn rank(fact: &Fact) -> (u8, u64) {
         let age = match &fact.value {
             Value::Seen(seen) => seen.latest(),
-            Value::Most(most) => *most,
-            Value::Said(_) => fact.born,
+            Value::Max(most) => *most,
+            Value::Report(_) => fact.created_at,
         };
-        let careful = match &fact.value {
-            Value::Said(said) => said.careful,
+        let severity = match &fact.value {
+            Value::Report(said) => said.severity,
             _ => 0,
         };
         // Bits of floats above zero sort as the floats do.
-        (careful, age.max(0.0).to_bits())
+        (severity, age.max(0.0).to_bits())
     }
 
     /// Puts a fact in the place of the one that is there.
@@ -147,16 +147,16 @@
         self.tree.change(hash, sum(&former), sum(&fact));
         if let Some(order) = self.order.get_mut(&key.kind) {
             if let Some(former) = &former {
-                let (careful, age) = Self::rank(former);
-                order.remove(&(careful, age, key.clone()));
+                let (severity, age) = Self::rank(former);
+                order.remove(&(severity, age, key.clone()));
             }
             if let Some(fact) = &fact {
-                let (careful, age) = Self::rank(fact);
-                order.insert((careful, age, key.clone()));
+                let (severity, age) = Self::rank(fact);
+                order.insert((severity, age, key.clone()));
             }
         }
         if let (Some(former), Some(_)) = (&former, &fact) {
-            self.formers[0].insert((key.clone(), self.number), former.clone());
+            self.formers[0].insert((key.clone(), self.version), former.clone());
         }
         let before = self.changed.remove(key);
         if let Some(before) = before {
@@ -164,9 +164,9 @@
         }
         match fact {
             Some(fact) => {
-                self.number += 1;
-                self.log.insert(self.number, (key.clone(), by));
-                self.changed.insert(key.clone(), self.number);
+                self.version += 1;
+                self.log.insert(self.version, (key.clone(), by));
+                self.changed.insert(key.clone(), self.version);
                 self.by_hash.insert(hash, key.clone());
                 self.facts.insert(key.clone(), fact);
             }
@@ -180,14 +180,14 @@
     fn usable(&self, key: &Key, fact: &Fact, now: f64) -> bool {
         let ahead = match &fact.value {
             Value::Seen(seen) => seen.latest().is_finite() && seen.latest() > now + AHEAD,
-            Value::Most(most) if key.kind == Kind::Floor => *most > now + AHEAD,
-            Value::Most(life) => *life > now * 1e6 + LIFE_AHEAD,
-            Value::Said(said) => said.life as f64 > now * 1e6 + LIFE_AHEAD,
+            Value::Max(most) if key.kind == Kind::LogPosition => *most > now + AHEAD,
+            Value::Max(generation) => *generation > now * 1e6 + LIFE_AHEAD,
+            Value::Report(said) => said.generation as f64 > now * 1e6 + LIFE_AHEAD,
         };
-        key.sound()
+        key.is_valid()
             && fact.value.fits(key.kind)
             && !ahead
-            && fact.born <= now
+            && fact.created_at <= now
             && !fact.over(key.kind, now, self.horizon)
     }
 
@@ -210,7 +210,7 @@
         let (before, mut joined) = (held.clone(), held.clone());
         match joined.join(fact) {
             Joined::Same => {
-                if joined.born < before.born {
+                if joined.created_at < before.created_at {
                     // As old as it was first, and no news to anybody.
                     self.facts.insert(key.clone(), joined);
                 }
@@ -241,7 +241,7 @@
                 // Unknown goes to the primary: nobody may be taken for one that has written nothing.
                 self.lost_to = self.lost_to.max(seen.latest());
             }
-            self.counts.given_up += 1;
+            self.counts.evicted += 1;
             self.place(&key, None, 0);
         }
     }
@@ -259,7 +259,7 @@
             self.turned = now;
             self.formers[1] = std::mem::take(&mut self.formers[0]);
         }
-        self.counts.forgotten += over.len() as u64;
+        self.counts.expired += over.len() as u64;
         over.len()
     }
 
@@ -284,7 +284,7 @@
         let from = behind.saturating_add(1);
         self.log
             .range(from..)
-            .filter_map(|(number, (key, by))| Some((*number, *by, key, self.facts.get(key)?)))
+            .filter_map(|(version, (key, by))| Some((*version, *by, key, self.facts.get(key)?)))
     }
 
     /// All facts as they are now, for whoever looks through them elsewhere. Shares them, and leaves out what only comparisons need.
@@ -292,7 +292,7 @@
         Snapshot {
             facts: self.facts.clone(),
             log: self.log.clone(),
-            number: self.number,
+            version: self.version,
             horizon: self.horizon,
             formers: self.formers.clone(),
         }
@@ -308,7 +308,7 @@
 pub struct Snapshot {
     facts: OrdMap<Key, Fact>,
     log: OrdMap<u64, (Key, u32)>,
-    number: u64,
+    version: u64,
     horizon: f64,
     formers: [OrdMap<(Key, u64), Fact>; 2],
 }
@@ -319,8 +319,8 @@
     }
 
     /// The number of its last change.
-    pub fn number(&self) -> u64 {
-        self.number
+    pub fn version(&self) -> u64 {
+        self.version
     }
 
     /// What had changed behind this number, the earliest first.
@@ -335,8 +335,8 @@
     pub fn digest_as_of(&self, at: f64) -> u64 {
         let age = |key: &Key, fact: &Fact| match &fact.value {
             Value::Seen(seen) => (seen.latest(), self.horizon),
-            Value::Most(most) if key.kind == Kind::Floor => (*most, self.horizon),
-            _ => (fact.born, key.kind.lasts()),
+            Value::Max(most) if key.kind == Kind::LogPosition => (*most, self.horizon),
+            _ => (fact.created_at, key.kind.lasts()),
         };
         let counts = |key: &Key, fact: &Fact| {
             let (age, lasts) = age(key, fact);
--- a/crates/sandstile-replicated-state/src/wire.rs
+++ b/crates/sandstile-replicated-state/src/wire.rs
@@ -1,13 +1,13 @@
 //! Facts and messages as bytes. What can't be read whole is none; lengths are bounded before anything is allocated; a fact that is
 //! spoilt is refused alone, for each carries its length.
-use crate::fact::{Fact, Key, Kind, Said, Value, LONGEST_NAME};
+use crate::fact::{Fact, Key, Kind, Report, Value, LONGEST_NAME};
 use crate::sync_protocol::Message;
 use crate::tree::WIDE;
 use sandstile_sessions::mark::{Mark, Seen, Term};
 use std::collections::BTreeMap;
 
 /// Bytes of one message at the most, and entries of its lists.
-pub const MOST: usize = 256 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 pub const MOST_ENTRIES: usize = 4096;
 /// Terms of one mark; a sender keeps three.
 const MOST_TERMS: usize = 8;
@@ -19,13 +19,13 @@
 }
 
 /// A fact with its age at `now`, behind its length.
-pub fn put_fact(out: &mut Vec<u8>, now: f64, key: &Key, fact: &Fact) {
+pub fn encode_fact(out: &mut Vec<u8>, now: f64, key: &Key, fact: &Fact) {
     let place = out.len();
     out.extend_from_slice(&[0, 0]);
     out.push(key.kind as u8);
     name(out, &key.subject);
     name(out, &key.owner);
-    let age = ((now - fact.born).max(0.0) * 1e3) as u64;
+    let age = ((now - fact.created_at).max(0.0) * 1e3) as u64;
     out.extend_from_slice(&age.to_be_bytes());
     match &fact.value {
         Value::Seen(Seen::Terms(all)) => {
@@ -39,14 +39,14 @@
             out.push(1);
             out.extend_from_slice(&latest.to_bits().to_be_bytes());
         }
-        Value::Most(most) => {
+        Value::Max(most) => {
             out.push(2);
             out.extend_from_slice(&most.to_bits().to_be_bytes());
         }
-        Value::Said(said) => {
-            out.extend_from_slice(&[3, said.careful]);
-            out.extend_from_slice(&said.life.to_be_bytes());
-            out.extend_from_slice(&said.number.to_be_bytes());
+        Value::Report(said) => {
+            out.extend_from_slice(&[3, said.severity]);
+            out.extend_from_slice(&said.generation.to_be_bytes());
+            out.extend_from_slice(&said.version.to_be_bytes());
             name(out, &said.body);
         }
     }
@@ -71,12 +71,12 @@
         self.take(N)?.try_into().ok()
     }
 
-    fn number(&mut self) -> Option<u64> {
+    fn read_u64(&mut self) -> Option<u64> {
         self.array().map(u64::from_be_bytes)
     }
 
     fn float(&mut self) -> Option<f64> {
-        self.number().map(f64::from_bits).filter(|f| !f.is_nan())
+        self.read_u64().map(f64::from_bits).filter(|f| !f.is_nan())
     }
 
     fn name(&mut self) -> Option<Box<str>> {
@@ -93,15 +93,15 @@
 
 fn fact(bytes: &[u8], now: f64) -> Option<(Key, Fact)> {
     let mut from = In(bytes);
-    let kind = Kind::of(from.byte()?)?;
+    let kind = Kind::from_code(from.byte()?)?;
     let key = Key { kind, subject: from.name()?, owner: from.name()? };
-    let born = now - from.number()? as f64 / 1e3;
+    let created_at = now - from.read_u64()? as f64 / 1e3;
     let value = match from.byte()? {
         0 => {
             let count = usize::from(from.byte()?);
             let mut terms = BTreeMap::new();
             for _ in 0..count.min(MOST_TERMS) {
-                let mark = Mark { term: Term(from.number()?), position: from.float()? };
+                let mark = Mark { term: Term(from.read_u64()?), position: from.float()? };
                 // Bounds and merges of marks are theirs.
                 terms.insert(mark.term, mark.position);
             }
@@ -110,19 +110,19 @@
             Value::Seen(seen)
         }
         1 => Value::Seen(Seen::Lost(from.float()?)),
-        2 => Value::Most(from.float()?),
+        2 => Value::Max(from.float()?),
         3 => {
-            let careful = from.byte()?;
-            let (life, number) = (from.number()?, from.number()?);
-            Value::Said(Said { life, number, careful, body: from.name()? })
+            let severity = from.byte()?;
+            let (generation, version) = (from.read_u64()?, from.read_u64()?);
+            Value::Report(Report { generation, version, severity, body: from.name()? })
         }
         _ => return None,
     };
-    (from.0.is_empty() && key.sound() && value.fits(kind)).then_some((key, Fact { value, born }))
+    (from.0.is_empty() && key.is_valid() && value.fits(kind)).then_some((key, Fact { value, created_at }))
 }
 
-/// One fact as `put_fact` has written it, and nothing else.
-pub fn read_fact(bytes: &[u8], now: f64) -> Option<(Key, Fact)> {
+/// One fact as `encode_fact` has written it, and nothing else.
+pub fn decode_fact(bytes: &[u8], now: f64) -> Option<(Key, Fact)> {
     let mut from = In(bytes);
     let length = usize::from(u16::from_be_bytes(from.array()?));
     (from.0.len() == length).then(|| fact(from.0, now)).flatten()
@@ -130,7 +130,7 @@
 
 fn put_facts(out: &mut Vec<u8>, now: f64, facts: &[(Key, Fact)]) {
     out.extend_from_slice(&(facts.len().min(MOST_ENTRIES) as u16).to_be_bytes());
-    facts.iter().take(MOST_ENTRIES).for_each(|(key, f)| put_fact(out, now, key, f));
+    facts.iter().take(MOST_ENTRIES).for_each(|(key, f)| encode_fact(out, now, key, f));
 }
 
 fn put_hashes(out: &mut Vec<u8>, hashes: &[u64]) {
@@ -138,7 +138,7 @@
     hashes.iter().take(MOST_ENTRIES).for_each(|h| out.extend_from_slice(&h.to_be_bytes()));
 }
 
-pub fn write(message: &Message, now: f64) -> Vec<u8> {
+pub fn encode(message: &Message, now: f64) -> Vec<u8> {
     let mut out = Vec::new();
     match message {
         Message::Root(sum) => {
@@ -186,12 +186,12 @@
 }
 
 /// The message, and how many of its facts were spoilt and are left out. `None` for what is no message.
-pub fn read(bytes: &[u8], now: f64) -> Option<(Message, usize)> {
-    if bytes.len() > MOST {
+pub fn decode(bytes: &[u8], now: f64) -> Option<(Message, usize)> {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return None;
     }
     let mut from = In(bytes);
-    let mut spoilt = 0;
+    let mut corrupt = 0;
     let mut facts = |from: &mut In| {
         let count = from.count()?;
         let mut all = Vec::new();
@@ -199,20 +199,20 @@
             let length = usize::from(u16::from_be_bytes(from.array()?));
             match fact(from.take(length)?, now) {
                 Some(fact) => all.push(fact),
-                None => spoilt += 1,
+                None => corrupt += 1,
             }
         }
         Some(all)
     };
     let message = match from.byte()? {
-        0 => Message::Root(from.number()?),
-        1 => Message::Same(from.number()?),
+        0 => Message::Root(from.read_u64()?),
+        1 => Message::Same(from.read_u64()?),
         2 => {
             let level = from.byte()?;
             let node = u32::from_be_bytes(from.array()?);
             let mut sums = [0; WIDE];
             for sum in &mut sums {
-                *sum = from.number()?;
+                *sum = from.read_u64()?;
             }
             Message::Node { level, node, sums }
         }
@@ -220,24 +220,24 @@
             let level = from.byte()?;
             let node = u32::from_be_bytes(from.array()?);
             let count = from.count().filter(|n| n % 2 == 0)?;
-            let hashes = (0..count / 2).map(|_| Some((from.number()?, from.number()?)));
+            let hashes = (0..count / 2).map(|_| Some((from.read_u64()?, from.read_u64()?)));
             Message::Leaf { level, node, hashes: hashes.collect::<Option<_>>()? }
         }
         4 => {
             let count = from.count()?;
-            Message::Want((0..count).map(|_| from.number()).collect::<Option<_>>()?)
+            Message::Want((0..count).map(|_| from.read_u64()).collect::<Option<_>>()?)
         }
         5 => Message::Facts(facts(&mut from)?),
         6 => {
-            let upto = from.number()?;
+            let upto = from.read_u64()?;
             Message::Deltas { upto, facts: facts(&mut from)? }
         }
-        7 => Message::Ack(from.number()?),
+        7 => Message::Ack(from.read_u64()?),
         8 => {
             let hop = from.byte()?;
             Message::Echo { round: u32::from_be_bytes(from.array()?), hop }
         }
         _ => return None,
     };
-    from.0.is_empty().then_some((message, spoilt))
+    from.0.is_empty().then_some((message, corrupt))
 }
--- a/crates/sandstile-replicated-state/tests/laws.rs
+++ b/crates/sandstile-replicated-state/tests/laws.rs
@@ -3,7 +3,7 @@
 
 use common::{drawn, NOW};
 use oorandom::Rand64;
-use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{Came, Fact, Key, Kind, Replica, Value};
 use sandstile_sessions::mark::{Mark, Seen, Term};
 
@@ -70,10 +70,10 @@
 /// One writer that says two things under one number is kept as evidence, and the more careful counts in either order.
 #[test]
 fn what_no_merge_explains_is_evidence_and_the_careful_stands() {
-    let key = Key::owned(Kind::Refuses, "h", "n1");
-    let said = |careful, body: &str| Fact {
-        value: Value::Said(Said { life: 5, number: 2, careful, body: body.into() }),
-        born: NOW,
+    let key = Key::owned(Kind::Refusal, "h", "n1");
+    let said = |severity, body: &str| Fact {
+        value: Value::Report(Report { generation: 5, version: 2, severity, body: body.into() }),
+        created_at: NOW,
     };
     for (first, second) in [(said(0, "well"), said(1, "ill")), (said(1, "ill"), said(0, "well"))] {
         let mut copy = Replica::new(300.0);
@@ -83,8 +83,8 @@
         assert_eq!((copy.counts().conflicts, copy.evidence().len()), (1, 1));
         // A later number of the same life ends it.
         let later = Fact {
-            value: Value::Said(Said { life: 5, number: 3, careful: 0, body: "well".into() }),
-            born: NOW,
+            value: Value::Report(Report { generation: 5, version: 3, severity: 0, body: "well".into() }),
+            created_at: NOW,
         };
         assert_eq!(copy.learn(NOW, &key, &later), Came::New);
     }
@@ -93,34 +93,36 @@
 #[test]
 fn what_is_of_the_future_or_of_no_sort_is_refused_alone() {
     let mut copy = Replica::new(300.0);
-    let floor = |position| Fact { value: Value::Most(position), born: NOW };
+    let floor = |position| Fact { value: Value::Max(position), created_at: NOW };
     let refused = [
-        (Key::of(Kind::Floor, "g"), floor(NOW + 7200.0)),
-        (Key::of(Kind::Floor, "g"), floor(f64::NAN)),
-        (Key::of(Kind::Floor, "g"), floor(NOW - 400.0)),
-        (Key::of(Kind::Life, "n"), floor((NOW + 200_000.0) * 1e6)),
-        (Key::of(Kind::Mark, "g"), floor(NOW)),
-        (Key::of(Kind::Refuses, "h"), floor(NOW)),
-        (Key::owned(Kind::Floor, "g", "n1"), floor(NOW)),
-        (Key::of(Kind::Floor, ""), floor(NOW)),
-        (Key::of(Kind::Floor, &"g".repeat(65)), floor(NOW)),
-        (Key::of(Kind::Floor, "g"), Fact { value: Value::Most(NOW), born: NOW + 1.0 }),
+        (Key::shared(Kind::LogPosition, "g"), floor(NOW + 7200.0)),
+        (Key::shared(Kind::LogPosition, "g"), floor(f64::NAN)),
+        (Key::shared(Kind::LogPosition, "g"), floor(NOW - 400.0)),
+        (Key::shared(Kind::Generation, "n"), floor((NOW + 200_000.0) * 1e6)),
+        (Key::shared(Kind::Mark, "g"), floor(NOW)),
+        (Key::shared(Kind::Refusal, "h"), floor(NOW)),
+        (Key::owned(Kind::LogPosition, "g", "n1"), floor(NOW)),
+        (Key::shared(Kind::LogPosition, ""), floor(NOW)),
+        (Key::shared(Kind::LogPosition, &"g".repeat(65)), floor(NOW)),
+        (Key::shared(Kind::LogPosition, "g"), Fact { value: Value::Max(NOW), created_at: NOW + 1.0 }),
     ];
     for (key, fact) in refused {
         assert_eq!(copy.learn(NOW, &key, &fact), Came::Refused, "{key:?} {fact:?}");
     }
     assert_eq!((copy.len(), copy.digest(), copy.counts().refused), (0, 0, 10));
-    assert_eq!(copy.learn(NOW, &Key::of(Kind::Floor, "g"), &floor(NOW)), Came::New);
+    assert_eq!(copy.learn(NOW, &Key::shared(Kind::LogPosition, "g"), &floor(NOW)), Came::New);
     // It is not taken back by a lesser one.
-    assert_eq!(copy.learn(NOW, &Key::of(Kind::Floor, "g"), &floor(NOW - 5.0)), Came::Known);
+    assert_eq!(copy.learn(NOW, &Key::shared(Kind::LogPosition, "g"), &floor(NOW - 5.0)), Came::Known);
 }
 
 /// Forgetting is the fact's matter: two copies that learnt it at different times let go of it at the same.
 #[test]
 fn all_copies_forget_at_once() {
-    let key = Key::owned(Kind::Refuses, "h", "n1");
-    let fact =
-        Fact { value: Value::Said(Said { life: 1, number: 1, careful: 1, body: "".into() }), born: NOW };
+    let key = Key::owned(Kind::Refusal, "h", "n1");
+    let fact = Fact {
+        value: Value::Report(Report { generation: 1, version: 1, severity: 1, body: "".into() }),
+        created_at: NOW,
+    };
     let (mut a, mut b) = (Replica::new(300.0), Replica::new(300.0));
     a.learn(NOW, &key, &fact);
     b.learn(NOW + 10.0, &key, &fact);
@@ -128,9 +130,9 @@
     assert_eq!((a.forget(NOW + 15.1), b.forget(NOW + 15.1)), (1, 1));
     assert_eq!((a.digest(), b.digest()), (0, 0));
     // Said again by a slower way it is as old as it was first.
-    a.learn(NOW + 1.0, &key, &Fact { born: NOW + 1.0, ..fact.clone() });
+    a.learn(NOW + 1.0, &key, &Fact { created_at: NOW + 1.0, ..fact.clone() });
     a.learn(NOW + 2.0, &key, &fact);
-    assert_eq!(a.get(&key).map(|f| f.born), Some(NOW));
+    assert_eq!(a.get(&key).map(|f| f.created_at), Some(NOW));
     assert_eq!(b.learn(NOW + 16.0, &key, &fact), Came::Refused, "it can't come back");
 }
 
@@ -143,21 +145,21 @@
         let seen = Seen::of(Mark { term: Term(1), position: NOW - 200_000.0 + n as f64 });
         copy.learn(
             NOW,
-            &Key::of(Kind::Mark, &format!("{n:016x}")),
-            &Fact { value: Value::Seen(seen), born: NOW },
+            &Key::shared(Kind::Mark, &format!("{n:016x}")),
+            &Fact { value: Value::Seen(seen), created_at: NOW },
         );
     }
-    assert_eq!((copy.len(), copy.counts().given_up), (most, 500));
+    assert_eq!((copy.len(), copy.counts().evicted), (most, 500));
     assert_eq!(copy.lost_to, NOW - 200_000.0 + 499.0);
     // Words that make careful outlive those that say that all is well.
     let mut copy = Replica::new(300.0);
     for n in 0..Kind::Storm.most() + 10 {
-        let careful = u8::from(n < 20);
-        let said = Said { life: 1, number: 1, careful, body: "".into() };
+        let severity = u8::from(n < 20);
+        let said = Report { generation: 1, version: 1, severity, body: "".into() };
         let key = Key::owned(Kind::Storm, "all", &format!("n{n}"));
-        copy.learn(NOW, &key, &Fact { value: Value::Said(said), born: NOW });
+        copy.learn(NOW, &key, &Fact { value: Value::Report(said), created_at: NOW });
     }
-    let ill = copy.iter().filter(|(_, f)| matches!(&f.value, Value::Said(s) if s.careful == 1)).count();
+    let ill = copy.iter().filter(|(_, f)| matches!(&f.value, Value::Report(s) if s.severity == 1)).count();
     assert_eq!(ill, 20);
 }
 
@@ -169,9 +171,9 @@
             term: sandstile_sessions::mark::Term(1),
             position: at,
         });
-        Fact { value: Value::Seen(seen), born: at }
+        Fact { value: Value::Seen(seen), created_at: at }
     };
-    let key = Key::of(Kind::Mark, "s");
+    let key = Key::shared(Kind::Mark, "s");
     let (mut heard, mut not_yet) = (Replica::new(300.0), Replica::new(300.0));
     for copy in [&mut heard, &mut not_yet] {
         copy.learn(NOW, &key, &mark(NOW - 10.0));
--- a/crates/sandstile-replicated-state/tests/returns.rs
+++ b/crates/sandstile-replicated-state/tests/returns.rs
@@ -1,15 +1,16 @@
 //! What a router that returns may believe: every order of a crash, a copy put back, a split and a write between two routers and what
 //! their disks hold.
-use sandstile_replicated_state::catchup::{believe, Belief, CatchUp, Standing, Stored, Witness};
+use sandstile_replicated_state::catchup::{assess_trust, CatchUp, StoredCopy, SyncState, Trust, Witness};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 #[test]
 fn a_whole_copy_alone_is_not_believed_to_be_all() {
-    let whole = |life, number, ended| Stored::Whole { life, number, ended };
+    let whole =
+        |generation, version, ended_cleanly| StoredCopy::Intact { generation, version, ended_cleanly };
     let file = |began, put| Witness { file: Some((began, put)), peers: None };
-    assert_eq!(believe(Stored::Lost, file(5, 9)), Belief::None);
-    assert_eq!(believe(whole(5, 9, true), file(5, 9)), Belief::All);
+    assert_eq!(assess_trust(StoredCopy::Unreadable, file(5, 9)), Trust::None);
+    assert_eq!(assess_trust(whole(5, 9, true), file(5, 9)), Trust::All);
     for (stored, witness) in [
         (whole(5, 9, true), Witness::default()),
         (whole(5, 9, false), file(5, 9)),
@@ -17,7 +18,7 @@
         (whole(4, 9, true), file(5, 2)),
         (whole(5, 9, true), Witness { file: Some((5, 9)), peers: Some(6) }),
     ] {
-        assert_eq!(believe(stored, witness), Belief::Some, "{stored:?} {witness:?}");
+        assert_eq!(assess_trust(stored, witness), Trust::Some, "{stored:?} {witness:?}");
     }
 }
 
@@ -28,10 +29,10 @@
 #[test]
 fn two_are_asked_and_one_that_dies_is_replaced() {
     let there = peers(&["a", "b", "c", "d", "me"]);
-    let mut back = CatchUp::new("me", 7, Belief::Some, 0.0);
+    let mut back = CatchUp::new("me", 7, Trust::Some, 0.0);
     assert!(!back.knows_all());
     back.look(0.0, &there);
-    assert_eq!(back.standing(), Standing::CatchingUp);
+    assert_eq!(back.sync_state(), SyncState::CatchingUp);
     let asked: Vec<String> = back.asks().map(str::to_string).collect();
     assert_eq!(asked.len(), 2);
     back.same(0.5, &asked[0]);
@@ -46,20 +47,20 @@
     assert!(back.knows_all());
     // Cut off from all it knows all as of then, and no more than that.
     back.look(3.0, &peers(&["me"]));
-    assert!(matches!(back.standing(), Standing::InStepAsOf(at) if at <= 1.0));
+    assert!(matches!(back.sync_state(), SyncState::InSyncAsOf(at) if at <= 1.0));
     assert!(!back.knows_all());
     back.look(4.0, &there);
     back.look(12.0, &there);
-    assert_eq!(back.standing(), Standing::CatchingUp);
+    assert_eq!(back.sync_state(), SyncState::CatchingUp);
 }
 
 #[test]
 fn with_nobody_left_it_says_so() {
-    let mut back = CatchUp::new("me", 7, Belief::None, 0.0);
+    let mut back = CatchUp::new("me", 7, Trust::None, 0.0);
     back.look(1.0, &peers(&["me"]));
-    assert_eq!(back.standing(), Standing::New);
+    assert_eq!(back.sync_state(), SyncState::NotStarted);
     back.look(3.5, &peers(&["me"]));
-    assert_eq!(back.standing(), Standing::Careful);
+    assert_eq!(back.sync_state(), SyncState::Isolated);
     back.look(4.0, &peers(&["a", "me"]));
     back.same(4.1, "a");
     back.look(4.1, &peers(&["a", "me"]));
@@ -72,9 +73,9 @@
     let names: Vec<String> = (0..16).map(|n| format!("n{n}")).collect();
     let there: BTreeSet<String> = names.iter().cloned().collect();
     let mut asked = std::collections::BTreeMap::<String, usize>::new();
-    for life in 0..20 {
+    for generation in 0..20 {
         for own in &names[..11] {
-            let mut back = CatchUp::new(own, life, Belief::None, 0.0);
+            let mut back = CatchUp::new(own, generation, Trust::None, 0.0);
             back.look(0.0, &there);
             back.asks().for_each(|peer| *asked.entry(peer.to_string()).or_default() += 1);
         }
@@ -162,17 +163,18 @@
             Act::PutBy => w.copy = Some(w.disk),
             Act::PutBack => w.disk = w.copy?,
             Act::Start if w.last.0 < 4 => {
-                let (life, number, ended) = w.disk;
+                let (generation, version, ended_cleanly) = w.disk;
                 let file = match self.0 {
                     Mutant::None => w.witness,
-                    Mutant::NoWitness => (life, number),
-                    Mutant::NoLives => (life, w.witness.1),
+                    Mutant::NoWitness => (generation, version),
+                    Mutant::NoLives => (generation, w.witness.1),
                 };
                 let peers = (!w.cut && self.0 == Mutant::None).then_some(w.met);
                 let witness = Witness { file: Some(file), peers };
-                let all = believe(Stored::Whole { life, number, ended }, witness) == Belief::All;
-                w.fooled |= all && (life, number) != w.last;
-                w.believed |= all && (life, number) == w.last;
+                let all = assess_trust(StoredCopy::Intact { generation, version, ended_cleanly }, witness)
+                    == Trust::All;
+                w.fooled |= all && (generation, version) != w.last;
+                w.believed |= all && (generation, version) == w.last;
                 w.last = (w.last.0 + 1, 0);
                 // Before anything else the new life is put down, and its witness.
                 (w.disk, w.witness, w.up) = ((w.last.0, 0, false), w.last, true);
--- a/crates/sandstile-replicated-state/tests/sync_protocol.rs
+++ b/crates/sandstile-replicated-state/tests/sync_protocol.rs
@@ -16,7 +16,10 @@
 
 fn floors(n: usize) -> Vec<(Key, Fact)> {
     let floor = |n: usize| {
-        (Key::of(Kind::Floor, &format!("g{n}")), Fact { value: Value::Most(NOW - 1.0), born: NOW })
+        (
+            Key::shared(Kind::LogPosition, &format!("g{n}")),
+            Fact { value: Value::Max(NOW - 1.0), created_at: NOW },
+        )
     };
     (0..n).map(floor).collect()
 }
@@ -27,13 +30,13 @@
     let (mut messages, mut bytes) = (0, 0);
     let mut way = vec![(1, Talk::begin(a))];
     while let Some((to, message)) = way.pop() {
-        let written = wire::write(&message, NOW);
+        let written = wire::encode(&message, NOW);
         messages += 1;
         bytes += written.len();
         assert!(messages < 100_000, "it ends");
         for _ in 0..if chance.rand_float() < loss { 0 } else { 1 + usize::from(chance.rand_float() < loss) } {
-            let (message, spoilt) = wire::read(&written, NOW).expect("what was written is read");
-            assert_eq!(spoilt, 0);
+            let (message, corrupt) = wire::decode(&written, NOW).expect("what was written is read");
+            assert_eq!(corrupt, 0);
             let copy = if to == 0 { &mut *a } else { &mut *b };
             way.extend(talks[to].hear(NOW, copy, message).into_iter().map(|m| (1 - to, m)));
         }
@@ -78,10 +81,10 @@
 fn a_slow_peer_loses_nothing_and_costs_no_queue() {
     let all = floors(1500);
     let (mut a, mut b) = (copy(&all), copy(&all));
-    let mut deltas = Deltas::from(a.number());
+    let mut deltas = Deltas::from(a.version());
     for round in 0..20 {
         for (key, _) in &all[..1200] {
-            a.learn(NOW, key, &Fact { value: Value::Most(NOW + round as f64), born: NOW });
+            a.learn(NOW, key, &Fact { value: Value::Max(NOW + round as f64), created_at: NOW });
         }
     }
     let (mut told, mut talk, mut cut) = (0, Talk::default(), 0);
@@ -110,12 +113,12 @@
 #[test]
 fn a_spoilt_fact_is_refused_alone() {
     let facts = floors(3);
-    let mut bytes = wire::write(&Message::Facts(facts.clone()), NOW);
+    let mut bytes = wire::encode(&Message::Facts(facts.clone()), NOW);
     // The kind of the second: behind the message's head and the first fact, and its own length.
     let first = usize::from(u16::from_be_bytes([bytes[3], bytes[4]]));
     bytes[3 + 2 + first + 2] = 200;
-    let (message, spoilt) = wire::read(&bytes, NOW).expect("a message");
-    assert_eq!(spoilt, 1);
+    let (message, corrupt) = wire::decode(&bytes, NOW).expect("a message");
+    assert_eq!(corrupt, 1);
     let Message::Facts(read) = message else { panic!("{message:?}") };
     assert_eq!(read, vec![facts[0].clone(), facts[2].clone()]);
 }
@@ -128,10 +131,10 @@
     let (mut a, mut talk) = (copy(&all), Talk::default());
     for n in 0..1_000_000u32 {
         let mut bytes = match n % 4 {
-            0 => wire::write(&Message::Facts(all[..2].to_vec()), NOW),
-            1 => wire::write(&Message::Leaf { level: 4, node: n, hashes: vec![(1, 2)] }, NOW),
-            2 => wire::write(&Message::Node { level: n as u8, node: n, sums: [9; 16] }, NOW),
-            _ => wire::write(&Message::Want(vec![1, 2, 3]), NOW),
+            0 => wire::encode(&Message::Facts(all[..2].to_vec()), NOW),
+            1 => wire::encode(&Message::Leaf { level: 4, node: n, hashes: vec![(1, 2)] }, NOW),
+            2 => wire::encode(&Message::Node { level: n as u8, node: n, sums: [9; 16] }, NOW),
+            _ => wire::encode(&Message::Want(vec![1, 2, 3]), NOW),
         };
         for _ in 0..1 + below(&mut chance, 3) {
             let at = below(&mut chance, bytes.len() as u64) as usize;
@@ -140,7 +143,7 @@
         if below(&mut chance, 3) == 0 {
             bytes.truncate(below(&mut chance, bytes.len() as u64) as usize);
         }
-        if let Some((message, _)) = wire::read(&bytes, NOW) {
+        if let Some((message, _)) = wire::decode(&bytes, NOW) {
             let said = talk.hear(NOW, &mut a, message);
             assert!(said.len() <= 64);
         }
--- a/crates/sandstile-replication/src/lib.rs
+++ b/crates/sandstile-replication/src/lib.rs
@@ -5,5 +5,5 @@
 mod replicator;
 pub mod sim;
 
-pub use near::near;
-pub use replicator::{Counts, Keeper, News, Terms};
+pub use near::select_neighbours;
+pub use replicator::{Counts, ReplicationEvent, ReplicationPeer, ReplicationSettings};
--- a/crates/sandstile-replication/src/near.rs
+++ b/crates/sandstile-replication/src/near.rs
@@ -6,7 +6,7 @@
 const FEW: usize = 8;
 
 /// Those of `there` that `own` is linked with. Whoever is on the list has `own` on its own, where both see the same.
-pub fn near(own: &str, there: &BTreeSet<String>) -> BTreeSet<String> {
+pub fn select_neighbours(own: &str, there: &BTreeSet<String>) -> BTreeSet<String> {
     let mut ring: Vec<&str> = there.iter().map(String::as_str).filter(|n| *n != own).collect();
     if ring.len() <= FEW {
         return ring.into_iter().map(str::to_string).collect();
--- a/crates/sandstile-replication/src/replicator.rs
+++ b/crates/sandstile-replication/src/replicator.rs
@@ -1,45 +1,45 @@
 //! The router's copy and its conversations.
 use oorandom::Rand64;
-use sandstile_replicated_state::catchup::{Belief, CatchUp, Standing};
+use sandstile_replicated_state::catchup::{CatchUp, SyncState, Trust};
 use sandstile_replicated_state::deltas::COMPARED;
-use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::sync_protocol::LAST_HOP;
 use sandstile_replicated_state::{wire, Came, Deltas, Fact, Key, Kind, Message, Replica, Talk, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a keeper is told at its start.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ReplicationSettings {
     /// The router's name, without its life.
     pub name: String,
-    pub life: u64,
+    pub generation: u64,
     /// Seconds: how far replicas may lag.
     pub horizon: f64,
     pub seed: u64,
     /// What was found on the disk, and how far that is believed.
     pub stored: Vec<(Key, Fact)>,
-    pub believed: Belief,
+    pub trust: Trust,
     /// The life that wrote it, where it could be read.
-    pub stored_life: Option<u64>,
+    pub stored_generation: Option<u64>,
 }
 
 /// What whoever drives it has to know.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum ReplicationEvent {
     /// Another told it, and it was new.
-    Learnt(Key, Value),
-    Standing(Standing),
+    FactLearned(Key, Value),
+    SyncStateChanged(SyncState),
     /// All that this one held when it was asked is held here.
-    Has(String),
+    PeerCompared(String),
     /// Its owner said two things under one number: the more careful stands.
-    Contradicts(Key),
+    Contradiction(Key),
     /// A peer met a later life of this router than the one whose copy it found: that copy was an old one.
     OldCopy {
         found: u64,
         met: u64,
     },
     /// Another process runs under this router's name, or this one's clock was set back: its life is the higher.
-    Twin(u64),
+    DuplicateName(u64),
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -82,13 +82,13 @@
 const FORGETS: f64 = 1.0;
 
 struct Round {
-    number: u32,
+    id: u32,
     got_on: f64,
 }
 
 struct Peer {
     /// By this number its words are told from others'.
-    number: u32,
+    id: u32,
     deltas: Deltas,
     talk: Talk,
     /// Since when it hears nothing; `None` while it is linked.
@@ -116,54 +116,54 @@
     }
 }
 
-pub struct Keeper {
+pub struct ReplicationPeer {
     own: String,
-    life: u64,
-    stored_life: Option<u64>,
+    generation: u64,
+    stored_generation: Option<u64>,
     replica: Replica,
     catchup: CatchUp,
     peers: BTreeMap<String, Peer>,
     /// Who was heard and can't be told anything yet.
     early: BTreeSet<String>,
-    numbers: u32,
+    last_peer_id: u32,
     /// The number of this router's last word.
     word: u64,
-    standing: Standing,
+    sync_state: SyncState,
     announced: bool,
     old_copy: bool,
     /// When one peer is to be compared with in the calm.
     compares: f64,
     forgets: f64,
     chance: Rand64,
-    news: Vec<News>,
+    news: Vec<ReplicationEvent>,
     counts: Counts,
 }
 
-impl Keeper {
-    pub fn new(terms: Terms, now: f64) -> Keeper {
-        let mut replica = Replica::new(terms.horizon);
-        for (key, fact) in &terms.stored {
+impl ReplicationPeer {
+    pub fn new(settings: ReplicationSettings, now: f64) -> ReplicationPeer {
+        let mut replica = Replica::new(settings.horizon);
+        for (key, fact) in &settings.stored {
             // A clock that was set back since makes no fact one of the future: it is as old as it can be for all we know.
-            let born = fact.born.min(now);
-            replica.learn(now, key, &Fact { born, ..fact.clone() });
+            let created_at = fact.created_at.min(now);
+            replica.learn(now, key, &Fact { created_at, ..fact.clone() });
         }
-        let catchup = CatchUp::new(&terms.name, terms.life, terms.believed, now);
-        Keeper {
-            standing: catchup.standing(),
+        let catchup = CatchUp::new(&settings.name, settings.generation, settings.trust, now);
+        ReplicationPeer {
+            sync_state: catchup.sync_state(),
             catchup,
-            own: terms.name,
-            life: terms.life,
-            stored_life: terms.stored_life,
+            own: settings.name,
+            generation: settings.generation,
+            stored_generation: settings.stored_generation,
             replica,
             peers: BTreeMap::new(),
             early: BTreeSet::new(),
-            numbers: 0,
+            last_peer_id: 0,
             word: 0,
             announced: false,
             old_copy: false,
             compares: now + AGAIN,
             forgets: now,
-            chance: Rand64::new(u128::from(terms.seed)),
+            chance: Rand64::new(u128::from(settings.seed)),
             news: Vec::new(),
             counts: Counts::default(),
         }
@@ -173,45 +173,45 @@
         &self.replica
     }
 
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn sync_state(&self) -> SyncState {
+        self.sync_state
     }
 
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_events(&mut self) -> Vec<ReplicationEvent> {
         std::mem::take(&mut self.news)
     }
 
     /// Takes over a whole copy in place of the one it has, for models that begin with much known to all.
-    pub fn take_over(&mut self, replica: Replica) {
+    pub fn replace_replica(&mut self, replica: Replica) {
         self.replica = replica;
-        let number = self.replica.number();
-        self.peers.values_mut().for_each(|p| p.deltas = Deltas::from(number));
+        let version = self.replica.version();
+        self.peers.values_mut().for_each(|p| p.deltas = Deltas::from(version));
     }
 
     /// Peers that hear this router now.
-    pub fn linked(&self) -> impl Iterator<Item = &str> {
+    pub fn connected_peers(&self) -> impl Iterator<Item = &str> {
         self.peers.iter().filter(|(_, p)| p.gone.is_none()).map(|(name, _)| name.as_str())
     }
 
     /// A fact that all merge, as this router has seen it.
     pub fn learn(&mut self, now: f64, kind: Kind, subject: &str, value: Value) {
-        self.replica.learn(now, &Key::of(kind, subject), &Fact { value, born: now });
+        self.replica.learn(now, &Key::shared(kind, subject), &Fact { value, created_at: now });
     }
 
     /// A word that this router alone says.
-    pub fn say(&mut self, now: f64, kind: Kind, subject: &str, careful: u8, body: &str) {
+    pub fn publish_report(&mut self, now: f64, kind: Kind, subject: &str, severity: u8, body: &str) {
         self.word += 1;
-        let said = Said { life: self.life, number: self.word, careful, body: body.into() };
+        let said = Report { generation: self.generation, version: self.word, severity, body: body.into() };
         let key = Key::owned(kind, subject, &self.own);
-        self.replica.learn(now, &key, &Fact { value: Value::Said(said), born: now });
+        self.replica.learn(now, &key, &Fact { value: Value::Report(said), created_at: now });
     }
 
     /// This peer, by its name and life, hears us from now on. One that was here before hears what it missed.
-    pub fn linked_with(&mut self, now: f64, peer: &str) {
+    pub fn peer_connected(&mut self, now: f64, peer: &str) {
         if let Some(known) = self.peers.get_mut(peer) {
             known.deltas.again();
             known.out.clear();
@@ -225,11 +225,11 @@
             let Some((_, name)) = longest.min_by(|a, b| a.0.total_cmp(&b.0)) else { return };
             self.peers.remove(&name);
         }
-        self.numbers += 1;
+        self.last_peer_id += 1;
         let peer_of = Peer {
-            number: self.numbers,
+            id: self.last_peer_id,
             // What was before is found by a comparison: whoever has just started asks for one.
-            deltas: Deltas::from(self.replica.number()),
+            deltas: Deltas::from(self.replica.version()),
             talk: Talk::default(),
             gone: None,
             out: VecDeque::from([HELLO]),
@@ -247,7 +247,7 @@
         self.peers.insert(peer.to_string(), peer_of);
     }
 
-    pub fn parted_from(&mut self, now: f64, peer: &str) {
+    pub fn peer_disconnected(&mut self, now: f64, peer: &str) {
         self.early.remove(peer);
         if let Some(peer) = self.peers.get_mut(peer) {
             self.counts.rounds_lost += u64::from(peer.round.is_some());
@@ -257,14 +257,14 @@
     }
 
     /// A message of a peer. Whoever can't be answered is not heard: a link back is on its way, and what is lost is found again.
-    pub fn heard(&mut self, now: f64, from: &str, bytes: &[u8]) {
+    pub fn receive(&mut self, now: f64, from: &str, bytes: &[u8]) {
         self.counts.messages_in += 1;
         self.counts.bytes_in += bytes.len() as u64;
-        let Some((message, spoilt)) = wire::read(bytes, now) else {
+        let Some((message, corrupt)) = wire::decode(bytes, now) else {
             self.counts.unreadable += 1;
             return;
         };
-        self.counts.refused += spoilt as u64;
+        self.counts.refused += corrupt as u64;
         let Some(peer) = self.peers.get_mut(from).filter(|p| p.gone.is_none()) else {
             if self.early.len() < MOST_PEERS {
                 self.early.insert(from.to_string());
@@ -276,7 +276,7 @@
             return;
         };
         peer.heard = true;
-        let number = peer.number;
+        let peer_id = peer.id;
         let asks = !matches!(message, Message::Facts(_) | Message::Deltas { .. } | Message::Ack(_));
         if asks && (peer.waits() >= MOST_WAITING || (peer.shed && !matches!(message, Message::Root(_)))) {
             // Not answered, and no echo behind it until another comparison begins: whoever asked sees that this one is not whole.
@@ -298,7 +298,7 @@
             Message::Facts(facts) => self.take_in(now, COMPARED, &facts),
             Message::Deltas { upto, facts } => {
                 peer.acks = Some(upto);
-                self.take_in(now, number, &facts);
+                self.take_in(now, peer_id, &facts);
             }
             message => {
                 let same = matches!(message, Message::Same(sum) if sum == self.replica.digest());
@@ -315,7 +315,7 @@
         let Some(peer) = self.peers.get_mut(from) else { return };
         // Even hops are of whoever began it.
         let ours = hop % 2 == 1;
-        if hop > LAST_HOP || (ours && peer.round.as_ref().is_none_or(|r| r.number != round)) {
+        if hop > LAST_HOP || (ours && peer.round.as_ref().is_none_or(|r| r.id != round)) {
             return;
         }
         if hop == LAST_HOP {
@@ -330,17 +330,17 @@
         (peer.round, peer.done) = (None, now);
         self.counts.rounds += 1;
         self.catchup.same(now, with);
-        self.news.push(News::Has(with.to_string()));
+        self.news.push(ReplicationEvent::PeerCompared(with.to_string()));
     }
 
     fn take_in(&mut self, now: f64, by: u32, facts: &[(Key, Fact)]) {
         for (key, fact) in facts {
-            if key.kind == Kind::Life && *key.subject == *self.own {
+            if key.kind == Kind::Generation && *key.subject == *self.own {
                 self.told_of_us(&fact.value);
             }
             match self.replica.learn_from(now, key, fact, by) {
-                Came::New => self.news.push(News::Learnt(key.clone(), fact.value.clone())),
-                Came::Conflict => self.news.push(News::Contradicts(key.clone())),
+                Came::New => self.news.push(ReplicationEvent::FactLearned(key.clone(), fact.value.clone())),
+                Came::Conflict => self.news.push(ReplicationEvent::Contradiction(key.clone())),
                 Came::Refused => self.counts.refused += 1,
                 Came::Known => {}
             }
@@ -349,15 +349,17 @@
 
     /// A peer met a life of this router.
     fn told_of_us(&mut self, met: &Value) {
-        let Value::Most(met) = met else { return };
+        let Value::Max(met) = met else { return };
         let met = *met as u64;
-        if met > self.life {
-            self.news.push(News::Twin(met));
-        } else if let Some(found) = self.stored_life.filter(|found| met > *found && met < self.life) {
+        if met > self.generation {
+            self.news.push(ReplicationEvent::DuplicateName(met));
+        } else if let Some(found) =
+            self.stored_generation.filter(|found| met > *found && met < self.generation)
+        {
             if !self.old_copy {
                 self.old_copy = true;
                 self.catchup.doubt();
-                self.news.push(News::OldCopy { found, met });
+                self.news.push(ReplicationEvent::OldCopy { found, met });
             }
         }
     }
@@ -365,20 +367,20 @@
     fn begin_round(peer: &mut Peer, now: f64, replica: &Replica) {
         if peer.heard && peer.round.is_none() && now >= peer.done + AGAIN && peer.waits() < MOST_WAITING {
             peer.rounds = peer.rounds.wrapping_add(1);
-            peer.round = Some(Round { number: peer.rounds, got_on: now });
+            peer.round = Some(Round { id: peer.rounds, got_on: now });
             peer.out.push_back(Talk::begin(replica));
             peer.out.push_back(Message::Echo { round: peer.rounds, hop: 0 });
         }
     }
 
     /// What is due: called some twenty times a second.
-    pub fn look(&mut self, now: f64) {
+    pub fn tick(&mut self, now: f64) {
         if now >= self.forgets {
             self.forgets = now + FORGETS;
             self.replica.forget(now);
             self.peers.retain(|_, p| p.gone.is_none_or(|at| now < at + REMEMBERED));
         }
-        let there: BTreeSet<String> = self.linked().map(str::to_string).collect();
+        let there: BTreeSet<String> = self.connected_peers().map(str::to_string).collect();
         self.catchup.look(now, &there);
         let mut asked: Vec<String> = self.catchup.asks().map(str::to_string).collect();
         if now >= self.compares && !there.is_empty() {
@@ -403,7 +405,7 @@
                 (peer.acks, peer.acked) = (None, now);
             }
             while peer.waits() < DELTAS_WAITING {
-                let Some(message) = peer.deltas.take(&self.replica, peer.number) else { break };
+                let Some(message) = peer.deltas.take(&self.replica, peer.id) else { break };
                 peer.out.push_back(message);
             }
         }
@@ -411,29 +413,29 @@
     }
 
     fn stand(&mut self, now: f64) {
-        let standing = self.catchup.standing();
-        let alike = std::mem::discriminant(&standing) == std::mem::discriminant(&self.standing);
-        self.standing = standing;
+        let sync_state = self.catchup.sync_state();
+        let alike = std::mem::discriminant(&sync_state) == std::mem::discriminant(&self.sync_state);
+        self.sync_state = sync_state;
         if !alike {
-            self.news.push(News::Standing(standing));
+            self.news.push(ReplicationEvent::SyncStateChanged(sync_state));
         }
         // Not before peers had the time to say which life of ours they met last.
-        if !self.announced && matches!(standing, Standing::InStep | Standing::Careful) {
+        if !self.announced && matches!(sync_state, SyncState::InSync | SyncState::Isolated) {
             self.announced = true;
-            let (own, life) = (self.own.clone(), self.life);
-            self.learn(now, Kind::Life, &own, Value::Most(life as f64));
+            let (own, generation) = (self.own.clone(), self.generation);
+            self.learn(now, Kind::Generation, &own, Value::Max(generation as f64));
         }
     }
 
     /// What goes out now, in the order in which each peer is to hear it.
-    pub fn take_out(&mut self, now: f64) -> Vec<(String, Vec<u8>)> {
+    pub fn take_outgoing(&mut self, now: f64) -> Vec<(String, Vec<u8>)> {
         let mut out = Vec::new();
         for (name, peer) in self.peers.iter_mut().filter(|(_, p)| p.gone.is_none()) {
             peer.credit = (peer.credit + (now - peer.credited).max(0.0) * RATE).min(BURST);
             peer.credited = now;
             while peer.credit > 0.0 && peer.under_way < WINDOW {
                 let Some(message) = peer.out.pop_front() else { break };
-                let bytes = wire::write(&message, now);
+                let bytes = wire::encode(&message, now);
                 peer.credit -= bytes.len() as f64;
                 peer.under_way += bytes.len();
                 self.counts.messages_out += 1;
@@ -445,23 +447,23 @@
     }
 
     /// So many bytes were written to this peer: more may go.
-    pub fn written(&mut self, peer: &str, bytes: usize) {
+    pub fn bytes_written(&mut self, peer: &str, bytes: usize) {
         if let Some(peer) = self.peers.get_mut(peer) {
             peer.under_way = peer.under_way.saturating_sub(bytes);
         }
     }
 
     /// The last words: all that this peer has not heard, whatever the rate. `None` where that is too much.
-    pub fn last_words(&mut self, now: f64, peer: &str) -> Option<Vec<Vec<u8>>> {
+    pub fn take_final_messages(&mut self, now: f64, peer: &str) -> Option<Vec<Vec<u8>>> {
         let peer = self.peers.get_mut(peer).filter(|p| p.gone.is_none())?;
-        let mut all: Vec<Vec<u8>> = peer.out.drain(..).map(|m| wire::write(&m, now)).collect();
+        let mut all: Vec<Vec<u8>> = peer.out.drain(..).map(|m| wire::encode(&m, now)).collect();
         while peer.deltas.behind(&self.replica) {
             if all.len() > MOST_WAITING {
                 return None;
             }
             let before = peer.deltas.clone();
-            match peer.deltas.take(&self.replica, peer.number) {
-                Some(message) => all.push(wire::write(&message, now)),
+            match peer.deltas.take(&self.replica, peer.id) {
+                Some(message) => all.push(wire::encode(&message, now)),
                 // As many as may be on their way are.
                 None if peer.deltas == before => return None,
                 None => {}
--- a/crates/sandstile-replication/src/sim.rs
+++ b/crates/sandstile-replication/src/sim.rs
@@ -1,9 +1,9 @@
 //! Many keepers in virtual time: streams between them that keep their order, are late, and stand still while they are cut. The very
 //! same keepers as in routers; nothing else of a router is here.
-use crate::near::near;
-use crate::replicator::{Keeper, News, Terms};
+use crate::near::select_neighbours;
+use crate::replicator::{ReplicationEvent, ReplicationPeer, ReplicationSettings};
 use oorandom::Rand64;
-use sandstile_replicated_state::catchup::{Belief, Standing};
+use sandstile_replicated_state::catchup::{SyncState, Trust};
 use sandstile_replicated_state::{Fact, Key};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -37,14 +37,14 @@
 }
 
 struct Place {
-    keeper: Keeper,
-    life: u64,
+    replication: ReplicationPeer,
+    generation: u64,
 }
 
 /// What an operator of the model sees of one.
 pub struct Seen<'a> {
-    pub keeper: &'a Keeper,
-    pub news: &'a [(f64, News)],
+    pub replication: &'a ReplicationPeer,
+    pub news: &'a [(f64, ReplicationEvent)],
 }
 
 pub struct Sim {
@@ -53,14 +53,14 @@
     horizon: f64,
     chance: Rand64,
     places: Vec<Option<Place>>,
-    news: Vec<Vec<(f64, News)>>,
+    news: Vec<Vec<(f64, ReplicationEvent)>>,
     streams: BTreeMap<(usize, usize), Stream>,
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
     waiting: BTreeMap<usize, Event>,
     next: usize,
     lives: u64,
     /// Bytes that each has told, over all its lives.
-    pub told: Vec<u64>,
+    pub bytes_sent: Vec<u64>,
     /// When each fact that is watched was there at each: `(key, place)`.
     seen_at: BTreeMap<Key, Vec<Option<f64>>>,
 }
@@ -84,7 +84,7 @@
             waiting: BTreeMap::new(),
             next: 0,
             lives: 0,
-            told: vec![0; places],
+            bytes_sent: vec![0; places],
             seen_at: BTreeMap::new(),
         }
     }
@@ -98,8 +98,8 @@
     }
 
     fn full(&self, place: usize) -> String {
-        let life = self.places[place].as_ref().map_or(0, |p| p.life);
-        format!("{}#{life}", Self::name(place))
+        let generation = self.places[place].as_ref().map_or(0, |p| p.generation);
+        format!("{}#{generation}", Self::name(place))
     }
 
     fn post(&mut self, at: f64, event: Event) {
@@ -110,49 +110,45 @@
     }
 
     pub fn seen(&self, place: usize) -> Option<Seen<'_>> {
-        let keeper = &self.places[place].as_ref()?.keeper;
-        Some(Seen { keeper, news: &self.news[place] })
+        let replication = &self.places[place].as_ref()?.replication;
+        Some(Seen { replication, news: &self.news[place] })
     }
 
-    pub fn keeper(&mut self, place: usize) -> Option<&mut Keeper> {
-        self.places[place].as_mut().map(|p| &mut p.keeper)
+    pub fn replication(&mut self, place: usize) -> Option<&mut ReplicationPeer> {
+        self.places[place].as_mut().map(|p| &mut p.replication)
     }
 
     /// One starts, with what it found on its disk.
-    pub fn start(
-        &mut self,
-        place: usize,
-        stored: Vec<(Key, Fact)>,
-        believed: Belief,
-        of: Option<u64>,
-    ) -> u64 {
+    pub fn start(&mut self, place: usize, stored: Vec<(Key, Fact)>, trust: Trust, of: Option<u64>) -> u64 {
         self.lives += 1;
-        let life = (self.now * 1e6) as u64 + self.lives;
-        let terms = Terms {
+        let generation = (self.now * 1e6) as u64 + self.lives;
+        let settings = ReplicationSettings {
             name: Self::name(place),
-            life,
+            generation,
             horizon: self.horizon,
             seed: self.chance.rand_u64(),
             stored,
-            believed,
-            stored_life: of,
+            trust,
+            stored_generation: of,
         };
-        self.places[place] = Some(Place { keeper: Keeper::new(terms, self.now), life });
+        self.places[place] =
+            Some(Place { replication: ReplicationPeer::new(settings, self.now), generation });
         self.news[place].clear();
         let there: BTreeSet<String> =
             (0..self.places.len()).filter(|n| self.places[*n].is_some()).map(Self::name).collect();
         let own = Self::name(place);
-        let linked: Vec<usize> = near(&own, &there).iter().filter_map(|n| n[1..].parse().ok()).collect();
+        let linked: Vec<usize> =
+            select_neighbours(&own, &there).iter().filter_map(|n| n[1..].parse().ok()).collect();
         for other in linked {
-            let theirs = self.places[other].as_ref().map_or(0, |p| p.life);
-            for (one, two, a, b) in [(place, other, life, theirs), (other, place, theirs, life)] {
+            let theirs = self.places[other].as_ref().map_or(0, |p| p.generation);
+            for (one, two, a, b) in [(place, other, generation, theirs), (other, place, theirs, generation)] {
                 let at = self.now + self.net.delay * 2.0 + self.net.jitter * self.chance.rand_float();
                 self.post(at, Event::Link(one, two, a, b));
             }
         }
         let phase = LOOKS * self.chance.rand_float();
-        self.post(self.now + phase, Event::Look(place, life));
-        life
+        self.post(self.now + phase, Event::Look(place, generation));
+        generation
     }
 
     /// One dies; its streams end where they can.
@@ -163,11 +159,11 @@
             self.streams.remove(&(place, other));
             self.streams.remove(&(other, place));
             if let Some(p) = &mut self.places[other] {
-                p.keeper.parted_from(self.now, &gone);
+                p.replication.peer_disconnected(self.now, &gone);
             }
         }
-        let facts = place_of.keeper.replica().iter().map(|(k, f)| (k.clone(), f.clone())).collect();
-        Some((place_of.life, facts))
+        let facts = place_of.replication.replica().iter().map(|(k, f)| (k.clone(), f.clone())).collect();
+        Some((place_of.generation, facts))
     }
 
     /// Nothing gets through between these sides, or all does again.
@@ -196,15 +192,15 @@
     }
 
     /// Seconds after `since` at which each living place had it; `None` where it has it not.
-    pub fn had(&self, key: &Key, since: f64) -> Vec<Option<f64>> {
+    pub fn arrival_delays(&self, key: &Key, since: f64) -> Vec<Option<f64>> {
         let at = self.seen_at.get(key).cloned().unwrap_or_default();
         at.into_iter().map(|at| at.map(|at| at - since)).collect()
     }
 
     fn heed(&mut self, place: usize) {
         let Some(p) = &mut self.places[place] else { return };
-        for news in p.keeper.take_news() {
-            if let News::Learnt(key, _) = &news {
+        for news in p.replication.take_events() {
+            if let ReplicationEvent::FactLearned(key, _) = &news {
                 if let Some(at) = self.seen_at.get_mut(key) {
                     at[place] = at[place].or(Some(self.now));
                 }
@@ -216,8 +212,8 @@
 
     fn send(&mut self, place: usize) {
         let Some(p) = &mut self.places[place] else { return };
-        for (to, bytes) in p.keeper.take_out(self.now) {
-            self.told[place] += bytes.len() as u64;
+        for (to, bytes) in p.replication.take_outgoing(self.now) {
+            self.bytes_sent[place] += bytes.len() as u64;
             let Some(other) = to.split('#').next().and_then(|n| n[1..].parse::<usize>().ok()) else {
                 continue;
             };
@@ -243,10 +239,10 @@
             let Some((_, bytes)) = stream.way.pop_front() else { return };
             let told = self.full(to);
             if let Some(p) = &mut self.places[from] {
-                p.keeper.written(&told, bytes.len());
+                p.replication.bytes_written(&told, bytes.len());
             }
             if let Some(p) = &mut self.places[to] {
-                p.keeper.heard(self.now, &name, &bytes);
+                p.replication.receive(self.now, &name, &bytes);
             }
             self.heed(to);
             self.send(to);
@@ -262,21 +258,21 @@
             self.events.pop();
             self.now = self.now.max(at as f64 / 1e9);
             match self.waiting.remove(&id) {
-                Some(Event::Look(place, life)) => {
-                    if let Some(p) = self.places[place].as_mut().filter(|p| p.life == life) {
-                        p.keeper.look(self.now);
+                Some(Event::Look(place, generation)) => {
+                    if let Some(p) = self.places[place].as_mut().filter(|p| p.generation == generation) {
+                        p.replication.tick(self.now);
                         self.heed(place);
                         self.send(place);
-                        self.post(self.now + LOOKS, Event::Look(place, life));
+                        self.post(self.now + LOOKS, Event::Look(place, generation));
                     }
                 }
                 Some(Event::Arrives(from, to)) => self.arrives(from, to),
                 Some(Event::Link(one, two, a, b)) => {
-                    let lives = [one, two].map(|n| self.places[n].as_ref().map(|p| p.life));
+                    let lives = [one, two].map(|n| self.places[n].as_ref().map(|p| p.generation));
                     if lives == [Some(a), Some(b)] {
                         let name = self.full(two);
                         if let Some(p) = &mut self.places[one] {
-                            p.keeper.linked_with(self.now, &name);
+                            p.replication.peer_connected(self.now, &name);
                         }
                     }
                 }
@@ -288,12 +284,12 @@
 
     /// Whether all that live hold the same.
     pub fn alike(&self) -> bool {
-        let mut digests = self.places.iter().flatten().map(|p| p.keeper.replica().digest());
+        let mut digests = self.places.iter().flatten().map(|p| p.replication.replica().digest());
         let first = digests.next();
         digests.all(|d| Some(d) == first)
     }
 
-    pub fn in_step(&self, place: usize) -> bool {
-        self.places[place].as_ref().is_some_and(|p| p.keeper.standing() == Standing::InStep)
+    pub fn in_sync(&self, place: usize) -> bool {
+        self.places[place].as_ref().is_some_and(|p| p.replication.sync_state() == SyncState::InSync)
     }
 }
--- a/crates/sandstile-router/src/control_client.rs
+++ b/crates/sandstile-router/src/control_client.rs
@@ -1,5 +1,5 @@
 //! Asks a running router over its control socket, and lays out what it says.
-use sandstile_replicated_state::stored::{self, Found};
+use sandstile_replicated_state::stored::{self, FileContents};
 use serde_json::Value;
 use std::fmt::Write as _;
 use std::io::{Read, Write as _};
@@ -25,17 +25,17 @@
 /// `now` in Unix seconds.
 pub fn table(said: &Value, now: f64) -> String {
     let text = |v: &Value| v.as_str().unwrap_or("-").to_string();
-    let number = |v: &Value| v.as_f64().map_or("-".to_string(), |n| format!("{n:.0}"));
+    let version = |v: &Value| v.as_f64().map_or("-".to_string(), |n| format!("{n:.0}"));
     let mut out = format!(
         "{} sees {} others: {} for {:.1} s, view {}, {} suspects, {} dead, {} see another, {} share the hosts\n",
         text(&said["name"]),
-        number(&said["there"]),
+        version(&said["there"]),
         text(&said["view"]),
         said["holds_for_s"].as_f64().unwrap_or(0.0),
         text(&said["digest"]),
-        number(&said["suspects"]),
-        number(&said["dead"]),
-        number(&said["differing"]),
+        version(&said["suspects"]),
+        version(&said["dead"]),
+        version(&said["differing"]),
         said["sharers"].as_f64().map_or("as the settings have it".to_string(), |n| format!("{n:.0}")),
     );
     let head = ["member", "state", "for s", "life", "address", "round trip ms", "version", "zone", "view"];
@@ -50,10 +50,10 @@
             text(&m["name"]),
             text(&m["state"]),
             m["since"].as_f64().map_or("-".to_string(), |at| format!("{:.1}", now - at)),
-            number(&m["life"]),
+            version(&m["life"]),
             text(&m["address"]),
             m["round_trip_ms"].as_f64().map_or("-".to_string(), |ms| format!("{ms:.2}")),
-            number(&m["version"]),
+            version(&m["version"]),
             text(&m["zone"]),
             view.to_string(),
         ]);
@@ -89,13 +89,13 @@
 }
 
 /// The facts of a running router, by its socket, or of a file. The message is one line.
-pub fn facts(path: &Path) -> Result<Found, String> {
+pub fn facts(path: &Path) -> Result<FileContents, String> {
     let bytes = match is_socket(path)? {
         true => asked(path, "facts")?,
         false => std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?,
     };
     let found = stored::read(&bytes);
-    match found.life {
+    match found.generation {
         Some(_) => Ok(found),
         None => Err(format!("{}: no copy of kept state", path.display())),
     }
@@ -110,16 +110,16 @@
     }
     let found = facts(path)?;
     let mut kinds = std::collections::BTreeMap::<&str, usize>::new();
-    let facts = sandstile_replicated_state::differ::gather(&found.facts);
-    facts.keys().for_each(|key| *kinds.entry(key.kind.word()).or_default() += 1);
+    let facts = sandstile_replicated_state::differ::merge_by_key(&found.facts);
+    facts.keys().for_each(|key| *kinds.entry(key.kind.name()).or_default() += 1);
     let kinds: Vec<String> = kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
     Ok(format!(
         "{} bytes, life {}, number {}, ended in order: {}, places that can't be read: {}\n{} facts: {}\n",
         found.bytes,
-        found.life.unwrap_or(0),
-        found.number,
-        found.ended,
-        found.spoilt,
+        found.generation.unwrap_or(0),
+        found.version,
+        found.ended_cleanly,
+        found.corrupt,
         facts.len(),
         kinds.join(", "),
     ))
--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -7,7 +7,7 @@
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_exchange::{greeting, keeping, read_greeting, Heard, Listener, Teller, MOST_MARKS};
-use sandstile_replication::near;
+use sandstile_replication::select_neighbours;
 use slog::{info, warn, Logger};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
@@ -57,7 +57,7 @@
             // Named by their addresses, which all others have for them too.
             let by_name: BTreeMap<String, SocketAddr> =
                 wanted.iter().map(|at| (at.to_string(), *at)).collect();
-            let near = near(&own.to_string(), &by_name.keys().cloned().collect());
+            let near = select_neighbours(&own.to_string(), &by_name.keys().cloned().collect());
             wanted = near.iter().filter_map(|name| by_name.get(name).copied()).collect();
         }
         while wanted.len() > MOST_TOLD {
--- a/crates/sandstile-router/src/main.rs
+++ b/crates/sandstile-router/src/main.rs
@@ -131,8 +131,8 @@
                 (control_client::facts(Path::new(one))?, control_client::facts(Path::new(other))?);
             let differences = sandstile_replicated_state::differ::compare(&one.facts, &other.facts);
             differences.iter().for_each(|d| println!("{d}"));
-            let counts =
-                [&one, &other].map(|found| sandstile_replicated_state::differ::gather(&found.facts).len());
+            let counts = [&one, &other]
+                .map(|found| sandstile_replicated_state::differ::merge_by_key(&found.facts).len());
             println!("{} facts, {} facts, {} differ", counts[0], counts[1], differences.len());
             match differences.is_empty() {
                 true => Ok(()),
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -11,11 +11,11 @@
 use sandstile_durable_state::{Folder, Opened, Shelf};
 use sandstile_membership_view::{may, About, View, Way};
 use sandstile_policy::terms::OutcomeClass;
-use sandstile_probe_sharing::{Duties, Told, Warnings};
-use sandstile_replicated_state::catchup::{believe, Belief, Standing};
-use sandstile_replicated_state::fact::Said;
+use sandstile_probe_sharing::{ProbeResult, ProbeSharing, Warnings};
+use sandstile_replicated_state::catchup::{assess_trust, SyncState, Trust};
+use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{stored, Fact, Kind, Snapshot, Value};
-use sandstile_replication::{Keeper, News};
+use sandstile_replication::{ReplicationEvent, ReplicationPeer};
 use sandstile_sessions::mark::{Mark, Seen};
 use sandstile_sessions::store::Key;
 use serde_json::json;
@@ -69,7 +69,7 @@
 }
 
 pub struct ReplicatedState {
-    keeper: Keeper,
+    replication: ReplicationPeer,
     outlets: BTreeMap<String, MailboxSender<Telling>>,
     /// Those that were handed all that our former life knew.
     vouchers: BTreeSet<String>,
@@ -83,20 +83,23 @@
     /// When each group's log was spoken of last, and the term it was under.
     led: BTreeMap<Arc<str>, (f64, u64)>,
     /// Who probes which host, where our own file has it shared.
-    duties: Option<Duties>,
+    probe_sharing: Option<ProbeSharing>,
     /// Hosts that refused this router: when it said so last.
     refused: BTreeMap<String, f64>,
     /// Whose word on hosts that refuse is heeded.
     warnings: Warnings,
-    believed: Belief,
+    trust: Trust,
     old_copy: bool,
     twins: u64,
     contradictions: u64,
 }
 
 /// What a probe told, how careful that makes, and its word among facts.
-const TOLD: [(Told, u8, &str); 3] =
-    [(Told::Silent, 1, "silent"), (Told::Answers, 0, "answers"), (Told::Primary, 0, "primary")];
+const TOLD: [(ProbeResult, u8, &str); 3] = [
+    (ProbeResult::NoAnswer, 1, "silent"),
+    (ProbeResult::NotPrimary, 0, "answers"),
+    (ProbeResult::Primary, 0, "primary"),
+];
 
 /// A peer's name without its life.
 fn bare(peer: &str) -> &str {
@@ -126,16 +129,16 @@
         log: &Logger,
     ) -> Result<ReplicatedState, String> {
         let now = clock.now();
-        let (mut disk, mut believed, mut stored_life, mut facts) = (None, Belief::None, None, Vec::new());
+        let (mut disk, mut trust, mut stored_generation, mut facts) = (None, Trust::None, None, Vec::new());
         let (idle, done) = mailbox();
         if let Some(dir) = &plan.dir {
             let folder = Folder::open(dir, plan.witness.as_deref())?;
             let Opened { found, stored, witness, shelf } =
                 sandstile_durable_state::open(Box::new(folder), terms.generation);
-            believed = believe(stored, witness);
-            info!(log, "state is taken up"; "facts" => found.facts.len(), "spoilt" => found.spoilt,
-                "ended" => found.ended, "believed" => ?believed, "witness" => ?witness.file);
-            (stored_life, facts) = (found.life, found.facts);
+            trust = assess_trust(stored, witness);
+            info!(log, "state is taken up"; "facts" => found.facts.len(), "spoilt" => found.corrupt,
+                "ended" => found.ended_cleanly, "believed" => ?trust, "witness" => ?witness.file);
+            (stored_generation, facts) = (found.generation, found.facts);
             match shelf {
                 Ok(shelf) => {
                     let (post, chores) = mailbox();
@@ -158,20 +161,20 @@
             let listener = door(path)?;
             threads::spawn_detached("state asked", move || answer(&listener, &words))?;
         }
-        let keeper = Keeper::new(
-            sandstile_replication::Terms {
+        let replication = ReplicationPeer::new(
+            sandstile_replication::ReplicationSettings {
                 name: terms.name.to_string(),
-                life: terms.generation,
+                generation: terms.generation,
                 horizon: terms.horizon,
                 seed: terms.seed ^ terms.generation,
                 stored: facts,
-                believed,
-                stored_life,
+                trust,
+                stored_generation,
             },
             now,
         );
         Ok(ReplicatedState {
-            keeper,
+            replication,
             outlets: BTreeMap::new(),
             vouchers: BTreeSet::new(),
             disk,
@@ -180,10 +183,12 @@
             wrote_at: now,
             put: 0,
             led: BTreeMap::new(),
-            duties: plan.together.then(|| Duties::new(terms.name, sandstile_probe_sharing::Terms::default())),
+            probe_sharing: plan.together.then(|| {
+                ProbeSharing::new(terms.name, sandstile_probe_sharing::ProbeSharingSettings::default())
+            }),
             refused: BTreeMap::new(),
             warnings: Warnings::default(),
-            believed,
+            trust,
             old_copy: false,
             twins: 0,
             contradictions: 0,
@@ -192,16 +197,16 @@
 
     /// Marks that were found on the disk.
     pub fn marks(&self) -> impl Iterator<Item = (Key, Seen)> + '_ {
-        self.keeper.replica().iter().filter_map(mark)
+        self.replication.replica().iter().filter_map(mark)
     }
 
     /// Whether what was found is all that the former life knew.
     pub fn found_all(&self) -> bool {
-        self.believed == Belief::All
+        self.trust == Trust::All
     }
 
     pub fn wrote(&mut self, now: f64, key: Key, seen: &Seen) {
-        self.keeper.learn(now, Kind::Mark, &subject(key), Value::Seen(seen.clone()));
+        self.replication.learn(now, Kind::Mark, &subject(key), Value::Seen(seen.clone()));
     }
 
     /// A group's primary has told how far its log is.
@@ -217,31 +222,36 @@
         self.led.insert(group.clone(), (now, term));
         // Names that are too long for a key are told of nowhere.
         if before.is_none_or(|(_, of)| of != term) {
-            self.keeper.say(now, Kind::Leads, group, 0, &format!("{term:016x}"));
+            self.replication.publish_report(now, Kind::Leader, group, 0, &format!("{term:016x}"));
         }
-        self.keeper.learn(now, Kind::Floor, &format!("{term:016x}/{group}"), Value::Most(mark.position));
+        self.replication.learn(
+            now,
+            Kind::LogPosition,
+            &format!("{term:016x}/{group}"),
+            Value::Max(mark.position),
+        );
     }
 
     /// This one hears us from now on; `of_yours` says that it ended in order and left us all that it knew.
     pub fn linked(&mut self, now: f64, peer: String, outlet: MailboxSender<Telling>, of_yours: bool) {
         if outlet.send(Telling::Whole { of_yours }) {
-            self.keeper.linked_with(now, &peer);
+            self.replication.peer_connected(now, &peer);
             self.outlets.insert(peer, outlet);
         }
     }
 
     pub fn parted(&mut self, now: f64, peer: &str) {
         if self.outlets.remove(peer).is_some() {
-            self.keeper.parted_from(now, peer);
+            self.replication.peer_disconnected(now, peer);
         }
     }
 
     pub fn written(&mut self, peer: &str, bytes: usize) {
-        self.keeper.written(peer, bytes);
+        self.replication.bytes_written(peer, bytes);
     }
 
     pub fn heard(&mut self, now: f64, from: &str, message: &[u8]) {
-        self.keeper.heard(now, from, message);
+        self.replication.receive(now, from, message);
     }
 
     pub fn vouches(&mut self, peer: &str) {
@@ -253,27 +263,27 @@
 
     /// Whether this router is to probe a host whose group lacks a primary.
     pub fn may_probe(&mut self, now: f64, host: &str) -> bool {
-        let Some(duties) = &mut self.duties else { return true };
-        let there = self.keeper.linked().map(|peer| bare(peer).to_string()).collect();
-        duties.there(now, &there);
-        duties.probes(now, host)
+        let Some(probe_sharing) = &mut self.probe_sharing else { return true };
+        let there = self.replication.connected_peers().map(|peer| bare(peer).to_string()).collect();
+        probe_sharing.set_reachable_peers(now, &there);
+        probe_sharing.should_probe(now, host)
     }
 
     pub fn probed(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        let Some(duties) = &mut self.duties else { return };
+        let Some(probe_sharing) = &mut self.probe_sharing else { return };
         let told = match (outcome.ending == Ending::Completed, outcome.host_report.primary) {
-            (false, _) => Told::Silent,
-            (true, Some(true)) => Told::Primary,
-            (true, _) => Told::Answers,
+            (false, _) => ProbeResult::NoAnswer,
+            (true, Some(true)) => ProbeResult::Primary,
+            (true, _) => ProbeResult::NotPrimary,
         };
-        duties.probed(now, host, told);
-        let (careful, body) = TOLD.iter().find(|(t, ..)| *t == told).map_or((1, ""), |(_, c, b)| (*c, *b));
-        self.keeper.say(now, Kind::Probed, host, careful, body);
+        probe_sharing.record_own_probe(now, host, told);
+        let (severity, body) = TOLD.iter().find(|(t, ..)| *t == told).map_or((1, ""), |(_, c, b)| (*c, *b));
+        self.replication.publish_report(now, Kind::Probe, host, severity, body);
     }
 
     /// An execution at this host has ended: what others would lose a statement to learn is told to them.
     pub fn met(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        if self.duties.is_none() {
+        if self.probe_sharing.is_none() {
             return;
         }
         if outcome.ending == Ending::Completed {
@@ -286,30 +296,39 @@
                 }
                 if self.refused.get(host).is_none_or(|said| now >= said + REFUSALS) {
                     self.refused.insert(host.to_string(), now);
-                    self.keeper.say(now, Kind::Refuses, host, 1, "");
+                    self.replication.publish_report(now, Kind::Refusal, host, 1, "");
                 }
             }
             OutcomeClass::Completed if self.refused.remove(host).is_some() => {
-                self.keeper.say(now, Kind::Refuses, host, 0, "");
+                self.replication.publish_report(now, Kind::Refusal, host, 0, "");
             }
             _ => {}
         }
     }
 
     /// Another's word on a host.
-    fn told(&mut self, now: f64, key: &sandstile_replicated_state::Key, said: &Said, learnt: &mut Learnt) {
-        let Some(duties) = &mut self.duties else { return };
-        let Some(born) = self.keeper.replica().get(key).map(|fact| fact.born) else { return };
+    fn told(&mut self, now: f64, key: &sandstile_replicated_state::Key, said: &Report, learnt: &mut Learnt) {
+        let Some(probe_sharing) = &mut self.probe_sharing else { return };
+        let Some(created_at) = self.replication.replica().get(key).map(|fact| fact.created_at) else {
+            return;
+        };
         match key.kind {
-            Kind::Probed => {
+            Kind::Probe => {
                 let Some((told, ..)) = TOLD.iter().find(|(_, _, body)| *body == &*said.body) else { return };
-                duties.heard(&key.owner, said.life, said.number, &key.subject, born, *told);
+                probe_sharing.record_peer_probe(
+                    &key.owner,
+                    said.generation,
+                    said.version,
+                    &key.subject,
+                    created_at,
+                    *told,
+                );
             }
-            Kind::Refuses => {
+            Kind::Refusal => {
                 // More care is allowed in every view, alone as well.
-                let may = said.careful > 0 && may(View::Alone, About::Refusal, Way::MoreCareful, false);
-                if may && self.warnings.heed(now, &key.owner, &key.subject) {
-                    learnt.warned.push((key.subject.to_string(), now - born));
+                let may = said.severity > 0 && may(View::Alone, About::Refusal, Way::MoreCareful, false);
+                if may && self.warnings.accept(now, &key.owner, &key.subject) {
+                    learnt.warned.push((key.subject.to_string(), now - created_at));
                 }
             }
             _ => {}
@@ -317,10 +336,10 @@
     }
 
     fn send(&mut self, now: f64) {
-        for (peer, message) in self.keeper.take_out(now) {
+        for (peer, message) in self.replication.take_outgoing(now) {
             if self.outlets.get(&peer).is_some_and(|o| !o.send(Telling::State(message))) {
                 self.outlets.remove(&peer);
-                self.keeper.parted_from(now, &peer);
+                self.replication.peer_disconnected(now, &peer);
             }
         }
     }
@@ -329,34 +348,36 @@
     /// of them.
     pub fn turn(&mut self, now: f64, looks: bool, log: &Logger) -> Learnt {
         if looks {
-            self.keeper.look(now);
+            self.replication.tick(now);
         }
         self.send(now);
         let mut learnt = Learnt::default();
-        for news in self.keeper.take_news() {
-            match news {
-                News::Learnt(key, Value::Seen(seen)) if key.kind == Kind::Mark => {
+        for event in self.replication.take_events() {
+            match event {
+                ReplicationEvent::FactLearned(key, Value::Seen(seen)) if key.kind == Kind::Mark => {
                     learnt.marks.extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (Key(k), seen)));
                 }
-                News::Learnt(key, Value::Said(said)) => self.told(now, &key, &said, &mut learnt),
-                News::Learnt(..) => {}
-                News::Standing(standing) => {
-                    info!(log, "state: {}", word(standing); "facts" => self.keeper.replica().len())
+                ReplicationEvent::FactLearned(key, Value::Report(said)) => {
+                    self.told(now, &key, &said, &mut learnt)
+                }
+                ReplicationEvent::FactLearned(..) => {}
+                ReplicationEvent::SyncStateChanged(sync_state) => {
+                    info!(log, "state: {}", word(sync_state); "facts" => self.replication.replica().len())
                 }
-                News::Has(peer) => learnt.vouched |= self.vouchers.remove(&peer),
-                News::Contradicts(key) => {
+                ReplicationEvent::PeerCompared(peer) => learnt.vouched |= self.vouchers.remove(&peer),
+                ReplicationEvent::Contradiction(key) => {
                     self.contradictions += 1;
-                    warn!(log, "state: one under one number said two things"; "kind" => key.kind.word(),
+                    warn!(log, "state: one under one number said two things"; "kind" => key.kind.name(),
                         "of" => &*key.subject, "by" => &*key.owner);
                 }
-                News::OldCopy { found, met } => {
+                ReplicationEvent::OldCopy { found, met } => {
                     (self.old_copy, learnt.old_copy) = (true, true);
                     warn!(log, "state: the copy on the disk was an old one"; "its life" => found, "a later one" => met);
                 }
-                News::Twin(life) => {
+                ReplicationEvent::DuplicateName(generation) => {
                     self.twins += 1;
                     if self.twins == 1 {
-                        warn!(log, "state: a later life of this name is about"; "life" => life);
+                        warn!(log, "state: a later life of this name is about"; "life" => generation);
                     }
                 }
             }
@@ -372,44 +393,44 @@
                 warn!(log, "state is kept in memory alone from now on");
             }
         }
-        let number = self.keeper.replica().number();
-        if self.busy || now < self.wrote_at + WRITES || (number == self.put && self.put > 0) {
+        let version = self.replication.replica().version();
+        if self.busy || now < self.wrote_at + WRITES || (version == self.put && self.put > 0) {
             return;
         }
         if let Some(disk) = &self.disk {
             // A copy shares its facts with ours.
-            self.busy = disk.send(Chore::Put(now, self.keeper.replica().snapshot()));
-            (self.wrote_at, self.put) = (now, number);
+            self.busy = disk.send(Chore::Put(now, self.replication.replica().snapshot()));
+            (self.wrote_at, self.put) = (now, version);
         }
     }
 
     /// All is told to all, and put down as that.
     pub fn end(&mut self, now: f64, done: &MailboxSender<()>) {
-        self.keeper.look(now);
+        self.replication.tick(now);
         for (peer, outlet) in std::mem::take(&mut self.outlets) {
-            let Some(words) = self.keeper.last_words(now, &peer) else { continue };
+            let Some(words) = self.replication.take_final_messages(now, &peer) else { continue };
             if words.into_iter().all(|w| outlet.send(Telling::State(w))) {
                 outlet.send(Telling::End(done.clone()));
             }
         }
         if let Some(disk) = self.disk.take() {
-            disk.send(Chore::End(now, self.keeper.replica().snapshot(), done.clone()));
+            disk.send(Chore::End(now, self.replication.replica().snapshot(), done.clone()));
         }
     }
 
     /// What an operator is told, but for what takes a look at every fact.
     pub fn show(&self, now: f64) -> Shown {
-        let replica = self.keeper.replica();
-        let (c, r) = (self.keeper.counts(), replica.counts());
-        let about = json!({"standing": word(self.keeper.standing()), "facts": replica.len(),
+        let replica = self.replication.replica();
+        let (c, r) = (self.replication.counts(), replica.counts());
+        let about = json!({"standing": word(self.replication.sync_state()), "facts": replica.len(),
             "digest": format!("{:016x}", replica.digest()),
-            "linked": self.keeper.linked().collect::<Vec<_>>(), "number": replica.number(),
-            "believed": format!("{:?}", self.believed).to_lowercase(), "old_copy": self.old_copy,
+            "linked": self.replication.connected_peers().collect::<Vec<_>>(), "number": replica.version(),
+            "believed": format!("{:?}", self.trust).to_lowercase(), "old_copy": self.old_copy,
             "disk": self.disk.is_some(), "twins": self.twins, "contradictions": self.contradictions,
             "bytes_in": c.bytes_in, "bytes_out": c.bytes_out, "messages_in": c.messages_in,
             "messages_out": c.messages_out, "rounds": c.rounds, "rounds_lost": c.rounds_lost,
             "unreadable": c.unreadable, "refused": c.refused, "shed": c.shed,
-            "given_up": r.given_up, "forgotten": r.forgotten});
+            "given_up": r.evicted, "forgotten": r.expired});
         Shown { at: now, about, held: replica.snapshot() }
     }
 }
@@ -418,7 +439,7 @@
 fn summary(shown: Shown, at: f64) -> Vec<u8> {
     let Shown { mut about, held, .. } = shown;
     let mut kinds: BTreeMap<&str, u64> = BTreeMap::new();
-    held.iter().for_each(|(key, _)| *kinds.entry(key.kind.word()).or_default() += 1);
+    held.iter().for_each(|(key, _)| *kinds.entry(key.kind.name()).or_default() += 1);
     about["kinds"] = json!(kinds);
     about["as_of"] = json!(at);
     about["digest_as_of"] = json!(format!("{:016x}", held.digest_as_of(at)));
@@ -427,19 +448,19 @@
 
 /// All facts in the form of a file, so that a router and a file compare alike.
 fn facts(shown: &Shown) -> Vec<u8> {
-    let mut out = stored::head(1);
-    shown.held.iter().for_each(|(key, fact)| stored::put(&mut out, 1, shown.at, key, fact));
-    stored::ended(&mut out, 1, shown.held.number());
+    let mut out = stored::header(1);
+    shown.held.iter().for_each(|(key, fact)| stored::write_fact(&mut out, 1, shown.at, key, fact));
+    stored::write_end(&mut out, 1, shown.held.version());
     out
 }
 
-fn word(standing: Standing) -> &'static str {
-    match standing {
-        Standing::New => "new",
-        Standing::CatchingUp => "catching up",
-        Standing::InStep => "in step",
-        Standing::InStepAsOf(_) => "in step as of before",
-        Standing::Careful => "careful",
+fn word(sync_state: SyncState) -> &'static str {
+    match sync_state {
+        SyncState::NotStarted => "new",
+        SyncState::CatchingUp => "catching up",
+        SyncState::InSync => "in step",
+        SyncState::InSyncAsOf(_) => "in step as of before",
+        SyncState::Isolated => "careful",
     }
 }
 
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -6,7 +6,7 @@
 use sandstile_emulator::{protocol, Clock, Emulator, Handle, Record};
 use sandstile_lab::processes;
 use sandstile_pgwire as pg;
-use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{wire, Fact, Key, Kind, Message, Value};
 use sandstile_scenario::Script;
 use stand_ins::{wait_for, TEST_TIMEOUT};
@@ -425,19 +425,21 @@
     let over = std::sync::Arc::new(AtomicUsize::new(0));
     let ends = over.clone();
     let liar = thread::spawn(move || {
-        let (clock, mut number) = (Clock::anchor(), 0);
+        let (clock, mut version) = (Clock::anchor(), 0);
         while ends.load(SeqCst) == 0 {
             let now = clock.now();
             let mut facts = Vec::new();
             for host in ["s-1-a", "s-1-b", "s-1-c"] {
-                for (kind, careful, body) in [(Kind::Refuses, 1, ""), (Kind::Probed, 0, "answers")] {
-                    number += 1;
-                    let said = Said { life: 7, number, careful, body: body.into() };
-                    facts
-                        .push((Key::owned(kind, host, "liar"), Fact { value: Value::Said(said), born: now }));
+                for (kind, severity, body) in [(Kind::Refusal, 1, ""), (Kind::Probe, 0, "answers")] {
+                    version += 1;
+                    let said = Report { generation: 7, version, severity, body: body.into() };
+                    facts.push((
+                        Key::owned(kind, host, "liar"),
+                        Fact { value: Value::Report(said), created_at: now },
+                    ));
                 }
             }
-            let message = wire::write(&Message::Facts(facts), now);
+            let message = wire::encode(&Message::Facts(facts), now);
             if lies.write_all(&teller.state(&message)).is_err() {
                 return;
             }
