--- a/crates/sandstile-replicated-state/examples/differ/sketch.rs
+++ b/crates/sandstile-replicated-state/examples/differ/sketch.rs
@@ -1,7 +1,8 @@
-//! An invertible Bloom lookup table (Goodrich and Mitzenmacher, 2011) over hashes of facts: the difference of two copies' tables
-//! yields what differs, as long as that is fewer than some three quarters of its cells. Weighed against the tree.
+//! An invertible Bloom lookup table (Goodrich and Mitzenmacher, 2011) over hashes of facts: the difference between
+//! the tables of two copies yields the differing items, as long as they number fewer than about three quarters of the
+//! cells. It is here to be compared with the hash tree.
 
-/// Cells that each item falls into.
+/// Cells per item.
 const ROWS: usize = 3;
 
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
@@ -17,11 +18,11 @@
 }
 
 fn mix(item: u64, salt: u64) -> u64 {
-    // SplitMix64's finish: the items are hashes already, and need only fall into other cells by each salt.
-    let mut x = item ^ salt.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+    // SplitMix64 finalizer. The items are hashes already; it only has to map them to different cells for each salt.
+    let mut mixed = item ^ salt.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    mixed ^ (mixed >> 31)
 }
 
 impl Sketch {
@@ -29,14 +30,14 @@
         Sketch { cells: vec![Cell::default(); cells.max(ROWS).div_ceil(ROWS) * ROWS] }
     }
 
-    fn places(&self, item: u64) -> [usize; ROWS] {
-        let part = self.cells.len() / ROWS;
-        std::array::from_fn(|row| row * part + (mix(item, row as u64 + 1) % part as u64) as usize)
+    fn cell_indices(&self, item: u64) -> [usize; ROWS] {
+        let row_length = self.cells.len() / ROWS;
+        std::array::from_fn(|row| row * row_length + (mix(item, row as u64 + 1) % row_length as u64) as usize)
     }
 
-    fn put(&mut self, item: u64, count: i32) {
-        for at in self.places(item) {
-            let cell = &mut self.cells[at];
+    fn toggle(&mut self, item: u64, count: i32) {
+        for index in self.cell_indices(item) {
+            let cell = &mut self.cells[index];
             cell.count += count;
             cell.items ^= item;
             cell.check ^= mix(item, 77);
@@ -44,29 +45,30 @@
     }
 
     pub fn add(&mut self, item: u64) {
-        self.put(item, 1);
+        self.toggle(item, 1);
     }
 
-    /// What only this one has and what only the other has; `None` where they differ by more than it can tell.
+    /// The items that only this sketch has and those that only the other has; `None` if there are too many
+    /// differences to decode.
     pub fn difference(&self, other: &Sketch) -> Option<(Vec<u64>, Vec<u64>)> {
         if self.cells.len() != other.cells.len() {
             return None;
         }
-        let mut left = self.clone();
-        for (mine, theirs) in left.cells.iter_mut().zip(&other.cells) {
+        let mut remaining = self.clone();
+        for (mine, theirs) in remaining.cells.iter_mut().zip(&other.cells) {
             mine.count -= theirs.count;
             mine.items ^= theirs.items;
             mine.check ^= theirs.check;
         }
         let (mut mine, mut theirs) = (Vec::new(), Vec::new());
-        let mut look: Vec<usize> = (0..left.cells.len()).collect();
-        while let Some(at) = look.pop() {
-            let cell = left.cells[at];
+        let mut pending: Vec<usize> = (0..remaining.cells.len()).collect();
+        while let Some(index) = pending.pop() {
+            let cell = remaining.cells[index];
             if cell.count.abs() != 1 || cell.check != mix(cell.items, 77) {
                 continue;
             }
             let (item, count) = (cell.items, cell.count);
-            if mine.len() + theirs.len() > left.cells.len() {
+            if mine.len() + theirs.len() > remaining.cells.len() {
                 return None;
             }
             if count == 1 {
@@ -74,13 +76,13 @@
             } else {
                 theirs.push(item)
             }
-            left.put(item, -count);
-            look.extend(left.places(item));
+            remaining.toggle(item, -count);
+            pending.extend(remaining.cell_indices(item));
         }
-        left.cells.iter().all(|c| *c == Cell::default()).then_some((mine, theirs))
+        remaining.cells.iter().all(|c| *c == Cell::default()).then_some((mine, theirs))
     }
 
-    /// Bytes of it on a wire: a count of four, items and checks of eight.
+    /// Encoded size: a count of 4 bytes and items and checks of 8 bytes for each cell.
     pub fn bytes(&self) -> usize {
         self.cells.len() * 20
     }
--- a/crates/sandstile-replicated-state/src/catchup.rs
+++ b/crates/sandstile-replicated-state/src/catchup.rs
@@ -1,44 +1,53 @@
-//! What a router that returns may believe, and whom it asks. It knows all only once two peers, or the one that there is, held the
-//! same as it does; until then whoever is not found in its copy may have written, and its reads go to the primary.
+//! What a restarted router may trust and which peers it compares with. Its copy counts as complete only once two
+//! peers, or the only peer there is, held the same state. Until then a session that is missing from the copy may have
+//! written, so its reads go to the primary.
 use std::collections::BTreeSet;
 
-/// What the disk held, as far as it could be read.
+/// What was read from the disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StoredCopy {
-    /// Nothing, cut short, or spoilt.
+    /// Missing, truncated or corrupt.
     Unreadable,
-    /// Whole in itself: the life that wrote it, its last number, and whether that life said at its end that this is all.
+    /// Internally consistent: the generation that wrote it, its last version, and whether that generation recorded a
+    /// clean shutdown, after which nothing is missing.
     Intact { generation: u64, version: u64, ended_cleanly: bool },
 }
 
-/// What is known of this instance's former life from elsewhere: a witness file that is not backed up with the copy, and peers.
+/// Evidence about this instance's previous generation from outside the stored copy: a witness file that is not backed
+/// up together with the copy, and the peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Witness {
-    /// The last life that began, and the last number that it put down.
+    /// The last generation that started and the last version that it recorded.
     pub file: Option<(u64, u64)>,
-    /// The highest life of ours, before this one, that any peer met.
+    /// The highest earlier generation of this instance that any peer has met.
     pub peers: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// Its facts are taken up, and what is not found was not written.
+    /// The facts are loaded, and whatever is missing was not written.
     All,
-    /// Its facts are taken up, for facts bind whoever reads them to more; what is not found may have been written.
+    /// The facts are loaded, because a fact only ever makes its reader more careful; whatever is missing may still
+    /// have been written.
     Some,
-    /// As good as nothing.
+    /// Nothing could be loaded.
     None,
 }
 
-/// How far a copy from the disk is believed. A copy that is whole and old looks like one that is whole and new: only what was
-/// kept apart from it tells them from each other. Alone and without a witness it says nothing of what it lacks.
+/// How far a copy from the disk is trusted. An intact but outdated copy looks like a current one; only evidence that
+/// is stored apart from the copy tells them apart. Without a matching witness the copy says nothing about what it
+/// lacks.
 pub fn assess_trust(stored: StoredCopy, witness: Witness) -> Trust {
     let StoredCopy::Intact { generation, version, ended_cleanly } = stored else { return Trust::None };
-    let later_life = witness.peers.is_some_and(|met| met > generation)
-        || witness.file.is_some_and(|(began, _)| began > generation);
-    let later_number = witness.file.is_some_and(|(began, put)| began == generation && put > version);
-    let vouched = witness.file.is_some_and(|(began, put)| (began, put) == (generation, version));
-    if later_life || later_number || !vouched || !ended_cleanly {
+    let newer_generation = witness.peers.is_some_and(|highest_met| highest_met > generation)
+        || witness.file.is_some_and(|(witnessed_generation, _)| witnessed_generation > generation);
+    let newer_version = witness.file.is_some_and(|(witnessed_generation, witnessed_version)| {
+        witnessed_generation == generation && witnessed_version > version
+    });
+    let confirmed = witness.file.is_some_and(|(witnessed_generation, witnessed_version)| {
+        (witnessed_generation, witnessed_version) == (generation, version)
+    });
+    if newer_generation || newer_version || !confirmed || !ended_cleanly {
         return Trust::Some;
     }
     Trust::All
@@ -46,129 +55,148 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SyncState {
-    /// Nobody was asked yet.
+    /// No peer has been compared with yet.
     NotStarted,
     CatchingUp,
-    /// Knows all that those asked know.
+    /// Holds everything that the queried peers hold.
     InSync,
-    /// Knew all at that time; nobody could be asked since.
+    /// Was in sync at this time; no peer could be compared with since.
     InSyncAsOf(f64),
-    /// Nobody is left that knows: all that is not found counts as written.
+    /// No peer is left to compare with: whatever is missing counts as possibly written.
     Isolated,
 }
 
-/// Peers that are asked: one may have missed what the other heard.
-const ASKED: usize = 2;
-/// Seconds for a comparison to get on before another is asked, and without anybody before that is said.
-const PATIENCE: f64 = 2.0;
-const NOBODY: f64 = 3.0;
-/// Seconds since a comparison found no difference for which it counts.
-const COUNTS: f64 = 8.0;
+/// Peers to compare with. One alone may have missed what the other received.
+const MAX_QUERIED_PEERS: usize = 2;
+/// Seconds without progress after which a comparison moves to another peer, and seconds without any peer before the
+/// state becomes [`SyncState::Isolated`].
+const COMPARISON_TIMEOUT_SECONDS: f64 = 2.0;
+const NO_PEERS_TIMEOUT_SECONDS: f64 = 3.0;
+/// Seconds for which a comparison without differences stays valid.
+const COMPARISON_VALIDITY_SECONDS: f64 = 8.0;
 
 #[derive(Clone, Debug)]
-struct Ask {
+struct QueriedPeer {
     peer: String,
-    since: f64,
-    same: bool,
+    last_progress_at: f64,
+    matched: bool,
 }
 
 #[derive(Clone, Debug)]
 pub struct CatchUp {
-    own: String,
+    own_name: String,
     generation: u64,
-    began: f64,
+    started_at: f64,
     sync_state: SyncState,
-    asked: Vec<Ask>,
+    queried: Vec<QueriedPeer>,
     tried: BTreeSet<String>,
-    same_at: Option<f64>,
+    matched_at: Option<f64>,
 }
 
-/// Spreads those that return over their peers: each has an order of its own, by its name and life.
-fn weight(own: &str, generation: u64, peer: &str) -> u64 {
+/// Spreads restarted routers over their peers: each orders the peers differently, by its own name and generation.
+fn weight(own_name: &str, generation: u64, peer: &str) -> u64 {
     let mut hash = blake3::Hasher::new();
-    hash.update(own.as_bytes());
+    hash.update(own_name.as_bytes());
     hash.update(&generation.to_be_bytes());
     hash.update(peer.as_bytes());
-    crate::fact::eight(&hash)
+    crate::fact::first_u64(&hash)
 }
 
 impl CatchUp {
-    pub fn new(own: &str, generation: u64, trust: Trust, now: f64) -> CatchUp {
-        // All that the former life knew is not all that was written since.
+    pub fn new(own_name: &str, generation: u64, trust: Trust, now: f64) -> CatchUp {
+        // What the previous generation knew may lack what was written since.
         let sync_state = if trust == Trust::All { SyncState::InSyncAsOf(now) } else { SyncState::NotStarted };
-        let (asked, tried) = (Vec::new(), BTreeSet::new());
-        CatchUp { own: own.to_string(), generation, began: now, sync_state, asked, tried, same_at: None }
+        let (queried, tried) = (Vec::new(), BTreeSet::new());
+        CatchUp {
+            own_name: own_name.to_string(),
+            generation,
+            started_at: now,
+            sync_state,
+            queried,
+            tried,
+            matched_at: None,
+        }
     }
 
     pub fn sync_state(&self) -> SyncState {
         self.sync_state
     }
 
-    /// Whether what is not found in the copy was not written. A mark that is found binds in every standing.
-    pub fn knows_all(&self) -> bool {
+    /// Whether whatever is missing from the copy was not written. A mark that is present is binding in every state.
+    pub fn is_complete(&self) -> bool {
         self.sync_state == SyncState::InSync
     }
 
-    /// Peers with whom a comparison is to go on.
-    pub fn asks(&self) -> impl Iterator<Item = &str> {
-        self.asked.iter().map(|a| a.peer.as_str())
+    /// Peers with which a comparison should run.
+    pub fn queried_peers(&self) -> impl Iterator<Item = &str> {
+        self.queried.iter().map(|q| q.peer.as_str())
     }
 
     /// A comparison with this peer found no difference.
-    pub fn same(&mut self, now: f64, peer: &str) {
-        if let Some(ask) = self.asked.iter_mut().find(|a| a.peer == peer) {
-            ask.same = true;
-            ask.since = now;
+    pub fn comparison_matched(&mut self, now: f64, peer: &str) {
+        if let Some(queried_peer) = self.queried.iter_mut().find(|q| q.peer == peer) {
+            queried_peer.matched = true;
+            queried_peer.last_progress_at = now;
         }
     }
 
-    /// A comparison with this peer gets on: it need not be asked of another.
-    pub fn gets_on(&mut self, now: f64, peer: &str) {
-        if let Some(ask) = self.asked.iter_mut().find(|a| a.peer == peer && !a.same) {
-            ask.since = now;
+    /// A comparison with this peer made progress, so it need not move to another peer.
+    pub fn comparison_progressed(&mut self, now: f64, peer: &str) {
+        if let Some(queried_peer) = self.queried.iter_mut().find(|q| q.peer == peer && !q.matched) {
+            queried_peer.last_progress_at = now;
         }
     }
 
-    /// What was believed of a stored copy is not any more: it was an old one.
-    pub fn doubt(&mut self) {
+    /// Withdraws the trust in the stored copy, because it turned out to be outdated.
+    pub fn withdraw_trust(&mut self) {
         if let SyncState::InSyncAsOf(_) = self.sync_state {
             self.sync_state = SyncState::CatchingUp;
         }
     }
 
-    /// A look: these peers are there, as far as this router sees.
-    pub fn look(&mut self, now: f64, there: &BTreeSet<String>) {
-        self.asked.retain(|a| there.contains(&a.peer) && (a.same || now < a.since + PATIENCE));
-        // A same of long ago says nothing of now: it is asked again.
-        self.asked.iter_mut().filter(|a| a.same && now > a.since + COUNTS).for_each(|a| a.same = false);
-        let mut order: Vec<&String> = there.iter().filter(|p| **p != self.own).collect();
-        order.sort_by_key(|p| (self.tried.contains(*p), weight(&self.own, self.generation, p)));
-        for peer in order {
-            if self.asked.len() >= ASKED {
+    /// Periodic update with the peers that this router can reach now.
+    pub fn update_peers(&mut self, now: f64, live_peers: &BTreeSet<String>) {
+        self.queried.retain(|q| {
+            live_peers.contains(&q.peer)
+                && (q.matched || now < q.last_progress_at + COMPARISON_TIMEOUT_SECONDS)
+        });
+        // An old match says nothing about the present: compare again.
+        self.queried
+            .iter_mut()
+            .filter(|q| q.matched && now > q.last_progress_at + COMPARISON_VALIDITY_SECONDS)
+            .for_each(|q| q.matched = false);
+        let mut candidates: Vec<&String> = live_peers.iter().filter(|p| **p != self.own_name).collect();
+        candidates.sort_by_key(|p| (self.tried.contains(*p), weight(&self.own_name, self.generation, p)));
+        for peer in candidates {
+            if self.queried.len() >= MAX_QUERIED_PEERS {
                 break;
             }
-            if self.asked.iter().all(|a| a.peer != *peer) {
-                self.asked.push(Ask { peer: peer.clone(), since: now, same: false });
+            if self.queried.iter().all(|q| q.peer != *peer) {
+                self.queried.push(QueriedPeer { peer: peer.clone(), last_progress_at: now, matched: false });
                 self.tried.insert(peer.clone());
             }
         }
-        if self.tried.len() >= there.len() {
+        if self.tried.len() >= live_peers.len() {
             self.tried.clear();
         }
-        let wanted = there.iter().filter(|p| **p != self.own).count().min(ASKED);
-        let whole = wanted > 0 && self.asked.iter().filter(|a| a.same).count() >= wanted;
+        let required = live_peers.iter().filter(|p| **p != self.own_name).count().min(MAX_QUERIED_PEERS);
+        let all_matched = required > 0 && self.queried.iter().filter(|q| q.matched).count() >= required;
         self.sync_state = match self.sync_state {
-            _ if whole => {
-                self.same_at = Some(now);
+            _ if all_matched => {
+                self.matched_at = Some(now);
                 SyncState::InSync
             }
-            SyncState::InSync => SyncState::InSyncAsOf(self.same_at.unwrap_or(now)),
-            SyncState::InSyncAsOf(at) if wanted == 0 || now < at + COUNTS => SyncState::InSyncAsOf(at),
-            SyncState::NotStarted | SyncState::Isolated if wanted == 0 => match now >= self.began + NOBODY {
-                true => SyncState::Isolated,
-                false => self.sync_state,
-            },
-            _ if wanted == 0 => SyncState::Isolated,
+            SyncState::InSync => SyncState::InSyncAsOf(self.matched_at.unwrap_or(now)),
+            SyncState::InSyncAsOf(at) if required == 0 || now < at + COMPARISON_VALIDITY_SECONDS => {
+                SyncState::InSyncAsOf(at)
+            }
+            SyncState::NotStarted | SyncState::Isolated if required == 0 => {
+                match now >= self.started_at + NO_PEERS_TIMEOUT_SECONDS {
+                    true => SyncState::Isolated,
+                    false => self.sync_state,
+                }
+            }
+            _ if required == 0 => SyncState::Isolated,
             _ => SyncState::CatchingUp,
         };
     }
--- a/crates/sandstile-replicated-state/src/deltas.rs
+++ b/crates/sandstile-replicated-state/src/deltas.rs
@@ -1,80 +1,82 @@
-//! What one peer has yet to hear (delta intervals, Almeida, Shoker, Baquero, 2018): the changes behind the number that it has
-//! acknowledged. Nothing waits for it in a queue of its own: the copy knows when each key changed last, so that a peer that is slow
-//! loses no fact, costs no memory, and hears of one that changed ten times once.
+//! Changes that one peer has not received yet (delta intervals; Almeida, Shoker, Baquero, 2018): those after the
+//! version that it has acknowledged. There is no queue per peer: the copy knows the last change of each key, so a
+//! slow peer loses no fact, costs no memory and receives a key that changed ten times only once.
 use crate::fact::{Fact, Key};
 use crate::state::Replica;
 use crate::sync_protocol::Message;
 
-/// Facts that may be on their way to one peer, unacknowledged.
-const UNDER_WAY: u64 = 4096;
-const AT_ONCE: usize = 256;
-/// Changes that are looked at for one message.
-const LOOKED_AT: usize = 4096;
-/// Whoever told of a fact in a comparison and not as news: all but us most likely know it, so it is told to nobody as news either. One
-/// that returns would else tell all that it was told to all the others.
-pub const COMPARED: u32 = u32::MAX;
+/// Facts that may be sent to one peer without an acknowledgement.
+const MAX_FACTS_IN_FLIGHT: u64 = 4096;
+const MAX_FACTS_PER_MESSAGE: usize = 256;
+/// Changes that are scanned for one message.
+const MAX_CHANGES_SCANNED: usize = 4096;
+/// Source of facts that arrived in a comparison and not as deltas. Almost every other router has them already, so
+/// they are not sent on as deltas. Otherwise a restarted router would send everything that it received to all the
+/// others.
+pub const FROM_COMPARISON: u32 = u32::MAX;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deltas {
-    acked: u64,
+    acknowledged: u64,
     sent: u64,
-    facts_out: u64,
+    facts_in_flight: u64,
 }
 
 impl Deltas {
-    /// For a peer that holds all up to this number, or is to hear of that by a comparison.
-    pub fn from(version: u64) -> Deltas {
-        Deltas { acked: version, sent: version, facts_out: 0 }
+    /// For a peer that holds everything up to this version, or that gets it by a comparison.
+    pub fn starting_at(version: u64) -> Deltas {
+        Deltas { acknowledged: version, sent: version, facts_in_flight: 0 }
     }
 
-    /// The connection ended: what was not acknowledged is sent again.
-    pub fn again(&mut self) {
-        (self.sent, self.facts_out) = (self.acked, 0);
+    /// After a disconnect: whatever was not acknowledged is sent again.
+    pub fn rewind(&mut self) {
+        (self.sent, self.facts_in_flight) = (self.acknowledged, 0);
     }
 
-    pub fn acked(&mut self, upto: u64) {
-        // One that acknowledges what was never sent is no honest one, and gains nothing.
-        if upto <= self.sent && upto > self.acked {
-            self.acked = upto;
-            if self.acked == self.sent {
-                self.facts_out = 0;
+    pub fn acknowledge(&mut self, up_to: u64) {
+        // An acknowledgement of something that was never sent is invalid and has no effect.
+        if up_to <= self.sent && up_to > self.acknowledged {
+            self.acknowledged = up_to;
+            if self.acknowledged == self.sent {
+                self.facts_in_flight = 0;
             }
         }
     }
 
-    pub fn behind(&self, replica: &Replica) -> bool {
+    pub fn has_unsent(&self, replica: &Replica) -> bool {
         self.sent < replica.version()
     }
 
-    /// What goes out next; `None` where nothing is to, or too much is on its way. What this peer told itself is left out.
-    pub fn take(&mut self, replica: &Replica, peer: u32) -> Option<Message> {
-        if self.facts_out >= UNDER_WAY || !self.behind(replica) {
+    /// The next message to send; `None` if there is nothing to send or too much is unacknowledged. Facts that came
+    /// from this peer are left out.
+    pub fn next_message(&mut self, replica: &Replica, peer: u32) -> Option<Message> {
+        if self.facts_in_flight >= MAX_FACTS_IN_FLIGHT || !self.has_unsent(replica) {
             return None;
         }
-        let (mut upto, mut passed) = (self.sent, 0);
+        let (mut up_to, mut scanned) = (self.sent, 0);
         let mut facts: Vec<(Key, Fact)> = Vec::new();
-        for (version, by, key, fact) in replica.changes(self.sent) {
-            if facts.len() == AT_ONCE || passed == LOOKED_AT {
+        for (version, source, key, fact) in replica.changes(self.sent) {
+            if facts.len() == MAX_FACTS_PER_MESSAGE || scanned == MAX_CHANGES_SCANNED {
                 break;
             }
-            (upto, passed) = (version, passed + 1);
-            if by != COMPARED && (by == 0 || by != peer) {
+            (up_to, scanned) = (version, scanned + 1);
+            if source != FROM_COMPARISON && (source == 0 || source != peer) {
                 facts.push((key.clone(), fact.clone()));
             }
         }
-        if passed == 0 {
-            // All that changed has been forgotten since.
-            upto = replica.version();
+        if scanned == 0 {
+            // Everything that changed has expired since.
+            up_to = replica.version();
         }
-        let nothing_out = self.acked == self.sent;
-        self.sent = upto;
+        let all_acknowledged = self.acknowledged == self.sent;
+        self.sent = up_to;
         if facts.is_empty() {
-            if nothing_out {
-                self.acked = upto;
+            if all_acknowledged {
+                self.acknowledged = up_to;
             }
             return None;
         }
-        self.facts_out += facts.len() as u64;
-        Some(Message::Deltas { upto, facts })
+        self.facts_in_flight += facts.len() as u64;
+        Some(Message::Deltas { up_to, facts })
     }
 }
--- a/crates/sandstile-replicated-state/src/differ.rs
+++ b/crates/sandstile-replicated-state/src/differ.rs
@@ -1,49 +1,53 @@
-//! Copies that differ: which facts, and by which rule each comes to one. The rules stand here alone; joins (`fact.rs`) obey them.
-use crate::fact::{Fact, Joined, Key, Kind, Value};
+//! Compares two copies: which facts differ, and by which rule each pair of values merges. The rules are listed here
+//! for reference; the joins in `fact.rs` implement them.
+use crate::fact::{Fact, JoinOutcome, Key, Kind, Value};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What is done with two copies of one fact that differ.
+/// How two differing values of one fact merge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
-    /// Both count: the join of the two.
-    Both,
-    /// The higher counts.
-    Higher,
-    /// The later word of its one writer counts, by life and number, never by a clock.
-    Later,
+pub enum MergeRule {
+    /// Both values count: their union.
+    Union,
+    /// The higher value wins.
+    Highest,
+    /// The latest report of the only writer wins, by generation and version, never by a clock.
+    Latest,
 }
 
-pub fn rule(kind: Kind) -> Rule {
+pub fn merge_rule(kind: Kind) -> MergeRule {
     match kind {
-        Kind::Mark => Rule::Both,
-        Kind::LogPosition | Kind::Generation => Rule::Higher,
-        Kind::Leader | Kind::Refusal | Kind::Draining | Kind::Cold | Kind::Storm | Kind::Probe => Rule::Later,
+        Kind::Mark => MergeRule::Union,
+        Kind::LogPosition | Kind::Generation => MergeRule::Highest,
+        Kind::Leader | Kind::Refusal | Kind::Draining | Kind::Cold | Kind::Storm | Kind::Probe => {
+            MergeRule::Latest
+        }
     }
 }
 
-/// How a fact differs.
+/// How one fact differs between two copies.
 #[derive(Clone, Debug, PartialEq)]
-pub enum How {
-    /// Only the first has it, or only the second.
-    First(Value),
-    Second(Value),
-    /// Both have it, and they come to this.
-    Joins(Value, Value, Value),
-    /// Two contents under one life and number: no honest writer says both. The more careful stands.
-    Contradicts(Value, Value, Value),
+pub enum Discrepancy {
+    /// Present in one copy only.
+    OnlyInFirst(Value),
+    OnlyInSecond(Value),
+    /// Present in both; the third value is the merged one.
+    Merged(Value, Value, Value),
+    /// Two different contents with the same generation and version, which a correct writer never produces. The third
+    /// value, the more severe of the two, is kept.
+    Contradiction(Value, Value, Value),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     pub key: Key,
-    pub how: How,
+    pub discrepancy: Discrepancy,
 }
 
-/// The facts of a copy, each once: a file has one for each time that it changed.
-pub fn merge_by_key(all: &[(Key, Fact)]) -> BTreeMap<Key, Value> {
+/// The merged value of each key: a file holds a fact once for every time that it changed.
+pub fn merge_by_key(facts: &[(Key, Fact)]) -> BTreeMap<Key, Value> {
     let mut by_key: BTreeMap<Key, Value> = BTreeMap::new();
-    for (key, fact) in all {
+    for (key, fact) in facts {
         match by_key.get_mut(key) {
             Some(value) => drop(value.join(&fact.value)),
             None => drop(by_key.insert(key.clone(), fact.value.clone())),
@@ -52,27 +56,29 @@
     by_key
 }
 
-/// The facts in which two copies differ, in the order of their keys. Ages are no difference.
-pub fn compare(one: &[(Key, Fact)], other: &[(Key, Fact)]) -> Vec<Difference> {
-    let (one, mut other) = (merge_by_key(one), merge_by_key(other));
-    let mut out = Vec::new();
-    for (key, a) in one {
-        let how = match other.remove(&key) {
-            None => How::First(a),
+/// The facts in which two copies differ, sorted by key. Ages are ignored.
+pub fn compare(first: &[(Key, Fact)], second: &[(Key, Fact)]) -> Vec<Difference> {
+    let (first, mut second) = (merge_by_key(first), merge_by_key(second));
+    let mut differences = Vec::new();
+    for (key, a) in first {
+        let discrepancy = match second.remove(&key) {
+            None => Discrepancy::OnlyInFirst(a),
             Some(b) if a == b => continue,
             Some(b) => {
                 let mut joined = a.clone();
                 match joined.join(&b) {
-                    Joined::Conflict => How::Contradicts(a, b, joined),
-                    Joined::Same | Joined::More => How::Joins(a, b, joined),
+                    JoinOutcome::Conflict => Discrepancy::Contradiction(a, b, joined),
+                    JoinOutcome::Unchanged | JoinOutcome::Changed => Discrepancy::Merged(a, b, joined),
                 }
             }
         };
-        out.push(Difference { key, how });
+        differences.push(Difference { key, discrepancy });
     }
-    out.extend(other.into_iter().map(|(key, b)| Difference { key, how: How::Second(b) }));
-    out.sort_by(|a, b| a.key.cmp(&b.key));
-    out
+    differences.extend(
+        second.into_iter().map(|(key, b)| Difference { key, discrepancy: Discrepancy::OnlyInSecond(b) }),
+    );
+    differences.sort_by(|a, b| a.key.cmp(&b.key));
+    differences
 }
 
 impl fmt::Display for Value {
@@ -80,16 +86,16 @@
         match self {
             Value::Seen(seen) if seen.marks().next().is_none() => write!(f, "lost to {:.3}", seen.latest()),
             Value::Seen(seen) => {
-                let all: Vec<String> =
+                let facts: Vec<String> =
                     seen.marks().map(|m| format!("{:016x}@{:.3}", m.term.0, m.position)).collect();
-                write!(f, "{}", all.join(" "))
+                write!(f, "{}", facts.join(" "))
             }
-            Value::Max(most) => write!(f, "{most}"),
-            Value::Report(said) => {
+            Value::Max(highest) => write!(f, "{highest}"),
+            Value::Report(report) => {
                 write!(
                     f,
                     "life {} number {} careful {} \"{}\"",
-                    said.generation, said.version, said.severity, said.body
+                    report.generation, report.version, report.severity, report.body
                 )
             }
         }
@@ -98,14 +104,15 @@
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let by = if self.key.owner.is_empty() { String::new() } else { format!(" by {}", self.key.owner) };
-        write!(f, "{} {}{by}: ", self.key.kind.name(), self.key.subject)?;
-        match &self.how {
-            How::First(value) => write!(f, "only the first has it: {value}"),
-            How::Second(value) => write!(f, "only the second has it: {value}"),
-            How::Joins(a, b, joined) => write!(f, "{a} | {b}, comes to {joined}"),
-            How::Contradicts(a, b, stands) => {
-                write!(f, "CONTRADICTS: {a} | {b}, both under one life and number; {stands} stands, as the more careful")
+        let owner_suffix =
+            if self.key.owner.is_empty() { String::new() } else { format!(" by {}", self.key.owner) };
+        write!(f, "{} {}{owner_suffix}: ", self.key.kind.name(), self.key.subject)?;
+        match &self.discrepancy {
+            Discrepancy::OnlyInFirst(value) => write!(f, "only the first has it: {value}"),
+            Discrepancy::OnlyInSecond(value) => write!(f, "only the second has it: {value}"),
+            Discrepancy::Merged(a, b, joined) => write!(f, "{a} | {b}, merged: {joined}"),
+            Discrepancy::Contradiction(a, b, kept) => {
+                write!(f, "CONTRADICTS: {a} | {b}, both with the same life and number; {kept} is kept because it is more careful")
             }
         }
     }
--- a/crates/sandstile-replicated-state/src/fact.rs
+++ b/crates/sandstile-replicated-state/src/fact.rs
@@ -1,28 +1,30 @@
-//! What is kept: a fact has a key and a value, and two values of one key join. Joins are commutative, associative and idempotent, and
-//! never yield less than either: copies that have heard the same hold the same, in whatever order they heard it.
+//! Facts, the unit of replicated state. A fact has a key and a value, and two values of one key join. Joins are
+//! commutative, associative and idempotent and never lose information, so copies that have received the same facts in
+//! any order are equal.
 use sandstile_sessions::mark::Seen;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// What a session has seen in a group. Merged by all.
+    /// What a session has seen in a group. Every router may write it; values merge.
     Mark,
-    /// How far a group's log reached under a term, by the answers of its primary. Merged by all.
+    /// The log position that a group reached in a term, as its primary reported it. Every router may write it; values
+    /// merge.
     LogPosition,
-    /// The highest life of an instance that anybody met. Merged by all.
+    /// The highest generation of an instance that any router has met. Every router may write it; values merge.
     Generation,
-    /// A host's words of itself as one router heard them: who leads. One writer.
+    /// A host's own claim to be primary, as one router received it. Single writer.
     Leader,
-    /// A host refuses, drains, is cold, as one router saw it. One writer.
+    /// A host refuses connections, drains or is cold, as one router saw it. Single writer.
     Refusal,
     Draining,
     Cold,
-    /// A storm is under way, as one router sees it. One writer.
+    /// A retry storm is in progress, as one router sees it. Single writer.
     Storm,
-    /// What a router's own probe of a host told. One writer.
+    /// The result of a router's own probe of a host. Single writer.
     Probe,
 }
 
-pub const KINDS: [Kind; 9] = [
+pub const ALL_KINDS: [Kind; 9] = [
     Kind::Mark,
     Kind::LogPosition,
     Kind::Generation,
@@ -35,8 +37,8 @@
 ];
 
 impl Kind {
-    pub fn from_code(version: u8) -> Option<Kind> {
-        KINDS.get(usize::from(version)).copied()
+    pub fn from_code(code: u8) -> Option<Kind> {
+        ALL_KINDS.get(usize::from(code)).copied()
     }
 
     pub fn name(self) -> &'static str {
@@ -53,16 +55,17 @@
         }
     }
 
-    /// Whether one router alone writes each fact of it.
+    /// Whether each fact of this kind has a single writer.
     pub fn has_single_writer(self) -> bool {
         !matches!(self, Kind::Mark | Kind::LogPosition | Kind::Generation)
     }
 
-    /// Seconds for which a fact of it says anything. Marks and floors age by their own positions.
-    pub fn lasts(self) -> f64 {
+    /// Seconds after which a fact of this kind expires. Marks and log positions expire by their own positions
+    /// instead.
+    pub fn lifetime(self) -> f64 {
         match self {
             Kind::Mark | Kind::LogPosition => f64::INFINITY,
-            // Longer than any router is away with a copy that may be put back.
+            // Longer than any router stays down and may then be started with a restored copy.
             Kind::Generation => 30.0 * 86_400.0,
             Kind::Leader | Kind::Draining => 60.0,
             Kind::Refusal | Kind::Cold | Kind::Storm => 15.0,
@@ -70,8 +73,8 @@
         }
     }
 
-    /// Facts of it that are kept at the most.
-    pub fn most(self) -> usize {
+    /// Maximum number of facts of this kind.
+    pub fn max_facts(self) -> usize {
         match self {
             Kind::Mark => 1 << 16,
             Kind::LogPosition => 4096,
@@ -82,10 +85,10 @@
     }
 }
 
-/// Names are bounded by whoever reads them; a session's is a hash already.
-pub const LONGEST_NAME: usize = 64;
+/// Readers reject longer names. A session's name is a hash and always fits.
+pub const MAX_NAME_LENGTH: usize = 64;
 
-/// Kind, subject and, where one router alone writes it, its owner.
+/// Kind, subject and, for single-writer kinds, the owner.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     pub kind: Kind,
@@ -94,7 +97,7 @@
 }
 
 impl Key {
-    /// Of a fact that all merge.
+    /// Key of a fact that every router may write.
     pub fn shared(kind: Kind, subject: &str) -> Key {
         Key { kind, subject: subject.into(), owner: "".into() }
     }
@@ -103,36 +106,37 @@
         Key { kind, subject: subject.into(), owner: owner.into() }
     }
 
-    /// Whether its owner is named just where its kind has one, and names are no longer than they may be.
+    /// Whether an owner is given exactly for single-writer kinds, and all names are within the length limit.
     pub fn is_valid(&self) -> bool {
-        let fits = |name: &str| name.len() <= LONGEST_NAME;
+        let fits = |name: &str| name.len() <= MAX_NAME_LENGTH;
         self.owner.is_empty() != self.kind.has_single_writer()
             && !self.subject.is_empty()
             && fits(&self.subject)
             && fits(&self.owner)
     }
 
-    /// The same on every machine; spreads keys evenly.
+    /// The same on every machine; distributes keys evenly.
     pub fn hash(&self) -> u64 {
         let mut hash = blake3::Hasher::new();
         hash.update(&[self.kind as u8, self.subject.len() as u8]);
         hash.update(self.subject.as_bytes());
         hash.update(self.owner.as_bytes());
-        eight(&hash)
+        first_u64(&hash)
     }
 }
 
-pub(crate) fn eight(hash: &blake3::Hasher) -> u64 {
+pub(crate) fn first_u64(hash: &blake3::Hasher) -> u64 {
     let bytes = hash.finalize();
     u64::from_be_bytes(std::array::from_fn(|n| bytes.as_bytes()[n]))
 }
 
-/// What one router says of something, under its life and a number that it raises with each word.
+/// One router's report on a subject, with its generation and a version that it increments with each report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Report {
     pub generation: u64,
     pub version: u64,
-    /// How careful it makes whoever hears it: 0 that all is well. Of two words under one number the more careful counts.
+    /// 0 means that all is well; higher values make the receiver more careful. Of two reports with the same version
+    /// the more severe wins.
     pub severity: u8,
     pub body: Box<str>,
 }
@@ -140,62 +144,65 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     Seen(Seen),
-    /// The highest counts: positions, lives.
+    /// The highest value wins: log positions, generations.
     Max(f64),
-    /// The latest word of its one writer.
+    /// The latest report of the only writer.
     Report(Report),
 }
 
-/// What a join came to.
+/// Result of a join.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Joined {
-    /// Nothing new.
-    Same,
-    More,
-    /// Two contents under one life and number: no honest writer says both. The more careful stands.
+pub enum JoinOutcome {
+    /// The other value added nothing.
+    Unchanged,
+    Changed,
+    /// Two different contents with the same generation and version, which a correct writer never produces. The more
+    /// severe is kept.
     Conflict,
 }
 
 impl Value {
-    /// Whether a value can be one of this kind.
+    /// Whether the value has the right type and range for this kind.
     pub fn fits(&self, kind: Kind) -> bool {
         match (self, kind) {
             (Value::Seen(_), Kind::Mark) => true,
-            (Value::Max(most), Kind::LogPosition | Kind::Generation) => most.is_finite() && *most >= 0.0,
-            (Value::Report(said), kind) => kind.has_single_writer() && said.body.len() <= LONGEST_NAME,
+            (Value::Max(highest), Kind::LogPosition | Kind::Generation) => {
+                highest.is_finite() && *highest >= 0.0
+            }
+            (Value::Report(report), kind) => kind.has_single_writer() && report.body.len() <= MAX_NAME_LENGTH,
             _ => false,
         }
     }
 
-    /// Takes the other in. Values of two sorts do not join; whoever reads them has refused that before.
-    pub fn join(&mut self, other: &Value) -> Joined {
+    /// Merges the other value into this one. Values of different types do not join; readers reject them earlier.
+    pub fn join(&mut self, other: &Value) -> JoinOutcome {
         match (&mut *self, other) {
             (Value::Seen(mine), Value::Seen(theirs)) => {
                 let before = mine.clone();
                 mine.merge(theirs);
                 if *mine == before {
-                    Joined::Same
+                    JoinOutcome::Unchanged
                 } else {
-                    Joined::More
+                    JoinOutcome::Changed
                 }
             }
             (Value::Max(mine), Value::Max(theirs)) if theirs > mine => {
                 *mine = *theirs;
-                Joined::More
+                JoinOutcome::Changed
             }
             (Value::Report(mine), Value::Report(theirs)) if theirs != mine => {
-                let twice = (theirs.generation, theirs.version) == (mine.generation, mine.version);
-                let more = theirs > mine;
-                if more {
+                let same_version = (theirs.generation, theirs.version) == (mine.generation, mine.version);
+                let newer = theirs > mine;
+                if newer {
                     *mine = theirs.clone();
                 }
-                match (twice, more) {
-                    (true, _) => Joined::Conflict,
-                    (false, true) => Joined::More,
-                    (false, false) => Joined::Same,
+                match (same_version, newer) {
+                    (true, _) => JoinOutcome::Conflict,
+                    (false, true) => JoinOutcome::Changed,
+                    (false, false) => JoinOutcome::Unchanged,
                 }
             }
-            _ => Joined::Same,
+            _ => JoinOutcome::Unchanged,
         }
     }
 
@@ -212,49 +219,50 @@
                 hash.update(&[1]);
                 hash.update(&latest.to_bits().to_be_bytes());
             }
-            Value::Max(most) => {
+            Value::Max(highest) => {
                 hash.update(&[2]);
-                hash.update(&most.to_bits().to_be_bytes());
+                hash.update(&highest.to_bits().to_be_bytes());
             }
-            Value::Report(said) => {
-                hash.update(&[3, said.severity]);
-                hash.update(&said.generation.to_be_bytes());
-                hash.update(&said.version.to_be_bytes());
-                hash.update(said.body.as_bytes());
+            Value::Report(report) => {
+                hash.update(&[3, report.severity]);
+                hash.update(&report.generation.to_be_bytes());
+                hash.update(&report.version.to_be_bytes());
+                hash.update(report.body.as_bytes());
             }
         }
     }
 }
 
-/// A value with its age. The age travels with it as seconds since it came up, so that no clock but the caller's is read and all
-/// copies forget it at the same time, but for the time that it was on its way.
+/// A value with its age. The age is sent as the number of seconds since creation, so only the caller's clock is read
+/// and all copies expire the fact at the same time, apart from transmission delay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fact {
     pub value: Value,
-    /// When it came up, on the caller's clock.
+    /// Creation time on the caller's clock.
     pub created_at: f64,
 }
 
 impl Fact {
-    /// Of a key and value in one number, ages left out: copies that hold the same have the same.
+    /// Hash of key and value without the age: equal facts have equal hashes on all copies.
     pub fn hash(&self, key: &Key) -> u64 {
         let mut hash = blake3::Hasher::new();
         hash.update(&key.hash().to_be_bytes());
         self.value.digest(&mut hash);
-        eight(&hash)
+        first_u64(&hash)
     }
 
-    /// Whether it says nothing any more. `horizon` is how far replicas may lag: marks and floors of longer ago bind nobody.
-    pub fn over(&self, kind: Kind, now: f64, horizon: f64) -> bool {
+    /// Whether the fact has expired. `horizon` is the maximum replica lag in seconds: older marks and log positions
+    /// constrain no read.
+    pub fn is_expired(&self, kind: Kind, now: f64, horizon: f64) -> bool {
         match &self.value {
             Value::Seen(seen) => seen.latest() + horizon < now,
             Value::Max(position) if kind == Kind::LogPosition => position + horizon < now,
-            _ => self.created_at + kind.lasts() < now,
+            _ => self.created_at + kind.lifetime() < now,
         }
     }
 
-    /// Joins another of the same key. The same value said again is as old as it was first.
-    pub fn join(&mut self, other: &Fact) -> Joined {
+    /// Joins another fact of the same key. A repeated value keeps its earliest creation time.
+    pub fn join(&mut self, other: &Fact) -> JoinOutcome {
         let before = self.value.clone();
         let joined = self.value.join(&other.value);
         if self.value != before {
--- a/crates/sandstile-replicated-state/src/lib.rs
+++ b/crates/sandstile-replicated-state/src/lib.rs
@@ -1,6 +1,7 @@
-//! State that matters, kept by all routers: facts that merge whatever order they come in, what differs between two copies found
-//! without sending all, deltas that a slow peer can't lose, and what a router that returns may believe when. Pure: no socket, no
-//! disk, no clock; times are seconds of the caller's, and nothing is ordered by a clock of another.
+//! State that all routers replicate: mergeable facts that can arrive in any order, a comparison that finds the
+//! differences between two copies without sending everything, deltas that a slow peer cannot lose, and rules for what
+//! a restarted router may trust. Pure logic: no sockets, no disk, no clock. Times are seconds on the caller's clock,
+//! and nothing is ordered by another machine's clock.
 pub mod catchup;
 pub mod deltas;
 pub mod differ;
@@ -14,6 +15,6 @@
 pub use catchup::{CatchUp, SyncState};
 pub use deltas::Deltas;
 pub use fact::{Fact, Key, Kind, Value};
-pub use state::{Came, Replica, Snapshot};
-pub use sync_protocol::{Message, Talk};
-pub use tree::Tree;
+pub use state::{LearnOutcome, Replica, Snapshot};
+pub use sync_protocol::{Message, PeerSync};
+pub use tree::HashTree;
--- a/crates/sandstile-replicated-state/src/state.rs
+++ b/crates/sandstile-replicated-state/src/state.rs
@@ -1,27 +1,27 @@
-//! One copy of all facts.
-use crate::fact::{Fact, Joined, Key, Kind, Value, KINDS};
-use crate::tree::{range, Tree};
+//! One router's copy of all facts.
+use crate::fact::{Fact, JoinOutcome, Key, Kind, Value, ALL_KINDS};
+use crate::tree::{key_range, HashTree};
 use imbl::{OrdMap, OrdSet};
 use std::collections::BTreeMap;
 
-/// What became of a fact that came in.
+/// What happened to an incoming fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum LearnOutcome {
     New,
-    /// It was known, or more was.
+    /// The fact, or a newer value, was already known.
     Known,
-    /// It contradicts what its own writer said: kept as evidence, the more careful stands.
+    /// It contradicts an earlier report of its own writer. Recorded as evidence; the more severe report is kept.
     Conflict,
-    /// Of no use: over already, of a sort that its kind does not have, or from the future.
+    /// Rejected: expired, of the wrong type for its kind, or from the future.
     Refused,
 }
 
 /// A difference that no merge explains.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Evidence {
+pub struct ConflictEvidence {
     pub key: Key,
-    pub held: Value,
-    pub came: Value,
+    pub existing: Value,
+    pub received: Value,
     pub at: f64,
 }
 
@@ -29,59 +29,62 @@
 pub struct Counts {
     pub conflicts: u64,
     pub refused: u64,
-    /// Facts that were given up for want of room.
+    /// Facts that were removed because their kind was over its limit.
     pub evicted: u64,
     pub expired: u64,
 }
 
-/// Seconds before its end for which a fact stands in no comparison as of a time: copies let go of it at times that differ.
-const NEARLY_OVER: f64 = 5.0;
-/// Seconds for which what stood before a change is kept, at the least.
-const FORMERS: f64 = 3.0;
-/// Evidence that is kept at the most.
-const MOST_EVIDENCE: usize = 64;
-/// Seconds by which a position may be ahead of our clock; hosts' clocks and ours are no better than that.
-const AHEAD: f64 = 3600.0;
-/// A life counts microseconds; one that is ahead by more than a day was drawn by no clock.
-const LIFE_AHEAD: f64 = 86_400.0 * 1e6;
+/// Facts this close to expiry are left out of digests as of a time, because copies expire them at slightly different
+/// times.
+const EXPIRY_MARGIN_SECONDS: f64 = 5.0;
+/// Minimum number of seconds for which replaced values are kept.
+const HISTORY_SECONDS: f64 = 3.0;
+/// Maximum number of recorded conflicts.
+const MAX_EVIDENCE: usize = 64;
+/// Seconds by which a position may be ahead of the local clock; the clocks of hosts and routers are not trusted to
+/// agree more closely.
+const MAX_POSITION_LEAD_SECONDS: f64 = 3600.0;
+/// Generations are start times in microseconds. One that is more than a day ahead did not come from a clock.
+const MAX_GENERATION_LEAD_MICROS: f64 = 86_400.0 * 1e6;
 
 #[derive(Clone)]
 pub struct Replica {
     facts: OrdMap<Key, Fact>,
-    /// Keys by their hashes, for what is compared.
+    /// Keys by hash, for comparisons.
     by_hash: OrdMap<u64, Key>,
-    tree: Tree,
-    /// Keys in the order of their last change, with who told of it: 0 for this router itself.
-    log: OrdMap<u64, (Key, u32)>,
-    changed: OrdMap<Key, u64>,
+    tree: HashTree,
+    /// Keys in the order of their last change, each with its source: 0 for this router itself.
+    change_log: OrdMap<u64, (Key, u32)>,
+    last_change: OrdMap<Key, u64>,
     version: u64,
-    /// By kind, what goes first: what is least careful, then what is oldest.
-    order: BTreeMap<Kind, OrdSet<(u8, u64, Key)>>,
-    /// Marks of at most this position were given up: whoever is not found may have been among them.
-    pub lost_to: f64,
+    /// Eviction order by kind: the least severe first, then the oldest.
+    eviction_order: BTreeMap<Kind, OrdSet<(u8, u64, Key)>>,
+    /// Marks up to this position may have been evicted, so a session that is missing may have been among them.
+    pub evicted_up_to: f64,
     horizon: f64,
-    /// What stood before the changes of the last seconds, in two turns: what a copy was a moment ago is compared, not what it is.
-    formers: [OrdMap<(Key, u64), Fact>; 2],
-    turned: f64,
-    evidence: Vec<Evidence>,
+    /// Values that were replaced in the last seconds, in two batches of [`HISTORY_SECONDS`] each. They allow
+    /// comparing copies as of a moment ago.
+    history: [OrdMap<(Key, u64), Fact>; 2],
+    history_rotated_at: f64,
+    evidence: Vec<ConflictEvidence>,
     counts: Counts,
 }
 
 impl Replica {
-    /// `horizon` in seconds: how far replicas may lag.
+    /// `horizon` is the maximum replica lag in seconds.
     pub fn new(horizon: f64) -> Replica {
         Replica {
             facts: OrdMap::new(),
             by_hash: OrdMap::new(),
-            tree: Tree::default(),
-            log: OrdMap::new(),
-            changed: OrdMap::new(),
+            tree: HashTree::default(),
+            change_log: OrdMap::new(),
+            last_change: OrdMap::new(),
             version: 0,
-            order: KINDS.iter().map(|kind| (*kind, OrdSet::new())).collect(),
-            lost_to: 0.0,
+            eviction_order: ALL_KINDS.iter().map(|kind| (*kind, OrdSet::new())).collect(),
+            evicted_up_to: 0.0,
             horizon,
-            formers: [OrdMap::new(), OrdMap::new()],
-            turned: f64::NEG_INFINITY,
+            history: [OrdMap::new(), OrdMap::new()],
+            history_rotated_at: f64::NEG_INFINITY,
             evidence: Vec::new(),
             counts: Counts::default(),
         }
@@ -103,7 +106,7 @@
         self.facts.iter()
     }
 
-    pub fn tree(&self) -> &Tree {
+    pub fn tree(&self) -> &HashTree {
         &self.tree
     }
 
@@ -111,62 +114,62 @@
         self.counts
     }
 
-    pub fn evidence(&self) -> &[Evidence] {
+    pub fn evidence(&self) -> &[ConflictEvidence] {
         &self.evidence
     }
 
-    /// Equal copies have equal ones.
+    /// Equal copies have equal digests.
     pub fn digest(&self) -> u64 {
         self.tree.root()
     }
 
-    /// The number of its last change.
+    /// The version of the last change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    fn rank(fact: &Fact) -> (u8, u64) {
-        let age = match &fact.value {
+    fn eviction_rank(fact: &Fact) -> (u8, u64) {
+        let timestamp = match &fact.value {
             Value::Seen(seen) => seen.latest(),
-            Value::Max(most) => *most,
+            Value::Max(highest) => *highest,
             Value::Report(_) => fact.created_at,
         };
         let severity = match &fact.value {
-            Value::Report(said) => said.severity,
+            Value::Report(report) => report.severity,
             _ => 0,
         };
-        // Bits of floats above zero sort as the floats do.
-        (severity, age.max(0.0).to_bits())
+        // The bit patterns of non-negative floats sort like the floats.
+        (severity, timestamp.max(0.0).to_bits())
     }
 
-    /// Puts a fact in the place of the one that is there.
-    fn place(&mut self, key: &Key, fact: Option<Fact>, by: u32) {
+    /// Replaces the stored fact, or removes it for `None`.
+    fn replace(&mut self, key: &Key, fact: Option<Fact>, source: u32) {
         let hash = key.hash();
-        let former = self.facts.get(key).cloned();
-        let sum = |f: &Option<Fact>| f.as_ref().map_or(0, |f| f.hash(key));
-        self.tree.change(hash, sum(&former), sum(&fact));
-        if let Some(order) = self.order.get_mut(&key.kind) {
-            if let Some(former) = &former {
-                let (severity, age) = Self::rank(former);
-                order.remove(&(severity, age, key.clone()));
+        let previous = self.facts.get(key).cloned();
+        let hash_of = |f: &Option<Fact>| f.as_ref().map_or(0, |f| f.hash(key));
+        self.tree.update(hash, hash_of(&previous), hash_of(&fact));
+        if let Some(eviction_order) = self.eviction_order.get_mut(&key.kind) {
+            if let Some(previous) = &previous {
+                let (severity, timestamp) = Self::eviction_rank(previous);
+                eviction_order.remove(&(severity, timestamp, key.clone()));
             }
             if let Some(fact) = &fact {
-                let (severity, age) = Self::rank(fact);
-                order.insert((severity, age, key.clone()));
+                let (severity, timestamp) = Self::eviction_rank(fact);
+                eviction_order.insert((severity, timestamp, key.clone()));
             }
         }
-        if let (Some(former), Some(_)) = (&former, &fact) {
-            self.formers[0].insert((key.clone(), self.version), former.clone());
+        if let (Some(previous), Some(_)) = (&previous, &fact) {
+            self.history[0].insert((key.clone(), self.version), previous.clone());
         }
-        let before = self.changed.remove(key);
+        let before = self.last_change.remove(key);
         if let Some(before) = before {
-            self.log.remove(&before);
+            self.change_log.remove(&before);
         }
         match fact {
             Some(fact) => {
                 self.version += 1;
-                self.log.insert(self.version, (key.clone(), by));
-                self.changed.insert(key.clone(), self.version);
+                self.change_log.insert(self.version, (key.clone(), source));
+                self.last_change.insert(key.clone(), self.version);
                 self.by_hash.insert(hash, key.clone());
                 self.facts.insert(key.clone(), fact);
             }
@@ -177,124 +180,132 @@
         }
     }
 
-    fn usable(&self, key: &Key, fact: &Fact, now: f64) -> bool {
-        let ahead = match &fact.value {
-            Value::Seen(seen) => seen.latest().is_finite() && seen.latest() > now + AHEAD,
-            Value::Max(most) if key.kind == Kind::LogPosition => *most > now + AHEAD,
-            Value::Max(generation) => *generation > now * 1e6 + LIFE_AHEAD,
-            Value::Report(said) => said.generation as f64 > now * 1e6 + LIFE_AHEAD,
+    fn is_acceptable(&self, key: &Key, fact: &Fact, now: f64) -> bool {
+        let too_far_ahead = match &fact.value {
+            Value::Seen(seen) => seen.latest().is_finite() && seen.latest() > now + MAX_POSITION_LEAD_SECONDS,
+            Value::Max(highest) if key.kind == Kind::LogPosition => {
+                *highest > now + MAX_POSITION_LEAD_SECONDS
+            }
+            Value::Max(generation) => *generation > now * 1e6 + MAX_GENERATION_LEAD_MICROS,
+            Value::Report(report) => report.generation as f64 > now * 1e6 + MAX_GENERATION_LEAD_MICROS,
         };
         key.is_valid()
             && fact.value.fits(key.kind)
-            && !ahead
+            && !too_far_ahead
             && fact.created_at <= now
-            && !fact.over(key.kind, now, self.horizon)
+            && !fact.is_expired(key.kind, now, self.horizon)
     }
 
-    /// A fact of this router's own.
-    pub fn learn(&mut self, now: f64, key: &Key, fact: &Fact) -> Came {
+    /// Merges a fact that this router observed itself.
+    pub fn learn(&mut self, now: f64, key: &Key, fact: &Fact) -> LearnOutcome {
         self.learn_from(now, key, fact, 0)
     }
 
-    /// A fact, and who told of it, by a number of the caller's: it need not be told of it again.
-    pub fn learn_from(&mut self, now: f64, key: &Key, fact: &Fact, by: u32) -> Came {
-        if !self.usable(key, fact, now) {
+    /// Merges a fact from a source, numbered by the caller. Deltas do not send it back to that source.
+    pub fn learn_from(&mut self, now: f64, key: &Key, fact: &Fact, source: u32) -> LearnOutcome {
+        if !self.is_acceptable(key, fact, now) {
             self.counts.refused += 1;
-            return Came::Refused;
+            return LearnOutcome::Refused;
         }
-        let Some(held) = self.facts.get(key) else {
-            self.place(key, Some(fact.clone()), by);
-            self.make_room(key.kind);
-            return Came::New;
+        let Some(existing) = self.facts.get(key) else {
+            self.replace(key, Some(fact.clone()), source);
+            self.evict_excess(key.kind);
+            return LearnOutcome::New;
         };
-        let (before, mut joined) = (held.clone(), held.clone());
+        let (before, mut joined) = (existing.clone(), existing.clone());
         match joined.join(fact) {
-            Joined::Same => {
+            JoinOutcome::Unchanged => {
                 if joined.created_at < before.created_at {
-                    // As old as it was first, and no news to anybody.
+                    // Only the creation time moved back; this is not a change for other routers.
                     self.facts.insert(key.clone(), joined);
                 }
-                Came::Known
+                LearnOutcome::Known
             }
-            Joined::More => {
-                self.place(key, Some(joined), by);
-                Came::New
+            JoinOutcome::Changed => {
+                self.replace(key, Some(joined), source);
+                LearnOutcome::New
             }
-            Joined::Conflict => {
+            JoinOutcome::Conflict => {
                 self.counts.conflicts += 1;
-                if self.evidence.len() < MOST_EVIDENCE {
-                    let (held, came) = (before.value.clone(), fact.value.clone());
-                    self.evidence.push(Evidence { key: key.clone(), held, came, at: now });
+                if self.evidence.len() < MAX_EVIDENCE {
+                    let (existing, received) = (before.value.clone(), fact.value.clone());
+                    self.evidence.push(ConflictEvidence { key: key.clone(), existing, received, at: now });
                 }
                 if joined != before {
-                    self.place(key, Some(joined), by);
+                    self.replace(key, Some(joined), source);
                 }
-                Came::Conflict
+                LearnOutcome::Conflict
             }
         }
     }
 
-    fn make_room(&mut self, kind: Kind) {
-        while self.order.get(&kind).is_some_and(|order| order.len() > kind.most()) {
-            let Some((_, _, key)) = self.order.get(&kind).and_then(|o| o.get_min().cloned()) else { return };
+    fn evict_excess(&mut self, kind: Kind) {
+        while self
+            .eviction_order
+            .get(&kind)
+            .is_some_and(|eviction_order| eviction_order.len() > kind.max_facts())
+        {
+            let Some((_, _, key)) = self.eviction_order.get(&kind).and_then(|o| o.get_min().cloned()) else {
+                return;
+            };
             if let Some(Value::Seen(seen)) = self.facts.get(&key).map(|f| &f.value) {
-                // Unknown goes to the primary: nobody may be taken for one that has written nothing.
-                self.lost_to = self.lost_to.max(seen.latest());
+                // An evicted session must not look like one that has written nothing: its reads go to the primary.
+                self.evicted_up_to = self.evicted_up_to.max(seen.latest());
             }
             self.counts.evicted += 1;
-            self.place(&key, None, 0);
+            self.replace(&key, None, 0);
         }
     }
 
-    /// Lets go of what says nothing any more.
-    pub fn forget(&mut self, now: f64) -> usize {
-        let over: Vec<Key> = self
+    /// Removes expired facts and returns their number.
+    pub fn expire(&mut self, now: f64) -> usize {
+        let expired_keys: Vec<Key> = self
             .facts
             .iter()
-            .filter(|(k, f)| f.over(k.kind, now, self.horizon))
+            .filter(|(k, f)| f.is_expired(k.kind, now, self.horizon))
             .map(|(k, _)| k.clone())
             .collect();
-        over.iter().for_each(|key| self.place(key, None, 0));
-        if now >= self.turned + FORMERS {
-            self.turned = now;
-            self.formers[1] = std::mem::take(&mut self.formers[0]);
+        expired_keys.iter().for_each(|key| self.replace(key, None, 0));
+        if now >= self.history_rotated_at + HISTORY_SECONDS {
+            self.history_rotated_at = now;
+            self.history[1] = std::mem::take(&mut self.history[0]);
         }
-        self.counts.expired += over.len() as u64;
-        over.len()
+        self.counts.expired += expired_keys.len() as u64;
+        expired_keys.len()
     }
 
-    /// Hashes of the keys below one node, each with that of its fact; so many at the most.
-    pub fn below(&self, level: usize, node: usize, most: usize) -> Vec<(u64, u64)> {
-        let all = self.by_hash.range(range(level, node)).take(most);
+    /// Hashes of the keys below one node, each with the hash of its fact, up to `limit` entries.
+    pub fn entries_below(&self, level: usize, node: usize, limit: usize) -> Vec<(u64, u64)> {
+        let all = self.by_hash.range(key_range(level, node)).take(limit);
         all.filter_map(|(hash, key)| Some((*hash, self.facts.get(key)?.hash(key)))).collect()
     }
 
-    /// Whether no more than so many facts are below one node.
-    pub fn few_below(&self, level: usize, node: usize, few: usize) -> bool {
-        self.by_hash.range(range(level, node)).nth(few).is_none()
+    /// Whether at most `limit` facts are below one node.
+    pub fn has_at_most_below(&self, level: usize, node: usize, limit: usize) -> bool {
+        self.by_hash.range(key_range(level, node)).nth(limit).is_none()
     }
 
-    pub fn by_hash(&self, hash: u64) -> Option<(&Key, &Fact)> {
+    pub fn get_by_hash(&self, hash: u64) -> Option<(&Key, &Fact)> {
         let key = self.by_hash.get(&hash)?;
         Some((key, self.facts.get(key)?))
     }
 
-    /// What has changed behind this number, the earliest first, with the number of each and who told of it.
-    pub fn changes(&self, behind: u64) -> impl Iterator<Item = (u64, u32, &Key, &Fact)> {
-        let from = behind.saturating_add(1);
-        self.log
+    /// The changes after this version, oldest first, each with its version and source.
+    pub fn changes(&self, after_version: u64) -> impl Iterator<Item = (u64, u32, &Key, &Fact)> {
+        let from = after_version.saturating_add(1);
+        self.change_log
             .range(from..)
-            .filter_map(|(version, (key, by))| Some((*version, *by, key, self.facts.get(key)?)))
+            .filter_map(|(version, (key, source))| Some((*version, *source, key, self.facts.get(key)?)))
     }
 
-    /// All facts as they are now, for whoever looks through them elsewhere. Shares them, and leaves out what only comparisons need.
+    /// All facts as of now, for use by another thread. Shares the data and leaves out what only comparisons need.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             facts: self.facts.clone(),
-            log: self.log.clone(),
+            change_log: self.change_log.clone(),
             version: self.version,
             horizon: self.horizon,
-            formers: self.formers.clone(),
+            history: self.history.clone(),
         }
     }
 
@@ -303,14 +314,14 @@
     }
 }
 
-/// What a copy held at one time.
+/// The contents of a copy at one moment.
 #[derive(Clone)]
 pub struct Snapshot {
     facts: OrdMap<Key, Fact>,
-    log: OrdMap<u64, (Key, u32)>,
+    change_log: OrdMap<u64, (Key, u32)>,
     version: u64,
     horizon: f64,
-    formers: [OrdMap<(Key, u64), Fact>; 2],
+    history: [OrdMap<(Key, u64), Fact>; 2],
 }
 
 impl Snapshot {
@@ -318,39 +329,41 @@
         self.facts.iter()
     }
 
-    /// The number of its last change.
+    /// The version of the last change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What had changed behind this number, the earliest first.
-    pub fn changes(&self, behind: u64) -> impl Iterator<Item = (&Key, &Fact)> {
-        self.log
-            .range(behind.saturating_add(1)..)
+    /// The changes after this version, oldest first.
+    pub fn changes(&self, after_version: u64) -> impl Iterator<Item = (&Key, &Fact)> {
+        self.change_log
+            .range(after_version.saturating_add(1)..)
             .filter_map(|(_, (key, _))| Some((key, self.facts.get(key)?)))
     }
 
-    /// The sum of all facts as they stood then, by what they say of their own age, those left out that are about to be forgotten: copies
-    /// that have heard of the same up to then have the same, whatever is on its way just now. For a time of a few seconds ago.
+    /// Sum of the hashes of all facts as of a time a few seconds ago, judged by the facts' own timestamps and without
+    /// facts that are about to expire. Copies that have received the same facts up to then have the same digest,
+    /// whatever is in transit now.
     pub fn digest_as_of(&self, at: f64) -> u64 {
-        let age = |key: &Key, fact: &Fact| match &fact.value {
+        let timestamp = |key: &Key, fact: &Fact| match &fact.value {
             Value::Seen(seen) => (seen.latest(), self.horizon),
-            Value::Max(most) if key.kind == Kind::LogPosition => (*most, self.horizon),
-            _ => (fact.created_at, key.kind.lasts()),
+            Value::Max(highest) if key.kind == Kind::LogPosition => (*highest, self.horizon),
+            _ => (fact.created_at, key.kind.lifetime()),
         };
-        let counts = |key: &Key, fact: &Fact| {
-            let (age, lasts) = age(key, fact);
-            age <= at && age + lasts >= at + NEARLY_OVER
+        let is_included = |key: &Key, fact: &Fact| {
+            let (timestamp, lifetime) = timestamp(key, fact);
+            timestamp <= at && timestamp + lifetime >= at + EXPIRY_MARGIN_SECONDS
         };
-        // Of those that have changed since, what they were then: the last that is old enough.
-        let mut then: BTreeMap<&Key, &Fact> = BTreeMap::new();
-        for ((key, _), fact) in self.formers[1].iter().chain(&self.formers[0]) {
-            if self.facts.get(key).is_some_and(|now| age(key, now).0 > at) && counts(key, fact) {
-                then.insert(key, fact);
+        // Facts that changed since then count with their last value that is old enough.
+        let mut earlier: BTreeMap<&Key, &Fact> = BTreeMap::new();
+        for ((key, _), fact) in self.history[1].iter().chain(&self.history[0]) {
+            if self.facts.get(key).is_some_and(|now| timestamp(key, now).0 > at) && is_included(key, fact) {
+                earlier.insert(key, fact);
             }
         }
-        let former = then.iter().fold(0, |sum: u64, (key, fact)| sum.wrapping_add(fact.hash(key)));
-        let some = self.facts.iter().filter(|(key, fact)| counts(key, fact));
-        some.fold(former, |sum: u64, (key, fact)| sum.wrapping_add(fact.hash(key)))
+        let earlier_sum =
+            earlier.iter().fold(0, |hash_sum: u64, (key, fact)| hash_sum.wrapping_add(fact.hash(key)));
+        let current = self.facts.iter().filter(|(key, fact)| is_included(key, fact));
+        current.fold(earlier_sum, |hash_sum: u64, (key, fact)| hash_sum.wrapping_add(fact.hash(key)))
     }
 }
--- a/crates/sandstile-replicated-state/src/sync_protocol.rs
+++ b/crates/sandstile-replicated-state/src/sync_protocol.rs
@@ -1,81 +1,83 @@
-//! What two copies tell each other. A comparison begins with one number and comes down, sixteen ranges at a time, to the few facts
-//! that differ; either may begin one at any time, and all of it may be lost or said twice: what is left is found by the next.
+//! Anti-entropy protocol between two copies. A comparison starts with one digest and descends through ranges of
+//! sixteen children to the few facts that differ. Either side may start one at any time. Messages may be lost or
+//! repeated: whatever remains different is found by the next comparison.
 use crate::fact::{Fact, Key};
-use crate::state::{Came, Replica};
-use crate::tree::{LEVELS, WIDE};
-use crate::wire::MOST_ENTRIES;
+use crate::state::{LearnOutcome, Replica};
+use crate::tree::{FANOUT, LEVELS};
+use crate::wire::MAX_ENTRIES;
 use std::collections::BTreeSet;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// All that we hold, in one number.
+    /// The sender's digest over all of its facts.
     Root(u64),
-    /// We hold the same.
+    /// The receiver's digest is the same.
     Same(u64),
-    /// The sums of a node's children here.
+    /// The hash sums of a node's children at the sender.
     Node {
         level: u8,
         node: u32,
-        sums: [u64; WIDE],
+        sums: [u64; FANOUT],
     },
-    /// All keys below a node here, with their facts, by their hashes.
+    /// All keys below a node at the sender and their facts, as hashes.
     Leaf {
         level: u8,
         node: u32,
         hashes: Vec<(u64, u64)>,
     },
-    /// Facts of these keys are to be sent.
+    /// Requests the facts of these keys.
     Want(Vec<u64>),
     Facts(Vec<(Key, Fact)>),
-    /// Changes up to this number of the sender's, none left out since those that were acknowledged.
+    /// All of the sender's changes after the acknowledged ones and up to this version.
     Deltas {
-        upto: u64,
+        up_to: u64,
         facts: Vec<(Key, Fact)>,
     },
     Ack(u64),
-    /// Said behind the answers to all that came before it. Messages of one connection keep their order, and a comparison ends after
-    /// so many answers at the most: who began it knows by the last of these that it has all that the other held then.
+    /// Sent after the answers to all earlier messages. A connection keeps the order of messages, and a comparison
+    /// takes a bounded number of exchanges, so the last echo tells the initiator that it has everything that the
+    /// other side held.
     Echo {
         round: u32,
         hop: u8,
     },
 }
 
-/// Facts in one message: some 100 bytes each.
-pub const AT_ONCE: usize = 256;
-/// Facts below a node that are named one by one.
-const FEW: usize = 32;
-/// The hop of the last echo: root, four levels of sums, leaves, wishes, facts.
+/// Facts in one message, about 100 bytes each.
+pub const MAX_FACTS_PER_MESSAGE: usize = 256;
+/// Maximum number of facts below a node that are listed one by one.
+const MAX_LISTED_FACTS: usize = 32;
+/// The hop of the last echo: root, four levels of sums, leaves, requests, facts.
 pub const LAST_HOP: u8 = LEVELS as u8 + 3;
 
-/// One side of a conversation.
+/// One side of the protocol with one peer.
 #[derive(Clone, Debug, Default)]
-pub struct Talk {
-    /// When the other held the same, last; on the caller's clock.
-    pub same_at: Option<f64>,
-    /// Facts that came and were refused, or spoilt.
+pub struct PeerSync {
+    /// When the other side last held the same, on the caller's clock.
+    pub matched_at: Option<f64>,
+    /// Facts that were received and refused.
     pub refused: u64,
-    pub learnt: u64,
+    pub learned: u64,
 }
 
-impl Talk {
-    pub fn begin(replica: &Replica) -> Message {
+impl PeerSync {
+    pub fn opening_message(replica: &Replica) -> Message {
         Message::Root(replica.digest())
     }
 
-    /// Takes a message in; yields what is to be said to it.
-    pub fn hear(&mut self, now: f64, replica: &mut Replica, message: Message) -> Vec<Message> {
+    /// Handles a message and returns the answers to it.
+    pub fn handle(&mut self, now: f64, replica: &mut Replica, message: Message) -> Vec<Message> {
         let mut out = Vec::new();
         match message {
             Message::Root(sum) if sum == replica.digest() => {
-                self.same_at = Some(now);
+                self.matched_at = Some(now);
                 out.push(Message::Same(sum));
             }
-            Message::Root(_) => out.extend(Self::node(replica, 0, 0)),
+            Message::Root(_) => out.extend(Self::node_message(replica, 0, 0)),
             Message::Same(sum) => {
-                // It may have been so when it was said.
+                // This copy may have changed since the peer sent its answer.
                 if sum == replica.digest() {
-                    self.same_at = Some(now);
+                    self.matched_at = Some(now);
                 }
             }
             Message::Node { level, node, sums } => {
@@ -83,59 +85,63 @@
                 let Some(ours) = replica.tree().children(level, node) else { return out };
                 for (n, (mine, theirs)) in ours.iter().zip(&sums).enumerate() {
                     if mine != theirs {
-                        let below = node * WIDE + n;
-                        // Where little is here, to name it costs less than to go on comparing: one that has lost all is told all at once.
-                        match level + 1 < LEVELS && !replica.few_below(level + 1, below, FEW) {
-                            true => out.extend(Self::node(replica, level + 1, below)),
-                            false => out.push(Self::leaf(replica, level + 1, below)),
+                        let child = node * FANOUT + n;
+                        // With few facts below the node, listing them is cheaper than comparing further, and a peer
+                        // that lost everything gets all of them at once.
+                        match level + 1 < LEVELS
+                            && !replica.has_at_most_below(level + 1, child, MAX_LISTED_FACTS)
+                        {
+                            true => out.extend(Self::node_message(replica, level + 1, child)),
+                            false => out.push(Self::leaf_message(replica, level + 1, child)),
                         }
                     }
                 }
             }
             Message::Leaf { level, node, hashes } => {
-                self.compare(replica, usize::from(level), node as usize, &hashes, &mut out);
+                self.compare_leaf(replica, usize::from(level), node as usize, &hashes, &mut out);
             }
             Message::Want(hashes) => {
-                let all: Vec<(Key, Fact)> = hashes
+                let found: Vec<(Key, Fact)> = hashes
                     .iter()
-                    .filter_map(|h| replica.by_hash(*h))
+                    .filter_map(|h| replica.get_by_hash(*h))
                     .map(|(key, fact)| (key.clone(), fact.clone()))
                     .collect();
-                out.extend(all.chunks(AT_ONCE).map(|some| Message::Facts(some.to_vec())));
+                out.extend(found.chunks(MAX_FACTS_PER_MESSAGE).map(|chunk| Message::Facts(chunk.to_vec())));
             }
             Message::Facts(facts) => self.learn(now, replica, &facts),
-            Message::Deltas { upto, facts } => {
+            Message::Deltas { up_to, facts } => {
                 self.learn(now, replica, &facts);
-                out.push(Message::Ack(upto));
+                out.push(Message::Ack(up_to));
             }
             Message::Ack(_) | Message::Echo { .. } => {}
         }
         out
     }
 
-    /// Takes facts in.
+    /// Merges received facts.
     pub fn learn(&mut self, now: f64, replica: &mut Replica, facts: &[(Key, Fact)]) {
         for (key, fact) in facts {
             match replica.learn(now, key, fact) {
-                Came::Refused => self.refused += 1,
-                Came::New | Came::Conflict => self.learnt += 1,
-                Came::Known => {}
+                LearnOutcome::Refused => self.refused += 1,
+                LearnOutcome::New | LearnOutcome::Conflict => self.learned += 1,
+                LearnOutcome::Known => {}
             }
         }
     }
 
-    fn node(replica: &Replica, level: usize, node: usize) -> Option<Message> {
+    fn node_message(replica: &Replica, level: usize, node: usize) -> Option<Message> {
         let sums = replica.tree().children(level, node)?;
         Some(Message::Node { level: level as u8, node: node as u32, sums })
     }
 
-    fn leaf(replica: &Replica, level: usize, node: usize) -> Message {
-        let hashes = replica.below(level, node, MOST_ENTRIES / 2);
+    fn leaf_message(replica: &Replica, level: usize, node: usize) -> Message {
+        let hashes = replica.entries_below(level, node, MAX_ENTRIES / 2);
         Message::Leaf { level: level as u8, node: node as u32, hashes }
     }
 
-    /// What they lack is sent, what we lack is asked for; what both have and differ on goes both ways.
-    fn compare(
+    /// Sends what the other side lacks and requests what this side lacks; facts that differ on both sides go both
+    /// ways.
+    fn compare_leaf(
         &self,
         replica: &Replica,
         level: usize,
@@ -143,17 +149,17 @@
         theirs: &[(u64, u64)],
         out: &mut Vec<Message>,
     ) {
-        let ours: BTreeSet<(u64, u64)> = replica.below(level, node, usize::MAX).into_iter().collect();
+        let ours: BTreeSet<(u64, u64)> = replica.entries_below(level, node, usize::MAX).into_iter().collect();
         let theirs: BTreeSet<(u64, u64)> = theirs.iter().copied().collect();
-        let wanted: Vec<u64> = theirs.difference(&ours).map(|(key, _)| *key).collect();
-        let lacking: Vec<(Key, Fact)> = ours
+        let requested: Vec<u64> = theirs.difference(&ours).map(|(key, _)| *key).collect();
+        let missing_there: Vec<(Key, Fact)> = ours
             .difference(&theirs)
-            .filter_map(|(key, _)| replica.by_hash(*key))
+            .filter_map(|(key, _)| replica.get_by_hash(*key))
             .map(|(key, fact)| (key.clone(), fact.clone()))
             .collect();
-        if !wanted.is_empty() {
-            out.push(Message::Want(wanted));
+        if !requested.is_empty() {
+            out.push(Message::Want(requested));
         }
-        out.extend(lacking.chunks(AT_ONCE).map(|some| Message::Facts(some.to_vec())));
+        out.extend(missing_there.chunks(MAX_FACTS_PER_MESSAGE).map(|chunk| Message::Facts(chunk.to_vec())));
     }
 }
--- a/crates/sandstile-replicated-state/src/tree.rs
+++ b/crates/sandstile-replicated-state/src/tree.rs
@@ -1,44 +1,46 @@
-//! Sums of the hashes of all facts, by ranges of their keys' hashes: two copies compare one number, then sixteen, and come down to
-//! the few facts that differ. A sum is kept as facts come and go, so that a comparison costs nothing in the calm.
+//! Sums of the hashes of all facts by ranges of their keys' hashes: two copies compare one number, then sixteen, and
+//! descend to the few facts that differ. The sums are updated as facts change, so comparing equal copies costs almost
+//! nothing.
 
-/// Children of a node, and levels below the root.
-pub const WIDE: usize = 16;
+/// Children per node, and levels below the root.
+pub const FANOUT: usize = 16;
 pub const LEVELS: usize = 4;
-const LEAVES: usize = WIDE.pow(LEVELS as u32);
+const LEAVES: usize = FANOUT.pow(LEVELS as u32);
 
 #[derive(Clone)]
-pub struct Tree {
-    /// Level by level, the root first.
+pub struct HashTree {
+    /// The sums of each level, root first.
     sums: Vec<Vec<u64>>,
 }
 
-impl Default for Tree {
+impl Default for HashTree {
     fn default() -> Self {
-        Tree { sums: (0..=LEVELS).map(|level| vec![0; WIDE.pow(level as u32)]).collect() }
+        HashTree { sums: (0..=LEVELS).map(|level| vec![0; FANOUT.pow(level as u32)]).collect() }
     }
 }
 
-/// The leaf of a key.
-pub fn leaf(key: u64) -> usize {
+/// The leaf that holds a key.
+pub fn leaf_index(key: u64) -> usize {
     (key >> (64 - 4 * LEVELS)) as usize
 }
 
-/// The keys below a node.
-pub fn range(level: usize, node: usize) -> std::ops::RangeInclusive<u64> {
+/// The range of key hashes below a node.
+pub fn key_range(level: usize, node: usize) -> std::ops::RangeInclusive<u64> {
     let shift = 64 - 4 * level.min(LEVELS) as u32;
-    // The root has all.
-    let from = (node as u64).checked_shl(shift).unwrap_or(0);
-    from..=from | u64::MAX.checked_shr(64 - shift).unwrap_or(0)
+    // The root covers all keys.
+    let first = (node as u64).checked_shl(shift).unwrap_or(0);
+    first..=first | u64::MAX.checked_shr(64 - shift).unwrap_or(0)
 }
 
-impl Tree {
-    /// A fact of this key has another hash now; 0 where there was, or is, none. Sums wrap, so that their order is no matter.
-    pub fn change(&mut self, key: u64, from: u64, to: u64) {
-        let change = to.wrapping_sub(from);
-        let leaf = leaf(key);
+impl HashTree {
+    /// Updates the hash of the fact with this key; 0 means no fact. Sums wrap, so the order of updates does not
+    /// matter.
+    pub fn update(&mut self, key: u64, old_hash: u64, new_hash: u64) {
+        let delta = new_hash.wrapping_sub(old_hash);
+        let leaf = leaf_index(key);
         for (level, sums) in self.sums.iter_mut().enumerate() {
-            let at = leaf >> (4 * (LEVELS - level));
-            sums[at] = sums[at].wrapping_add(change);
+            let index = leaf >> (4 * (LEVELS - level));
+            sums[index] = sums[index].wrapping_add(delta);
         }
     }
 
@@ -46,11 +48,11 @@
         self.sums[0][0]
     }
 
-    /// The sums of a node's children; `None` where there is no such node, or it has none.
-    pub fn children(&self, level: usize, node: usize) -> Option<[u64; WIDE]> {
-        let below = self.sums.get(level + 1)?;
-        let from = node.checked_mul(WIDE)?;
-        below.get(from..from + WIDE).map(|sums| std::array::from_fn(|n| sums[n]))
+    /// The sums of a node's children; `None` if there is no such node or it has no children.
+    pub fn children(&self, level: usize, node: usize) -> Option<[u64; FANOUT]> {
+        let child_sums = self.sums.get(level + 1)?;
+        let first = node.checked_mul(FANOUT)?;
+        child_sums.get(first..first + FANOUT).map(|sums| std::array::from_fn(|n| sums[n]))
     }
 
     pub fn leaves() -> usize {
--- a/crates/sandstile-replicated-state/tests/common/mod.rs
+++ b/crates/sandstile-replicated-state/tests/common/mod.rs
@@ -5,40 +5,40 @@
 
 pub const NOW: f64 = 1_000_000.0;
 
-pub fn below(chance: &mut Rand64, most: u64) -> u64 {
-    chance.rand_range(0..most)
+pub fn random_below(rng: &mut Rand64, limit: u64) -> u64 {
+    rng.rand_range(0..limit)
 }
 
-/// A fact out of few keys and few values, so that they meet.
-pub fn drawn(chance: &mut Rand64) -> (Key, Fact) {
-    let subject = format!("s{}", below(chance, 6));
-    let owner = format!("n{}", below(chance, 3));
-    let created_at = NOW - below(chance, 10) as f64;
-    match below(chance, 5) {
+/// A random fact from few keys and few values, so that keys collide.
+pub fn random_fact(rng: &mut Rand64) -> (Key, Fact) {
+    let subject = format!("s{}", random_below(rng, 6));
+    let owner = format!("n{}", random_below(rng, 3));
+    let created_at = NOW - random_below(rng, 10) as f64;
+    match random_below(rng, 5) {
         0 | 1 => {
             let mut seen = Seen::default();
-            for _ in 0..1 + below(chance, 2) {
-                let position = NOW - 100.0 + below(chance, 100) as f64;
-                seen.merge(&Seen::of(Mark { term: Term(below(chance, 5)), position }));
+            for _ in 0..1 + random_below(rng, 2) {
+                let position = NOW - 100.0 + random_below(rng, 100) as f64;
+                seen.merge(&Seen::of(Mark { term: Term(random_below(rng, 5)), position }));
             }
             (Key::shared(Kind::Mark, &subject), Fact { value: Value::Seen(seen), created_at })
         }
         2 => (
             Key::shared(Kind::LogPosition, &subject),
-            Fact { value: Value::Max(NOW - below(chance, 50) as f64), created_at },
+            Fact { value: Value::Max(NOW - random_below(rng, 50) as f64), created_at },
         ),
         3 => (
             Key::shared(Kind::Generation, &subject),
-            Fact { value: Value::Max(below(chance, 9) as f64), created_at },
+            Fact { value: Value::Max(random_below(rng, 9) as f64), created_at },
         ),
         _ => {
-            let said = Report {
-                generation: below(chance, 3),
-                version: below(chance, 4),
-                severity: below(chance, 2) as u8,
-                body: format!("b{}", below(chance, 2)).into(),
+            let report = Report {
+                generation: random_below(rng, 3),
+                version: random_below(rng, 4),
+                severity: random_below(rng, 2) as u8,
+                body: format!("b{}", random_below(rng, 2)).into(),
             };
-            (Key::owned(Kind::Refusal, &subject, &owner), Fact { value: Value::Report(said), created_at })
+            (Key::owned(Kind::Refusal, &subject, &owner), Fact { value: Value::Report(report), created_at })
         }
     }
 }
--- a/crates/sandstile-replication/src/lib.rs
+++ b/crates/sandstile-replication/src/lib.rs
@@ -1,6 +1,7 @@
-//! One router among those that keep the same: what it tells to whom and when, whom it asks after a start, and what it may believe
-//! until then. Facts, joins and comparisons are `sandstile-replicated-state`; here they meet links that come and go, rates and patience. Pure:
-//! messages go in and out as bytes, times are the caller's.
+//! One router's part in replication: what it sends to which peer and when, which peers it compares with after a
+//! start, and what it may trust until then. Facts, joins and comparisons are in `sandstile-replicated-state`; this
+//! crate adds connections that come and go, rate limits and timeouts. No I/O: messages go in and out as bytes, and
+//! times are on the caller's clock.
 mod near;
 mod replicator;
 pub mod sim;
--- a/crates/sandstile-replication/src/near.rs
+++ b/crates/sandstile-replication/src/near.rs
@@ -1,28 +1,29 @@
-//! Whom a router keeps links with. All of few; of many those at distances of powers of two in the ring of names, to either side: so
-//! each has some 2 log n links, any two are log n steps apart, and the loss of any few parts nobody from the others.
+//! Selects the peers that a router connects to. In a small fleet these are all peers; in a large one, those at
+//! distances of powers of two in the ring of names, in both directions. Each router then has about 2 log n
+//! connections, any two are at most log n hops apart, and losing a few does not split the rest.
 use std::collections::BTreeSet;
 
-/// Up to so many others, each is linked with all.
-const FEW: usize = 8;
+/// With at most this many peers, every router connects to every other.
+const FULL_MESH_MAX_PEERS: usize = 8;
 
-/// Those of `there` that `own` is linked with. Whoever is on the list has `own` on its own, where both see the same.
-pub fn select_neighbours(own: &str, there: &BTreeSet<String>) -> BTreeSet<String> {
-    let mut ring: Vec<&str> = there.iter().map(String::as_str).filter(|n| *n != own).collect();
-    if ring.len() <= FEW {
+/// The members of `live_peers` that `own` connects to. The relation is symmetric if both sides see the same members.
+pub fn select_neighbours(own: &str, live_peers: &BTreeSet<String>) -> BTreeSet<String> {
+    let mut ring: Vec<&str> = live_peers.iter().map(String::as_str).filter(|name| *name != own).collect();
+    if ring.len() <= FULL_MESH_MAX_PEERS {
         return ring.into_iter().map(str::to_string).collect();
     }
-    let at = ring.partition_point(|name| *name < own);
-    ring.insert(at, own);
-    let n = ring.len();
-    let mut out = BTreeSet::new();
-    let mut step = 1;
-    while step < n {
-        for other in [(at + step) % n, (at + n - step) % n] {
-            if other != at {
-                out.insert(ring[other].to_string());
+    let own_index = ring.partition_point(|name| *name < own);
+    ring.insert(own_index, own);
+    let ring_size = ring.len();
+    let mut neighbours = BTreeSet::new();
+    let mut distance = 1;
+    while distance < ring_size {
+        for other in [(own_index + distance) % ring_size, (own_index + ring_size - distance) % ring_size] {
+            if other != own_index {
+                neighbours.insert(ring[other].to_string());
             }
         }
-        step *= 2;
+        distance *= 2;
     }
-    out
+    neighbours
 }
