--- a/crates/sandstile-probe-sharing/src/lib.rs
+++ b/crates/sandstile-probe-sharing/src/lib.rs
@@ -1,7 +1,8 @@
-//! Who of many routers probes which host, and when another does it in its place. Nobody owns a duty: each router has a rank for each host
-//! by rendezvous hashing, and probes once the freshest result that it knows of is older than its rank allows. The first in rank so
-//! probes at the usual pace; if it dies, stands still or is cut off, the second takes over a step later, by what it does not hear and
-//! by nothing else. Overlaps are allowed, gaps are not. Pure: no socket, no clock; times are seconds of the caller's.
+//! Decides which router probes which host, and when another takes over. Each router has a rank for each host by
+//! rendezvous hashing and probes once the latest result that it knows is older than its rank allows. The first in
+//! rank therefore probes at the usual interval. If it dies, stalls or is unreachable, the second takes over one step
+//! later, only because no results arrive. Overlaps are acceptable, gaps are not. No I/O and no clock: times are
+//! seconds on the caller's clock.
 mod ranks;
 mod warnings;
 
@@ -9,96 +10,98 @@
 use std::collections::{BTreeMap, BTreeSet};
 pub use warnings::Warnings;
 
-/// What a probe told.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// Nothing, in its time.
+    /// No answer within the timeout.
     NoAnswer,
-    /// It answers, and is not primary.
+    /// It answers and is not primary.
     NotPrimary,
     Primary,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeSharingSettings {
-    /// Seconds between the probes of the first in rank.
+    /// Seconds between the probes of the first router in rank.
     pub interval: f64,
-    /// Seconds more for each rank behind it.
+    /// Additional seconds for each further rank.
     pub step: f64,
-    /// Seconds after which a router looks itself, whatever others say: whoever lies keeps nobody blind for longer.
-    pub own: f64,
+    /// Seconds after which a router probes itself whatever others report, so false results hide a host for no longer
+    /// than this.
+    pub max_own_interval: f64,
 }
 
 impl Default for ProbeSharingSettings {
     fn default() -> Self {
-        ProbeSharingSettings { interval: 0.2, step: 0.3, own: 1.5 }
+        ProbeSharingSettings { interval: 0.2, step: 0.3, max_own_interval: 1.5 }
     }
 }
 
 impl ProbeSharingSettings {
-    /// No host that everybody wants probed goes unprobed for longer than this and the asker's own pace: the last in rank looks itself.
+    /// Maximum seconds without a probe of a host that all routers want probed, apart from the interval at which the
+    /// caller asks: then even the last in rank probes.
     pub fn longest_gap(&self) -> f64 {
-        self.own
+        self.max_own_interval
     }
 }
 
-/// Seconds for which a rank has to stand before it excuses this router from more than the former one did.
-const STANDS: f64 = 2.0;
-/// Routers and hosts that are reckoned with; those beyond are everybody's own.
-const MOST: usize = 1024;
+/// Seconds after a change during which a worse rank does not take effect.
+const RANK_TRANSITION_SECONDS: f64 = 2.0;
+/// Maximum routers and hosts that are tracked. Every router probes the hosts beyond this itself.
+const MAX_MEMBERS: usize = 1024;
 
-/// A result, by whom and when.
+/// A result and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Result {
+struct TimedResult {
     at: f64,
-    told: ProbeResult,
+    result: ProbeResult,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Host {
-    /// By this router itself.
-    own: Option<Result>,
-    /// The freshest of another's, and the freshest of another's that named it primary.
-    others: Option<Result>,
-    good: Option<f64>,
+    /// From this router's own probes.
+    latest_own: Option<TimedResult>,
+    /// The latest result of another router, and the time of the latest one that reported the host as primary.
+    latest_by_others: Option<TimedResult>,
+    latest_primary_report: Option<f64>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Probes that this router was excused from, and made.
-    pub spared: u64,
+    /// Probes that this router skipped and made.
+    pub skipped: u64,
     pub made: u64,
-    /// Results of a former life, or older than one that its author told before.
-    pub late: u64,
+    /// Results of an earlier generation, or older than one that the same router reported before.
+    pub outdated: u64,
 }
 
 pub struct ProbeSharing {
-    own: String,
+    own_name: String,
     settings: ProbeSharingSettings,
-    there: BTreeSet<String>,
+    reachable_peers: BTreeSet<String>,
     hosts: BTreeMap<String, Host>,
-    /// This router's rank for each host now, and the one before it until when.
+    /// This router's current rank for each host, and the previous ranks with the time until which they count.
     ranks: BTreeMap<String, usize>,
-    before: BTreeMap<String, usize>,
-    before_until: f64,
-    stale: bool,
-    /// The last word of each author on each host: its life and number.
-    heard: BTreeMap<(String, String), (u64, u64)>,
+    previous_ranks: BTreeMap<String, usize>,
+    previous_ranks_until: f64,
+    ranks_outdated: bool,
+    /// The latest report of each router on each host: generation and version.
+    last_seen: BTreeMap<(String, String), (u64, u64)>,
     counts: Counts,
 }
 
 impl ProbeSharing {
-    pub fn new(own: &str, settings: ProbeSharingSettings) -> ProbeSharing {
+    pub fn new(own_name: &str, settings: ProbeSharingSettings) -> ProbeSharing {
         ProbeSharing {
-            own: own.to_string(),
+            own_name: own_name.to_string(),
             settings,
-            there: BTreeSet::new(),
+            reachable_peers: BTreeSet::new(),
             hosts: BTreeMap::new(),
             ranks: BTreeMap::new(),
-            before: BTreeMap::new(),
-            before_until: f64::NEG_INFINITY,
-            stale: false,
-            heard: BTreeMap::new(),
+            previous_ranks: BTreeMap::new(),
+            previous_ranks_until: f64::NEG_INFINITY,
+            ranks_outdated: false,
+            last_seen: BTreeMap::new(),
             counts: Counts::default(),
         }
     }
@@ -107,116 +110,120 @@
         &self.counts
     }
 
-    /// These others can be heard now.
-    pub fn set_reachable_peers(&mut self, now: f64, there: &BTreeSet<String>) {
-        if *there != self.there {
-            self.there = there.iter().filter(|n| **n != self.own).take(MOST).cloned().collect();
-            self.changes(now);
+    /// Sets the peers whose results can arrive now.
+    pub fn set_reachable_peers(&mut self, now: f64, reachable_peers: &BTreeSet<String>) {
+        if *reachable_peers != self.reachable_peers {
+            self.reachable_peers =
+                reachable_peers.iter().filter(|n| **n != self.own_name).take(MAX_MEMBERS).cloned().collect();
+            self.membership_changed(now);
         }
     }
 
-    /// Ranks are to be reckoned anew. The better of the former and the new one holds for a while: whoever another would have taken over
-    /// from may not know of it yet, or be wrong.
-    fn changes(&mut self, now: f64) {
-        if !self.stale {
-            if now >= self.before_until {
-                self.before = std::mem::take(&mut self.ranks);
+    /// Marks the ranks for recalculation. For a while the better of the previous and the new rank counts, because the
+    /// router that now ranks first may not know it yet, or may see other members.
+    fn membership_changed(&mut self, now: f64) {
+        if !self.ranks_outdated {
+            if now >= self.previous_ranks_until {
+                self.previous_ranks = std::mem::take(&mut self.ranks);
             } else {
                 for (host, rank) in std::mem::take(&mut self.ranks) {
-                    let before = self.before.entry(host).or_insert(rank);
-                    *before = (*before).min(rank);
+                    let best = self.previous_ranks.entry(host).or_insert(rank);
+                    *best = (*best).min(rank);
                 }
             }
         }
-        self.before_until = now + STANDS;
-        self.stale = true;
+        self.previous_ranks_until = now + RANK_TRANSITION_SECONDS;
+        self.ranks_outdated = true;
     }
 
     fn rank(&mut self, now: f64, host: &str) -> usize {
-        if self.stale {
-            self.stale = false;
+        if self.ranks_outdated {
+            self.ranks_outdated = false;
             let hosts: Vec<&str> = self.hosts.keys().map(String::as_str).collect();
-            self.ranks = ranks(&self.own, &self.there, &hosts);
+            self.ranks = ranks(&self.own_name, &self.reachable_peers, &hosts);
         }
         let rank = self.ranks.get(host).copied().unwrap_or(0);
-        match now < self.before_until {
-            true => self.before.get(host).map_or(rank, |before| rank.min(*before)),
+        match now < self.previous_ranks_until {
+            true => self.previous_ranks.get(host).map_or(rank, |previous| rank.min(*previous)),
             false => rank,
         }
     }
 
-    fn host(&mut self, now: f64, host: &str) {
-        if !self.hosts.contains_key(host) && self.hosts.len() < MOST {
+    fn track_host(&mut self, now: f64, host: &str) {
+        if !self.hosts.contains_key(host) && self.hosts.len() < MAX_MEMBERS {
             self.hosts.insert(host.to_string(), Host::default());
-            self.changes(now);
+            self.membership_changed(now);
         }
     }
 
-    /// Whether this router is to probe the host that its decisions want probed now.
+    /// Whether this router should probe a host that its policy wants probed now.
     pub fn should_probe(&mut self, now: f64, host: &str) -> bool {
-        self.host(now, host);
+        self.track_host(now, host);
         let rank = self.rank(now, host);
-        let Some(h) = self.hosts.get(host) else { return true };
-        let own = h.own.map_or(f64::NEG_INFINITY, |r| r.at);
-        let known = h.others.map_or(own, |r| own.max(r.at));
-        let patience = self.settings.interval + self.settings.step * rank as f64;
-        // Good news are seen with own eyes at once; nobody is used again on another's word.
-        let good = h.good.is_some_and(|at| at > own);
-        let probes = good || now >= own + self.settings.own || now >= known + patience;
-        match probes {
+        let Some(entry) = self.hosts.get(host) else { return true };
+        let own_at = entry.latest_own.map_or(f64::NEG_INFINITY, |r| r.at);
+        let last_known = entry.latest_by_others.map_or(own_at, |r| own_at.max(r.at));
+        let timeout = self.settings.interval + self.settings.step * rank as f64;
+        // A reported primary is verified at once by an own probe; a report alone never brings a host back into use.
+        let claims_primary = entry.latest_primary_report.is_some_and(|at| at > own_at);
+        let due =
+            claims_primary || now >= own_at + self.settings.max_own_interval || now >= last_known + timeout;
+        match due {
             true => self.counts.made += 1,
-            false => self.counts.spared += 1,
+            false => self.counts.skipped += 1,
         }
-        probes
+        due
     }
 
-    /// A probe of this router's own has ended.
-    pub fn record_own_probe(&mut self, now: f64, host: &str, told: ProbeResult) {
-        self.host(now, host);
-        if let Some(h) = self.hosts.get_mut(host) {
-            h.own = Some(Result { at: now, told });
+    /// Records the result of an own probe.
+    pub fn record_own_probe(&mut self, now: f64, host: &str, result: ProbeResult) {
+        self.track_host(now, host);
+        if let Some(entry) = self.hosts.get_mut(host) {
+            entry.latest_own = Some(TimedResult { at: now, result });
         }
     }
 
-    /// What another's probe told, and when that was, by this router's clock and with the age that it had. A result of a former life, or
-    /// one older than what its author told before, is of no use; how it came is no matter.
+    /// Records the result of another router's probe. `at` is its time on this router's clock, corrected by its age.
+    /// Results of an earlier generation, or older than one that the same router reported before, are ignored,
+    /// whichever way they arrived.
     pub fn record_peer_probe(
         &mut self,
-        by: &str,
+        source: &str,
         generation: u64,
         version: u64,
         host: &str,
         at: f64,
-        told: ProbeResult,
+        result: ProbeResult,
     ) {
-        if by == self.own {
+        if source == self.own_name {
             return;
         }
-        let key = (by.to_string(), host.to_string());
-        if self.heard.get(&key).is_some_and(|last| (generation, version) <= *last) {
-            self.counts.late += 1;
+        let key = (source.to_string(), host.to_string());
+        if self.last_seen.get(&key).is_some_and(|last| (generation, version) <= *last) {
+            self.counts.outdated += 1;
             return;
         }
-        if self.heard.len() >= MOST * 16 {
-            self.heard.pop_first();
+        if self.last_seen.len() >= MAX_MEMBERS * 16 {
+            self.last_seen.pop_first();
         }
-        self.heard.insert(key, (generation, version));
-        let Some(h) = self.hosts.get_mut(host) else { return };
-        if h.others.is_none_or(|r| r.at < at) {
-            h.others = Some(Result { at, told });
+        self.last_seen.insert(key, (generation, version));
+        let Some(entry) = self.hosts.get_mut(host) else { return };
+        if entry.latest_by_others.is_none_or(|r| r.at < at) {
+            entry.latest_by_others = Some(TimedResult { at, result });
         }
-        if told == ProbeResult::Primary {
-            h.good = Some(h.good.map_or(at, |good| good.max(at)));
+        if result == ProbeResult::Primary {
+            entry.latest_primary_report =
+                Some(entry.latest_primary_report.map_or(at, |latest| latest.max(at)));
         }
     }
 
-    /// Hosts that nobody lists any more.
-    pub fn keep(&mut self, now: f64, listed: impl Fn(&str) -> bool) {
-        let before = self.hosts.len();
+    /// Drops hosts that are no longer listed.
+    pub fn retain_listed_hosts(&mut self, now: f64, listed: impl Fn(&str) -> bool) {
+        let previous_count = self.hosts.len();
         self.hosts.retain(|host, _| listed(host));
-        self.heard.retain(|(_, host), _| listed(host));
-        if self.hosts.len() != before {
-            self.changes(now);
+        self.last_seen.retain(|(_, host), _| listed(host));
+        if self.hosts.len() != previous_count {
+            self.membership_changed(now);
         }
     }
 }
--- a/crates/sandstile-probe-sharing/src/warnings.rs
+++ b/crates/sandstile-probe-sharing/src/warnings.rs
@@ -1,58 +1,64 @@
-//! Whose word on hosts that refuse is worth heeding. A warning costs a host a short rest here; one whose warnings are belied by what is
-//! seen here again and again, for it lies, is ill itself or is refused alone, is not heeded for a while.
+//! Decides whose warnings about refusing hosts are trusted. A warning ejects a host here for a short time. A router
+//! whose warnings are repeatedly contradicted by local answers, because it lies, is faulty itself or is the only one
+//! that is refused, is ignored for a while.
 use std::collections::BTreeMap;
 
-/// An answer within so many seconds of a warning belies it.
-const BELIED: f64 = 1.5;
-/// So many belied ones, with no more than this many seconds between, and it is not heeded for this long.
-const WRONG: u32 = 3;
-const FORGIVEN: f64 = 30.0;
-const UNHEEDED: f64 = 60.0;
-const MOST: usize = 4096;
+/// Seconds within which an answer of the host contradicts a warning.
+const CONTRADICTION_WINDOW_SECONDS: f64 = 1.5;
+/// False warnings after which a source is ignored; seconds after which an earlier false warning no longer counts;
+/// seconds for which the source is ignored.
+const MAX_FALSE_WARNINGS: u32 = 3;
+const FALSE_WARNING_RESET_SECONDS: f64 = 30.0;
+const IGNORE_SECONDS: f64 = 60.0;
+const MAX_ENTRIES: usize = 4096;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
-    wrong: u32,
-    last: f64,
-    unheeded_until: f64,
+    false_warnings: u32,
+    last_false_at: f64,
+    ignored_until: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Warnings {
-    /// By host: whose warning was heeded last, and when.
-    heeded: BTreeMap<String, (String, f64)>,
+    /// By host: the source and time of the last accepted warning.
+    accepted: BTreeMap<String, (String, f64)>,
     records: BTreeMap<String, Record>,
-    pub unheeded: u64,
+    pub ignored: u64,
 }
 
 impl Warnings {
-    /// This one says that the host refuses; whether that is to be heeded.
-    pub fn accept(&mut self, now: f64, by: &str, host: &str) -> bool {
-        if self.records.get(by).is_some_and(|r| now < r.unheeded_until) {
-            self.unheeded += 1;
+    /// Whether to act on a warning from this source that the host refuses connections.
+    pub fn accept(&mut self, now: f64, source: &str, host: &str) -> bool {
+        if self.records.get(source).is_some_and(|r| now < r.ignored_until) {
+            self.ignored += 1;
             return false;
         }
-        if self.heeded.len() >= MOST {
-            self.heeded.pop_first();
+        if self.accepted.len() >= MAX_ENTRIES {
+            self.accepted.pop_first();
         }
-        self.heeded.insert(host.to_string(), (by.to_string(), now));
+        self.accepted.insert(host.to_string(), (source.to_string(), now));
         true
     }
 
-    /// The host has answered here.
+    /// The host has answered this router.
     pub fn answered(&mut self, now: f64, host: &str) {
-        let Some((by, at)) = self.heeded.remove(host) else { return };
-        if now > at + BELIED {
+        let Some((source, at)) = self.accepted.remove(host) else { return };
+        if now > at + CONTRADICTION_WINDOW_SECONDS {
             return;
         }
-        if self.records.len() >= MOST {
+        if self.records.len() >= MAX_ENTRIES {
             self.records.pop_first();
         }
-        let record = self.records.entry(by).or_default();
-        record.wrong = if now > record.last + FORGIVEN { 1 } else { record.wrong + 1 };
-        record.last = now;
-        if record.wrong >= WRONG {
-            (record.wrong, record.unheeded_until) = (0, now + UNHEEDED);
+        let record = self.records.entry(source).or_default();
+        record.false_warnings = if now > record.last_false_at + FALSE_WARNING_RESET_SECONDS {
+            1
+        } else {
+            record.false_warnings + 1
+        };
+        record.last_false_at = now;
+        if record.false_warnings >= MAX_FALSE_WARNINGS {
+            (record.false_warnings, record.ignored_until) = (0, now + IGNORE_SECONDS);
         }
     }
 }
