--- a/crates/sandstile-replicated-state/src/differ.rs
+++ b/crates/sandstile-replicated-state/src/differ.rs
@@ -84,10 +84,12 @@
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Value::Seen(seen) if seen.marks().next().is_none() => write!(f, "lost to {:.3}", seen.latest()),
-            Value::Seen(seen) => {
+            Value::SessionMarks(session_marks) if session_marks.marks().next().is_none() => {
+                write!(f, "lost to {:.3}", session_marks.latest())
+            }
+            Value::SessionMarks(session_marks) => {
                 let facts: Vec<String> =
-                    seen.marks().map(|m| format!("{:016x}@{:.3}", m.term.0, m.position)).collect();
+                    session_marks.marks().map(|m| format!("{:016x}@{:.3}", m.term.0, m.position)).collect();
                 write!(f, "{}", facts.join(" "))
             }
             Value::Max(highest) => write!(f, "{highest}"),
--- a/crates/sandstile-replicated-state/src/fact.rs
+++ b/crates/sandstile-replicated-state/src/fact.rs
@@ -1,7 +1,7 @@
 //! Facts, the unit of replicated state. A fact has a key and a value, and two values of one key join. Joins are
 //! commutative, associative and idempotent and never lose information, so copies that have received the same facts in
 //! any order are equal.
-use sandstile_sessions::mark::Seen;
+use sandstile_sessions::mark::SessionMarks;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
@@ -143,7 +143,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    Seen(Seen),
+    SessionMarks(SessionMarks),
     /// The highest value wins: log positions, generations.
     Max(f64),
     /// The latest report of the only writer.
@@ -165,7 +165,7 @@
     /// Whether the value has the right type and range for this kind.
     pub fn fits(&self, kind: Kind) -> bool {
         match (self, kind) {
-            (Value::Seen(_), Kind::Mark) => true,
+            (Value::SessionMarks(_), Kind::Mark) => true,
             (Value::Max(highest), Kind::LogPosition | Kind::Generation) => {
                 highest.is_finite() && *highest >= 0.0
             }
@@ -177,7 +177,7 @@
     /// Merges the other value into this one. Values of different types do not join; readers reject them earlier.
     pub fn join(&mut self, other: &Value) -> JoinOutcome {
         match (&mut *self, other) {
-            (Value::Seen(mine), Value::Seen(theirs)) => {
+            (Value::SessionMarks(mine), Value::SessionMarks(theirs)) => {
                 let before = mine.clone();
                 mine.merge(theirs);
                 if *mine == before {
@@ -208,14 +208,14 @@
 
     fn digest(&self, hash: &mut blake3::Hasher) {
         match self {
-            Value::Seen(Seen::Terms(all)) => {
+            Value::SessionMarks(SessionMarks::Terms(all)) => {
                 hash.update(&[0]);
                 for (term, position) in all {
                     hash.update(&term.0.to_be_bytes());
                     hash.update(&position.to_bits().to_be_bytes());
                 }
             }
-            Value::Seen(Seen::Lost(latest)) => {
+            Value::SessionMarks(SessionMarks::Lost(latest)) => {
                 hash.update(&[1]);
                 hash.update(&latest.to_bits().to_be_bytes());
             }
@@ -255,7 +255,7 @@
     /// constrain no read.
     pub fn is_expired(&self, kind: Kind, now: f64, horizon: f64) -> bool {
         match &self.value {
-            Value::Seen(seen) => seen.latest() + horizon < now,
+            Value::SessionMarks(session_marks) => session_marks.latest() + horizon < now,
             Value::Max(position) if kind == Kind::LogPosition => position + horizon < now,
             _ => self.created_at + kind.lifetime() < now,
         }
--- a/crates/sandstile-replicated-state/src/state.rs
+++ b/crates/sandstile-replicated-state/src/state.rs
@@ -130,7 +130,7 @@
 
     fn eviction_rank(fact: &Fact) -> (u8, u64) {
         let timestamp = match &fact.value {
-            Value::Seen(seen) => seen.latest(),
+            Value::SessionMarks(session_marks) => session_marks.latest(),
             Value::Max(highest) => *highest,
             Value::Report(_) => fact.created_at,
         };
@@ -182,7 +182,9 @@
 
     fn is_acceptable(&self, key: &Key, fact: &Fact, now: f64) -> bool {
         let too_far_ahead = match &fact.value {
-            Value::Seen(seen) => seen.latest().is_finite() && seen.latest() > now + MAX_POSITION_LEAD_SECONDS,
+            Value::SessionMarks(session_marks) => {
+                session_marks.latest().is_finite() && session_marks.latest() > now + MAX_POSITION_LEAD_SECONDS
+            }
             Value::Max(highest) if key.kind == Kind::LogPosition => {
                 *highest > now + MAX_POSITION_LEAD_SECONDS
             }
@@ -248,9 +250,9 @@
             let Some((_, _, key)) = self.eviction_order.get(&kind).and_then(|o| o.get_min().cloned()) else {
                 return;
             };
-            if let Some(Value::Seen(seen)) = self.facts.get(&key).map(|f| &f.value) {
+            if let Some(Value::SessionMarks(session_marks)) = self.facts.get(&key).map(|f| &f.value) {
                 // An evicted session must not look like one that has written nothing: its reads go to the primary.
-                self.evicted_up_to = self.evicted_up_to.max(seen.latest());
+                self.evicted_up_to = self.evicted_up_to.max(session_marks.latest());
             }
             self.counts.evicted += 1;
             self.replace(&key, None, 0);
@@ -346,7 +348,7 @@
     /// whatever is in transit now.
     pub fn digest_as_of(&self, at: f64) -> u64 {
         let timestamp = |key: &Key, fact: &Fact| match &fact.value {
-            Value::Seen(seen) => (seen.latest(), self.horizon),
+            Value::SessionMarks(session_marks) => (session_marks.latest(), self.horizon),
             Value::Max(highest) if key.kind == Kind::LogPosition => (*highest, self.horizon),
             _ => (fact.created_at, key.kind.lifetime()),
         };
--- a/crates/sandstile-replicated-state/src/wire.rs
+++ b/crates/sandstile-replicated-state/src/wire.rs
@@ -4,7 +4,7 @@
 use crate::fact::{Fact, Key, Kind, Report, Value, MAX_NAME_LENGTH};
 use crate::sync_protocol::Message;
 use crate::tree::FANOUT;
-use sandstile_sessions::mark::{Mark, Seen, Term};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 use std::collections::BTreeMap;
 
 /// Maximum size of one message, and maximum entries of its lists.
@@ -29,14 +29,14 @@
     let age = ((now - fact.created_at).max(0.0) * 1e3) as u64;
     out.extend_from_slice(&age.to_be_bytes());
     match &fact.value {
-        Value::Seen(Seen::Terms(all)) => {
+        Value::SessionMarks(SessionMarks::Terms(all)) => {
             out.extend_from_slice(&[0, all.len().min(MAX_TERMS) as u8]);
             for (term, position) in all.iter().take(MAX_TERMS) {
                 out.extend_from_slice(&term.0.to_be_bytes());
                 out.extend_from_slice(&position.to_bits().to_be_bytes());
             }
         }
-        Value::Seen(Seen::Lost(latest)) => {
+        Value::SessionMarks(SessionMarks::Lost(latest)) => {
             out.push(1);
             out.extend_from_slice(&latest.to_bits().to_be_bytes());
         }
@@ -106,11 +106,13 @@
                 // The mark type enforces its own bounds and merging below.
                 terms.insert(mark.term, mark.position);
             }
-            let mut seen = Seen::default();
-            terms.into_iter().for_each(|(term, position)| seen.merge(&Seen::of(Mark { term, position })));
-            Value::Seen(seen)
+            let mut session_marks = SessionMarks::default();
+            terms
+                .into_iter()
+                .for_each(|(term, position)| session_marks.merge(&SessionMarks::of(Mark { term, position })));
+            Value::SessionMarks(session_marks)
         }
-        1 => Value::Seen(Seen::Lost(reader.read_f64()?)),
+        1 => Value::SessionMarks(SessionMarks::Lost(reader.read_f64()?)),
         2 => Value::Max(reader.read_f64()?),
         3 => {
             let severity = reader.read_u8()?;
--- a/crates/sandstile-replicated-state/tests/laws.rs
+++ b/crates/sandstile-replicated-state/tests/laws.rs
@@ -6,7 +6,7 @@
 use oorandom::Rand64;
 use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{Fact, Key, Kind, LearnOutcome, Replica, Value};
-use sandstile_sessions::mark::{Mark, Seen, Term};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 
 fn joined(a: &Fact, b: &Fact) -> Fact {
     let mut out = a.clone();
@@ -148,11 +148,11 @@
     let mut copy = Replica::new(1e6);
     let limit = Kind::Mark.max_facts();
     for n in 0..limit + 500 {
-        let seen = Seen::of(Mark { term: Term(1), position: NOW - 200_000.0 + n as f64 });
+        let session_marks = SessionMarks::of(Mark { term: Term(1), position: NOW - 200_000.0 + n as f64 });
         copy.learn(
             NOW,
             &Key::shared(Kind::Mark, &format!("{n:016x}")),
-            &Fact { value: Value::Seen(seen), created_at: NOW },
+            &Fact { value: Value::SessionMarks(session_marks), created_at: NOW },
         );
     }
     assert_eq!((copy.len(), copy.counts().evicted), (limit, 500));
@@ -174,11 +174,11 @@
 #[test]
 fn copies_are_compared_as_of_a_moment_ago() {
     let mark = |at: f64| {
-        let seen = sandstile_sessions::mark::Seen::of(sandstile_sessions::mark::Mark {
+        let session_marks = sandstile_sessions::mark::SessionMarks::of(sandstile_sessions::mark::Mark {
             term: sandstile_sessions::mark::Term(1),
             position: at,
         });
-        Fact { value: Value::Seen(seen), created_at: at }
+        Fact { value: Value::SessionMarks(session_marks), created_at: at }
     };
     let key = Key::shared(Kind::Mark, "s");
     let (mut updated, mut outdated) = (Replica::new(300.0), Replica::new(300.0));
