--- a/crates/sandstile-lab/src/members.rs
+++ b/crates/sandstile-lab/src/members.rs
@@ -52,17 +52,17 @@
     let mut sim = Sim::new(members, 1);
     sim.until_agreed(60.0)?;
     sim.loss = loss;
-    sim.play(SETTLES);
-    sim.seen.clear();
+    sim.advance(SETTLES);
+    sim.observed.clear();
     let (sent, quiet) = (sim.bytes, quiet(members, quick));
     let (mut suspicions, mut deaths, mut left) = (0, 0, quiet);
     while left > 0.0 {
         // What was seen is counted and let go: a day of it fills the memory.
-        sim.play(left.min(600.0));
+        sim.advance(left.min(600.0));
         left -= 600.0;
-        suspicions += sim.seen.iter().filter(|(_, _, c)| matches!(c, Change::Suspected(_))).count();
-        deaths += sim.seen.iter().filter(|(_, _, c)| matches!(c, Change::Died(_))).count();
-        sim.seen.clear();
+        suspicions += sim.observed.iter().filter(|(_, _, c)| matches!(c, Change::Suspected(_))).count();
+        deaths += sim.observed.iter().filter(|(_, _, c)| matches!(c, Change::Died(_))).count();
+        sim.observed.clear();
     }
     let bytes = (sim.bytes - sent) as f64 / quiet / members as f64;
     let mut run = Run {
@@ -78,11 +78,11 @@
     for kill in 0..kills(members) {
         let (killed, at) = (2 + kill, sim.now);
         sim.kill(killed);
-        sim.play(WATCHES);
+        sim.advance(WATCHES);
         let name = format!("n{killed}");
         let of = |wanted: fn(&Change) -> Option<&str>| {
             let mut times: Vec<f64> = sim
-                .seen
+                .observed
                 .iter()
                 .filter(|(t, _, c)| *t >= at && wanted(c) == Some(&name))
                 .map(|(t, ..)| t - at)
@@ -102,7 +102,7 @@
         run.suspected.extend(suspected.first());
         run.first.extend(died.first());
         run.all.push(died.get(living - 1).copied());
-        sim.seen.clear();
+        sim.observed.clear();
     }
     Some(run)
 }
--- a/crates/sandstile-membership-view/src/view.rs
+++ b/crates/sandstile-membership-view/src/view.rs
@@ -13,7 +13,7 @@
 }
 
 impl View {
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             View::Agreed => "agreed",
             View::Settling => "settling",
@@ -25,8 +25,8 @@
 
 /// What is seen at one time; counts leave this router out.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Look {
-    pub there: usize,
+pub struct Observation {
+    pub live: usize,
     pub suspects: usize,
     /// Gone without a farewell and not forgotten yet.
     pub dead: usize,
@@ -37,16 +37,16 @@
     /// Nobody was heard for so long that it is no chance: whom this router holds for there says nothing.
     pub silent: bool,
     /// Others say that this router is dead, though it is not: they do not hear it.
-    pub buried: bool,
+    pub declared_dead: bool,
 }
 
 /// This share of those that were there, gone at once, is a cut and no crash.
-const MANY: f64 = 1.0 / 3.0;
+const CUT_OFF_FRACTION: f64 = 1.0 / 3.0;
 /// Seconds for which a better view has to stand.
-const STANDS: f64 = 2.0;
+const IMPROVE_DELAY_S: f64 = 2.0;
 
 #[derive(Clone, Debug)]
-pub struct Views {
+pub struct ViewTracker {
     view: View,
     since: f64,
     /// A better one that does not count yet, and since when it stands.
@@ -55,9 +55,9 @@
     pub entered: [u64; 4],
 }
 
-impl Views {
-    pub fn new(now: f64) -> Views {
-        Views { view: View::Alone, since: now, better: None, entered: [0; 4] }
+impl ViewTracker {
+    pub fn new(now: f64) -> ViewTracker {
+        ViewTracker { view: View::Alone, since: now, better: None, entered: [0; 4] }
     }
 
     pub fn view(&self) -> View {
@@ -68,14 +68,16 @@
         self.since
     }
 
-    fn of(look: &Look) -> View {
-        let were = look.there + look.dead;
-        let somebody = were > 0 || look.seeds > 0;
-        if somebody && (look.there == 0 || look.silent) {
+    fn classify(observation: &Observation) -> View {
+        let total = observation.live + observation.dead;
+        let others_expected = total > 0 || observation.seeds > 0;
+        if others_expected && (observation.live == 0 || observation.silent) {
             View::Alone
-        } else if look.buried || (look.dead > 1 && look.dead as f64 > MANY * were as f64) {
+        } else if observation.declared_dead
+            || (observation.dead > 1 && observation.dead as f64 > CUT_OFF_FRACTION * total as f64)
+        {
             View::CutOff
-        } else if look.suspects > 0 || look.differing > 0 {
+        } else if observation.suspects > 0 || observation.differing > 0 {
             View::Settling
         } else {
             View::Agreed
@@ -83,22 +85,22 @@
     }
 
     /// A look; yields the view that holds from now on, where it is another.
-    pub fn look(&mut self, now: f64, look: &Look) -> Option<View> {
-        let seen = Views::of(look);
-        if seen >= self.view {
+    pub fn observe(&mut self, now: f64, observation: &Observation) -> Option<View> {
+        let candidate = ViewTracker::classify(observation);
+        if candidate >= self.view {
             self.better = None;
-            return (seen > self.view).then(|| self.enter(now, seen));
+            return (candidate > self.view).then(|| self.enter(now, candidate));
         }
         match self.better {
             // The worst of what was seen meanwhile is what has stood.
-            Some((held, since)) => {
-                let worst = held.max(seen);
-                self.better = Some((worst, if worst > held { now } else { since }));
-                if now >= since + STANDS && worst == held {
+            Some((pending, since)) => {
+                let worst = pending.max(candidate);
+                self.better = Some((worst, if worst > pending { now } else { since }));
+                if now >= since + IMPROVE_DELAY_S && worst == pending {
                     return Some(self.enter(now, worst));
                 }
             }
-            None => self.better = Some((seen, now)),
+            None => self.better = Some((candidate, now)),
         }
         None
     }
--- a/crates/sandstile-membership-view/tests/model.rs
+++ b/crates/sandstile-membership-view/tests/model.rs
@@ -1,6 +1,6 @@
 //! One router among peers that say anything, whichever view holds: every order of words, own looks and changes of the view. It never
 //! becomes less careful by a word alone, and by its own eyes it always can.
-use sandstile_membership_view::{may, About, View, Way, ABOUT};
+use sandstile_membership_view::{may_act, Direction, Topic, View, TOPICS};
 use stateright::{Checker, Model, Property};
 
 const VIEWS: [View; 4] = [View::Agreed, View::Settling, View::CutOff, View::Alone];
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 struct Router {
     view: usize,
-    about: usize,
+    topic: usize,
     eyes: Eyes,
     careful: bool,
     /// It became less careful though its eyes had not seen that all is well.
@@ -30,7 +30,7 @@
     /// A peer says that all is well, or that it is not; true or not.
     Word(bool),
     /// It looks itself.
-    Look(bool),
+    Observation(bool),
 }
 
 struct One {
@@ -43,29 +43,31 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<Router> {
-        let of = |about| Router { view: 3, about, eyes: Eyes::Nothing, careful: false, by_word_alone: false };
-        (0..ABOUT.len()).map(of).collect()
+        let of = |topic| Router { view: 3, topic, eyes: Eyes::Nothing, careful: false, by_word_alone: false };
+        (0..TOPICS.len()).map(of).collect()
     }
 
     fn actions(&self, _: &Router, acts: &mut Vec<Act>) {
         acts.extend((0..4).map(Act::View));
-        acts.extend([true, false].into_iter().flat_map(|well| [Act::Word(well), Act::Look(well)]));
+        acts.extend([true, false].into_iter().flat_map(|well| [Act::Word(well), Act::Observation(well)]));
     }
 
     fn next_state(&self, before: &Router, act: Act) -> Option<Router> {
         let mut r = before.clone();
-        let (view, about) = (VIEWS[r.view], ABOUT[r.about]);
+        let (view, topic) = (VIEWS[r.view], TOPICS[r.topic]);
         match act {
             Act::View(view) => r.view = view,
-            Act::Word(false) => r.careful |= may(view, about, Way::MoreCareful, r.eyes == Eyes::Ill),
+            Act::Word(false) => {
+                r.careful |= may_act(view, topic, Direction::MoreCareful, r.eyes == Eyes::Ill)
+            }
             Act::Word(true) => {
                 let own = r.eyes == Eyes::Well || self.believes;
-                if r.careful && may(view, about, Way::LessCareful, own) {
+                if r.careful && may_act(view, topic, Direction::LessCareful, own) {
                     r.careful = false;
                     r.by_word_alone |= r.eyes != Eyes::Well;
                 }
             }
-            Act::Look(well) => {
+            Act::Observation(well) => {
                 r.eyes = if well { Eyes::Well } else { Eyes::Ill };
                 r.careful = !well;
             }
@@ -95,5 +97,5 @@
 fn without_the_own_eyes_line_a_word_is_enough() {
     let checker = One { believes: true }.checker().spawn_bfs().join();
     assert!(checker.discovery("never by a word alone").is_some());
-    let _ = About::Mark;
+    let _ = Topic::Mark;
 }
--- a/crates/sandstile-membership/src/lib.rs
+++ b/crates/sandstile-membership/src/lib.rs
@@ -9,5 +9,5 @@
 pub mod updates;
 pub mod wire;
 
-pub use swim::{Change, Swim, Terms};
-pub use wire::{Letter, Life, Message, Meta, Rumour, State};
+pub use swim::{Change, Settings, Swim};
+pub use wire::{Datagram, MemberId, MemberUpdate, Message, Meta, State};
--- a/crates/sandstile-membership/src/swim.rs
+++ b/crates/sandstile-membership/src/swim.rs
@@ -1,15 +1,17 @@
 //! The state machine of one member. A driver hands in what comes and the time, sends what goes out, and wakes it when due.
-use crate::updates::Rumours;
-use crate::wire::{size, voice, Letter, Life, Message, Meta, Rumour, State, MOST};
+use crate::updates::UpdateQueue;
+use crate::wire::{
+    accuser_id, encoded_size, Datagram, MemberId, MemberUpdate, Message, Meta, State, MAX_DATAGRAM_BYTES,
+};
 use oorandom::Rand64;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// Whether one word on a member takes the place of another: life before incarnation before state.
-pub fn overrides(new: &Rumour, held: &Rumour) -> bool {
-    if new.of.life != held.of.life {
-        return new.of.life > held.of.life;
+pub fn overrides(new: &MemberUpdate, held: &MemberUpdate) -> bool {
+    if new.id.life != held.id.life {
+        return new.id.life > held.id.life;
     }
     match (new.state, held.state) {
         // A farewell is final for its life.
@@ -23,71 +25,77 @@
 }
 
 /// The incarnation under which a member speaks for itself once it has heard this of itself; `None` where it need not.
-pub fn refutes(heard: &Rumour, life: u64, incarnation: u32) -> Option<u32> {
-    let about_us = heard.of.life == life && heard.state != State::Alive && heard.incarnation >= incarnation;
+pub fn refutes(heard: &MemberUpdate, generation: u64, incarnation: u32) -> Option<u32> {
+    let about_us =
+        heard.id.life == generation && heard.state != State::Alive && heard.incarnation >= incarnation;
     about_us.then(|| heard.incarnation.saturating_add(1))
 }
 
 /// How watchful members are. Seconds.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct Settings {
     pub name: String,
     /// Higher than that of any former life under this name.
-    pub life: u64,
-    pub at: SocketAddr,
+    pub generation: u64,
+    pub address: SocketAddr,
     pub meta: Meta,
     /// Where others may be found to begin with.
     pub seeds: Vec<SocketAddr>,
     /// Between probes of one member after the other.
     pub period: f64,
     /// For an answer to a probe, before others are asked to probe for us.
-    pub patience: f64,
-    /// A suspicion lasts so many periods times the logarithm of the members at least, and `slack` times that at most.
-    pub suspicion: f64,
-    pub slack: f64,
+    pub probe_timeout: f64,
+    /// A suspicion lasts so many periods times the logarithm of the members at least, and `suspicion_max_multiplier` times that at most.
+    pub suspicion_multiplier: f64,
+    pub suspicion_max_multiplier: f64,
     /// Members that are known at the most.
-    pub most: usize,
+    pub max_members: usize,
 }
 
-impl Terms {
-    pub fn usual(name: &str, life: u64, at: SocketAddr, seeds: Vec<SocketAddr>) -> Terms {
-        Terms {
+impl Settings {
+    pub fn with_defaults(
+        name: &str,
+        generation: u64,
+        address: SocketAddr,
+        seeds: Vec<SocketAddr>,
+    ) -> Settings {
+        Settings {
             name: name.to_string(),
-            life,
-            at,
+            generation,
+            address,
             meta: Meta::default(),
             seeds,
             period: 0.25,
-            patience: 0.1,
-            suspicion: 3.0,
-            slack: 4.0,
-            most: 1024,
+            probe_timeout: 0.1,
+            suspicion_multiplier: 3.0,
+            suspicion_max_multiplier: 4.0,
+            max_members: 1024,
         }
     }
 }
 
 /// What others are asked to probe for us.
-const HELPERS: usize = 3;
+const INDIRECT_PROBES: usize = 3;
 /// Confirmations by others after which a suspicion lasts its least.
-const CONFIRMATIONS: f64 = 3.0;
+const MAX_CONFIRMATIONS: f64 = 3.0;
 /// Local health: how much slower this member may become while it hears little itself.
-const WORST_HEALTH: u32 = 8;
+const MAX_LOCAL_HEALTH: u32 = 8;
 /// Seconds for which the dead are remembered, and tried again now and then: a cut that heals is noticed by that.
-const REMEMBERED: f64 = 60.0;
-const TRIES_DEAD: f64 = 2.0;
-const SWEEPS: f64 = 1.0;
+const DEAD_RETENTION_S: f64 = 60.0;
+const DEAD_CONTACT_INTERVAL_S: f64 = 2.0;
+const SWEEP_INTERVAL_S: f64 = 1.0;
 /// Seconds between asking a member whose view differs for all that it knows.
-const COMPARES: f64 = 1.0;
+const COMPARE_INTERVAL_S: f64 = 1.0;
 /// Probes that others asked for and that are under way, at the most.
-const MOST_ASKED: usize = 256;
+const MAX_RELAYED_PROBES: usize = 256;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    Joined(Life),
-    Suspected(Life),
-    Refuted(Life),
-    Died(Life),
-    Left(Life),
+    Joined(MemberId),
+    Suspected(MemberId),
+    Refuted(MemberId),
+    Died(MemberId),
+    Left(MemberId),
     /// Another process runs under our name.
     NameTaken(SocketAddr),
 }
@@ -96,12 +104,12 @@
 struct Suspicion {
     since: f64,
     /// Those that missed an answer of its own.
-    by: BTreeSet<u32>,
+    accusers: BTreeSet<u32>,
 }
 
 #[derive(Clone, Debug)]
 struct Member {
-    rumour: Rumour,
+    update: MemberUpdate,
     /// Since when it is in this state.
     since: f64,
     suspicion: Option<Suspicion>,
@@ -113,8 +121,8 @@
 
 /// What is known of a member, for operators.
 #[derive(Clone, Debug)]
-pub struct Known {
-    pub rumour: Rumour,
+pub struct MemberStatus {
+    pub update: MemberUpdate,
     pub since: f64,
     pub round_trip: Option<f64>,
     /// Whether it told our view last; `None` where it told none of late.
@@ -122,15 +130,15 @@
 }
 
 struct Probe {
-    whom: String,
-    number: u32,
-    began: f64,
-    asked: bool,
+    target: String,
+    sequence: u32,
+    sent_at: f64,
+    helpers_asked: bool,
     acked: bool,
 }
 
 pub struct Swim {
-    terms: Terms,
+    settings: Settings,
     incarnation: u32,
     leaving: bool,
     members: BTreeMap<String, Member>,
@@ -139,22 +147,22 @@
     probe: Option<Probe>,
     probe_at: f64,
     /// Probes for others, by our number: who asked, under which number, until when.
-    asked: BTreeMap<u32, (SocketAddr, u32, f64)>,
-    number: u32,
+    relayed_probes: BTreeMap<u32, (SocketAddr, u32, f64)>,
+    sequence: u32,
     health: u32,
-    rumours: Rumours,
-    dead_at: f64,
-    compared: f64,
+    update_queue: UpdateQueue,
+    contact_dead_at: f64,
+    last_comparison: f64,
     /// When any other was heard last, and when we heard last that we are dead.
-    heard: f64,
-    buried: f64,
+    last_received: f64,
+    last_declared_dead: f64,
     /// When the dead were looked through for those to forget.
-    swept: f64,
+    last_sweep: f64,
     /// The digest of our view and how many are in it, until that changes: each letter says the one and is sized by the other.
-    told: Cell<Option<(u64, usize)>>,
+    view_cache: Cell<Option<(u64, usize)>>,
     /// Whoever is suspected.
     suspects: BTreeSet<String>,
-    chance: Rand64,
+    rng: Rand64,
     out: Vec<(SocketAddr, Vec<u8>)>,
     changes: Vec<Change>,
     /// Bytes and letters sent.
@@ -162,90 +170,93 @@
 }
 
 impl Swim {
-    pub fn new(terms: Terms, seed: u64, now: f64) -> Swim {
-        let mut chance = Rand64::new(u128::from(seed) << 32 ^ u128::from(terms.life));
+    pub fn new(settings: Settings, seed: u64, now: f64) -> Swim {
+        let mut rng = Rand64::new(u128::from(seed) << 32 ^ u128::from(settings.generation));
         // Not all that start together probe together.
-        let probe_at = now + terms.period * chance.rand_float();
+        let probe_at = now + settings.period * rng.rand_float();
         let mut swim = Swim {
-            terms,
+            settings,
             incarnation: 0,
             leaving: false,
             members: BTreeMap::new(),
             round: Vec::new(),
             probe: None,
             probe_at,
-            asked: BTreeMap::new(),
-            number: 0,
+            relayed_probes: BTreeMap::new(),
+            sequence: 0,
             health: 0,
-            rumours: Rumours::default(),
-            dead_at: now + TRIES_DEAD,
-            compared: f64::NEG_INFINITY,
-            heard: now,
-            swept: now,
-            buried: f64::NEG_INFINITY,
-            told: Cell::new(None),
+            update_queue: UpdateQueue::default(),
+            contact_dead_at: now + DEAD_CONTACT_INTERVAL_S,
+            last_comparison: f64::NEG_INFINITY,
+            last_received: now,
+            last_sweep: now,
+            last_declared_dead: f64::NEG_INFINITY,
+            view_cache: Cell::new(None),
             suspects: BTreeSet::new(),
-            chance,
+            rng,
             out: Vec::new(),
             changes: Vec::new(),
             sent: (0, 0),
         };
-        let own = swim.terms.at;
-        let seeds = swim.terms.seeds.clone();
+        let own = swim.settings.address;
+        let seeds = swim.settings.seeds.clone();
         for seed in seeds.into_iter().filter(|seed| *seed != own) {
-            swim.say(seed, Message::Join, None);
+            swim.send(seed, Message::StateRequest, None);
         }
         swim
     }
 
-    fn me(&self) -> Rumour {
-        let of = Life { name: self.terms.name.clone(), life: self.terms.life };
+    fn own_update(&self) -> MemberUpdate {
+        let id = MemberId { name: self.settings.name.clone(), life: self.settings.generation };
         let state = if self.leaving { State::Left } else { State::Alive };
-        Rumour {
-            of,
-            at: self.terms.at,
+        MemberUpdate {
+            id,
+            address: self.settings.address,
             incarnation: self.incarnation,
             state,
-            by: 0,
-            meta: self.terms.meta.clone(),
+            accuser: 0,
+            meta: self.settings.meta.clone(),
         }
     }
 
     /// Others that are held for alive, suspects among them.
-    pub fn there(&self) -> impl Iterator<Item = (&Rumour, f64)> {
-        let held = |m: &&Member| matches!(m.rumour.state, State::Alive | State::Suspect);
-        self.members.values().filter(held).map(|m| (&m.rumour, m.since))
+    pub fn live(&self) -> impl Iterator<Item = (&MemberUpdate, f64)> {
+        let held = |m: &&Member| matches!(m.update.state, State::Alive | State::Suspect);
+        self.members.values().filter(held).map(|m| (&m.update, m.since))
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (&Rumour, f64)> {
-        self.members.values().map(|m| (&m.rumour, m.since))
+    pub fn all_members(&self) -> impl Iterator<Item = (&MemberUpdate, f64)> {
+        self.members.values().map(|m| (&m.update, m.since))
     }
 
     /// All that is known of the others; views that were told longer than `within` seconds ago say nothing any more.
-    pub fn known(&self, now: f64, within: f64) -> Vec<Known> {
+    pub fn member_statuses(&self, now: f64, max_age: f64) -> Vec<MemberStatus> {
         let own = self.digest();
-        let known = |m: &Member| Known {
-            rumour: m.rumour.clone(),
+        let known = |m: &Member| MemberStatus {
+            update: m.update.clone(),
             since: m.since,
             round_trip: m.round_trip,
-            agrees: m.digest.filter(|(_, at)| now - at <= within).map(|(digest, _)| digest == own),
+            agrees: m
+                .digest
+                .filter(|(_, received_at)| now - received_at <= max_age)
+                .map(|(digest, _)| digest == own),
         };
         self.members.values().map(known).collect()
     }
 
     /// When any other was heard last; the start where none was.
-    pub fn heard(&self) -> f64 {
-        self.heard
+    pub fn last_received(&self) -> f64 {
+        self.last_received
     }
 
     /// When others said last that this one is dead; before all time where they never did.
-    pub fn buried(&self) -> f64 {
-        self.buried
+    pub fn last_declared_dead(&self) -> f64 {
+        self.last_declared_dead
     }
 
     /// This one's own life, which may have been raised over a former one's.
-    pub fn life(&self) -> u64 {
-        self.terms.life
+    pub fn generation(&self) -> u64 {
+        self.settings.generation
     }
 
     /// Others that are there, and we.
@@ -263,23 +274,22 @@
     }
 
     fn view(&self) -> (u64, usize) {
-        if let Some(view) = self.told.get() {
+        if let Some(view) = self.view_cache.get() {
             return view;
         }
-        let view = (self.reckon(), 1 + self.there().count());
-        self.told.set(Some(view));
+        let view = (self.compute_digest(), 1 + self.live().count());
+        self.view_cache.set(Some(view));
         view
     }
 
-    fn reckon(&self) -> u64 {
-        let mut lives: Vec<(&str, u64)> =
-            self.there().map(|(r, _)| (r.of.name.as_str(), r.of.life)).collect();
-        lives.push((&self.terms.name, self.terms.life));
+    fn compute_digest(&self) -> u64 {
+        let mut lives: Vec<(&str, u64)> = self.live().map(|(r, _)| (r.id.name.as_str(), r.id.life)).collect();
+        lives.push((&self.settings.name, self.settings.generation));
         lives.sort();
         // FNV-1a, the same on every machine.
         let mut hash = 0xcbf2_9ce4_8422_2325u64;
-        for (name, life) in lives {
-            for byte in name.bytes().chain([0]).chain(life.to_be_bytes()) {
+        for (name, generation) in lives {
+            for byte in name.bytes().chain([0]).chain(generation.to_be_bytes()) {
                 hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
             }
         }
@@ -287,18 +297,20 @@
     }
 
     /// How many of those that are there told a view other than ours, of those that told any within `within` seconds.
-    pub fn differing(&self, now: f64, within: f64) -> (usize, usize) {
+    pub fn differing(&self, now: f64, max_age: f64) -> (usize, usize) {
         let own = self.digest();
         let heard: Vec<u64> = self
             .members
             .values()
-            .filter(|m| m.rumour.state == State::Alive)
-            .filter_map(|m| m.digest.filter(|(_, at)| now - at <= within).map(|(digest, _)| digest))
+            .filter(|m| m.update.state == State::Alive)
+            .filter_map(|m| {
+                m.digest.filter(|(_, received_at)| now - received_at <= max_age).map(|(digest, _)| digest)
+            })
             .collect();
         (heard.iter().filter(|d| **d != own).count(), heard.len())
     }
 
-    pub fn take_out(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.out)
     }
 
@@ -309,56 +321,60 @@
     /// When it wants to be woken.
     pub fn due(&self) -> f64 {
         let suspicion = |name: &String| self.members.get(name)?.suspicion.as_ref();
-        let ends = self.suspects.iter().filter_map(suspicion).map(|s| self.ends(s));
-        let helps = self.probe.as_ref().filter(|p| !p.asked && !p.acked).map(|p| p.began + self.patience());
-        ends.chain(helps).fold(self.probe_at.min(self.dead_at), f64::min)
+        let expiries = self.suspects.iter().filter_map(suspicion).map(|s| self.expires_at(s));
+        let indirect_due = self
+            .probe
+            .as_ref()
+            .filter(|p| !p.helpers_asked && !p.acked)
+            .map(|p| p.sent_at + self.probe_timeout());
+        expiries.chain(indirect_due).fold(self.probe_at.min(self.contact_dead_at), f64::min)
     }
 
-    fn patience(&self) -> f64 {
-        self.terms.patience * f64::from(self.health + 1)
+    fn probe_timeout(&self) -> f64 {
+        self.settings.probe_timeout * f64::from(self.health + 1)
     }
 
     fn period(&self) -> f64 {
-        self.terms.period * f64::from(self.health + 1)
+        self.settings.period * f64::from(self.health + 1)
     }
 
     /// When a suspicion becomes a death: the sooner the more others say the same.
-    fn ends(&self, s: &Suspicion) -> f64 {
+    fn expires_at(&self, s: &Suspicion) -> f64 {
         let n = self.count() as f64;
-        let least = self.terms.suspicion * n.log10().max(1.0) * self.terms.period;
-        let most = least * self.terms.slack;
-        let said = s.by.len().saturating_sub(1) as f64;
-        let part = ((said + 1.0).ln() / (CONFIRMATIONS + 1.0).ln()).min(1.0);
-        s.since + (most - (most - least) * part) * f64::from(self.health + 1)
-    }
-
-    fn say(&mut self, to: SocketAddr, message: Message, first: Option<Rumour>) {
-        let from = self.me();
-        let often = 3 * ((self.count() + 1) as f64).log2().ceil() as u32;
-        let used = 8 + size(&from) + 64 + first.as_ref().map_or(0, size);
-        let mut rumours: Vec<Rumour> = first.into_iter().collect();
-        rumours.extend(self.rumours.take(MOST.saturating_sub(used), often));
-        let letter = Letter { from, message, rumours, digest: self.digest() };
+        let min_duration = self.settings.suspicion_multiplier * n.log10().max(1.0) * self.settings.period;
+        let max_duration = min_duration * self.settings.suspicion_max_multiplier;
+        let confirmations = s.accusers.len().saturating_sub(1) as f64;
+        let fraction = ((confirmations + 1.0).ln() / (MAX_CONFIRMATIONS + 1.0).ln()).min(1.0);
+        s.since + (max_duration - (max_duration - min_duration) * fraction) * f64::from(self.health + 1)
+    }
+
+    fn send(&mut self, to: SocketAddr, message: Message, first: Option<MemberUpdate>) {
+        let from = self.own_update();
+        let transmit_limit = 3 * ((self.count() + 1) as f64).log2().ceil() as u32;
+        let used = 8 + encoded_size(&from) + 64 + first.as_ref().map_or(0, encoded_size);
+        let mut updates: Vec<MemberUpdate> = first.into_iter().collect();
+        updates.extend(self.update_queue.take(MAX_DATAGRAM_BYTES.saturating_sub(used), transmit_limit));
+        let letter = Datagram { from, message, updates, digest: self.digest() };
         let bytes = letter.write();
         self.sent = (self.sent.0 + bytes.len() as u64, self.sent.1 + 1);
         self.out.push((to, bytes));
     }
 
     /// All that is known, in as many letters as it takes.
-    fn tell_all(&mut self, to: SocketAddr) {
-        let mut left: Vec<Rumour> = self.members.values().map(|m| m.rumour.clone()).collect();
+    fn send_all_updates(&mut self, to: SocketAddr) {
+        let mut left: Vec<MemberUpdate> = self.members.values().map(|m| m.update.clone()).collect();
         loop {
-            let from = self.me();
-            let mut room = MOST.saturating_sub(8 + size(&from) + 64);
-            let mut now = Vec::new();
+            let from = self.own_update();
+            let mut room = MAX_DATAGRAM_BYTES.saturating_sub(8 + encoded_size(&from) + 64);
+            let mut batch = Vec::new();
             while let Some(r) = left.last() {
-                if size(r) > room || now.len() >= 250 {
+                if encoded_size(r) > room || batch.len() >= 250 {
                     break;
                 }
-                room -= size(r);
-                now.extend(left.pop());
+                room -= encoded_size(r);
+                batch.extend(left.pop());
             }
-            let letter = Letter { from, message: Message::Known, rumours: now, digest: self.digest() };
+            let letter = Datagram { from, message: Message::Gossip, updates: batch, digest: self.digest() };
             let bytes = letter.write();
             self.sent = (self.sent.0 + bytes.len() as u64, self.sent.1 + 1);
             self.out.push((to, bytes));
@@ -370,132 +386,135 @@
 
     /// A datagram that the driver has authenticated; yields where its sender says that it is to be found, if it is a letter of
     /// another's.
-    pub fn received(&mut self, now: f64, bytes: &[u8]) -> Option<SocketAddr> {
-        let letter = Letter::read(bytes)?;
+    pub fn handle_datagram(&mut self, now: f64, bytes: &[u8]) -> Option<SocketAddr> {
+        let letter = Datagram::read(bytes)?;
         let sender = letter.from.clone();
-        let own_name = sender.of.name == self.terms.name;
+        let own_name = sender.id.name == self.settings.name;
         if own_name {
-            if sender.of.life != self.terms.life && sender.state == State::Alive && sender.at != self.terms.at
+            if sender.id.life != self.settings.generation
+                && sender.state == State::Alive
+                && sender.address != self.settings.address
             {
-                self.changes.push(Change::NameTaken(sender.at));
+                self.changes.push(Change::NameTaken(sender.address));
             }
             // Our own words, come back, or another's under our name: nothing to learn from either.
             return None;
         }
-        self.heard = now;
-        self.hear(now, &sender);
-        for rumour in &letter.rumours {
-            self.hear(now, rumour);
+        self.last_received = now;
+        self.apply_update(now, &sender);
+        for update in &letter.updates {
+            self.apply_update(now, update);
         }
-        if let Some(m) = self.members.get_mut(&sender.of.name) {
+        if let Some(m) = self.members.get_mut(&sender.id.name) {
             m.digest = Some((letter.digest, now));
         }
         match letter.message {
-            Message::Ping { number } => {
-                self.say(sender.at, Message::Ack { number }, None);
+            Message::Ping { sequence } => {
+                self.send(sender.address, Message::Ack { sequence }, None);
             }
-            Message::Ack { number } => {
-                if let Some(probe) = self.probe.as_mut().filter(|p| p.number == number) {
+            Message::Ack { sequence } => {
+                if let Some(probe) = self.probe.as_mut().filter(|p| p.sequence == sequence) {
                     if !probe.acked {
-                        if let Some(m) = self.members.get_mut(&probe.whom) {
-                            m.round_trip = Some(now - probe.began);
+                        if let Some(m) = self.members.get_mut(&probe.target) {
+                            m.round_trip = Some(now - probe.sent_at);
                         }
                     }
                     probe.acked = true;
                     self.health = self.health.saturating_sub(1);
                 }
-                if let Some((asker, theirs, until)) = self.asked.remove(&number) {
+                if let Some((asker, theirs, until)) = self.relayed_probes.remove(&sequence) {
                     if now <= until {
-                        self.say(asker, Message::Ack { number: theirs }, None);
+                        self.send(asker, Message::Ack { sequence: theirs }, None);
                     }
                 }
             }
-            Message::Ask { number, whom } => {
-                self.asked.retain(|_, (_, _, until)| *until > now);
-                let known = self.members.values().any(|m| m.rumour.at == whom);
-                if known && self.asked.len() < MOST_ASKED {
-                    self.number = self.number.wrapping_add(1);
-                    let ours = self.number;
-                    self.asked.insert(ours, (sender.at, number, now + self.terms.period));
-                    self.say(whom, Message::Ping { number: ours }, None);
+            Message::PingRequest { sequence, target } => {
+                self.relayed_probes.retain(|_, (_, _, until)| *until > now);
+                let known = self.members.values().any(|m| m.update.address == target);
+                if known && self.relayed_probes.len() < MAX_RELAYED_PROBES {
+                    self.sequence = self.sequence.wrapping_add(1);
+                    let ours = self.sequence;
+                    self.relayed_probes.insert(ours, (sender.address, sequence, now + self.settings.period));
+                    self.send(target, Message::Ping { sequence: ours }, None);
                 }
             }
-            Message::Join => self.tell_all(sender.at),
-            Message::Known => {}
+            Message::StateRequest => self.send_all_updates(sender.address),
+            Message::Gossip => {}
         }
         // A view that differs is compared, but not by everybody at once.
-        if letter.digest != self.digest() && now >= self.compared + COMPARES {
-            self.compared = now;
-            self.say(sender.at, Message::Join, None);
+        if letter.digest != self.digest() && now >= self.last_comparison + COMPARE_INTERVAL_S {
+            self.last_comparison = now;
+            self.send(sender.address, Message::StateRequest, None);
         }
-        Some(sender.at)
+        Some(sender.address)
     }
 
     /// A life under our name that counts higher than ours: a former one of ours whose clock was ahead of ours, or another process
     /// that lives. Ours is raised over what is dead, or was where we are now; over one that lives elsewhere neither side could
     /// ever end raising.
-    fn outlived(&mut self, r: &Rumour) {
+    fn handle_newer_generation(&mut self, r: &MemberUpdate) {
         let gone = matches!(r.state, State::Dead | State::Left);
-        if (gone || r.at == self.terms.at) && r.of.life < u64::MAX {
-            self.terms.life = r.of.life + 1;
+        if (gone || r.address == self.settings.address) && r.id.life < u64::MAX {
+            self.settings.generation = r.id.life + 1;
             self.incarnation = 0;
-            self.told.set(None);
-            let me = self.me();
-            self.rumours.add(me);
+            self.view_cache.set(None);
+            let own_update = self.own_update();
+            self.update_queue.add(own_update);
         } else if !gone {
-            self.changes.push(Change::NameTaken(r.at));
+            self.changes.push(Change::NameTaken(r.address));
         }
     }
 
     /// Somebody's word on somebody.
-    fn hear(&mut self, now: f64, r: &Rumour) {
-        if r.of.name == self.terms.name {
-            if r.of.life == self.terms.life && r.state == State::Dead {
-                self.buried = now;
+    fn apply_update(&mut self, now: f64, r: &MemberUpdate) {
+        if r.id.name == self.settings.name {
+            if r.id.life == self.settings.generation && r.state == State::Dead {
+                self.last_declared_dead = now;
             }
-            let louder = refutes(r, self.terms.life, self.incarnation).filter(|_| !self.leaving);
-            if let Some(incarnation) = louder {
+            let refutation = refutes(r, self.settings.generation, self.incarnation).filter(|_| !self.leaving);
+            if let Some(incarnation) = refutation {
                 // Only we say that we are there, and louder than those who say we are not.
                 self.incarnation = incarnation;
                 if incarnation == u32::MAX {
                     // Nobody can speak louder than that: a liar would have silenced us. A further life can.
-                    self.terms.life = self.terms.life.saturating_add(1);
+                    self.settings.generation = self.settings.generation.saturating_add(1);
                     self.incarnation = 0;
-                    self.told.set(None);
+                    self.view_cache.set(None);
                 }
-                self.health = (self.health + 1).min(WORST_HEALTH);
-                let me = self.me();
-                self.rumours.add(me);
-            } else if r.of.life > self.terms.life && !self.leaving {
-                self.outlived(r);
+                self.health = (self.health + 1).min(MAX_LOCAL_HEALTH);
+                let own_update = self.own_update();
+                self.update_queue.add(own_update);
+            } else if r.id.life > self.settings.generation && !self.leaving {
+                self.handle_newer_generation(r);
             }
             return;
         }
-        let Some(member) = self.members.get_mut(&r.of.name) else {
+        let Some(member) = self.members.get_mut(&r.id.name) else {
             // Of the dead that were never known there is nothing to learn.
-            if matches!(r.state, State::Dead | State::Left) || self.members.len() >= self.terms.most {
+            if matches!(r.state, State::Dead | State::Left) || self.members.len() >= self.settings.max_members
+            {
                 return;
             }
-            let suspicion =
-                (r.state == State::Suspect).then(|| Suspicion { since: now, by: BTreeSet::from([r.by]) });
+            let suspicion = (r.state == State::Suspect)
+                .then(|| Suspicion { since: now, accusers: BTreeSet::from([r.accuser]) });
             if r.state == State::Suspect {
-                self.suspects.insert(r.of.name.clone());
+                self.suspects.insert(r.id.name.clone());
             }
-            let member = Member { rumour: r.clone(), since: now, suspicion, digest: None, round_trip: None };
-            self.told.set(None);
-            self.members.insert(r.of.name.clone(), member);
-            self.rumours.add(r.clone());
-            self.changes.push(Change::Joined(r.of.clone()));
+            let member = Member { update: r.clone(), since: now, suspicion, digest: None, round_trip: None };
+            self.view_cache.set(None);
+            self.members.insert(r.id.name.clone(), member);
+            self.update_queue.add(r.clone());
+            self.changes.push(Change::Joined(r.id.clone()));
             return;
         };
-        let held = &member.rumour;
-        let newer_life = r.of.life > held.of.life;
-        let same = r.of.life == held.of.life && r.incarnation == held.incarnation;
+        let held = &member.update;
+        let newer_generation = r.id.life > held.id.life;
+        let same = r.id.life == held.id.life && r.incarnation == held.incarnation;
         if same && r.state == State::Suspect && held.state == State::Suspect {
             // One more who says the same.
             if let Some(s) = &mut member.suspicion {
-                if (s.by.len() as f64) < CONFIRMATIONS + 1.0 && s.by.insert(r.by) {
-                    self.rumours.add(r.clone());
+                if (s.accusers.len() as f64) < MAX_CONFIRMATIONS + 1.0 && s.accusers.insert(r.accuser) {
+                    self.update_queue.add(r.clone());
                 }
             }
             return;
@@ -503,29 +522,29 @@
         if !overrides(r, held) {
             return;
         }
-        self.told.set(None);
+        self.view_cache.set(None);
         let was = held.state;
-        let was_there = matches!(was, State::Alive | State::Suspect);
-        let former = held.of.clone();
+        let was_live = matches!(was, State::Alive | State::Suspect);
+        let former = held.id.clone();
         match r.state {
-            State::Suspect => drop(self.suspects.insert(r.of.name.clone())),
-            _ => drop(self.suspects.remove(&r.of.name)),
+            State::Suspect => drop(self.suspects.insert(r.id.name.clone())),
+            _ => drop(self.suspects.remove(&r.id.name)),
         }
-        member.rumour = r.clone();
+        member.update = r.clone();
         member.since = now;
-        member.suspicion =
-            (r.state == State::Suspect).then(|| Suspicion { since: now, by: BTreeSet::from([r.by]) });
-        self.rumours.add(r.clone());
-        if newer_life && was_there {
+        member.suspicion = (r.state == State::Suspect)
+            .then(|| Suspicion { since: now, accusers: BTreeSet::from([r.accuser]) });
+        self.update_queue.add(r.clone());
+        if newer_generation && was_live {
             self.changes.push(Change::Died(former));
         }
         match r.state {
-            State::Alive if newer_life || !was_there => self.changes.push(Change::Joined(r.of.clone())),
-            State::Alive if was == State::Suspect => self.changes.push(Change::Refuted(r.of.clone())),
+            State::Alive if newer_generation || !was_live => self.changes.push(Change::Joined(r.id.clone())),
+            State::Alive if was == State::Suspect => self.changes.push(Change::Refuted(r.id.clone())),
             State::Alive => {}
-            State::Suspect => self.changes.push(Change::Suspected(r.of.clone())),
-            State::Dead if was_there => self.changes.push(Change::Died(r.of.clone())),
-            State::Left if was_there => self.changes.push(Change::Left(r.of.clone())),
+            State::Suspect => self.changes.push(Change::Suspected(r.id.clone())),
+            State::Dead if was_live => self.changes.push(Change::Died(r.id.clone())),
+            State::Left if was_live => self.changes.push(Change::Left(r.id.clone())),
             State::Dead | State::Left => {}
         }
     }
@@ -533,86 +552,91 @@
     /// Says farewell to some; it is not to be woken any more afterwards.
     pub fn leave(&mut self) {
         self.leaving = true;
-        self.told.set(None);
+        self.view_cache.set(None);
         self.incarnation = self.incarnation.saturating_add(1);
-        let mut to: Vec<SocketAddr> = self.there().map(|(r, _)| r.at).collect();
-        for at in (1..to.len()).rev() {
-            to.swap(at, self.chance.rand_range(0..at as u64 + 1) as usize);
+        let mut to: Vec<SocketAddr> = self.live().map(|(r, _)| r.address).collect();
+        for index in (1..to.len()).rev() {
+            to.swap(index, self.rng.rand_range(0..index as u64 + 1) as usize);
         }
-        to.truncate(2 * HELPERS);
-        to.into_iter().for_each(|at| self.say(at, Message::Known, None));
+        to.truncate(2 * INDIRECT_PROBES);
+        to.into_iter().for_each(|address| self.send(address, Message::Gossip, None));
     }
 
     /// All that is due.
-    pub fn woken(&mut self, now: f64) {
-        self.judge(now);
-        if let Some(probe) = self.probe.as_ref().filter(|p| !p.asked && !p.acked) {
-            if now >= probe.began + self.patience() {
-                let (number, whom) = (probe.number, probe.whom.clone());
-                self.ask_others(number, &whom);
+    pub fn on_timer(&mut self, now: f64) {
+        self.expire_suspicions(now);
+        if let Some(probe) = self.probe.as_ref().filter(|p| !p.helpers_asked && !p.acked) {
+            if now >= probe.sent_at + self.probe_timeout() {
+                let (sequence, target) = (probe.sequence, probe.target.clone());
+                self.request_indirect_probes(sequence, &target);
             }
         }
         if now >= self.probe_at {
-            self.conclude(now);
+            self.finish_probe(now);
             self.probe_next(now);
             self.probe_at = now + self.period();
         }
-        if now >= self.dead_at {
-            self.dead_at = now + TRIES_DEAD * (0.5 + self.chance.rand_float());
-            self.try_dead(now);
+        if now >= self.contact_dead_at {
+            self.contact_dead_at = now + DEAD_CONTACT_INTERVAL_S * (0.5 + self.rng.rand_float());
+            self.contact_dead(now);
         }
     }
 
     /// Suspicions that nobody refuted in their time, and the dead that are forgotten.
-    fn judge(&mut self, now: f64) {
+    fn expire_suspicions(&mut self, now: f64) {
         let suspicion = |name: &str| self.members.get(name)?.suspicion.as_ref();
-        let over: Vec<String> = self
+        let expired: Vec<String> = self
             .suspects
             .iter()
-            .filter(|name| suspicion(name).is_some_and(|s| self.ends(s) <= now))
+            .filter(|name| suspicion(name).is_some_and(|s| self.expires_at(s) <= now))
             .cloned()
             .collect();
-        for name in over {
-            let rumour = Rumour { state: State::Dead, by: 0, ..self.members[&name].rumour.clone() };
-            self.hear(now, &rumour);
+        for name in expired {
+            let update =
+                MemberUpdate { state: State::Dead, accuser: 0, ..self.members[&name].update.clone() };
+            self.apply_update(now, &update);
         }
-        let gone = |m: &Member| matches!(m.rumour.state, State::Dead | State::Left);
-        if now < self.swept + SWEEPS {
+        let gone = |m: &Member| matches!(m.update.state, State::Dead | State::Left);
+        if now < self.last_sweep + SWEEP_INTERVAL_S {
             return;
         }
-        self.swept = now;
-        self.members.retain(|_, m| !gone(m) || now < m.since + REMEMBERED);
+        self.last_sweep = now;
+        self.members.retain(|_, m| !gone(m) || now < m.since + DEAD_RETENTION_S);
     }
 
-    fn ask_others(&mut self, number: u32, whom: &str) {
+    fn request_indirect_probes(&mut self, sequence: u32, target: &str) {
         if let Some(probe) = &mut self.probe {
-            probe.asked = true;
+            probe.helpers_asked = true;
         }
-        let Some(at) = self.members.get(whom).map(|m| m.rumour.at) else { return };
+        let Some(address) = self.members.get(target).map(|m| m.update.address) else { return };
         let mut helpers: Vec<SocketAddr> = self
-            .there()
-            .filter(|(r, _)| r.of.name != whom && r.state == State::Alive)
-            .map(|(r, _)| r.at)
+            .live()
+            .filter(|(r, _)| r.id.name != target && r.state == State::Alive)
+            .map(|(r, _)| r.address)
             .collect();
-        for _ in 0..HELPERS.min(helpers.len()) {
-            let n = self.chance.rand_range(0..helpers.len() as u64) as usize;
+        for _ in 0..INDIRECT_PROBES.min(helpers.len()) {
+            let n = self.rng.rand_range(0..helpers.len() as u64) as usize;
             let helper = helpers.swap_remove(n);
-            self.say(helper, Message::Ask { number, whom: at }, None);
+            self.send(helper, Message::PingRequest { sequence, target: address }, None);
         }
     }
 
     /// The probe under way is over: without an answer its member is suspected.
-    fn conclude(&mut self, now: f64) {
+    fn finish_probe(&mut self, now: f64) {
         let Some(probe) = self.probe.take().filter(|p| !p.acked) else { return };
-        let Some(member) = self.members.get(&probe.whom) else { return };
+        let Some(member) = self.members.get(&probe.target) else { return };
         // One that is suspected already tells nothing new of our own hearing: counted again with each round, half of the members
         // gone at once would make us slow to see it.
-        if member.rumour.state == State::Alive {
-            self.health = (self.health + 1).min(WORST_HEALTH);
+        if member.update.state == State::Alive {
+            self.health = (self.health + 1).min(MAX_LOCAL_HEALTH);
         }
-        let rumour = Rumour { state: State::Suspect, by: voice(&self.terms.name), ..member.rumour.clone() };
-        if matches!(member.rumour.state, State::Alive | State::Suspect) {
-            self.hear(now, &rumour);
+        let update = MemberUpdate {
+            state: State::Suspect,
+            accuser: accuser_id(&self.settings.name),
+            ..member.update.clone()
+        };
+        if matches!(member.update.state, State::Alive | State::Suspect) {
+            self.apply_update(now, &update);
         }
     }
 
@@ -620,42 +644,47 @@
         for _ in 0..2 {
             while let Some(name) = self.round.pop() {
                 let Some(m) = self.members.get(&name) else { continue };
-                if !matches!(m.rumour.state, State::Alive | State::Suspect) {
+                if !matches!(m.update.state, State::Alive | State::Suspect) {
                     continue;
                 }
                 // A suspect hears of it first, so that it can speak for itself.
-                let (at, first) = (m.rumour.at, m.suspicion.as_ref().map(|_| m.rumour.clone()));
-                self.number = self.number.wrapping_add(1);
-                let number = self.number;
-                self.probe = Some(Probe { whom: name, number, began: now, asked: false, acked: false });
-                return self.say(at, Message::Ping { number }, first);
+                let (address, first) = (m.update.address, m.suspicion.as_ref().map(|_| m.update.clone()));
+                self.sequence = self.sequence.wrapping_add(1);
+                let sequence = self.sequence;
+                self.probe =
+                    Some(Probe { target: name, sequence, sent_at: now, helpers_asked: false, acked: false });
+                return self.send(address, Message::Ping { sequence }, first);
             }
-            self.round = self.there().map(|(r, _)| r.of.name.clone()).collect();
-            for at in (1..self.round.len()).rev() {
-                self.round.swap(at, self.chance.rand_range(0..at as u64 + 1) as usize);
+            self.round = self.live().map(|(r, _)| r.id.name.clone()).collect();
+            for index in (1..self.round.len()).rev() {
+                self.round.swap(index, self.rng.rand_range(0..index as u64 + 1) as usize);
             }
         }
     }
 
     /// One of the dead, or a seed that is not among us, is asked now and then: whoever was cut off comes back by that.
-    fn try_dead(&mut self, _now: f64) {
-        let mut to: Vec<(SocketAddr, Option<Rumour>)> = self
+    fn contact_dead(&mut self, _now: f64) {
+        let mut to: Vec<(SocketAddr, Option<MemberUpdate>)> = self
             .members
             .values()
-            .filter(|m| m.rumour.state == State::Dead)
-            .map(|m| (m.rumour.at, Some(m.rumour.clone())))
+            .filter(|m| m.update.state == State::Dead)
+            .map(|m| (m.update.address, Some(m.update.clone())))
             .collect();
-        let here: BTreeSet<SocketAddr> = self.members.values().map(|m| m.rumour.at).collect();
-        let seeds = self.terms.seeds.iter().filter(|s| **s != self.terms.at && !here.contains(s));
+        let here: BTreeSet<SocketAddr> = self.members.values().map(|m| m.update.address).collect();
+        let seeds = self.settings.seeds.iter().filter(|s| **s != self.settings.address && !here.contains(s));
         to.extend(seeds.map(|s| (*s, None)));
         if !to.is_empty() {
-            let (at, rumour) = to.swap_remove(self.chance.rand_range(0..to.len() as u64) as usize);
-            self.say(at, Message::Join, rumour);
+            let (address, update) = to.swap_remove(self.rng.rand_range(0..to.len() as u64) as usize);
+            self.send(address, Message::StateRequest, update);
         }
     }
 
     /// Entries of state, which have a bound whoever speaks.
-    pub fn held(&self) -> usize {
-        self.members.len() + self.suspects.len() + self.asked.len() + self.rumours.held() + self.round.len()
+    pub fn state_entries(&self) -> usize {
+        self.members.len()
+            + self.suspects.len()
+            + self.relayed_probes.len()
+            + self.update_queue.queued_count()
+            + self.round.len()
     }
 }
--- a/crates/sandstile-membership/src/updates.rs
+++ b/crates/sandstile-membership/src/updates.rs
@@ -1,48 +1,52 @@
 //! Rumours on their way: each rides on so many messages as reach everybody, those told least first. One of a member takes the
 //! place of the older one of the same member.
-use crate::wire::{size, Rumour};
+use crate::wire::{encoded_size, MemberUpdate};
 use std::collections::BTreeMap;
 
 /// Rumours kept at the most; those told most often go first.
-const MOST: usize = 512;
+const MAX_QUEUED_UPDATES: usize = 512;
 
 #[derive(Default)]
-pub struct Rumours {
-    /// By the name of whom they are, with how often each was told.
-    told: BTreeMap<String, (u32, Rumour)>,
+pub struct UpdateQueue {
+    /// By the name of whom they are, with how often each was queued.
+    queued: BTreeMap<String, (u32, MemberUpdate)>,
 }
 
-impl Rumours {
-    pub fn add(&mut self, rumour: Rumour) {
-        self.told.insert(rumour.of.name.clone(), (0, rumour));
-        if self.told.len() > MOST {
-            let most = self.told.iter().max_by_key(|(_, (times, _))| *times).map(|(name, _)| name.clone());
-            most.map(|name| self.told.remove(&name));
+impl UpdateQueue {
+    pub fn add(&mut self, update: MemberUpdate) {
+        self.queued.insert(update.id.name.clone(), (0, update));
+        if self.queued.len() > MAX_QUEUED_UPDATES {
+            let most_sent = self
+                .queued
+                .iter()
+                .max_by_key(|(_, (transmissions, _))| *transmissions)
+                .map(|(name, _)| name.clone());
+            most_sent.map(|name| self.queued.remove(&name));
         }
     }
 
     /// As many as fit, each counted as told; those that `often` have told it are let go.
-    pub fn take(&mut self, room: usize, often: u32) -> Vec<Rumour> {
-        let mut order: Vec<(u32, String)> =
-            self.told.iter().map(|(name, (times, _))| (*times, name.clone())).collect();
-        order.sort();
-        let (mut out, mut used) = (Vec::new(), 0);
-        for (_, name) in order {
-            let Some((times, rumour)) = self.told.get_mut(&name) else { continue };
-            if used + size(rumour) > room {
+    pub fn take(&mut self, max_bytes: usize, transmit_limit: u32) -> Vec<MemberUpdate> {
+        let mut by_transmissions: Vec<(u32, String)> =
+            self.queued.iter().map(|(name, (transmissions, _))| (*transmissions, name.clone())).collect();
+        by_transmissions.sort();
+        let (mut batch, mut used_bytes) = (Vec::new(), 0);
+        for (_, name) in by_transmissions {
+            let Some((transmissions, update)) = self.queued.get_mut(&name) else { continue };
+            if used_bytes + encoded_size(update) > max_bytes {
                 break;
             }
-            used += size(rumour);
-            *times += 1;
-            out.push(rumour.clone());
-            if *times >= often {
-                self.told.remove(&name);
+            used_bytes += encoded_size(update);
+            *transmissions += 1;
+            batch.push(update.clone());
+            if *transmissions >= transmit_limit {
+                self.queued.remove(&name);
             }
         }
-        out
+        batch
     }
 
-    pub fn held(&self) -> usize {
-        self.told.len()
+    pub fn queued_count(&self) -> usize {
+        self.queued.len()
     }
 }
--- a/crates/sandstile-membership/src/wire.rs
+++ b/crates/sandstile-membership/src/wire.rs
@@ -3,11 +3,11 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 /// Bytes of a message at the most: one datagram on any path.
-pub const MOST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Bytes of a name at the most.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Bytes of a zone's name at the most.
-pub const LONGEST_ZONE: usize = 32;
+pub const MAX_ZONE_BYTES: usize = 32;
 /// The version of what is written here. Versions run side by side: each letter says which is the least that can read it, what a
 /// later one adds lies behind what an earlier one knows, and is passed over.
 const VERSION: u8 = 2;
@@ -16,7 +16,7 @@
 /// One life of a member: its name, and a number that each start draws higher than the last known to it. Two lives of one
 /// name are never the same member's; incarnations count within a life.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Life {
+pub struct MemberId {
     pub name: String,
     pub life: u64,
 }
@@ -41,18 +41,18 @@
 
 /// What is said of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rumour {
-    pub of: Life,
-    pub at: SocketAddr,
+pub struct MemberUpdate {
+    pub id: MemberId,
+    pub address: SocketAddr,
     pub incarnation: u32,
     pub state: State,
-    /// Of a suspicion: who missed an answer of its own (`voice`); 0 otherwise. Whoever passes it on accuses nobody.
-    pub by: u32,
+    /// Of a suspicion: who missed an answer of its own (`accuser_id`); 0 otherwise. Whoever passes it on accuses nobody.
+    pub accuser: u32,
     pub meta: Meta,
 }
 
 /// A member's name as those that accuse are told apart.
-pub fn voice(name: &str) -> u32 {
+pub fn accuser_id(name: &str) -> u32 {
     // FNV-1a, the same on every machine; never 0, which is nobody's.
     name.bytes().fold(0x811c_9dc5u32, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)).max(1)
 }
@@ -61,37 +61,37 @@
 pub enum Message {
     /// Are you there?
     Ping {
-        number: u32,
+        sequence: u32,
     },
     /// Yes.
     Ack {
-        number: u32,
+        sequence: u32,
     },
     /// Ask this one for me.
-    Ask {
-        number: u32,
-        whom: SocketAddr,
+    PingRequest {
+        sequence: u32,
+        target: SocketAddr,
     },
     /// Let me in; answered by all that is known, in as many messages as it takes.
-    Join,
-    Known,
+    StateRequest,
+    Gossip,
 }
 
 /// A message with its sender and the rumours that ride on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Letter {
-    pub from: Rumour,
+pub struct Datagram {
+    pub from: MemberUpdate,
     pub message: Message,
-    pub rumours: Vec<Rumour>,
+    pub updates: Vec<MemberUpdate>,
     /// The sender's view in one number: equal views have equal ones.
     pub digest: u64,
 }
 
-struct Out(Vec<u8>);
+struct Writer(Vec<u8>);
 
-impl Out {
-    fn address(&mut self, at: SocketAddr) {
-        match at.ip() {
+impl Writer {
+    fn address(&mut self, address: SocketAddr) {
+        match address.ip() {
             IpAddr::V4(ip) => {
                 self.0.push(4);
                 self.0.extend_from_slice(&ip.octets());
@@ -101,106 +101,112 @@
                 self.0.extend_from_slice(&ip.octets());
             }
         }
-        self.0.extend_from_slice(&at.port().to_be_bytes());
+        self.0.extend_from_slice(&address.port().to_be_bytes());
     }
 
-    fn rumour(&mut self, r: &Rumour) {
-        let name = &r.of.name.as_bytes()[..r.of.name.len().min(LONGEST_NAME)];
+    fn update(&mut self, update: &MemberUpdate) {
+        let name = &update.id.name.as_bytes()[..update.id.name.len().min(MAX_NAME_BYTES)];
         self.0.push(name.len() as u8);
         self.0.extend_from_slice(name);
-        self.0.extend_from_slice(&r.of.life.to_be_bytes());
-        self.address(r.at);
-        self.0.extend_from_slice(&r.incarnation.to_be_bytes());
-        self.0.push(r.state as u8);
-        self.0.extend_from_slice(&r.by.to_be_bytes());
-        let zone = &r.meta.zone.as_bytes()[..r.meta.zone.len().min(LONGEST_ZONE)];
+        self.0.extend_from_slice(&update.id.life.to_be_bytes());
+        self.address(update.address);
+        self.0.extend_from_slice(&update.incarnation.to_be_bytes());
+        self.0.push(update.state as u8);
+        self.0.extend_from_slice(&update.accuser.to_be_bytes());
+        let zone = &update.meta.zone.as_bytes()[..update.meta.zone.len().min(MAX_ZONE_BYTES)];
         // Its length first: what a later version adds is passed over by this one.
-        let place = self.0.len();
+        let length_offset = self.0.len();
         self.0.push(0);
-        self.0.extend_from_slice(&r.meta.version.to_be_bytes());
+        self.0.extend_from_slice(&update.meta.version.to_be_bytes());
         self.0.push(zone.len() as u8);
         self.0.extend_from_slice(zone);
-        match r.meta.exchange {
-            Some(at) => self.address(at),
+        match update.meta.exchange {
+            Some(address) => self.address(address),
             None => self.0.push(0),
         }
-        self.0[place] = (self.0.len() - place - 1) as u8;
+        self.0[length_offset] = (self.0.len() - length_offset - 1) as u8;
     }
 }
 
 /// Bytes that a rumour takes.
-pub fn size(r: &Rumour) -> usize {
-    let address = |at: &SocketAddr| if at.is_ipv4() { 7 } else { 19 };
-    let meta = 4 + r.meta.zone.len().min(LONGEST_ZONE) + r.meta.exchange.as_ref().map_or(1, address);
-    1 + r.of.name.len().min(LONGEST_NAME) + 8 + address(&r.at) + 4 + 1 + 4 + meta
+pub fn encoded_size(update: &MemberUpdate) -> usize {
+    let address_size = |address: &SocketAddr| if address.is_ipv4() { 7 } else { 19 };
+    let meta = 4
+        + update.meta.zone.len().min(MAX_ZONE_BYTES)
+        + update.meta.exchange.as_ref().map_or(1, address_size);
+    1 + update.id.name.len().min(MAX_NAME_BYTES) + 8 + address_size(&update.address) + 4 + 1 + 4 + meta
 }
 
-impl Letter {
-    /// Its bytes; rumours that find no room are left out, the later ones first.
+impl Datagram {
+    /// Its bytes; rumours that find no room are left writer, the later ones first.
     pub fn write(&self) -> Vec<u8> {
-        let mut out = Out(vec![VERSION, READ_FROM]);
-        out.0.extend_from_slice(&self.digest.to_be_bytes());
-        out.rumour(&self.from);
+        let mut writer = Writer(vec![VERSION, READ_FROM]);
+        writer.0.extend_from_slice(&self.digest.to_be_bytes());
+        writer.update(&self.from);
         match &self.message {
-            Message::Ping { number } => {
-                out.0.push(0);
-                out.0.extend_from_slice(&number.to_be_bytes());
+            Message::Ping { sequence } => {
+                writer.0.push(0);
+                writer.0.extend_from_slice(&sequence.to_be_bytes());
             }
-            Message::Ack { number } => {
-                out.0.push(1);
-                out.0.extend_from_slice(&number.to_be_bytes());
+            Message::Ack { sequence } => {
+                writer.0.push(1);
+                writer.0.extend_from_slice(&sequence.to_be_bytes());
             }
-            Message::Ask { number, whom } => {
-                out.0.push(2);
-                out.0.extend_from_slice(&number.to_be_bytes());
-                out.address(*whom);
+            Message::PingRequest { sequence, target } => {
+                writer.0.push(2);
+                writer.0.extend_from_slice(&sequence.to_be_bytes());
+                writer.address(*target);
             }
-            Message::Join => out.0.push(3),
-            Message::Known => out.0.push(4),
+            Message::StateRequest => writer.0.push(3),
+            Message::Gossip => writer.0.push(4),
         }
-        let place = out.0.len();
-        out.0.push(0);
-        for rumour in &self.rumours {
-            if out.0.len() + size(rumour) > MOST || out.0[place] == u8::MAX {
+        let count_offset = writer.0.len();
+        writer.0.push(0);
+        for update in &self.updates {
+            if writer.0.len() + encoded_size(update) > MAX_DATAGRAM_BYTES || writer.0[count_offset] == u8::MAX
+            {
                 break;
             }
-            out.rumour(rumour);
-            out.0[place] += 1;
+            writer.update(update);
+            writer.0[count_offset] += 1;
         }
-        out.0
+        writer.0
     }
 
     /// `None` for anything that is not whole, or of a version that is not known here.
-    pub fn read(bytes: &[u8]) -> Option<Letter> {
-        if bytes.len() > MOST {
+    pub fn read(bytes: &[u8]) -> Option<Datagram> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return None;
         }
-        let mut from = In(bytes);
-        let (version, read_from) = (from.byte()?, from.byte()?);
+        let mut reader = Reader(bytes);
+        let (version, read_from) = (reader.byte()?, reader.byte()?);
         if version < READ_FROM || read_from > VERSION {
             return None;
         }
-        let digest = u64::from_be_bytes(from.array()?);
-        let sender = from.rumour()?;
-        let message = match from.byte()? {
-            0 => Message::Ping { number: u32::from_be_bytes(from.array()?) },
-            1 => Message::Ack { number: u32::from_be_bytes(from.array()?) },
-            2 => Message::Ask { number: u32::from_be_bytes(from.array()?), whom: from.address()? },
-            3 => Message::Join,
-            4 => Message::Known,
+        let digest = u64::from_be_bytes(reader.array()?);
+        let sender = reader.update()?;
+        let message = match reader.byte()? {
+            0 => Message::Ping { sequence: u32::from_be_bytes(reader.array()?) },
+            1 => Message::Ack { sequence: u32::from_be_bytes(reader.array()?) },
+            2 => Message::PingRequest {
+                sequence: u32::from_be_bytes(reader.array()?),
+                target: reader.address()?,
+            },
+            3 => Message::StateRequest,
+            4 => Message::Gossip,
             _ => return None,
         };
-        let count = from.byte()?;
-        let rumours = (0..count).map(|_| from.rumour()).collect::<Option<Vec<_>>>()?;
+        let count = reader.byte()?;
+        let updates = (0..count).map(|_| reader.update()).collect::<Option<Vec<_>>>()?;
         // Only a later version may have more to say.
-        let whole = from.0.is_empty() || version > VERSION;
-        whole.then_some(Letter { from: sender, message, rumours, digest })
+        let whole = reader.0.is_empty() || version > VERSION;
+        whole.then_some(Datagram { from: sender, message, updates, digest })
     }
 }
 
-struct In<'a>(&'a [u8]);
+struct Reader<'a>(&'a [u8]);
 
-impl In<'_> {
+impl Reader<'_> {
     fn take(&mut self, n: usize) -> Option<&[u8]> {
         if self.0.len() < n {
             return None;
@@ -227,14 +233,14 @@
         Some(SocketAddr::new(ip, u16::from_be_bytes(self.array()?)))
     }
 
-    fn rumour(&mut self) -> Option<Rumour> {
+    fn update(&mut self) -> Option<MemberUpdate> {
         let length = usize::from(self.byte()?);
-        if length == 0 || length > LONGEST_NAME {
+        if length == 0 || length > MAX_NAME_BYTES {
             return None;
         }
         let name = std::str::from_utf8(self.take(length)?).ok()?.to_string();
         let life = u64::from_be_bytes(self.array()?);
-        let at = self.address()?;
+        let address = self.address()?;
         let incarnation = u32::from_be_bytes(self.array()?);
         let state = match self.byte()? {
             0 => State::Alive,
@@ -243,17 +249,17 @@
             3 => State::Dead,
             _ => return None,
         };
-        let by = u32::from_be_bytes(self.array()?);
+        let accuser = u32::from_be_bytes(self.array()?);
         let length = usize::from(self.byte()?);
-        let mut more = In(self.take(length)?);
-        let version = u16::from_be_bytes(more.array()?);
-        let length = usize::from(more.byte()?);
-        if length > LONGEST_ZONE {
+        let mut meta_reader = Reader(self.take(length)?);
+        let version = u16::from_be_bytes(meta_reader.array()?);
+        let length = usize::from(meta_reader.byte()?);
+        if length > MAX_ZONE_BYTES {
             return None;
         }
-        let zone = std::str::from_utf8(more.take(length)?).ok()?.to_string();
-        let exchange = if more.0.first() == Some(&0) { None } else { Some(more.address()?) };
+        let zone = std::str::from_utf8(meta_reader.take(length)?).ok()?.to_string();
+        let exchange = if meta_reader.0.first() == Some(&0) { None } else { Some(meta_reader.address()?) };
         let meta = Meta { version, zone, exchange };
-        Some(Rumour { of: Life { name, life }, at, incarnation, state, by, meta })
+        Some(MemberUpdate { id: MemberId { name, life }, address, incarnation, state, accuser, meta })
     }
 }
--- a/crates/sandstile-membership/tests/model.rs
+++ b/crates/sandstile-membership/tests/model.rs
@@ -2,19 +2,19 @@
 //! faults have ended and everybody has spoken to everybody, all hold all for there. One may be cut off, one may stand still, one may
 //! start again, each once and in any order.
 use sandstile_membership::swim::{overrides, refutes};
-use sandstile_membership::{Life, Meta, Rumour, State};
+use sandstile_membership::{MemberId, MemberUpdate, Meta, State};
 use stateright::{Checker, Model, Property};
 
 const N: usize = 3;
 
-type Word = (u64, u32, u8);
+type Belief = (u64, u32, u8);
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 struct Member {
-    life: u64,
+    generation: u64,
     incarnation: u32,
     /// What it holds of each, itself left out.
-    beliefs: [Option<Word>; N],
+    beliefs: [Option<Belief>; N],
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
@@ -30,61 +30,72 @@
 }
 
 impl World {
-    fn hears(&self, from: usize, to: usize) -> bool {
+    fn connected(&self, from: usize, to: usize) -> bool {
         let parted = self.cut.is_some_and(|c| c == from || c == to);
         !parted && self.stopped != Some(from) && self.stopped != Some(to)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Act {
+enum Action {
     /// The first holds the second for silent, though it is there.
     Suspect(usize, usize),
     /// Its suspicion runs out.
-    Bury(usize, usize),
+    DeclareDead(usize, usize),
     /// The first tells the second all that it holds.
-    Tell(usize, usize),
+    Send(usize, usize),
     Restart(usize),
     Cut(usize),
     Heal,
     Stop(usize),
-    GoOn,
+    Resume,
 }
 
-struct Three {
+struct ThreeMembers {
     /// A mutant's members do not speak up for themselves.
     refutes: bool,
 }
 
-fn rumour(n: usize, (life, incarnation, state): Word) -> Rumour {
+fn update(n: usize, (life, incarnation, state): Belief) -> MemberUpdate {
     let state = [State::Alive, State::Suspect, State::Left, State::Dead][usize::from(state)];
-    let at = std::net::SocketAddr::from(([127, 0, 0, n as u8 + 1], 7400));
-    Rumour { of: Life { name: format!("n{n}"), life }, at, incarnation, state, by: 0, meta: Meta::default() }
+    let address = std::net::SocketAddr::from(([127, 0, 0, n as u8 + 1], 7400));
+    MemberUpdate {
+        id: MemberId { name: format!("n{n}"), life },
+        address,
+        incarnation,
+        state,
+        accuser: 0,
+        meta: Meta::default(),
+    }
 }
 
-impl Three {
-    fn hear(&self, world: &mut World, who: usize, of: usize, word: Word) {
-        let me = &mut world.members[who];
-        if who == of {
-            if let Some(louder) = refutes(&rumour(of, word), me.life, me.incarnation).filter(|_| self.refutes)
+impl ThreeMembers {
+    fn apply(&self, world: &mut World, who: usize, subject: usize, belief: Belief) {
+        let member = &mut world.members[who];
+        if who == subject {
+            if let Some(incarnation) =
+                refutes(&update(subject, belief), member.generation, member.incarnation)
+                    .filter(|_| self.refutes)
             {
-                me.incarnation = louder;
+                member.incarnation = incarnation;
             }
             return;
         }
-        match me.beliefs[of] {
-            None if word.2 < 2 => me.beliefs[of] = Some(word),
-            Some(held) if overrides(&rumour(of, word), &rumour(of, held)) => me.beliefs[of] = Some(word),
+        match member.beliefs[subject] {
+            None if belief.2 < 2 => member.beliefs[subject] = Some(belief),
+            Some(held) if overrides(&update(subject, belief), &update(subject, held)) => {
+                member.beliefs[subject] = Some(belief)
+            }
             _ => {}
         }
     }
 
-    fn tell(&self, world: &mut World, from: usize, to: usize) {
-        let teller = world.members[from].clone();
-        self.hear(world, to, from, (teller.life, teller.incarnation, 0));
-        for (of, word) in teller.beliefs.iter().enumerate() {
-            if let Some(word) = word {
-                self.hear(world, to, of, *word);
+    fn send(&self, world: &mut World, from: usize, to: usize) {
+        let sender = world.members[from].clone();
+        self.apply(world, to, from, (sender.generation, sender.incarnation, 0));
+        for (subject, belief) in sender.beliefs.iter().enumerate() {
+            if let Some(belief) = belief {
+                self.apply(world, to, subject, *belief);
             }
         }
     }
@@ -95,28 +106,29 @@
         for _ in 0..6 {
             for from in 0..N {
                 for to in (0..N).filter(|to| *to != from) {
-                    self.tell(&mut world, from, to);
+                    self.send(&mut world, from, to);
                 }
             }
         }
         (0..N).all(|who| {
-            (0..N).filter(|of| *of != who).all(|of| {
-                world.members[who].beliefs[of]
-                    .is_some_and(|(life, _, state)| state == 0 && life == world.members[of].life)
+            (0..N).filter(|subject| *subject != who).all(|subject| {
+                world.members[who].beliefs[subject].is_some_and(|(generation, _, state)| {
+                    state == 0 && generation == world.members[subject].generation
+                })
             })
         })
     }
 }
 
-impl Model for Three {
+impl Model for ThreeMembers {
     type State = World;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<World> {
         let member = |n: usize| Member {
-            life: 1,
+            generation: 1,
             incarnation: 0,
-            beliefs: std::array::from_fn(|of| (of != n).then_some((1, 0, 0))),
+            beliefs: std::array::from_fn(|subject| (subject != n).then_some((1, 0, 0))),
         };
         vec![World {
             members: std::array::from_fn(member),
@@ -129,67 +141,67 @@
         }]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
+    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
         for a in 0..N {
             for b in (0..N).filter(|b| *b != a) {
-                if world.hears(a, b) {
-                    acts.push(Act::Tell(a, b));
+                if world.connected(a, b) {
+                    actions.push(Action::Send(a, b));
                 }
                 if world.stopped == Some(a) {
                     continue;
                 }
                 match world.members[a].beliefs[b] {
-                    Some((_, _, 0)) if world.suspicions > 0 => acts.push(Act::Suspect(a, b)),
-                    Some((_, _, 1)) => acts.push(Act::Bury(a, b)),
+                    Some((_, _, 0)) if world.suspicions > 0 => actions.push(Action::Suspect(a, b)),
+                    Some((_, _, 1)) => actions.push(Action::DeclareDead(a, b)),
                     _ => {}
                 }
             }
             if world.restarts > 0 && world.stopped != Some(a) {
-                acts.push(Act::Restart(a));
+                actions.push(Action::Restart(a));
             }
             if world.cuts > 0 {
-                acts.push(Act::Cut(a));
+                actions.push(Action::Cut(a));
             }
             if world.stops > 0 {
-                acts.push(Act::Stop(a));
+                actions.push(Action::Stop(a));
             }
         }
         if world.cut.is_some() {
-            acts.push(Act::Heal);
+            actions.push(Action::Heal);
         }
         if world.stopped.is_some() {
-            acts.push(Act::GoOn);
+            actions.push(Action::Resume);
         }
     }
 
-    fn next_state(&self, before: &World, act: Act) -> Option<World> {
+    fn next_state(&self, before: &World, action: Action) -> Option<World> {
         let mut world = before.clone();
-        match act {
-            Act::Suspect(a, b) => {
-                let (life, incarnation, _) = world.members[a].beliefs[b]?;
+        match action {
+            Action::Suspect(a, b) => {
+                let (generation, incarnation, _) = world.members[a].beliefs[b]?;
                 world.suspicions -= 1;
-                self.hear(&mut world, a, b, (life, incarnation, 1));
+                self.apply(&mut world, a, b, (generation, incarnation, 1));
             }
-            Act::Bury(a, b) => {
-                let (life, incarnation, _) = world.members[a].beliefs[b]?;
-                self.hear(&mut world, a, b, (life, incarnation, 3));
+            Action::DeclareDead(a, b) => {
+                let (generation, incarnation, _) = world.members[a].beliefs[b]?;
+                self.apply(&mut world, a, b, (generation, incarnation, 3));
             }
-            Act::Tell(a, b) => self.tell(&mut world, a, b),
-            Act::Cut(a) => (world.cut, world.cuts) = (Some(a), world.cuts - 1),
-            Act::Heal => world.cut = None,
-            Act::Stop(a) => (world.stopped, world.stops) = (Some(a), world.stops - 1),
-            Act::GoOn => world.stopped = None,
-            Act::Restart(a) => {
+            Action::Send(a, b) => self.send(&mut world, a, b),
+            Action::Cut(a) => (world.cut, world.cuts) = (Some(a), world.cuts - 1),
+            Action::Heal => world.cut = None,
+            Action::Stop(a) => (world.stopped, world.stops) = (Some(a), world.stops - 1),
+            Action::Resume => world.stopped = None,
+            Action::Restart(a) => {
                 world.restarts -= 1;
-                let life = world.members[a].life + 1;
-                world.members[a] = Member { life, incarnation: 0, beliefs: [None; N] };
+                let generation = world.members[a].generation + 1;
+                world.members[a] = Member { generation, incarnation: 0, beliefs: [None; N] };
             }
         }
         (world != *before).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always(HEALS, |model: &Three, world: &World| model.healed(world))]
+        vec![Property::always(HEALS, |model: &ThreeMembers, world: &World| model.healed(world))]
     }
 }
 
@@ -197,7 +209,7 @@
 
 #[test]
 fn from_every_state_all_agree_once_faults_have_ended() {
-    let checker = Three { refutes: true }.checker().spawn_bfs().join();
+    let checker = ThreeMembers { refutes: true }.checker().spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     assert!(checker.unique_state_count() > 1000);
     checker.assert_properties();
@@ -205,6 +217,6 @@
 
 #[test]
 fn without_incarnations_a_false_death_is_for_ever() {
-    let checker = Three { refutes: false }.checker().spawn_bfs().join();
+    let checker = ThreeMembers { refutes: false }.checker().spawn_bfs().join();
     assert!(checker.discovery(HEALS).is_some());
 }
--- a/crates/sandstile-peers/src/lib.rs
+++ b/crates/sandstile-peers/src/lib.rs
@@ -5,5 +5,5 @@
 pub mod peers;
 pub mod seal;
 
-pub use peers::{Counts, News, Peers, Report, Terms};
-pub use seal::{Opener, Refused, Sealer};
+pub use peers::{PeerCounters, PeerEvent, Peers, Report, Settings};
+pub use seal::{OpenError, Opener, Sealer};
--- a/crates/sandstile-peers/src/seal.rs
+++ b/crates/sandstile-peers/src/seal.rs
@@ -3,28 +3,28 @@
 //!
 //! What it does not give: a receiver that has just started takes a letter again that it took in its former life. That is an old
 //! word on a member, which newer words override; it never reaches what hosts are asked.
-use crate::gate::Bucket;
+use crate::gate::TokenBucket;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 pub type Secret = [u8; 32];
 
 const FORMAT: u8 = 1;
-const HEAD: usize = 1 + 8 + 8;
-const MARK: usize = 16;
+const HEADER_BYTES: usize = 1 + 8 + 8;
+const TAG_BYTES: usize = 16;
 /// Bytes that a seal adds to a letter.
-pub const OVERHEAD: usize = HEAD + MARK;
+pub const SEAL_BYTES: usize = HEADER_BYTES + TAG_BYTES;
 /// Letters that may overtake one another and still count.
-const WINDOW: u64 = 64;
+const REPLAY_WINDOW: u64 = 64;
 /// Senders' processes that are remembered; those not heard for the longest go first.
-const MOST_RUNS: usize = 2048;
+const MAX_SENDERS: usize = 2048;
 /// Each so many letters one goes out under the newest key, though the other spoke under an older one.
-const RETRY: u64 = 8;
+const NEWEST_KEY_INTERVAL: u64 = 8;
 /// Addresses whose keys are remembered.
-const MOST_KEYS: usize = 2048;
+const MAX_PEER_KEYS: usize = 2048;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum OpenError {
     /// Too short, too long or of another form.
     Unreadable,
     /// Under no key of the ring.
@@ -35,7 +35,7 @@
     Flooded,
 }
 
-fn mark(key: &Secret, bytes: &[u8]) -> [u8; MARK] {
+fn tag(key: &Secret, bytes: &[u8]) -> [u8; TAG_BYTES] {
     let hash = blake3::keyed_hash(key, bytes);
     std::array::from_fn(|n| hash.as_bytes()[n])
 }
@@ -43,141 +43,151 @@
 /// Seals what goes out. Keys are known to all sides at different times while they are changed: one that spoke under a key is
 /// answered under that one, and one that was never heard is spoken to under each in turn.
 pub struct Sealer {
-    ring: Vec<Secret>,
-    run: u64,
-    count: u64,
-    turn: usize,
-    theirs: BTreeMap<SocketAddr, Secret>,
+    keys: Vec<Secret>,
+    generation: u64,
+    sequence: u64,
+    next_key: usize,
+    peer_keys: BTreeMap<SocketAddr, Secret>,
 }
 
 impl Sealer {
     /// `run` is the number of this process: never the same as a former one's. The first key of the ring is the newest.
-    pub fn new(ring: Vec<Secret>, run: u64) -> Sealer {
-        Sealer { ring, run, count: 0, turn: 0, theirs: BTreeMap::new() }
+    pub fn new(keys: Vec<Secret>, generation: u64) -> Sealer {
+        Sealer { keys, generation, sequence: 0, next_key: 0, peer_keys: BTreeMap::new() }
     }
 
-    pub fn rotate(&mut self, ring: Vec<Secret>) {
-        self.theirs.retain(|_, key| ring.contains(key));
-        self.ring = ring;
+    pub fn rotate(&mut self, keys: Vec<Secret>) {
+        self.peer_keys.retain(|_, key| keys.contains(key));
+        self.keys = keys;
     }
 
     /// Whoever is there spoke under this key.
-    pub fn heard(&mut self, from: SocketAddr, key: Secret) {
-        if self.theirs.len() >= MOST_KEYS && !self.theirs.contains_key(&from) {
-            self.theirs.clear();
+    pub fn remember_key(&mut self, from: SocketAddr, key: Secret) {
+        if self.peer_keys.len() >= MAX_PEER_KEYS && !self.peer_keys.contains_key(&from) {
+            self.peer_keys.clear();
         }
-        self.theirs.insert(from, key);
+        self.peer_keys.insert(from, key);
     }
 
-    pub fn seal(&mut self, to: SocketAddr, letter: &[u8]) -> Vec<u8> {
-        self.count += 1;
-        let mut out = Vec::with_capacity(letter.len() + OVERHEAD);
+    pub fn seal(&mut self, to: SocketAddr, payload: &[u8]) -> Vec<u8> {
+        self.sequence += 1;
+        let mut out = Vec::with_capacity(payload.len() + SEAL_BYTES);
         out.push(FORMAT);
-        out.extend_from_slice(&self.run.to_be_bytes());
-        out.extend_from_slice(&self.count.to_be_bytes());
-        out.extend_from_slice(letter);
-        let key = match self.theirs.get(&to) {
+        out.extend_from_slice(&self.generation.to_be_bytes());
+        out.extend_from_slice(&self.sequence.to_be_bytes());
+        out.extend_from_slice(payload);
+        let key = match self.peer_keys.get(&to) {
             // Now and then under the newest: one that has it by now answers under it from then on.
-            Some(_) if self.count.is_multiple_of(RETRY) => self.ring[0],
+            Some(_) if self.sequence.is_multiple_of(NEWEST_KEY_INTERVAL) => self.keys[0],
             Some(key) => *key,
             None => {
-                self.turn += 1;
-                self.ring[self.turn % self.ring.len()]
+                self.next_key += 1;
+                self.keys[self.next_key % self.keys.len()]
             }
         };
-        let mark = mark(&key, &out);
-        out.extend_from_slice(&mark);
+        let tag = tag(&key, &out);
+        out.extend_from_slice(&tag);
         out
     }
 }
 
 /// What one process has said of late: the highest number, and which of those below it.
-struct Run {
-    top: u64,
-    below: u64,
-    heard: f64,
-    gate: Bucket,
+struct SenderWindow {
+    highest: u64,
+    received_below: u64,
+    last_received: f64,
+    rate_limit: TokenBucket,
 }
 
-impl Run {
-    fn is_new(&self, number: u64) -> bool {
-        match self.top.checked_sub(number) {
+impl SenderWindow {
+    fn is_new(&self, sequence: u64) -> bool {
+        match self.highest.checked_sub(sequence) {
             None => true,
             Some(0) => false,
-            Some(back) => back <= WINDOW && self.below & (1 << (back - 1)) == 0,
+            Some(distance) => distance <= REPLAY_WINDOW && self.received_below & (1 << (distance - 1)) == 0,
         }
     }
 
-    fn take(&mut self, number: u64) {
-        if number > self.top {
-            let forth = number - self.top;
+    fn record(&mut self, sequence: u64) {
+        if sequence > self.highest {
+            let advance = sequence - self.highest;
             // The former top is one of those below now.
-            self.below = if forth > WINDOW {
+            self.received_below = if advance > REPLAY_WINDOW {
                 0
             } else {
-                self.below.checked_shl(forth as u32).unwrap_or(0) | 1 << (forth - 1)
+                self.received_below.checked_shl(advance as u32).unwrap_or(0) | 1 << (advance - 1)
             };
-            self.top = number;
+            self.highest = sequence;
         } else {
-            self.below |= 1 << (self.top - number - 1);
+            self.received_below |= 1 << (self.highest - sequence - 1);
         }
     }
 }
 
 /// Opens what comes.
 pub struct Opener {
-    ring: Vec<Secret>,
-    runs: BTreeMap<u64, Run>,
-    all: Bucket,
-    marks: Bucket,
+    keys: Vec<Secret>,
+    senders: BTreeMap<u64, SenderWindow>,
+    all_senders: TokenBucket,
+    tag_checks: TokenBucket,
 }
 
 impl Opener {
-    pub fn new(ring: Vec<Secret>, now: f64) -> Opener {
-        Opener { ring, runs: BTreeMap::new(), all: Bucket::all(now), marks: Bucket::marks(now) }
+    pub fn new(keys: Vec<Secret>, now: f64) -> Opener {
+        Opener {
+            keys,
+            senders: BTreeMap::new(),
+            all_senders: TokenBucket::all_senders(now),
+            tag_checks: TokenBucket::tag_checks(now),
+        }
     }
 
-    pub fn rotate(&mut self, ring: Vec<Secret>) {
-        self.ring = ring;
+    pub fn rotate(&mut self, keys: Vec<Secret>) {
+        self.keys = keys;
     }
 
     /// The letter, and the key under which it was said.
-    pub fn open<'a>(&mut self, now: f64, bytes: &'a [u8]) -> Result<(&'a [u8], Secret), Refused> {
-        if bytes.len() < OVERHEAD || bytes[0] != FORMAT {
-            return Err(Refused::Unreadable);
+    pub fn open<'a>(&mut self, now: f64, bytes: &'a [u8]) -> Result<(&'a [u8], Secret), OpenError> {
+        if bytes.len() < SEAL_BYTES || bytes[0] != FORMAT {
+            return Err(OpenError::Unreadable);
         }
-        if !self.marks.takes(now) {
-            return Err(Refused::Flooded);
+        if !self.tag_checks.try_take(now) {
+            return Err(OpenError::Flooded);
         }
-        let (said, seal) = bytes.split_at(bytes.len() - MARK);
+        let (signed, received_tag) = bytes.split_at(bytes.len() - TAG_BYTES);
         // Marks are compared whole, in constant time: `blake3::Hash` would do so for all 32 bytes.
-        let same = |key: &&Secret| mark(key, said).iter().zip(seal).fold(0, |d, (a, b)| d | (a ^ b)) == 0;
-        let key = *self.ring.iter().find(same).ok_or(Refused::Forged)?;
-        let number = |at: usize| u64::from_be_bytes(std::array::from_fn(|n| said[at + n]));
-        let (run, number) = (number(1), number(9));
-        if !self.runs.contains_key(&run) && self.runs.len() >= MOST_RUNS {
-            let oldest = self.runs.iter().min_by(|a, b| a.1.heard.total_cmp(&b.1.heard)).map(|(run, _)| *run);
-            oldest.map(|run| self.runs.remove(&run));
+        let same =
+            |key: &&Secret| tag(key, signed).iter().zip(received_tag).fold(0, |d, (a, b)| d | (a ^ b)) == 0;
+        let key = *self.keys.iter().find(same).ok_or(OpenError::Forged)?;
+        let sequence = |offset: usize| u64::from_be_bytes(std::array::from_fn(|n| signed[offset + n]));
+        let (generation, sequence) = (sequence(1), sequence(9));
+        if !self.senders.contains_key(&generation) && self.senders.len() >= MAX_SENDERS {
+            let oldest = self
+                .senders
+                .iter()
+                .min_by(|a, b| a.1.last_received.total_cmp(&b.1.last_received))
+                .map(|(generation, _)| *generation);
+            oldest.map(|generation| self.senders.remove(&generation));
         }
-        let from = self.runs.entry(run).or_insert_with(|| Run {
-            top: number.saturating_sub(1),
-            below: 0,
-            heard: now,
-            gate: Bucket::one(now),
+        let sender = self.senders.entry(generation).or_insert_with(|| SenderWindow {
+            highest: sequence.saturating_sub(1),
+            received_below: 0,
+            last_received: now,
+            rate_limit: TokenBucket::per_sender(now),
         });
-        from.heard = now;
-        if !from.is_new(number) {
-            return Err(Refused::Replayed);
+        sender.last_received = now;
+        if !sender.is_new(sequence) {
+            return Err(OpenError::Replayed);
         }
-        if !from.gate.takes(now) || !self.all.takes(now) {
-            return Err(Refused::Flooded);
+        if !sender.rate_limit.try_take(now) || !self.all_senders.try_take(now) {
+            return Err(OpenError::Flooded);
         }
-        from.take(number);
-        Ok((&said[HEAD..], key))
+        sender.record(sequence);
+        Ok((&signed[HEADER_BYTES..], key))
     }
 
     /// Entries of state, which have a bound whoever speaks.
-    pub fn held(&self) -> usize {
-        self.runs.len()
+    pub fn sender_count(&self) -> usize {
+        self.senders.len()
     }
 }
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -202,7 +202,7 @@
         share: m.boolean("share", false),
         period: m.ms("period_ms", 50.0..60_000.0, 0.25),
     });
-    if plan.as_ref().is_some_and(|p| p.zone.len() > sandstile_membership::wire::LONGEST_ZONE) {
+    if plan.as_ref().is_some_and(|p| p.zone.len() > sandstile_membership::wire::MAX_ZONE_BYTES) {
         m.problem("zone", "a zone's name has 32 bytes at most", None);
     }
     m.finish();
--- a/crates/sandstile-router/src/members.rs
+++ b/crates/sandstile-router/src/members.rs
@@ -7,9 +7,9 @@
 use crate::mailbox::MailboxSender;
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
-use sandstile_membership::wire::LONGEST_NAME;
+use sandstile_membership::wire::MAX_NAME_BYTES;
 use sandstile_membership::{Change, Meta, State};
-use sandstile_peers::{News, Peers, Report, Terms};
+use sandstile_peers::{PeerEvent, Peers, Report, Settings};
 use serde_json::{json, Value};
 use slog::{info, warn, Logger};
 use std::io;
@@ -33,7 +33,7 @@
     sharing_routers: Option<MailboxSender<f64>>,
     exchange_peers: Option<ExchangePeers>,
     pub control: Option<ControlSocket>,
-    counted: sandstile_peers::Counts,
+    counted: sandstile_peers::PeerCounters,
     log: Logger,
 }
 
@@ -55,19 +55,22 @@
     /// The message is one line.
     pub fn open(plan: &Plan, beside: MembersContext, now: f64, log: &Logger) -> Result<Members, String> {
         let told = |e: io::Error| format!("members: {}: {e}", plan.listen);
-        if beside.name.is_empty() || beside.name.len() > LONGEST_NAME {
-            return Err(format!("members: a router's name has 1 to {LONGEST_NAME} bytes: '{}'", beside.name));
+        if beside.name.is_empty() || beside.name.len() > MAX_NAME_BYTES {
+            return Err(format!(
+                "members: a router's name has 1 to {MAX_NAME_BYTES} bytes: '{}'",
+                beside.name
+            ));
         }
         let socket = UdpSocket::bind(plan.listen).map_err(told)?;
         let control = plan.control.as_deref().map(ControlSocket::open).transpose()?;
-        let terms = Terms {
+        let terms = Settings {
             name: beside.name,
-            life: beside.generation,
-            at: plan.advertise,
+            generation: beside.generation,
+            address: plan.advertise,
             seeds: plan.seeds.clone(),
             meta: Meta { version: VERSION, zone: plan.zone.clone(), exchange: beside.exchange },
             period: plan.period,
-            share: plan.share.then_some(beside.routers),
+            configured_routers: plan.share.then_some(beside.routers),
             keys: beside.keys,
         };
         info!(log, "members"; "listen" => %plan.listen, "found at" => %plan.advertise, "seeds" => plan.seeds.len());
@@ -78,7 +81,7 @@
             sharing_routers: beside.sharing_routers,
             exchange_peers: beside.exchange_peers,
             control,
-            counted: sandstile_peers::Counts::default(),
+            counted: sandstile_peers::PeerCounters::default(),
             log: log.clone(),
         })
     }
@@ -116,7 +119,7 @@
                 break;
             }
             match self.socket.recv_from(&mut bytes) {
-                Ok((n, _)) => self.peers.received(context.clock.now(), &bytes[..n]),
+                Ok((n, _)) => self.peers.handle_datagram(context.clock.now(), &bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.ready = false,
                 // What could not be delivered earlier is told here; it is the other's death, which letters tell better.
                 Err(_) => {}
@@ -124,7 +127,7 @@
         }
         let now = context.clock.now();
         if self.peers.due() <= now && !self.ready {
-            self.peers.woken(now);
+            self.peers.on_timer(now);
         }
         self.send(now);
         self.heed(context);
@@ -136,25 +139,25 @@
 
     /// Letters that the platform does not take now are lost, as any may be.
     fn send(&mut self, now: f64) {
-        for (to, letter) in self.peers.take_out(now) {
+        for (to, letter) in self.peers.take_outgoing(now) {
             let _ = self.socket.send_to(&letter, to);
         }
     }
 
     fn heed(&mut self, context: &LoopContext) {
-        for news in self.peers.take_news() {
+        for news in self.peers.take_events() {
             match news {
-                News::Change(Change::NameTaken(at)) => {
-                    warn!(self.log, "another process runs under this router's name"; "at" => %at);
+                PeerEvent::Change(Change::NameTaken(address)) => {
+                    warn!(self.log, "another process runs under this router's name"; "at" => %address);
                 }
-                News::Change(change) => info!(self.log, "member: {change:?}"),
-                News::View(view, look) => {
+                PeerEvent::Change(change) => info!(self.log, "member: {change:?}"),
+                PeerEvent::View(view, look) => {
                     context.counters.view_changes.add();
-                    info!(self.log, "view: {}", view.word(); "there" => look.there, "suspects" => look.suspects,
+                    info!(self.log, "view: {}", view.label(); "there" => look.live, "suspects" => look.suspects,
                         "dead" => look.dead, "differing" => look.differing);
                 }
-                News::Sharers(n) => drop(self.sharing_routers.as_ref().map(|post| post.send(n))),
-                News::Tell(whom) => {
+                PeerEvent::SharingRouters(n) => drop(self.sharing_routers.as_ref().map(|post| post.send(n))),
+                PeerEvent::ExchangePeers(whom) => {
                     if let Some(exchange_peers) = &mut self.exchange_peers {
                         exchange_peers.follow(&whom);
                     }
@@ -165,7 +168,7 @@
         if counts != self.counted {
             self.counted = counts;
             let c = &context.counters;
-            c.letters.set(counts.letters);
+            c.letters.set(counts.datagrams);
             c.letters_refused.set(counts.unreadable + counts.forged + counts.replayed + counts.flooded);
             c.names_taken.set(counts.names_taken);
             c.member_deaths.set(counts.deaths);
@@ -184,7 +187,7 @@
     }
 }
 
-fn word(state: State) -> &'static str {
+fn label(state: State) -> &'static str {
     match state {
         State::Alive => "alive",
         State::Suspect => "suspect",
@@ -199,17 +202,17 @@
         .members
         .iter()
         .map(|m| {
-            json!({"name": m.rumour.of.name, "life": m.rumour.of.life, "state": word(m.rumour.state),
-                "address": m.rumour.at.to_string(), "since": m.since, "round_trip_ms": m.round_trip.map(|s| s * 1e3),
-                "version": m.rumour.meta.version, "zone": m.rumour.meta.zone, "agrees": m.agrees})
+            json!({"name": m.update.id.name, "life": m.update.id.life, "state": label(m.update.state),
+                "address": m.update.address.to_string(), "since": m.since, "round_trip_ms": m.round_trip.map(|s| s * 1e3),
+                "version": m.update.meta.version, "zone": m.update.meta.zone, "agrees": m.agrees})
         })
         .collect();
     let c = &r.counts;
-    json!({"name": r.name, "life": r.life, "address": r.at.to_string(), "version": r.meta.version, "zone": r.meta.zone,
-        "view": r.view.word(), "holds_for_s": r.holds_for, "digest": format!("{:016x}", r.digest),
-        "there": r.look.there, "suspects": r.look.suspects, "dead": r.look.dead, "differing": r.look.differing,
-        "health": r.health, "sharers": r.sharers, "members": members,
-        "letters": {"taken": c.letters, "sent": r.sent.1, "bytes_sent": r.sent.0, "unreadable": c.unreadable,
+    json!({"name": r.name, "life": r.generation, "address": r.address.to_string(), "version": r.meta.version, "zone": r.meta.zone,
+        "view": r.view.label(), "holds_for_s": r.view_age, "digest": format!("{:016x}", r.digest),
+        "there": r.observation.live, "suspects": r.observation.suspects, "dead": r.observation.dead, "differing": r.observation.differing,
+        "health": r.health, "sharers": r.sharing_routers, "members": members,
+        "letters": {"taken": c.datagrams, "sent": r.sent.1, "bytes_sent": r.sent.0, "unreadable": c.unreadable,
             "forged": c.forged, "replayed": c.replayed, "flooded": c.flooded, "held_back": c.held_back},
         "suspicions": c.suspicions, "deaths": c.deaths, "names_taken": c.names_taken})
 }
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -9,7 +9,7 @@
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Ending, Outcome};
 use sandstile_durable_state::{Folder, Opened, Shelf};
-use sandstile_membership_view::{may, About, View, Way};
+use sandstile_membership_view::{may_act, Direction, Topic, View};
 use sandstile_policy::terms::OutcomeClass;
 use sandstile_probe_sharing::{ProbeResult, ProbeSharing, Warnings};
 use sandstile_replicated_state::catchup::{assess_trust, SyncState, Trust};
@@ -326,8 +326,9 @@
             }
             Kind::Refusal => {
                 // More care is allowed in every view, alone as well.
-                let may = said.severity > 0 && may(View::Alone, About::Refusal, Way::MoreCareful, false);
-                if may && self.warnings.accept(now, &key.owner, &key.subject) {
+                let may_act =
+                    said.severity > 0 && may_act(View::Alone, Topic::Refusal, Direction::MoreCareful, false);
+                if may_act && self.warnings.accept(now, &key.owner, &key.subject) {
                     learnt.warned.push((key.subject.to_string(), now - created_at));
                 }
             }
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -6,7 +6,7 @@
 use sandstile_audit::agreement::Agreement;
 use sandstile_audit::{agreement, judge, Trace};
 use sandstile_lab::rehearse::{rehearse, Wanted};
-use sandstile_membership::{Letter, Life, Message, Meta, Rumour, State};
+use sandstile_membership::{Datagram, MemberId, MemberUpdate, Message, Meta, State};
 use sandstile_peers::Sealer;
 use sandstile_router::members::CONTEXT;
 use sandstile_router::{control_client, keys};
@@ -198,19 +198,19 @@
     let secret = keys::read_keys(&dir.join("keys")).expect("keys").derived(CONTEXT);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("an address");
     let me = socket.local_addr().expect("an address");
-    let rumour = |name: &str, life: u64, at, incarnation, state| Rumour {
-        of: Life { name: name.to_string(), life },
-        at,
+    let update = |name: &str, life: u64, address, incarnation, state| MemberUpdate {
+        id: MemberId { name: name.to_string(), life },
+        address,
         incarnation,
         state,
-        by: 0,
+        accuser: 0,
         meta: Meta::default(),
     };
     let lives: Vec<u64> = (0..3).map(|n| asked(n)["life"].as_u64().expect("a life")).collect();
     let mut sealer = Sealer::new(secret, 1);
-    let mut say = |to: usize, rumours: Vec<Rumour>| {
-        let from = rumour("liar", 1, me, 0, State::Alive);
-        let letter = Letter { from, message: Message::Known, rumours, digest: 7 }.write();
+    let mut say = |to: usize, updates: Vec<MemberUpdate>| {
+        let from = update("liar", 1, me, 0, State::Alive);
+        let letter = Datagram { from, message: Message::Gossip, updates, digest: 7 }.write();
         let sealed = sealer.seal(at[to], &letter);
         let _ = socket.send_to(&sealed, at[to]);
         sealed
@@ -220,12 +220,12 @@
         for to in 0..3 {
             let whom = (to + 1) % 3;
             let loud = if round % 5 == 4 { u32::MAX } else { round };
-            let sealed = say(to, vec![rumour(&format!("r{whom}"), lives[whom], at[whom], loud, State::Dead)]);
+            let sealed = say(to, vec![update(&format!("r{whom}"), lives[whom], at[whom], loud, State::Dead)]);
             first.get_or_insert(sealed);
             // The same letter over and over, and names that nobody has.
             let _ = socket.send_to(first.as_ref().expect("a letter"), at[0]);
             let names = (0..8)
-                .map(|n| rumour(&format!("x{}", round * 24 + to as u32 * 8 + n), 1, me, 0, State::Alive));
+                .map(|n| update(&format!("x{}", round * 24 + to as u32 * 8 + n), 1, me, 0, State::Alive));
             say(to, names.collect());
         }
         std::thread::sleep(std::time::Duration::from_millis(5));
