--- a/crates/sandstile-durable-state/src/folder.rs
+++ b/crates/sandstile-durable-state/src/folder.rs
@@ -1,5 +1,5 @@
 //! A folder on a real disk.
-use crate::Place;
+use crate::Storage;
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 /// Read at the most; no router's copy is longer.
 const LONGEST: u64 = 1 << 30;
 
-pub struct Folder {
+pub struct StateDirectory {
     path: PathBuf,
     witness: Option<PathBuf>,
     /// What is appended to, once this process has put a copy there.
@@ -16,9 +16,9 @@
     _lock: File,
 }
 
-impl Folder {
+impl StateDirectory {
     /// The copy lies in `dir`, which is made where it is not; the witness, if any, is a file elsewhere. The message is one line.
-    pub fn open(dir: &Path, witness: Option<&Path>) -> Result<Folder, String> {
+    pub fn open(dir: &Path, witness: Option<&Path>) -> Result<StateDirectory, String> {
         let told = |e: io::Error| format!("state: {}: {e}", dir.display());
         fs::create_dir_all(dir).map_err(told)?;
         let lock = OpenOptions::new()
@@ -35,7 +35,7 @@
             Err(TryLockError::Error(e)) => return Err(told(e)),
         }
         let witness = witness.map(Path::to_path_buf);
-        Ok(Folder { path: dir.join("state"), witness, open: None, _lock: lock })
+        Ok(StateDirectory { path: dir.join("state"), witness, open: None, _lock: lock })
     }
 }
 
@@ -61,7 +61,7 @@
     Ok(file)
 }
 
-impl Place for Folder {
+impl Storage for StateDirectory {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         read(&self.path)
     }
--- a/crates/sandstile-durable-state/src/lib.rs
+++ b/crates/sandstile-durable-state/src/lib.rs
@@ -4,14 +4,14 @@
 //! writing, loudly, and nothing else: what is there has no end in order, so it is never taken for all.
 mod folder;
 
-pub use folder::Folder;
+pub use folder::StateDirectory;
 use sandstile_replicated_state::catchup::{StoredCopy, Witness};
 use sandstile_replicated_state::stored::{self, FileContents};
 use sandstile_replicated_state::Snapshot;
 use std::io;
 
-/// Where bytes lie. The one for real disks is [`Folder`]; tests have others that fail.
-pub trait Place: Send {
+/// Where bytes lie. The one for real disks is [`StateDirectory`]; tests have others that fail.
+pub trait Storage: Send {
     /// The file's bytes; `None` where there is none.
     fn read(&mut self) -> io::Result<Option<Vec<u8>>>;
     /// Puts these bytes in the place of all, at once or not at all, and on the disk.
@@ -28,8 +28,8 @@
 const LEAST: usize = 256 * 1024;
 
 /// The file of one life.
-pub struct Shelf {
-    place: Box<dyn Place>,
+pub struct StateFile {
+    place: Box<dyn Storage>,
     generation: u64,
     bytes: usize,
     copied: usize,
@@ -38,17 +38,17 @@
 }
 
 /// What the disk says of the former life.
-pub struct Opened {
+pub struct OpenedState {
     pub found: FileContents,
     pub stored: StoredCopy,
     pub witness: Witness,
     /// `None` where the disk takes nothing: why.
-    pub shelf: Result<Shelf, io::Error>,
+    pub state_file: Result<StateFile, io::Error>,
 }
 
 /// Reads what a former life left, and begins the file of this one. The witness comes first: from then on no copy of a former life is
 /// taken for the latest, wherever this start breaks off.
-pub fn open(mut place: Box<dyn Place>, generation: u64) -> Opened {
+pub fn open(mut place: Box<dyn Storage>, generation: u64) -> OpenedState {
     let bytes = place.read();
     let told = place.witness();
     let file = told.ok().flatten().and_then(|w| stored::read_witness(&w));
@@ -60,15 +60,15 @@
         _ => StoredCopy::Unreadable,
     };
     let witness = Witness { file, peers: None };
-    let begin = |mut place: Box<dyn Place>| {
+    let begin = |mut place: Box<dyn Storage>| {
         bytes?;
         place.put_witness(&stored::witness(generation, 0))?;
-        Ok(Shelf { place, generation, bytes: 0, copied: 0, version: 0 })
+        Ok(StateFile { place, generation, bytes: 0, copied: 0, version: 0 })
     };
-    Opened { shelf: begin(place), found, stored, witness }
+    OpenedState { state_file: begin(place), found, stored, witness }
 }
 
-impl Shelf {
+impl StateFile {
     /// Puts down what has changed; a copy of all where the file has grown too long. An error is the end of it.
     pub fn put(&mut self, now: f64, held: &Snapshot) -> io::Result<()> {
         let version = held.version();
--- a/crates/sandstile-durable-state/tests/disks.rs
+++ b/crates/sandstile-durable-state/tests/disks.rs
@@ -1,6 +1,6 @@
 //! Disks that fail, files that are damaged, two processes in one folder.
 use oorandom::Rand64;
-use sandstile_durable_state::{open, Folder, Place};
+use sandstile_durable_state::{open, StateDirectory, Storage};
 use sandstile_replicated_state::catchup::{assess_trust, Trust};
 use sandstile_replicated_state::{stored, wire, Fact, Key, Kind, Replica, Value};
 use std::io;
@@ -32,7 +32,7 @@
     }
 }
 
-impl Place for Disk {
+impl Storage for Disk {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         Ok(self.0.lock().unwrap().file.clone())
     }
@@ -78,14 +78,14 @@
         replica.learn(NOW, key, fact);
     }
     let found = replica.len();
-    if let Ok(mut shelf) = opened.shelf {
+    if let Ok(mut state_file) = opened.state_file {
         let mut well = true;
         for n in 0..facts {
             learn(&mut replica, generation as usize * 1000 + n);
-            well = well && (n % 7 > 0 || shelf.put(NOW, &replica.snapshot()).is_ok());
+            well = well && (n % 7 > 0 || state_file.put(NOW, &replica.snapshot()).is_ok());
         }
         if ends && well {
-            let _ = shelf.end(NOW, &replica.snapshot());
+            let _ = state_file.end(NOW, &replica.snapshot());
         }
     }
     (believed, found)
@@ -136,11 +136,11 @@
 #[test]
 fn two_processes_keep_no_state_in_one_folder() {
     let dir = std::env::temp_dir().join(format!("sandstile-durable-state-{}", std::process::id()));
-    let first = Folder::open(&dir, None).expect("a folder");
-    let second = Folder::open(&dir, None).err().expect("the second is told");
+    let first = StateDirectory::open(&dir, None).expect("a folder");
+    let second = StateDirectory::open(&dir, None).err().expect("the second is told");
     assert!(second.contains("another process"), "{second}");
     drop(first);
-    Folder::open(&dir, None).expect("free again");
+    StateDirectory::open(&dir, None).expect("free again");
     let _ = std::fs::remove_dir_all(dir);
 }
 
@@ -150,11 +150,12 @@
     let dir = std::env::temp_dir().join(format!("sandstile-durable-state-real-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     let (state, witness) = (dir.join("state"), dir.join("elsewhere"));
-    let generation =
-        |generation: u64| open(Box::new(Folder::open(&state, Some(&witness)).expect("a folder")), generation);
+    let generation = |generation: u64| {
+        open(Box::new(StateDirectory::open(&state, Some(&witness)).expect("a folder")), generation)
+    };
     let mut replica = Replica::new(300.0);
     (0..300).for_each(|n| learn(&mut replica, n));
-    generation(1).shelf.expect("a disk").end(NOW, &replica.snapshot()).expect("room");
+    generation(1).state_file.expect("a disk").end(NOW, &replica.snapshot()).expect("room");
     std::fs::write(state.join("state.new"), b"half").expect("room");
     let opened = generation(2);
     assert_eq!((opened.found.facts.len(), opened.found.corrupt), (300, 0));
--- a/crates/sandstile-exchange/src/lib.rs
+++ b/crates/sandstile-exchange/src/lib.rs
@@ -5,8 +5,8 @@
 //! Each frame is proven by a keyed hash over the connection's nonce, the frame's number and its content: nothing can
 //! be made up, left out, changed, or played again on another connection. Marks merge in any order, so a lost
 //! connection loses nothing that the next snapshot does not bring.
-use sandstile_sessions::mark::{Mark, Seen, Term};
-use sandstile_sessions::store::Key;
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
+use sandstile_sessions::store::SessionKey;
 
 const VERSION: u8 = 1;
 const MAGIC: &[u8; 4] = b"sndx";
@@ -17,7 +17,7 @@
 /// A mark: key, kind, term, position.
 const MARK: usize = 25;
 /// Marks in one frame at the most.
-pub const MOST_MARKS: usize = 2000;
+pub const MAX_MARKS_PER_FRAME: usize = 2000;
 const MOST_FRAME: usize = 1 + MOST_STATE + PROOF;
 
 const WHO: u8 = 1;
@@ -33,12 +33,12 @@
 const KEEPS: &str = "~2";
 
 /// The name under which an instance that keeps state is found by others.
-pub fn keeping(name: &str) -> String {
+pub fn replicating_name(name: &str) -> String {
     format!("{name}{KEEPS}")
 }
 
 /// Whether the instance of this name keeps state with others.
-pub fn keeps(name: &str) -> bool {
+pub fn replicates_state(name: &str) -> bool {
     name.ends_with(KEEPS)
 }
 
@@ -101,14 +101,14 @@
 }
 
 /// The telling side of one connection.
-pub struct Teller {
+pub struct FrameEncoder {
     key: [u8; 32],
     number: u64,
 }
 
-impl Teller {
+impl FrameEncoder {
     pub fn new(secret: &[u8; 32], nonce: &[u8; NONCE]) -> Self {
-        Teller { key: key(secret, nonce), number: 0 }
+        FrameEncoder { key: key(secret, nonce), number: 0 }
     }
 
     fn frame(&mut self, kind: u8, content: &[u8]) -> Vec<u8> {
@@ -123,14 +123,14 @@
         out
     }
 
-    pub fn who(&mut self, name: &str) -> Vec<u8> {
+    pub fn introduction(&mut self, name: &str) -> Vec<u8> {
         self.frame(WHO, &name.as_bytes()[..name.len().min(MOST_NAME)])
     }
 
     /// So many marks as fit into one frame; the caller brings no more.
-    pub fn marks<'a>(&mut self, marks: impl Iterator<Item = (Key, &'a Seen)>) -> Vec<u8> {
+    pub fn marks<'a>(&mut self, marks: impl Iterator<Item = (SessionKey, &'a SessionMarks)>) -> Vec<u8> {
         let mut content = Vec::new();
-        let mut put = |key: Key, kind: u8, term: u64, position: f64| {
+        let mut put = |key: SessionKey, kind: u8, term: u64, position: f64| {
             content.extend_from_slice(&key.0.to_le_bytes());
             content.push(kind);
             content.extend_from_slice(&term.to_le_bytes());
@@ -138,16 +138,16 @@
         };
         for (key, seen) in marks {
             match seen {
-                Seen::Lost(latest) => put(key, 1, 0, *latest),
+                SessionMarks::Lost(latest) => put(key, 1, 0, *latest),
                 terms => terms.marks().for_each(|m| put(key, 0, m.term.0, m.position)),
             }
         }
         self.frame(MARKS, &content)
     }
 
-    /// The snapshot is over. `of_yours` says that all that the listener knew when it ended last is in it.
-    pub fn whole(&mut self, of_yours: bool) -> Vec<u8> {
-        self.frame(WHOLE, &[u8::from(of_yours)])
+    /// The snapshot is over. `covers_receiver` says that all that the listener knew when it ended last is in it.
+    pub fn snapshot_complete(&mut self, covers_receiver: bool) -> Vec<u8> {
+        self.frame(WHOLE, &[u8::from(covers_receiver)])
     }
 
     /// A message on kept state.
@@ -156,25 +156,25 @@
     }
 
     /// The teller ends in order: all that it knew has been told.
-    pub fn farewell(&mut self) -> Vec<u8> {
+    pub fn goodbye(&mut self) -> Vec<u8> {
         self.frame(FAREWELL, &[])
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
-    Who(String),
-    Marks(Vec<(Key, Seen)>),
-    Whole {
-        of_yours: bool,
+pub enum Frame {
+    Introduction(String),
+    Marks(Vec<(SessionKey, SessionMarks)>),
+    SnapshotComplete {
+        covers_receiver: bool,
     },
     /// A message on kept state.
     State(Vec<u8>),
-    Farewell,
+    Goodbye,
 }
 
 /// The listening side of one connection.
-pub struct Listener {
+pub struct FrameDecoder {
     /// Each key that may be the teller's; the first frame shows which one it is.
     keys: Vec<[u8; 32]>,
     number: u64,
@@ -183,19 +183,19 @@
     named: bool,
 }
 
-impl Listener {
+impl FrameDecoder {
     /// While keys are rotated, tellers may have one or the other.
     pub fn new(secrets: &[[u8; 32]], nonce: &[u8; NONCE]) -> Self {
         let keys = secrets.iter().map(|secret| key(secret, nonce)).collect();
-        Listener { keys, number: 0, buf: Vec::new(), named: false }
+        FrameDecoder { keys, number: 0, buf: Vec::new(), named: false }
     }
 
-    pub fn hear(&mut self, bytes: &[u8]) {
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
     /// The next frame that has come whole. After an error nothing more of this connection is to be believed.
-    pub fn next_heard(&mut self) -> Result<Option<Heard>, Wrong> {
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, Wrong> {
         if self.buf.len() < 4 {
             return Ok(None);
         }
@@ -216,7 +216,7 @@
         self.keys.swap(0, at);
         self.keys.truncate(1);
         let heard = read(body[0], &body[1..])?;
-        if matches!(heard, Heard::Who(_)) == self.named {
+        if matches!(heard, Frame::Introduction(_)) == self.named {
             return Err(Wrong::Form);
         }
         self.named = true;
@@ -231,28 +231,28 @@
     }
 }
 
-fn read(kind: u8, content: &[u8]) -> Result<Heard, Wrong> {
+fn read(kind: u8, content: &[u8]) -> Result<Frame, Wrong> {
     match (kind, content) {
         (WHO, name) if name.len() <= MOST_NAME => {
-            Ok(Heard::Who(std::str::from_utf8(name).map_err(|_| Wrong::Form)?.to_string()))
+            Ok(Frame::Introduction(std::str::from_utf8(name).map_err(|_| Wrong::Form)?.to_string()))
         }
         (MARKS, marks) if marks.len().is_multiple_of(MARK) => {
-            Ok(Heard::Marks(marks.chunks_exact(MARK).map(one).collect()))
+            Ok(Frame::Marks(marks.chunks_exact(MARK).map(one).collect()))
         }
-        (WHOLE, [flag]) => Ok(Heard::Whole { of_yours: *flag == 1 }),
-        (STATE, message) if message.len() <= MOST_STATE => Ok(Heard::State(message.to_vec())),
-        (FAREWELL, []) => Ok(Heard::Farewell),
+        (WHOLE, [flag]) => Ok(Frame::SnapshotComplete { covers_receiver: *flag == 1 }),
+        (STATE, message) if message.len() <= MOST_STATE => Ok(Frame::State(message.to_vec())),
+        (FAREWELL, []) => Ok(Frame::Goodbye),
         _ => Err(Wrong::Form),
     }
 }
 
-fn one(mark: &[u8]) -> (Key, Seen) {
+fn one(mark: &[u8]) -> (SessionKey, SessionMarks) {
     let eight = |at: usize| u64::from_le_bytes(std::array::from_fn(|n| mark[at + n]));
     let position = f64::from_bits(eight(17));
     let seen = match mark[8] {
-        0 => Seen::of(Mark { term: Term(eight(9)), position }),
-        _ if position.is_finite() => Seen::Lost(position),
-        _ => Seen::Lost(f64::INFINITY),
+        0 => SessionMarks::of(Mark { term: Term(eight(9)), position }),
+        _ if position.is_finite() => SessionMarks::Lost(position),
+        _ => SessionMarks::Lost(f64::INFINITY),
     };
-    (Key(eight(0)), seen)
+    (SessionKey(eight(0)), seen)
 }
--- a/crates/sandstile-exchange/tests/exchange.rs
+++ b/crates/sandstile-exchange/tests/exchange.rs
@@ -1,34 +1,34 @@
 //! What is told is heard, however it is cut; what was changed, left out or played again is not.
 use quickcheck::{Gen, QuickCheck};
-use sandstile_exchange::{greeting, read_greeting, Heard, Listener, Teller, Wrong};
-use sandstile_sessions::mark::{Mark, Seen, Term};
-use sandstile_sessions::store::Key;
+use sandstile_exchange::{greeting, read_greeting, Frame, FrameDecoder, FrameEncoder, Wrong};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
+use sandstile_sessions::store::SessionKey;
 
 const SECRET: [u8; 32] = [7; 32];
 const NONCE: [u8; 16] = [9; 16];
 
-fn mark(n: u64) -> (Key, Seen) {
+fn mark(n: u64) -> (SessionKey, SessionMarks) {
     let seen = match n % 3 {
-        0 => Seen::Lost(n as f64),
-        _ => Seen::of(Mark { term: Term(n % 2), position: n as f64 / 8.0 }),
+        0 => SessionMarks::Lost(n as f64),
+        _ => SessionMarks::of(Mark { term: Term(n % 2), position: n as f64 / 8.0 }),
     };
-    (Key(n), seen)
+    (SessionKey(n), seen)
 }
 
-fn talk(marks: &[(Key, Seen)]) -> Vec<Vec<u8>> {
-    let mut teller = Teller::new(&SECRET, &NONCE);
+fn talk(marks: &[(SessionKey, SessionMarks)]) -> Vec<Vec<u8>> {
+    let mut encoder = FrameEncoder::new(&SECRET, &NONCE);
     vec![
-        teller.who("n1"),
-        teller.marks(marks.iter().map(|(k, s)| (*k, s))),
-        teller.whole(true),
-        teller.marks(marks.iter().take(1).map(|(k, s)| (*k, s))),
-        teller.farewell(),
+        encoder.introduction("n1"),
+        encoder.marks(marks.iter().map(|(k, s)| (*k, s))),
+        encoder.snapshot_complete(true),
+        encoder.marks(marks.iter().take(1).map(|(k, s)| (*k, s))),
+        encoder.goodbye(),
     ]
 }
 
-fn all(listener: &mut Listener) -> Result<Vec<Heard>, Wrong> {
+fn all(listener: &mut FrameDecoder) -> Result<Vec<Frame>, Wrong> {
     let mut heard = Vec::new();
-    while let Some(one) = listener.next_heard()? {
+    while let Some(one) = listener.next_frame()? {
         heard.push(one);
     }
     Ok(heard)
@@ -39,19 +39,19 @@
     fn holds(numbers: Vec<u16>, piece: u8) -> bool {
         let marks: Vec<_> = numbers.iter().map(|n| mark(u64::from(*n))).collect();
         let bytes = talk(&marks).concat();
-        let mut listener = Listener::new(&[SECRET], &NONCE);
+        let mut listener = FrameDecoder::new(&[SECRET], &NONCE);
         let mut heard = Vec::new();
         for part in bytes.chunks(usize::from(piece) + 1) {
-            listener.hear(part);
+            listener.push_bytes(part);
             heard.extend(all(&mut listener).expect("our own"));
         }
         heard
             == [
-                Heard::Who("n1".to_string()),
-                Heard::Marks(marks.clone()),
-                Heard::Whole { of_yours: true },
-                Heard::Marks(marks.into_iter().take(1).collect()),
-                Heard::Farewell,
+                Frame::Introduction("n1".to_string()),
+                Frame::Marks(marks.clone()),
+                Frame::SnapshotComplete { covers_receiver: true },
+                Frame::Marks(marks.into_iter().take(1).collect()),
+                Frame::Goodbye,
             ]
             && listener.waiting() == 0
     }
@@ -63,8 +63,8 @@
 fn nothing_changed_left_out_reordered_or_played_again_is_heard() {
     let frames = talk(&[mark(1), mark(2)]);
     let hear = |frames: &[&Vec<u8>], secret: &[u8; 32], nonce: &[u8; 16]| {
-        let mut listener = Listener::new(&[[0; 32], *secret], nonce);
-        frames.iter().for_each(|f| listener.hear(f));
+        let mut listener = FrameDecoder::new(&[[0; 32], *secret], nonce);
+        frames.iter().for_each(|f| listener.push_bytes(f));
         all(&mut listener)
     };
     let in_order: Vec<&Vec<u8>> = frames.iter().collect();
@@ -88,14 +88,14 @@
 
 #[test]
 fn noise_and_marks_before_a_name_are_refused() {
-    let mut teller = Teller::new(&SECRET, &NONCE);
-    let mut listener = Listener::new(&[SECRET], &NONCE);
-    listener.hear(&teller.whole(false));
-    assert_eq!(listener.next_heard(), Err(Wrong::Form));
+    let mut encoder = FrameEncoder::new(&SECRET, &NONCE);
+    let mut listener = FrameDecoder::new(&[SECRET], &NONCE);
+    listener.push_bytes(&encoder.snapshot_complete(false));
+    assert_eq!(listener.next_frame(), Err(Wrong::Form));
     fn holds(noise: Vec<u8>) -> bool {
-        let mut listener = Listener::new(&[SECRET], &NONCE);
-        listener.hear(&noise);
-        while let Ok(Some(_)) = listener.next_heard() {}
+        let mut listener = FrameDecoder::new(&[SECRET], &NONCE);
+        listener.push_bytes(&noise);
+        while let Ok(Some(_)) = listener.next_frame() {}
         let _ = read_greeting(&noise);
         true
     }
--- a/crates/sandstile-journal/examples/durable.rs
+++ b/crates/sandstile-journal/examples/durable.rs
@@ -2,15 +2,15 @@
 //! `cargo run --release -p sandstile-journal --example durable [FOLDER]`
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use sandstile_journal::Journal;
-use sandstile_sessions::mark::{Mark, Seen, Term};
-use sandstile_sessions::store::Key;
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
+use sandstile_sessions::store::SessionKey;
 use std::path::PathBuf;
 use std::time::Instant;
 
 const TABLE: TableDefinition<(u64, u64), u64> = TableDefinition::new("marks");
 
-fn key(n: u64) -> Key {
-    Key(n.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
+fn key(n: u64) -> SessionKey {
+    SessionKey(n.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
 fn mark(n: u64) -> Mark {
@@ -27,7 +27,7 @@
         let (mut journal, _) = Journal::open(&ours, 0.0).expect("a place for files");
         let begun = Instant::now();
         for n in 0..writes {
-            journal.append(key(n), &Seen::of(mark(n))).expect("room");
+            journal.append(key(n), &SessionMarks::of(mark(n))).expect("room");
             if (n + 1) % batch == 0 {
                 journal.sync().expect("a disk");
             }
@@ -53,7 +53,7 @@
     let sessions = 1_000_000;
     let _ = (std::fs::remove_file(&ours), std::fs::remove_file(&theirs));
     let (mut journal, _) = Journal::open(&ours, 0.0).expect("a place for files");
-    (0..sessions).for_each(|n| journal.append(key(n), &Seen::of(mark(n))).expect("room"));
+    (0..sessions).for_each(|n| journal.append(key(n), &SessionMarks::of(mark(n))).expect("room"));
     journal.sync().expect("a disk");
     drop(journal);
     let begun = Instant::now();
--- a/crates/sandstile-journal/src/lib.rs
+++ b/crates/sandstile-journal/src/lib.rs
@@ -1,13 +1,13 @@
 //! A journal of sessions' marks: 40 bytes a mark, appended, each with a checksum of its own. Marks merge in any order,
 //! so records need none, and one that is spoilt takes no other with it. What a journal that is not whole can't say
-//! is unknown, never nothing: `Found::whole` tells.
+//! is unknown, never nothing: `JournalContents::intact` tells.
 //!
 //! Who writes decides when what is written is on the disk (`sync`); group commit is the caller's: many marks, one
 //! `sync`.
 pub mod pace;
 
-use sandstile_sessions::mark::{Mark, Seen, Term};
-use sandstile_sessions::store::Key;
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
+use sandstile_sessions::store::SessionKey;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
@@ -28,19 +28,19 @@
 
 /// What a file held.
 #[derive(Debug, Default)]
-pub struct Found {
-    pub marks: Vec<(Key, Seen)>,
+pub struct JournalContents {
+    pub marks: Vec<(SessionKey, SessionMarks)>,
     /// Nothing was spoilt and nothing is missing but, at most, a record that was being written.
-    pub whole: bool,
+    pub intact: bool,
     /// Its writer ended in order.
-    pub ended: bool,
+    pub closed_cleanly: bool,
     /// Records that can't be read.
-    pub spoilt: usize,
+    pub damaged_records: usize,
     pub bytes: u64,
 }
 
 #[derive(Debug)]
-pub enum Wrong {
+pub enum JournalError {
     /// A newer program's file; it is left as it is.
     Newer(u32),
     /// Not a journal.
@@ -48,20 +48,20 @@
     Io(io::Error),
 }
 
-impl From<io::Error> for Wrong {
+impl From<io::Error> for JournalError {
     fn from(e: io::Error) -> Self {
-        Wrong::Io(e)
+        JournalError::Io(e)
     }
 }
 
-impl std::fmt::Display for Wrong {
+impl std::fmt::Display for JournalError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Wrong::Newer(version) => {
+            JournalError::Newer(version) => {
                 write!(f, "the journal is of version {version}, this program knows {VERSION}")
             }
-            Wrong::Stranger => write!(f, "the file is no journal"),
-            Wrong::Io(e) => write!(f, "{e}"),
+            JournalError::Stranger => write!(f, "the file is no journal"),
+            JournalError::Io(e) => write!(f, "{e}"),
         }
     }
 }
@@ -95,7 +95,7 @@
     head
 }
 
-fn record(kind: u8, key: Key, mark: Mark) -> [u8; RECORD] {
+fn record(kind: u8, key: SessionKey, mark: Mark) -> [u8; RECORD] {
     let mut record = [0; RECORD];
     record[..8].copy_from_slice(&key.0.to_le_bytes());
     record[8..16].copy_from_slice(&mark.term.0.to_le_bytes());
@@ -107,54 +107,54 @@
 }
 
 /// The records of what one session has seen.
-fn records(key: Key, seen: &Seen) -> Vec<[u8; RECORD]> {
+fn records(key: SessionKey, seen: &SessionMarks) -> Vec<[u8; RECORD]> {
     match seen {
-        Seen::Lost(latest) => vec![record(KIND_LOST, key, Mark { term: Term(0), position: *latest })],
+        SessionMarks::Lost(latest) => vec![record(KIND_LOST, key, Mark { term: Term(0), position: *latest })],
         terms => terms.marks().map(|mark| record(KIND_MARK, key, mark)).collect(),
     }
 }
 
 /// Reads all that a journal's bytes hold.
-pub fn read(bytes: &[u8]) -> Result<Found, Wrong> {
-    let mut found = Found { bytes: bytes.len() as u64, ..Found::default() };
+pub fn read(bytes: &[u8]) -> Result<JournalContents, JournalError> {
+    let mut found = JournalContents { bytes: bytes.len() as u64, ..JournalContents::default() };
     if bytes.len() < HEAD {
         // Cut while it was being made: nothing was written to it, unless it is no journal at all.
         let begun = head(VERSION);
         if !begun.starts_with(bytes) {
-            return Err(Wrong::Stranger);
+            return Err(JournalError::Stranger);
         }
-        found.whole = true;
+        found.intact = true;
         return Ok(found);
     }
     if &bytes[..8] != MAGIC {
-        return Err(Wrong::Stranger);
+        return Err(JournalError::Stranger);
     }
     let version = u32::from_le_bytes(std::array::from_fn(|n| bytes[8 + n]));
     if hash(&bytes[..16]) != bytes[16..HEAD] {
-        return Err(Wrong::Stranger);
+        return Err(JournalError::Stranger);
     }
     if version != VERSION {
-        return Err(Wrong::Newer(version));
+        return Err(JournalError::Newer(version));
     }
     let body = &bytes[HEAD..];
     for record in body.chunks_exact(RECORD) {
-        found.ended = false;
+        found.closed_cleanly = false;
         if hash(&record[..BODY]) != record[BODY..] {
-            found.spoilt += 1;
+            found.damaged_records += 1;
             continue;
         }
         let number = |at: usize| u64::from_le_bytes(eight(&record[at..]));
-        let (key, term, position) = (Key(number(0)), Term(number(8)), f64::from_bits(number(16)));
+        let (key, term, position) = (SessionKey(number(0)), Term(number(8)), f64::from_bits(number(16)));
         match record[24] {
-            KIND_MARK => found.marks.push((key, Seen::of(Mark { term, position }))),
-            KIND_LOST => found.marks.push((key, Seen::Lost(position))),
-            KIND_END => found.ended = true,
-            _ => found.spoilt += 1,
+            KIND_MARK => found.marks.push((key, SessionMarks::of(Mark { term, position }))),
+            KIND_LOST => found.marks.push((key, SessionMarks::Lost(position))),
+            KIND_END => found.closed_cleanly = true,
+            _ => found.damaged_records += 1,
         }
     }
     // What follows the last whole record was being written when the power went: nobody was told of it.
-    found.ended &= body.len().is_multiple_of(RECORD);
-    found.whole = found.spoilt == 0;
+    found.closed_cleanly &= body.len().is_multiple_of(RECORD);
+    found.intact = found.damaged_records == 0;
     Ok(found)
 }
 
@@ -181,7 +181,7 @@
 impl Journal<File> {
     /// Takes up the journal at `path`, or begins one: yields what it held, written anew without what is spoilt, too
     /// old (`since`) or there twice.
-    pub fn open(path: &Path, since: f64) -> Result<(Journal<File>, Found), Wrong> {
+    pub fn open(path: &Path, since: f64) -> Result<(Journal<File>, JournalContents), JournalError> {
         let mut bytes = Vec::new();
         let found = match File::open(path) {
             Ok(mut file) => {
@@ -189,19 +189,19 @@
                 read(&bytes)?
             }
             // Nothing was ever promised.
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Found::default(),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => JournalContents::default(),
             Err(e) => return Err(e.into()),
         };
         let marks = merged(&found.marks, since);
         let journal = Journal::replace(path, marks.iter().map(|(key, seen)| (*key, seen)))?;
-        Ok((journal, Found { marks, ..found }))
+        Ok((journal, JournalContents { marks, ..found }))
     }
 
     /// A new journal in place of the one at `path`: written beside it, on the disk, and then renamed.
     pub fn replace<'a>(
         path: &Path,
-        marks: impl Iterator<Item = (Key, &'a Seen)>,
-    ) -> Result<Journal<File>, Wrong> {
+        marks: impl Iterator<Item = (SessionKey, &'a SessionMarks)>,
+    ) -> Result<Journal<File>, JournalError> {
         let new = beside(path);
         let mut options = OpenOptions::new();
         options.write(true).create(true).truncate(true);
@@ -236,13 +236,13 @@
 
 impl<M: Medium> Journal<M> {
     /// Begins one on an empty medium.
-    pub fn begin(mut medium: M) -> Result<Journal<M>, Wrong> {
+    pub fn begin(mut medium: M) -> Result<Journal<M>, JournalError> {
         medium.write_all(&head(VERSION))?;
         Ok(Journal { medium, bytes: HEAD as u64, pending: Vec::new(), folder: None })
     }
 
     /// Adds what a session has seen; it is on the disk after the next `sync`.
-    pub fn append(&mut self, key: Key, seen: &Seen) -> io::Result<()> {
+    pub fn append(&mut self, key: SessionKey, seen: &SessionMarks) -> io::Result<()> {
         for record in records(key, seen) {
             self.pending.extend_from_slice(&record);
         }
@@ -278,7 +278,11 @@
 
     /// The writer ends in order; all that it knew is in here.
     pub fn end(&mut self) -> io::Result<()> {
-        self.pending.extend_from_slice(&record(KIND_END, Key(0), Mark { term: Term(0), position: 0.0 }));
+        self.pending.extend_from_slice(&record(
+            KIND_END,
+            SessionKey(0),
+            Mark { term: Term(0), position: 0.0 },
+        ));
         self.sync()
     }
 
@@ -288,8 +292,9 @@
 }
 
 /// Each session once, without what is older than `since`.
-fn merged(marks: &[(Key, Seen)], since: f64) -> Vec<(Key, Seen)> {
-    let mut all: Vec<(Key, Seen)> = marks.iter().filter(|(_, s)| s.latest() >= since).cloned().collect();
+fn merged(marks: &[(SessionKey, SessionMarks)], since: f64) -> Vec<(SessionKey, SessionMarks)> {
+    let mut all: Vec<(SessionKey, SessionMarks)> =
+        marks.iter().filter(|(_, s)| s.latest() >= since).cloned().collect();
     all.sort_by_key(|(key, _)| *key);
     all.dedup_by(|next, kept| {
         let same = next.0 == kept.0;
--- a/crates/sandstile-journal/src/pace.rs
+++ b/crates/sandstile-journal/src/pace.rs
@@ -2,15 +2,15 @@
 
 /// Counts from the first mark that is not on the disk yet, not from the last: writes that never pause must not put the
 /// sync off for ever, or more could be lost than was promised.
-pub struct Pace {
+pub struct SyncSchedule {
     every: f64,
     owing_since: Option<f64>,
 }
 
-impl Pace {
+impl SyncSchedule {
     /// Seconds.
-    pub fn new(every: f64) -> Pace {
-        Pace { every, owing_since: None }
+    pub fn new(every: f64) -> SyncSchedule {
+        SyncSchedule { every, owing_since: None }
     }
 
     pub fn wrote(&mut self, now: f64) {
--- a/crates/sandstile-journal/tests/damage.rs
+++ b/crates/sandstile-journal/tests/damage.rs
@@ -1,7 +1,7 @@
 //! Journals cut at every byte, with every bit flipped, on a full disk, of a newer version.
-use sandstile_journal::{read, Journal, Medium, Wrong};
-use sandstile_sessions::mark::{Mark, Seen, Term};
-use sandstile_sessions::store::Key;
+use sandstile_journal::{read, Journal, JournalError, Medium};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
+use sandstile_sessions::store::SessionKey;
 use std::io::{self, Write};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -36,15 +36,15 @@
     }
 }
 
-fn seen(n: u64) -> Seen {
-    Seen::of(Mark { term: Term(1 + n % 2), position: 1000.0 + n as f64 })
+fn seen(n: u64) -> SessionMarks {
+    SessionMarks::of(Mark { term: Term(1 + n % 2), position: 1000.0 + n as f64 })
 }
 
 fn written(n: u64) -> Vec<u8> {
     let disk = Disk::default();
     let mut journal = Journal::begin(disk.clone()).expect("a disk");
-    (0..n).for_each(|k| journal.append(Key(k), &seen(k)).expect("room"));
-    journal.append(Key(n), &Seen::Lost(1000.0 + n as f64)).expect("room");
+    (0..n).for_each(|k| journal.append(SessionKey(k), &seen(k)).expect("room"));
+    journal.append(SessionKey(n), &SessionMarks::Lost(1000.0 + n as f64)).expect("room");
     journal.sync().expect("room");
     let bytes = disk.bytes.lock().expect("a disk").clone();
     bytes
@@ -59,10 +59,10 @@
     for cut in 0..=whole.len() {
         let found = read(&whole[..cut]).unwrap_or_else(|e| panic!("{cut}: {e}"));
         let there = cut.saturating_sub(head) / record;
-        assert_eq!((found.marks.len(), found.whole, found.spoilt), (there, true, 0), "{cut}");
+        assert_eq!((found.marks.len(), found.intact, found.damaged_records), (there, true, 0), "{cut}");
         for (n, (key, told)) in found.marks.iter().enumerate() {
-            let want = if n < 6 { seen(n as u64) } else { Seen::Lost(1006.0) };
-            assert_eq!((*key, told), (Key(n as u64), &want), "{cut}");
+            let want = if n < 6 { seen(n as u64) } else { SessionMarks::Lost(1006.0) };
+            assert_eq!((*key, told), (SessionKey(n as u64), &want), "{cut}");
         }
     }
 }
@@ -76,10 +76,10 @@
         let mut bytes = whole.clone();
         bytes[bit / 8] ^= 1 << (bit % 8);
         match read(&bytes) {
-            Err(Wrong::Stranger) => assert!(bit / 8 < 24, "{bit}"),
+            Err(JournalError::Stranger) => assert!(bit / 8 < 24, "{bit}"),
             Ok(found) => {
-                assert!(bit / 8 >= 24 && !found.whole, "{bit}");
-                assert_eq!((found.marks.len(), found.spoilt), (4, 1), "{bit}");
+                assert!(bit / 8 >= 24 && !found.intact, "{bit}");
+                assert_eq!((found.marks.len(), found.damaged_records), (4, 1), "{bit}");
             }
             Err(other) => panic!("{bit}: {other}"),
         }
@@ -97,8 +97,8 @@
     for (bytes, newer) in [(newer, true), (b"something else that is longer than a head".to_vec(), false)] {
         std::fs::write(&path, &bytes).expect("a place for files");
         match Journal::open(&path, 0.0) {
-            Err(Wrong::Newer(9)) if newer => {}
-            Err(Wrong::Stranger) if !newer => {}
+            Err(JournalError::Newer(9)) if newer => {}
+            Err(JournalError::Stranger) if !newer => {}
             Err(other) => panic!("{other}"),
             Ok(_) => panic!("taken up"),
         }
@@ -114,7 +114,7 @@
         let mut journal = Journal::begin(disk.clone()).expect("room for a head");
         let mut kept = 0;
         for n in 0..10 {
-            journal.append(Key(n), &seen(n)).expect("in memory yet");
+            journal.append(SessionKey(n), &seen(n)).expect("in memory yet");
             if journal.sync().is_err() {
                 break;
             }
@@ -122,10 +122,10 @@
         }
         assert!(kept < 10);
         let found = read(&disk.bytes.lock().expect("a disk")).expect("a journal");
-        assert_eq!((found.marks.len(), found.whole), (kept, true), "{most}");
+        assert_eq!((found.marks.len(), found.intact), (kept, true), "{most}");
     }
     let tiny = Disk { most: Some(10), ..Disk::default() };
-    assert!(matches!(Journal::begin(tiny), Err(Wrong::Io(_))));
+    assert!(matches!(Journal::begin(tiny), Err(JournalError::Io(_))));
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -140,22 +140,22 @@
     let dir = folder("again");
     let path = dir.join("marks");
     let (mut journal, found) = Journal::open(&path, 0.0).expect("a place for files");
-    assert!(found.marks.is_empty() && !found.whole && !found.ended);
+    assert!(found.marks.is_empty() && !found.intact && !found.closed_cleanly);
     for n in 0..100 {
-        journal.append(Key(n % 10), &seen(n)).expect("room");
+        journal.append(SessionKey(n % 10), &seen(n)).expect("room");
     }
     journal.end().expect("room");
     drop(journal);
     let (mut journal, found) = Journal::open(&path, 1095.0).expect("a journal");
-    assert!(found.whole && found.ended);
+    assert!(found.intact && found.closed_cleanly);
     assert_eq!(found.marks.len(), 5);
     let longest = found.marks.iter().map(|(_, s)| s.latest()).fold(0.0, f64::max);
     assert_eq!((longest, journal.bytes()), (1099.0, 24 + 5 * 40));
-    journal.append(Key(77), &seen(200)).expect("room");
+    journal.append(SessionKey(77), &seen(200)).expect("room");
     journal.sync().expect("room");
     drop(journal);
     let found = read(&std::fs::read(&path).expect("a file")).expect("a journal");
-    assert!(found.whole && !found.ended && found.marks.len() == 6);
+    assert!(found.intact && !found.closed_cleanly && found.marks.len() == 6);
     // A write beside it that was cut off by a power cut is no journal's part.
     std::fs::write(dir.join("marks.new"), b"half").expect("a place for files");
     let (_, found) = Journal::open(&path, 0.0).expect("a journal");
@@ -166,7 +166,7 @@
 /// Marks that come faster than syncs are due put none of them off: no mark waits longer than was promised.
 #[test]
 fn steady_writes_do_not_put_a_sync_off() {
-    let mut pace = sandstile_journal::pace::Pace::new(0.100);
+    let mut pace = sandstile_journal::pace::SyncSchedule::new(0.100);
     assert!(pace.wait(0.0).is_none() && !pace.due(5.0));
     let (mut syncs, mut oldest) = (0, None::<f64>);
     for n in 0..1000 {
--- a/crates/sandstile-lab/src/copies.rs
+++ b/crates/sandstile-lab/src/copies.rs
@@ -4,7 +4,7 @@
 use sandstile_replicated_state::catchup::Trust;
 use sandstile_replicated_state::{Fact, Key, Kind, Replica, Value};
 use sandstile_replication::sim::{Net, Sim};
-use sandstile_sessions::mark::{Mark, Seen, Term};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 use std::fmt::Write as _;
 use std::path::Path;
 use tracing::info;
@@ -37,7 +37,7 @@
 }
 
 fn wrote(at: f64) -> Value {
-    Value::Seen(Seen::of(Mark { term: Term(1), position: at }))
+    Value::SessionMarks(SessionMarks::of(Mark { term: Term(1), position: at }))
 }
 
 fn play(routers: usize, sessions: usize, loss: f64, seed: u64) -> Run {
--- a/crates/sandstile-replicated-state/src/differ.rs
+++ b/crates/sandstile-replicated-state/src/differ.rs
@@ -78,8 +78,10 @@
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Value::Seen(seen) if seen.marks().next().is_none() => write!(f, "lost to {:.3}", seen.latest()),
-            Value::Seen(seen) => {
+            Value::SessionMarks(seen) if seen.marks().next().is_none() => {
+                write!(f, "lost to {:.3}", seen.latest())
+            }
+            Value::SessionMarks(seen) => {
                 let all: Vec<String> =
                     seen.marks().map(|m| format!("{:016x}@{:.3}", m.term.0, m.position)).collect();
                 write!(f, "{}", all.join(" "))
--- a/crates/sandstile-replicated-state/src/fact.rs
+++ b/crates/sandstile-replicated-state/src/fact.rs
@@ -1,6 +1,6 @@
 //! What is kept: a fact has a key and a value, and two values of one key join. Joins are commutative, associative and idempotent, and
 //! never yield less than either: copies that have heard the same hold the same, in whatever order they heard it.
-use sandstile_sessions::mark::Seen;
+use sandstile_sessions::mark::SessionMarks;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
@@ -139,7 +139,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    Seen(Seen),
+    SessionMarks(SessionMarks),
     /// The highest counts: positions, lives.
     Max(f64),
     /// The latest word of its one writer.
@@ -160,7 +160,7 @@
     /// Whether a value can be one of this kind.
     pub fn fits(&self, kind: Kind) -> bool {
         match (self, kind) {
-            (Value::Seen(_), Kind::Mark) => true,
+            (Value::SessionMarks(_), Kind::Mark) => true,
             (Value::Max(most), Kind::LogPosition | Kind::Generation) => most.is_finite() && *most >= 0.0,
             (Value::Report(said), kind) => kind.has_single_writer() && said.body.len() <= LONGEST_NAME,
             _ => false,
@@ -170,7 +170,7 @@
     /// Takes the other in. Values of two sorts do not join; whoever reads them has refused that before.
     pub fn join(&mut self, other: &Value) -> Joined {
         match (&mut *self, other) {
-            (Value::Seen(mine), Value::Seen(theirs)) => {
+            (Value::SessionMarks(mine), Value::SessionMarks(theirs)) => {
                 let before = mine.clone();
                 mine.merge(theirs);
                 if *mine == before {
@@ -201,14 +201,14 @@
 
     fn digest(&self, hash: &mut blake3::Hasher) {
         match self {
-            Value::Seen(Seen::Terms(all)) => {
+            Value::SessionMarks(SessionMarks::Terms(all)) => {
                 hash.update(&[0]);
                 for (term, position) in all {
                     hash.update(&term.0.to_be_bytes());
                     hash.update(&position.to_bits().to_be_bytes());
                 }
             }
-            Value::Seen(Seen::Lost(latest)) => {
+            Value::SessionMarks(SessionMarks::Lost(latest)) => {
                 hash.update(&[1]);
                 hash.update(&latest.to_bits().to_be_bytes());
             }
@@ -247,7 +247,7 @@
     /// Whether it says nothing any more. `horizon` is how far replicas may lag: marks and floors of longer ago bind nobody.
     pub fn over(&self, kind: Kind, now: f64, horizon: f64) -> bool {
         match &self.value {
-            Value::Seen(seen) => seen.latest() + horizon < now,
+            Value::SessionMarks(seen) => seen.latest() + horizon < now,
             Value::Max(position) if kind == Kind::LogPosition => position + horizon < now,
             _ => self.created_at + kind.lasts() < now,
         }
--- a/crates/sandstile-replicated-state/src/state.rs
+++ b/crates/sandstile-replicated-state/src/state.rs
@@ -127,7 +127,7 @@
 
     fn rank(fact: &Fact) -> (u8, u64) {
         let age = match &fact.value {
-            Value::Seen(seen) => seen.latest(),
+            Value::SessionMarks(seen) => seen.latest(),
             Value::Max(most) => *most,
             Value::Report(_) => fact.created_at,
         };
@@ -179,7 +179,7 @@
 
     fn usable(&self, key: &Key, fact: &Fact, now: f64) -> bool {
         let ahead = match &fact.value {
-            Value::Seen(seen) => seen.latest().is_finite() && seen.latest() > now + AHEAD,
+            Value::SessionMarks(seen) => seen.latest().is_finite() && seen.latest() > now + AHEAD,
             Value::Max(most) if key.kind == Kind::LogPosition => *most > now + AHEAD,
             Value::Max(generation) => *generation > now * 1e6 + LIFE_AHEAD,
             Value::Report(said) => said.generation as f64 > now * 1e6 + LIFE_AHEAD,
@@ -237,7 +237,7 @@
     fn make_room(&mut self, kind: Kind) {
         while self.order.get(&kind).is_some_and(|order| order.len() > kind.most()) {
             let Some((_, _, key)) = self.order.get(&kind).and_then(|o| o.get_min().cloned()) else { return };
-            if let Some(Value::Seen(seen)) = self.facts.get(&key).map(|f| &f.value) {
+            if let Some(Value::SessionMarks(seen)) = self.facts.get(&key).map(|f| &f.value) {
                 // Unknown goes to the primary: nobody may be taken for one that has written nothing.
                 self.lost_to = self.lost_to.max(seen.latest());
             }
@@ -334,7 +334,7 @@
     /// that have heard of the same up to then have the same, whatever is on its way just now. For a time of a few seconds ago.
     pub fn digest_as_of(&self, at: f64) -> u64 {
         let age = |key: &Key, fact: &Fact| match &fact.value {
-            Value::Seen(seen) => (seen.latest(), self.horizon),
+            Value::SessionMarks(seen) => (seen.latest(), self.horizon),
             Value::Max(most) if key.kind == Kind::LogPosition => (*most, self.horizon),
             _ => (fact.created_at, key.kind.lasts()),
         };
--- a/crates/sandstile-replicated-state/src/wire.rs
+++ b/crates/sandstile-replicated-state/src/wire.rs
@@ -3,7 +3,7 @@
 use crate::fact::{Fact, Key, Kind, Report, Value, LONGEST_NAME};
 use crate::sync_protocol::Message;
 use crate::tree::WIDE;
-use sandstile_sessions::mark::{Mark, Seen, Term};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 use std::collections::BTreeMap;
 
 /// Bytes of one message at the most, and entries of its lists.
@@ -28,14 +28,14 @@
     let age = ((now - fact.created_at).max(0.0) * 1e3) as u64;
     out.extend_from_slice(&age.to_be_bytes());
     match &fact.value {
-        Value::Seen(Seen::Terms(all)) => {
+        Value::SessionMarks(SessionMarks::Terms(all)) => {
             out.extend_from_slice(&[0, all.len().min(MOST_TERMS) as u8]);
             for (term, position) in all.iter().take(MOST_TERMS) {
                 out.extend_from_slice(&term.0.to_be_bytes());
                 out.extend_from_slice(&position.to_bits().to_be_bytes());
             }
         }
-        Value::Seen(Seen::Lost(latest)) => {
+        Value::SessionMarks(SessionMarks::Lost(latest)) => {
             out.push(1);
             out.extend_from_slice(&latest.to_bits().to_be_bytes());
         }
@@ -105,11 +105,13 @@
                 // Bounds and merges of marks are theirs.
                 terms.insert(mark.term, mark.position);
             }
-            let mut seen = Seen::default();
-            terms.into_iter().for_each(|(term, position)| seen.merge(&Seen::of(Mark { term, position })));
-            Value::Seen(seen)
+            let mut seen = SessionMarks::default();
+            terms
+                .into_iter()
+                .for_each(|(term, position)| seen.merge(&SessionMarks::of(Mark { term, position })));
+            Value::SessionMarks(seen)
         }
-        1 => Value::Seen(Seen::Lost(from.float()?)),
+        1 => Value::SessionMarks(SessionMarks::Lost(from.float()?)),
         2 => Value::Max(from.float()?),
         3 => {
             let severity = from.byte()?;
--- a/crates/sandstile-replicated-state/tests/common/mod.rs
+++ b/crates/sandstile-replicated-state/tests/common/mod.rs
@@ -1,7 +1,7 @@
 use oorandom::Rand64;
 use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{Fact, Key, Kind, Value};
-use sandstile_sessions::mark::{Mark, Seen, Term};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 
 pub const NOW: f64 = 1_000_000.0;
 
@@ -16,12 +16,12 @@
     let created_at = NOW - below(chance, 10) as f64;
     match below(chance, 5) {
         0 | 1 => {
-            let mut seen = Seen::default();
+            let mut seen = SessionMarks::default();
             for _ in 0..1 + below(chance, 2) {
                 let position = NOW - 100.0 + below(chance, 100) as f64;
-                seen.merge(&Seen::of(Mark { term: Term(below(chance, 5)), position }));
+                seen.merge(&SessionMarks::of(Mark { term: Term(below(chance, 5)), position }));
             }
-            (Key::shared(Kind::Mark, &subject), Fact { value: Value::Seen(seen), created_at })
+            (Key::shared(Kind::Mark, &subject), Fact { value: Value::SessionMarks(seen), created_at })
         }
         2 => (
             Key::shared(Kind::LogPosition, &subject),
--- a/crates/sandstile-replicated-state/tests/laws.rs
+++ b/crates/sandstile-replicated-state/tests/laws.rs
@@ -5,7 +5,7 @@
 use oorandom::Rand64;
 use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{Came, Fact, Key, Kind, Replica, Value};
-use sandstile_sessions::mark::{Mark, Seen, Term};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 
 fn joined(a: &Fact, b: &Fact) -> Fact {
     let mut out = a.clone();
@@ -142,11 +142,11 @@
     let mut copy = Replica::new(1e6);
     let most = Kind::Mark.most();
     for n in 0..most + 500 {
-        let seen = Seen::of(Mark { term: Term(1), position: NOW - 200_000.0 + n as f64 });
+        let seen = SessionMarks::of(Mark { term: Term(1), position: NOW - 200_000.0 + n as f64 });
         copy.learn(
             NOW,
             &Key::shared(Kind::Mark, &format!("{n:016x}")),
-            &Fact { value: Value::Seen(seen), created_at: NOW },
+            &Fact { value: Value::SessionMarks(seen), created_at: NOW },
         );
     }
     assert_eq!((copy.len(), copy.counts().evicted), (most, 500));
@@ -167,11 +167,11 @@
 #[test]
 fn copies_are_compared_as_they_were() {
     let mark = |at: f64| {
-        let seen = sandstile_sessions::mark::Seen::of(sandstile_sessions::mark::Mark {
+        let seen = sandstile_sessions::mark::SessionMarks::of(sandstile_sessions::mark::Mark {
             term: sandstile_sessions::mark::Term(1),
             position: at,
         });
-        Fact { value: Value::Seen(seen), created_at: at }
+        Fact { value: Value::SessionMarks(seen), created_at: at }
     };
     let key = Key::shared(Kind::Mark, "s");
     let (mut heard, mut not_yet) = (Replica::new(300.0), Replica::new(300.0));
--- a/crates/sandstile-replication/tests/replication.rs
+++ b/crates/sandstile-replication/tests/replication.rs
@@ -4,14 +4,14 @@
 use sandstile_replicated_state::{wire, Fact, Key, Kind, Message, Value};
 use sandstile_replication::sim::{Net, Sim};
 use sandstile_replication::{select_neighbours, ReplicationEvent, ReplicationPeer, ReplicationSettings};
-use sandstile_sessions::mark::{Mark, Seen, Term};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 use std::collections::BTreeSet;
 
 const BEGIN: f64 = 1_000_000.0;
 const NET: Net = Net { delay: 0.002, jitter: 0.002, loss: 0.0 };
 
 fn mark(position: f64) -> Value {
-    Value::Seen(Seen::of(Mark { term: Term(1), position }))
+    Value::SessionMarks(SessionMarks::of(Mark { term: Term(1), position }))
 }
 
 fn write(sim: &mut Sim, place: usize, session: usize) {
--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -6,7 +6,9 @@
 use crate::session_messages::{SessionMessage, Telling};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_exchange::{greeting, keeping, read_greeting, Heard, Listener, Teller, MOST_MARKS};
+use sandstile_exchange::{
+    greeting, read_greeting, replicating_name, Frame, FrameDecoder, FrameEncoder, MAX_MARKS_PER_FRAME,
+};
 use sandstile_replication::select_neighbours;
 use slog::{info, warn, Logger};
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,7 +107,7 @@
     log: &Logger,
 ) -> Result<ExchangePeers, String> {
     let name = format!("{}#{life}", name.chars().take(40).collect::<String>());
-    let name = &if keeps { keeping(&name) } else { name };
+    let name = &if keeps { replicating_name(&name) } else { name };
     let listener = TcpListener::bind(plan.listen).map_err(|e| format!("exchange: {}: {e}", plan.listen))?;
     let (own, keys, to_dispatcher, own_log) =
         (name.to_string(), secrets.clone(), dispatcher.clone(), log.clone());
@@ -182,7 +184,7 @@
     nonce: &[u8; 16],
     dispatcher: &MailboxSender<SessionMessage>,
 ) -> io::Result<()> {
-    let mut listener = Listener::new(secrets, nonce);
+    let mut listener = FrameDecoder::new(secrets, nonce);
     let mut from = None;
     let mut bytes = [0; 8192];
     // A stranger has to prove itself soon; one that has may be silent for as long as nobody writes.
@@ -192,10 +194,10 @@
         if n == 0 {
             return Ok(());
         }
-        listener.hear(&bytes[..n]);
+        listener.push_bytes(&bytes[..n]);
         let wrong = |w| io::Error::other(format!("{w:?}"));
-        while let Some(heard) = listener.next_heard().map_err(wrong)? {
-            if let Heard::Who(name) = &heard {
+        while let Some(heard) = listener.next_frame().map_err(wrong)? {
+            if let Frame::Introduction(name) = &heard {
                 from = Some(name.clone());
                 stream.set_read_timeout(None)?;
             }
@@ -204,7 +206,7 @@
                 thread::sleep(BREATH);
             }
             if let Some(from) = &from {
-                dispatcher.send(SessionMessage::Heard(from.clone(), heard));
+                dispatcher.send(SessionMessage::Frame(from.clone(), heard));
             }
         }
     }
@@ -253,8 +255,8 @@
         }
         buf.extend_from_slice(&bytes[..n]);
     };
-    let mut teller = Teller::new(secret, &nonce);
-    stream.write_all(&teller.who(name))?;
+    let mut encoder = FrameEncoder::new(secret, &nonce);
+    stream.write_all(&encoder.introduction(name))?;
     let (outlet, tellings) = bounded_mailbox(MOST_WAITING);
     *whom = Some(to.clone());
     dispatcher.send(SessionMessage::Tell(to.clone(), outlet));
@@ -268,26 +270,28 @@
             Err(RecvTimeoutError::Disconnected) => break,
         };
         match telling {
-            Telling::Snapshot { exact, of_yours } => {
+            Telling::Snapshot { exact, covers_receiver } => {
                 let all: Vec<_> = exact.iter().collect();
-                for piece in all.chunks(MOST_MARKS / 4) {
-                    stream.write_all(&teller.marks(piece.iter().map(|(key, seen)| (**key, *seen))))?;
+                for piece in all.chunks(MAX_MARKS_PER_FRAME / 4) {
+                    stream.write_all(&encoder.marks(piece.iter().map(|(key, seen)| (**key, *seen))))?;
                 }
-                stream.write_all(&teller.whole(of_yours))?;
+                stream.write_all(&encoder.snapshot_complete(covers_receiver))?;
                 info!(log, "exchange: told"; "instance" => &to, "marks" => all.len());
             }
-            Telling::Whole { of_yours } => stream.write_all(&teller.whole(of_yours))?,
+            Telling::SnapshotComplete { covers_receiver } => {
+                stream.write_all(&encoder.snapshot_complete(covers_receiver))?
+            }
             Telling::State(message) => {
-                stream.write_all(&teller.state(&message))?;
+                stream.write_all(&encoder.state(&message))?;
                 dispatcher.send(SessionMessage::Written(to.clone(), message.len()));
             }
-            Telling::Seen(key, seen) => {
+            Telling::SessionMarks(key, seen) => {
                 // All that waits goes in one frame.
                 let mut marks = vec![(key, seen)];
                 let mut end = None;
-                while marks.len() < MOST_MARKS / 4 {
+                while marks.len() < MAX_MARKS_PER_FRAME / 4 {
                     match tellings.try_recv() {
-                        Some(Telling::Seen(key, seen)) => marks.push((key, seen)),
+                        Some(Telling::SessionMarks(key, seen)) => marks.push((key, seen)),
                         Some(other) => {
                             end = Some(other);
                             break;
@@ -295,15 +299,15 @@
                         None => break,
                     }
                 }
-                stream.write_all(&teller.marks(marks.iter().map(|(key, seen)| (*key, seen))))?;
+                stream.write_all(&encoder.marks(marks.iter().map(|(key, seen)| (*key, seen))))?;
                 if let Some(Telling::End(done)) = end {
-                    stream.write_all(&teller.farewell())?;
+                    stream.write_all(&encoder.goodbye())?;
                     drop(done);
                     return Ok(true);
                 }
             }
             Telling::End(done) => {
-                stream.write_all(&teller.farewell())?;
+                stream.write_all(&encoder.goodbye())?;
                 drop(done);
                 return Ok(true);
             }
--- a/crates/sandstile-router/src/main.rs
+++ b/crates/sandstile-router/src/main.rs
@@ -100,9 +100,9 @@
         "{} bytes, {} marks, {} records that can't be read",
         found.bytes,
         found.marks.len(),
-        found.spoilt
+        found.damaged_records
     );
-    println!("whole: {}, ended in order: {}", found.whole, found.ended);
+    println!("whole: {}, ended in order: {}", found.intact, found.closed_cleanly);
     let latest = found.marks.iter().map(|(_, s)| s.latest()).fold(0.0, f64::max);
     println!("latest position: {latest:.3}");
     Ok(())
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -8,7 +8,7 @@
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Ending, Outcome};
-use sandstile_durable_state::{Folder, Opened, Shelf};
+use sandstile_durable_state::{OpenedState, StateDirectory, StateFile};
 use sandstile_membership_view::{may_act, Direction, Topic, View};
 use sandstile_policy::terms::OutcomeClass;
 use sandstile_probe_sharing::{ProbeResult, ProbeSharing, Warnings};
@@ -16,8 +16,8 @@
 use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{stored, Fact, Kind, Snapshot, Value};
 use sandstile_replication::{ReplicationEvent, ReplicationPeer};
-use sandstile_sessions::mark::{Mark, Seen};
-use sandstile_sessions::store::Key;
+use sandstile_sessions::mark::{Mark, SessionMarks};
+use sandstile_sessions::store::SessionKey;
 use serde_json::json;
 use slog::{info, warn, Logger};
 use std::collections::{BTreeMap, BTreeSet};
@@ -53,7 +53,7 @@
 /// What a turn brought.
 #[derive(Default)]
 pub struct Learnt {
-    pub marks: Vec<(Key, Seen)>,
+    pub marks: Vec<(SessionKey, SessionMarks)>,
     /// The copy from the disk was an old one: what it lacks may have been written.
     pub old_copy: bool,
     /// One that was handed all of ours told all that it has.
@@ -106,14 +106,14 @@
     peer.split_once('#').map_or(peer, |(name, _)| name)
 }
 
-fn subject(key: Key) -> String {
+fn subject(key: SessionKey) -> String {
     format!("{:016x}", key.0)
 }
 
-fn mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(Key, Seen)> {
+fn mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(SessionKey, SessionMarks)> {
     match (key.kind, &fact.value) {
-        (Kind::Mark, Value::Seen(seen)) => {
-            Some((Key(u64::from_str_radix(&key.subject, 16).ok()?), seen.clone()))
+        (Kind::Mark, Value::SessionMarks(seen)) => {
+            Some((SessionKey(u64::from_str_radix(&key.subject, 16).ok()?), seen.clone()))
         }
         _ => None,
     }
@@ -132,19 +132,19 @@
         let (mut disk, mut trust, mut stored_generation, mut facts) = (None, Trust::None, None, Vec::new());
         let (idle, done) = mailbox();
         if let Some(dir) = &plan.dir {
-            let folder = Folder::open(dir, plan.witness.as_deref())?;
-            let Opened { found, stored, witness, shelf } =
+            let folder = StateDirectory::open(dir, plan.witness.as_deref())?;
+            let OpenedState { found, stored, witness, state_file } =
                 sandstile_durable_state::open(Box::new(folder), terms.generation);
             trust = assess_trust(stored, witness);
             info!(log, "state is taken up"; "facts" => found.facts.len(), "spoilt" => found.corrupt,
                 "ended" => found.ended_cleanly, "believed" => ?trust, "witness" => ?witness.file);
             (stored_generation, facts) = (found.generation, found.facts);
-            match shelf {
-                Ok(shelf) => {
+            match state_file {
+                Ok(state_file) => {
                     let (post, chores) = mailbox();
                     let own = log.clone();
                     threads::spawn_joinable("state", threads::STACK, move || {
-                        keep(shelf, &chores, &idle, &own)
+                        keep(state_file, &chores, &idle, &own)
                     })?;
                     disk = Some(post);
                 }
@@ -196,7 +196,7 @@
     }
 
     /// Marks that were found on the disk.
-    pub fn marks(&self) -> impl Iterator<Item = (Key, Seen)> + '_ {
+    pub fn marks(&self) -> impl Iterator<Item = (SessionKey, SessionMarks)> + '_ {
         self.replication.replica().iter().filter_map(mark)
     }
 
@@ -205,8 +205,8 @@
         self.trust == Trust::All
     }
 
-    pub fn wrote(&mut self, now: f64, key: Key, seen: &Seen) {
-        self.replication.learn(now, Kind::Mark, &subject(key), Value::Seen(seen.clone()));
+    pub fn wrote(&mut self, now: f64, key: SessionKey, seen: &SessionMarks) {
+        self.replication.learn(now, Kind::Mark, &subject(key), Value::SessionMarks(seen.clone()));
     }
 
     /// A group's primary has told how far its log is.
@@ -232,9 +232,9 @@
         );
     }
 
-    /// This one hears us from now on; `of_yours` says that it ended in order and left us all that it knew.
-    pub fn linked(&mut self, now: f64, peer: String, outlet: MailboxSender<Telling>, of_yours: bool) {
-        if outlet.send(Telling::Whole { of_yours }) {
+    /// This one hears us from now on; `covers_receiver` says that it ended in order and left us all that it knew.
+    pub fn linked(&mut self, now: f64, peer: String, outlet: MailboxSender<Telling>, covers_receiver: bool) {
+        if outlet.send(Telling::SnapshotComplete { covers_receiver }) {
             self.replication.peer_connected(now, &peer);
             self.outlets.insert(peer, outlet);
         }
@@ -355,8 +355,10 @@
         let mut learnt = Learnt::default();
         for event in self.replication.take_events() {
             match event {
-                ReplicationEvent::FactLearned(key, Value::Seen(seen)) if key.kind == Kind::Mark => {
-                    learnt.marks.extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (Key(k), seen)));
+                ReplicationEvent::FactLearned(key, Value::SessionMarks(seen)) if key.kind == Kind::Mark => {
+                    learnt
+                        .marks
+                        .extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (SessionKey(k), seen)));
                 }
                 ReplicationEvent::FactLearned(key, Value::Report(said)) => {
                     self.told(now, &key, &said, &mut learnt)
@@ -466,11 +468,11 @@
 }
 
 /// The disk's thread: one chore at a time, however slow it is.
-fn keep(mut shelf: Shelf, chores: &Mailbox<Chore>, idle: &MailboxSender<bool>, log: &Logger) {
+fn keep(mut state_file: StateFile, chores: &Mailbox<Chore>, idle: &MailboxSender<bool>, log: &Logger) {
     loop {
         match chores.recv(None) {
             Ok(Chore::Put(now, held)) => {
-                let put = shelf.put(now, &held);
+                let put = state_file.put(now, &held);
                 idle.send(put.is_ok());
                 if let Err(e) = put {
                     warn!(log, "state: the disk takes no more: {e}");
@@ -478,7 +480,7 @@
                 }
             }
             Ok(Chore::End(now, held, done)) => {
-                if let Err(e) = shelf.end(now, &held) {
+                if let Err(e) = state_file.end(now, &held) {
                     warn!(log, "state: not all of it is on the disk: {e}");
                 }
                 drop(done);
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -145,7 +145,7 @@
     let (mut exchange_peers, mut told_at) = (None, None);
     if let (Some(plan), Some(words)) = (&charter.sessions, &words) {
         if let Some(exchange) = &plan.exchange {
-            let secrets = plan.read_keys()?.derived(exchange::CONTEXT);
+            let secrets = plan.read_keys()?.derive_secrets(exchange::CONTEXT);
             let keeps = plan.state.is_some();
             exchange_peers = Some(exchange::begin(
                 exchange,
@@ -168,7 +168,7 @@
             generation,
             seed: launch.seed,
             routers: launch.terms.routers,
-            keys: keys::read_keys(&plan.keys)?.derived(members::CONTEXT),
+            keys: keys::read_keys(&plan.keys)?.derive_secrets(members::CONTEXT),
             exchange: told_at,
             sharing_routers: Some(sharing_routers),
             exchange_peers,
@@ -226,7 +226,7 @@
     let read_member_keys = || {
         let Some(plan) = &charter.members else { return };
         match keys::read_keys(&plan.keys) {
-            Ok(ring) => drop(charges.send(Charge::Keys(ring.derived(members::CONTEXT)))),
+            Ok(ring) => drop(charges.send(Charge::Keys(ring.derive_secrets(members::CONTEXT)))),
             Err(what) => warn!(log, "{what}; the former keys of members stay"),
         }
     };
--- a/crates/sandstile-router/src/session_messages.rs
+++ b/crates/sandstile-router/src/session_messages.rs
@@ -1,9 +1,9 @@
 //! What the desk's sessions hear from outside, and what goes from them to other instances.
 use crate::mailbox::MailboxSender;
-use sandstile_exchange::Heard;
+use sandstile_exchange::Frame;
 use sandstile_replicated_state::Snapshot;
-use sandstile_sessions::mark::Seen;
-use sandstile_sessions::store::{Exact, Key};
+use sandstile_sessions::mark::SessionMarks;
+use sandstile_sessions::store::{ExactMarks, SessionKey};
 use sandstile_sessions::token::KeyRing;
 
 /// What an operator is told of the kept state: how it stands, and a copy that shares its facts, to be looked through elsewhere.
@@ -19,7 +19,7 @@
     /// Another instance, of this name, wants to be told what is known here.
     Tell(String, MailboxSender<Telling>),
     /// What another instance, of this name, has told.
-    Heard(String, Heard),
+    Frame(String, Frame),
     /// The instance of this name is not told any more.
     Untold(String),
     /// So many bytes on kept state were written to it.
@@ -36,13 +36,13 @@
 pub enum Telling {
     /// All that is known, and whether that is all that the other knew when it ended last.
     Snapshot {
-        exact: Exact,
-        of_yours: bool,
+        exact: ExactMarks,
+        covers_receiver: bool,
     },
-    Seen(Key, Seen),
+    SessionMarks(SessionKey, SessionMarks),
     /// In place of a snapshot, for one that keeps state with us.
-    Whole {
-        of_yours: bool,
+    SnapshotComplete {
+        covers_receiver: bool,
     },
     State(Vec<u8>),
     End(MailboxSender<()>),
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -9,13 +9,13 @@
 use crate::statement::Workload;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Answer, DispatcherInput, Ending, FinalAnswer, Outcome, Source, StatementRequest};
-use sandstile_exchange::Heard;
-use sandstile_journal::pace::Pace;
-use sandstile_journal::{Found, Journal, Wrong};
+use sandstile_exchange::Frame;
+use sandstile_journal::pace::SyncSchedule;
+use sandstile_journal::{Journal, JournalContents, JournalError};
 use sandstile_policy::terms::ReadRequirement;
-use sandstile_sessions::floor::{Floor, Ground};
-use sandstile_sessions::mark::{Mark, Seen, Term};
-use sandstile_sessions::store::{Bounds, Key, Store};
+use sandstile_sessions::floor::{ReadContext, RequiredPosition};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
+use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use sandstile_sessions::token::{KeyRing, Token};
 use slog::{info, warn, Logger};
 use std::collections::BTreeMap;
@@ -26,20 +26,20 @@
 
 /// What one statement wants of all this.
 struct Wish {
-    key: Key,
+    key: SessionKey,
     /// Names of groups are few and shared by many.
     group: Arc<str>,
     writes: bool,
     /// For an own read: what it must reach.
-    floor: Option<Floor>,
+    required_position: Option<RequiredPosition>,
 }
 
 impl Wish {
     fn read_requirement(&self) -> Option<ReadRequirement> {
-        self.floor.map(|floor| match floor {
-            Floor::Known(position) => ReadRequirement::Position(position),
-            Floor::Unknown(_) => ReadRequirement::Primary,
-            Floor::Nothing => ReadRequirement::Position(0.0),
+        self.required_position.map(|required_position| match required_position {
+            RequiredPosition::Known(position) => ReadRequirement::Position(position),
+            RequiredPosition::Unknown(_) => ReadRequirement::Primary,
+            RequiredPosition::Nothing => ReadRequirement::Position(0.0),
         })
     }
 }
@@ -68,9 +68,9 @@
     outlets: Vec<MailboxSender<Telling>>,
     /// Instances that ended in order and told all they knew before: when, and the life that is to have it back.
     handed: BTreeMap<String, (f64, Option<String>)>,
-    heard_since: f64,
+    complete_since: f64,
     /// How far each group's log had come when its primary first answered this instance.
-    begun: BTreeMap<Arc<str>, Mark>,
+    startup_mark: BTreeMap<Arc<str>, Mark>,
     /// What is kept together with other instances, where our own file turns that on.
     kept: Option<Box<ReplicatedState>>,
     /// What others met, for the decisions.
@@ -103,10 +103,10 @@
     ) -> Result<Sessions, String> {
         let now = clock.now();
         let ring = plan.read_keys()?;
-        let bounds = Bounds { exact: plan.exact, cells: plan.cells, terms: 4 };
-        let mut store = Store::new(bounds);
+        let limits = StoreLimits { exact: plan.exact, cells: plan.cells, terms: 4 };
+        let mut store = Store::new(limits);
         // One that begins knows of nothing that was written before.
-        let mut heard_since = now;
+        let mut complete_since = now;
         let mut journal = None;
         if let Some(path) = &plan.journal {
             let told = |e| format!("{}: {e}", path.display());
@@ -114,12 +114,12 @@
             found.marks.iter().for_each(|(key, seen)| store.merge(*key, seen));
             // Nothing can be missing: each write was on the disk before anybody was told of it, or the last writer
             // ended in order. A first journal knows of nothing before it.
-            let promised = plan.durability == Durability::BeforeAnswer || found.ended;
-            if found.whole && promised && found.bytes > 0 {
-                heard_since = f64::NEG_INFINITY;
+            let promised = plan.durability == Durability::BeforeAnswer || found.closed_cleanly;
+            if found.intact && promised && found.bytes > 0 {
+                complete_since = f64::NEG_INFINITY;
             }
-            info!(log, "sessions are taken up"; "marks" => found.marks.len(), "whole" => found.whole,
-                "ended" => found.ended, "spoilt" => found.spoilt);
+            info!(log, "sessions are taken up"; "marks" => found.marks.len(), "whole" => found.intact,
+                "ended" => found.closed_cleanly, "spoilt" => found.damaged_records);
             let (post, entries) = mailbox();
             let (file, durability, log) = (path.clone(), plan.durability, log.clone());
             let scribe = Scribe { journal: opened, answers, path: file, durability, clock: *clock, log };
@@ -132,11 +132,11 @@
         if let Some(kept) = &kept {
             kept.marks().for_each(|(key, seen)| store.merge(key, &seen));
             if kept.found_all() {
-                heard_since = f64::NEG_INFINITY;
+                complete_since = f64::NEG_INFINITY;
             }
         }
         if !plan.stay {
-            heard_since = f64::INFINITY;
+            complete_since = f64::INFINITY;
         }
         let own_reads = workloads.iter().map(|w| w.sessions && !w.writes).collect();
         let (counts, log) = (Counts::default(), log.clone());
@@ -150,8 +150,8 @@
             journal,
             outlets: Vec::new(),
             handed: BTreeMap::new(),
-            heard_since,
-            begun: BTreeMap::new(),
+            complete_since,
+            startup_mark: BTreeMap::new(),
             kept: kept.map(Box::new),
             warned: Vec::new(),
             aged_at: now,
@@ -166,43 +166,45 @@
         let session = asked.session.as_deref()?;
         if now > self.aged_at + AGE {
             self.aged_at = now;
-            self.store.age_out(now, self.plan.horizon);
+            self.store.remove_expired(now, self.plan.horizon);
         }
         if now > self.told_at + TELL {
             self.told_at = now;
             info!(self.log, "sessions: {:?}", self.counts; "remembered" => self.store.len(),
                 "sketch_fill" => self.store.fill(), "pushed_out" => self.store.counts().pushed_out);
         }
-        let key = Key::of(&asked.group, session);
-        let begun = self.begun.get_key_value(asked.group.as_str());
-        let group = begun.map_or_else(|| Arc::from(asked.group.as_str()), |(name, _)| name.clone());
-        let begun = begun.map(|(_, mark)| *mark);
+        let key = SessionKey::of(&asked.group, session);
+        let startup_mark = self.startup_mark.get_key_value(asked.group.as_str());
+        let group = startup_mark.map_or_else(|| Arc::from(asked.group.as_str()), |(name, _)| name.clone());
+        let startup_mark = startup_mark.map(|(_, mark)| *mark);
         let own = self.own_reads.get(asked.workload).copied().unwrap_or(false);
-        let floor = own.then(|| {
+        let required_position = own.then(|| {
             let carried = asked.mark.as_deref().and_then(|text| {
                 let checked = self.ring.check(text, key, now, self.plan.token_lasts, self.plan.skew);
                 self.counts.refused += u64::from(checked.is_err());
                 checked.ok().map(|token| token.mark)
             });
-            let ground = Ground {
+            let context = ReadContext {
                 now,
                 term: (term > 0).then_some(Term(term)),
                 horizon: self.plan.horizon,
                 skew: self.plan.skew,
-                heard_since: self.heard_since,
-                begun,
+                complete_since: self.complete_since,
+                startup_mark,
             };
-            let floor = self.store.floor(key, carried, &ground);
-            match floor {
-                Floor::Known(_) => self.counts.known += 1,
-                Floor::Unknown(_) => self.counts.unknown += 1,
-                Floor::Nothing => self.counts.nothing += 1,
+            let required_position = self.store.required_position(key, carried, &context);
+            match required_position {
+                RequiredPosition::Known(_) => self.counts.known += 1,
+                RequiredPosition::Unknown(_) => self.counts.unknown += 1,
+                RequiredPosition::Nothing => self.counts.nothing += 1,
             }
-            floor
+            required_position
         });
         let before = self.plan.unmarked_as_before && asked.mark.is_none();
-        let floor = floor.filter(|floor| !(before && matches!(floor, Floor::Unknown(_))));
-        Some(Wish { key, group, writes: asked.writes, floor })
+        let required_position = required_position.filter(|required_position| {
+            !(before && matches!(required_position, RequiredPosition::Unknown(_)))
+        });
+        Some(Wish { key, group, writes: asked.writes, required_position })
     }
 
     /// An answer by a host that turns out to hold less than the read must see is none: another host serves it. That
@@ -211,11 +213,13 @@
         if outcome.ending != Ending::Completed || outcome.host_report.primary == Some(true) {
             return;
         }
-        let holds = match wish.floor {
-            None | Some(Floor::Nothing) => true,
-            Some(Floor::Unknown(_)) => false,
+        let holds = match wish.required_position {
+            None | Some(RequiredPosition::Nothing) => true,
+            Some(RequiredPosition::Unknown(_)) => false,
             // Where hosts tell no term, there is none to differ.
-            Some(Floor::Known(position)) => outcome.host_report.position.is_some_and(|at| at >= position),
+            Some(RequiredPosition::Known(position)) => {
+                outcome.host_report.position.is_some_and(|at| at >= position)
+            }
         };
         if !holds {
             self.counts.unserved += 1;
@@ -234,39 +238,44 @@
     /// The first word of a group's primary in this life, or under a term of its own, says how far the log had come.
     fn led(&mut self, now: f64, wish: &Wish, outcome: &Outcome) {
         let Some(mark) = Self::mark(wish, outcome) else { return };
-        if self.begun.len() >= MOST_GROUPS && !self.begun.contains_key(&wish.group) {
+        if self.startup_mark.len() >= MOST_GROUPS && !self.startup_mark.contains_key(&wish.group) {
             // Its unknown sessions go to the primary a little longer.
             return;
         }
-        if self.begun.get(&wish.group).is_none_or(|b| b.term != mark.term) {
-            self.begun.insert(wish.group.clone(), mark);
+        if self.startup_mark.get(&wish.group).is_none_or(|b| b.term != mark.term) {
+            self.startup_mark.insert(wish.group.clone(), mark);
         }
         if let Some(kept) = &mut self.kept {
             kept.led(now, &wish.group, mark);
         }
     }
 
-    fn remember(&mut self, now: f64, wish: &Wish, outcome: &Outcome) -> Option<Seen> {
+    fn remember(&mut self, now: f64, wish: &Wish, outcome: &Outcome) -> Option<SessionMarks> {
         if !wish.writes {
             return None;
         }
         let seen = match Self::mark(wish, outcome) {
-            Some(mark) => Seen::of(mark),
-            None => Seen::Lost(now),
+            Some(mark) => SessionMarks::of(mark),
+            None => SessionMarks::Lost(now),
         };
         self.store.merge(wish.key, &seen);
         if let Some(kept) = &mut self.kept {
             kept.wrote(now, wish.key, &seen);
         }
         // One that does not take it in as fast as writes come is told all of it anew, later.
-        self.outlets.retain(|outlet| outlet.send(Telling::Seen(wish.key, seen.clone())));
+        self.outlets.retain(|outlet| outlet.send(Telling::SessionMarks(wish.key, seen.clone())));
         Some(seen)
     }
 
     /// What comes of a write that has completed goes on the disk. `answer` waits for that, where somebody is to have it.
-    fn put_down(&mut self, key: Key, seen: Option<Seen>, answer: Option<FinalAnswer>) -> Option<FinalAnswer> {
+    fn put_down(
+        &mut self,
+        key: SessionKey,
+        seen: Option<SessionMarks>,
+        answer: Option<FinalAnswer>,
+    ) -> Option<FinalAnswer> {
         let (Some(journal), Some(seen)) = (&self.journal, seen) else { return answer };
-        journal.send(Entry::Seen { key, seen, then: answer });
+        journal.send(Entry::SessionMarks { key, seen, then: answer });
         None
     }
 
@@ -274,16 +283,16 @@
         match word {
             SessionMessage::Keys(ring) => self.ring = ring,
             SessionMessage::Tell(to, outlet) => {
-                let of_yours = self.has_of(now, &to);
-                if let Some(kept) = self.kept.as_mut().filter(|_| sandstile_exchange::keeps(&to)) {
-                    kept.linked(now, to, outlet, of_yours);
+                let covers_receiver = self.has_of(now, &to);
+                if let Some(kept) = self.kept.as_mut().filter(|_| sandstile_exchange::replicates_state(&to)) {
+                    kept.linked(now, to, outlet, covers_receiver);
                     return;
                 }
-                if outlet.send(Telling::Snapshot { exact: self.store.snapshot(), of_yours }) {
+                if outlet.send(Telling::Snapshot { exact: self.store.snapshot(), covers_receiver }) {
                     self.outlets.push(outlet);
                 }
             }
-            SessionMessage::Heard(from, heard) => self.learn(now, &from, heard),
+            SessionMessage::Frame(from, heard) => self.learn(now, &from, heard),
             SessionMessage::Untold(to) => self.kept.iter_mut().for_each(|k| k.parted(now, &to)),
             SessionMessage::Written(to, bytes) => self.kept.iter_mut().for_each(|k| k.written(&to, bytes)),
             SessionMessage::Tick => self.keep(now, true),
@@ -328,36 +337,38 @@
         self.warned.extend(
             learnt.warned.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)),
         );
-        if learnt.old_copy && self.heard_since == f64::NEG_INFINITY {
-            self.heard_since = now;
+        if learnt.old_copy && self.complete_since == f64::NEG_INFINITY {
+            self.complete_since = now;
         } else if learnt.vouched && self.plan.stay {
-            self.heard_since = f64::NEG_INFINITY;
+            self.complete_since = f64::NEG_INFINITY;
         }
     }
 
-    fn learn(&mut self, now: f64, from: &str, heard: Heard) {
+    fn learn(&mut self, now: f64, from: &str, heard: Frame) {
         match heard {
-            Heard::State(message) => {
+            Frame::State(message) => {
                 if let Some(kept) = &mut self.kept {
                     kept.heard(now, from, &message);
                     self.keep(now, false);
                 }
             }
-            Heard::Whole { of_yours } if self.kept.is_some() && sandstile_exchange::keeps(from) => {
+            Frame::SnapshotComplete { covers_receiver }
+                if self.kept.is_some() && sandstile_exchange::replicates_state(from) =>
+            {
                 // Believed once all that it holds is held here.
-                self.kept.iter_mut().filter(|_| of_yours).for_each(|k| k.vouches(from));
+                self.kept.iter_mut().filter(|_| covers_receiver).for_each(|k| k.vouches(from));
             }
             // A further life of it: what an earlier one handed over may not be all any more.
-            Heard::Who(_) => drop(self.has_of(now, from)),
-            Heard::Marks(marks) => marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen)),
-            Heard::Whole { of_yours } => {
-                info!(self.log, "sessions were told"; "by" => from, "all_of_ours" => of_yours,
+            Frame::Introduction(_) => drop(self.has_of(now, from)),
+            Frame::Marks(marks) => marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen)),
+            Frame::SnapshotComplete { covers_receiver } => {
+                info!(self.log, "sessions were told"; "by" => from, "all_of_ours" => covers_receiver,
                     "remembered" => self.store.len());
-                if of_yours && self.plan.stay {
-                    self.heard_since = f64::NEG_INFINITY;
+                if covers_receiver && self.plan.stay {
+                    self.complete_since = f64::NEG_INFINITY;
                 }
             }
-            Heard::Farewell => {
+            Frame::Goodbye => {
                 info!(self.log, "an instance has handed its sessions over"; "instance" => from);
                 let name = from.split_once('#').map_or(from, |(name, _)| name);
                 self.handed.insert(name.to_string(), (now, None));
@@ -439,15 +450,19 @@
 /// Takes up the journal at `path`. A disk that takes no writes at this moment keeps no router from serving: what the
 /// journal holds is taken up, and the file is made one that nobody takes for whole later, for it will lack this life's
 /// writes.
-fn open_journal(path: &Path, since: f64, log: &Logger) -> Result<(Option<Journal>, Found), Wrong> {
+fn open_journal(
+    path: &Path,
+    since: f64,
+    log: &Logger,
+) -> Result<(Option<Journal>, JournalContents), JournalError> {
     let error = match Journal::open(path, since) {
         Ok((journal, found)) => return Ok((Some(journal), found)),
-        Err(Wrong::Io(error)) => error,
+        Err(JournalError::Io(error)) => error,
         Err(wrong) => return Err(wrong),
     };
     let found = match std::fs::read(path) {
         Ok(bytes) => sandstile_journal::read(&bytes)?,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Found::default(),
+        Err(e) if e.kind() == std::io::ErrorKind::NotFound => JournalContents::default(),
         Err(e) => return Err(e.into()),
     };
     sandstile_journal::invalidate(path)?;
@@ -456,7 +471,7 @@
 }
 
 enum Entry {
-    Seen { key: Key, seen: Seen, then: Option<FinalAnswer> },
+    SessionMarks { key: SessionKey, seen: SessionMarks, then: Option<FinalAnswer> },
     End(MailboxSender<()>),
 }
 
@@ -480,7 +495,7 @@
 impl Scribe {
     fn run(mut self, entries: &Mailbox<Entry>) {
         let mut pace = match self.durability {
-            Durability::Every(s) => Some(Pace::new(s)),
+            Durability::Every(s) => Some(SyncSchedule::new(s)),
             _ => None,
         };
         loop {
@@ -494,7 +509,7 @@
             let mut next = first;
             while let Some(entry) = next {
                 match entry {
-                    Entry::Seen { key, seen, then } => {
+                    Entry::SessionMarks { key, seen, then } => {
                         self.tried(|journal| journal.append(key, &seen));
                         if let Some(pace) = &mut pace {
                             pace.wrote(self.clock.now());
@@ -557,7 +572,7 @@
         self.tried(Journal::sync);
         let read = std::fs::read(&self.path).ok().and_then(|bytes| sandstile_journal::read(&bytes).ok());
         let Some(found) = read else { return };
-        let mut merged = std::collections::BTreeMap::<Key, Seen>::new();
+        let mut merged = std::collections::BTreeMap::<SessionKey, SessionMarks>::new();
         found.marks.iter().for_each(|(key, seen)| merged.entry(*key).or_default().merge(seen));
         match Journal::replace(&self.path, merged.iter().map(|(key, seen)| (*key, seen))) {
             Ok(journal) => self.journal = Some(journal),
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -195,7 +195,7 @@
     let asked = |n: usize| control_client::members(&files[n].1).unwrap_or(Value::Null);
     let all_there = || (0..3).all(|n| there(&asked(n), "alive") >= 2);
     wait_for("all", all_there);
-    let secret = keys::read_keys(&dir.join("keys")).expect("keys").derived(CONTEXT);
+    let secret = keys::read_keys(&dir.join("keys")).expect("keys").derive_secrets(CONTEXT);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("an address");
     let me = socket.local_addr().expect("an address");
     let update = |name: &str, life: u64, address, incarnation, state| MemberUpdate {
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -410,7 +410,7 @@
     );
     let secrets = sandstile_router::keys::read_keys(&stage.dir.join("keys"))
         .expect("keys")
-        .derived(sandstile_router::exchange::CONTEXT);
+        .derive_secrets(sandstile_router::exchange::CONTEXT);
     let mut lies = TcpStream::connect(stage.exchange(0)).expect("an exchange");
     let (mut greeting, mut bytes) = (Vec::new(), [0; 128]);
     let nonce = loop {
@@ -420,8 +420,8 @@
             break nonce;
         }
     };
-    let mut teller = sandstile_exchange::Teller::new(&secrets[0], &nonce);
-    lies.write_all(&teller.who("liar#7~2")).expect("a listener");
+    let mut encoder = sandstile_exchange::FrameEncoder::new(&secrets[0], &nonce);
+    lies.write_all(&encoder.introduction("liar#7~2")).expect("a listener");
     let over = std::sync::Arc::new(AtomicUsize::new(0));
     let ends = over.clone();
     let liar = thread::spawn(move || {
@@ -440,7 +440,7 @@
                 }
             }
             let message = wire::encode(&Message::Facts(facts), now);
-            if lies.write_all(&teller.state(&message)).is_err() {
+            if lies.write_all(&encoder.state(&message)).is_err() {
                 return;
             }
             thread::sleep(Duration::from_millis(20));
--- a/crates/sandstile-sessions/examples/cost.rs
+++ b/crates/sandstile-sessions/examples/cost.rs
@@ -1,7 +1,7 @@
 //! What a token and a floor cost. `cargo run --release -p sandstile-sessions --example cost`
-use sandstile_sessions::floor::Ground;
+use sandstile_sessions::floor::ReadContext;
 use sandstile_sessions::mark::{Mark, Term};
-use sandstile_sessions::store::{Bounds, Key, Store};
+use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use sandstile_sessions::token::{KeyRing, Token, LENGTH};
 use std::hint::black_box;
 use std::time::Instant;
@@ -18,22 +18,22 @@
     let ring =
         KeyRing::read("1 00112233445566778899aabbccddeeff0123456789abcdef0123456789abcdef").expect("a key");
     let mark = |n: u64| Mark { term: Term(1), position: 1000.0 + n as f64 / 1000.0 };
-    let mut store = Store::new(Bounds::usual());
-    (0..100_000).for_each(|n| store.note(Key(n), mark(n)));
-    let ground = Ground {
+    let mut store = Store::new(StoreLimits::usual());
+    (0..100_000).for_each(|n| store.note(SessionKey(n), mark(n)));
+    let context = ReadContext {
         now: 1100.0,
         term: Some(Term(1)),
         horizon: 300.0,
         skew: 1.0,
-        heard_since: f64::INFINITY,
-        begun: None,
+        complete_since: f64::INFINITY,
+        startup_mark: None,
     };
     let times = 500_000;
     println!(
         "hash of a name   {:6.0} ns",
-        ns(times, |n| keep(black_box(Key::of("group", if n % 2 == 0 { "u1" } else { "u2" }))))
+        ns(times, |n| keep(black_box(SessionKey::of("group", if n % 2 == 0 { "u1" } else { "u2" }))))
     );
-    let token = Token { key: Key(7), mark: mark(50), issued: 1100.0 };
+    let token = Token { key: SessionKey(7), mark: mark(50), issued: 1100.0 };
     println!(
         "issue a token    {:6.0} ns, {LENGTH} characters",
         ns(times, |_| keep(black_box(ring.issue(&token))))
@@ -41,11 +41,15 @@
     let text = ring.issue(&token).expect("a key");
     println!(
         "check a token    {:6.0} ns",
-        ns(times, |_| keep(black_box(ring.check(&text, Key(7), 1100.0, 60.0, 1.0))))
+        ns(times, |_| keep(black_box(ring.check(&text, SessionKey(7), 1100.0, 60.0, 1.0))))
     );
-    println!("note a mark      {:6.0} ns", ns(times, |n| store.note(Key(n % 100_000), mark(n))));
+    println!("note a mark      {:6.0} ns", ns(times, |n| store.note(SessionKey(n % 100_000), mark(n))));
     println!(
         "ask for a floor  {:6.0} ns",
-        ns(times, |n| keep(black_box(store.floor(Key(n % 100_000), Some(mark(9)), &ground))))
+        ns(times, |n| keep(black_box(store.required_position(
+            SessionKey(n % 100_000),
+            Some(mark(9)),
+            &context
+        ))))
     );
 }
--- a/crates/sandstile-sessions/examples/marks.rs
+++ b/crates/sandstile-sessions/examples/marks.rs
@@ -1,8 +1,8 @@
 //! The store (exact marks, a sketch behind) against a plain map with a bound, by how many sessions write.
 //! `cargo run --release -p sandstile-sessions --example marks`
-use sandstile_sessions::floor::{Floor, Ground};
+use sandstile_sessions::floor::{ReadContext, RequiredPosition};
 use sandstile_sessions::mark::{Mark, Term};
-use sandstile_sessions::store::{Bounds, Key, Store};
+use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
 
@@ -13,37 +13,37 @@
 }
 
 fn main() {
-    let bounds = Bounds { exact: 1 << 16, cells: 1 << 20, terms: 2 };
-    println!("exact {}, sketch {} cells a row, 4 rows", bounds.exact, bounds.cells);
+    let limits = StoreLimits { exact: 1 << 16, cells: 1 << 20, terms: 2 };
+    println!("exact {}, sketch {} cells a row, 4 rows", limits.exact, limits.cells);
     println!("sessions    store: note ns  ask ns     MB    fill  raised  raised by s (mean)   map: note ns  ask ns     MB  forgotten");
     for sessions in [10_000u64, 1_000_000, 10_000_000] {
         let writes = sessions;
         // A minute of writes, one a session, in the order of their numbers.
         let at = |n: u64| 1000.0 + 60.0 * n as f64 / writes as f64;
-        let ground = Ground {
+        let context = ReadContext {
             now: 1060.0,
             term: Some(Term(1)),
             horizon: 120.0,
             skew: 1.0,
-            heard_since: f64::INFINITY,
-            begun: None,
+            complete_since: f64::INFINITY,
+            startup_mark: None,
         };
         let before = memory();
-        let mut store = Store::new(bounds);
+        let mut store = Store::new(limits);
         let begun = Instant::now();
-        (0..writes).for_each(|n| store.note(Key(spread(n)), Mark { term: Term(1), position: at(n) }));
+        (0..writes).for_each(|n| store.note(SessionKey(spread(n)), Mark { term: Term(1), position: at(n) }));
         let note = begun.elapsed().as_nanos() as f64 / writes as f64;
         let asks = sessions.min(1_000_000);
         let begun = Instant::now();
         let (mut raised, mut by) = (0u64, 0.0);
         for n in 0..asks {
             let n = n * (sessions / asks);
-            match store.floor(Key(spread(n)), None, &ground) {
-                Floor::Known(p) if p > at(n) + 0.0015 => {
+            match store.required_position(SessionKey(spread(n)), None, &context) {
+                RequiredPosition::Known(p) if p > at(n) + 0.0015 => {
                     raised += 1;
                     by += p - at(n);
                 }
-                Floor::Known(p) => assert!(p >= at(n) - 1e-6),
+                RequiredPosition::Known(p) => assert!(p >= at(n) - 1e-6),
                 other => panic!("{other:?} for one that wrote"),
             }
         }
@@ -57,7 +57,7 @@
         for n in 0..writes {
             map.insert(spread(n), at(n));
             order.push_back(spread(n));
-            if map.len() > bounds.exact {
+            if map.len() > limits.exact {
                 if let Some(oldest) = order.pop_front() {
                     map.remove(&oldest);
                 }
--- a/crates/sandstile-sessions/src/floor.rs
+++ b/crates/sandstile-sessions/src/floor.rs
@@ -1,8 +1,8 @@
 //! The one question: what must this read reach, and how sure are we?
-use crate::mark::{Mark, Seen, Term};
+use crate::mark::{Mark, SessionMarks, Term};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Floor {
+pub enum RequiredPosition {
     /// Any replica that has come to this position, in seconds, serves it.
     Known(f64),
     /// Nobody can tell: the primary serves it.
@@ -28,7 +28,7 @@
 
 /// What the answer rests on beside the mark itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Ground {
+pub struct ReadContext {
     pub now: f64,
     /// The term of the group's primary as this instance knows it now.
     pub term: Option<Term>,
@@ -38,51 +38,52 @@
     pub skew: f64,
     /// This instance has heard of every write of the group since then: by being the only one since, or by a
     /// journal that it found whole. Infinite where it can't know.
-    pub heard_since: f64,
+    pub complete_since: f64,
     /// How far the group's log had come when its primary first answered this instance. Whoever writes by this instance alone has
     /// written before its start, which is before that, or here, which is remembered: no need reaches further. Counts where
-    /// `heard_since` is finite, that is where sessions stay.
-    pub begun: Option<Mark>,
+    /// `complete_since` is finite, that is where sessions stay.
+    pub startup_mark: Option<Mark>,
 }
 
 /// What a session's read must reach. `seen` joins all that is known of the session; `carried` says that the mark
 /// that its client carries is part of that. What one instance remembers is not enough by itself: the session may
 /// have written by another since. Either the client carries what it was told, or the instance has heard of all.
-pub fn floor(seen: &Seen, carried: bool, ground: &Ground) -> Floor {
+pub fn required_position(seen: &SessionMarks, carried: bool, context: &ReadContext) -> RequiredPosition {
     // What every replica has applied by now binds nobody, under whatever term.
-    let since = ground.now - ground.horizon;
+    let since = context.now - context.horizon;
     let none = std::collections::BTreeMap::new();
     let marks = match seen {
-        Seen::Lost(latest) if *latest >= since => return Floor::Unknown(Why::Lost),
-        Seen::Lost(_) => &none,
-        Seen::Terms(marks) => marks,
+        SessionMarks::Lost(latest) if *latest >= since => return RequiredPosition::Unknown(Why::Lost),
+        SessionMarks::Lost(_) => &none,
+        SessionMarks::Terms(marks) => marks,
     };
-    if marks.values().any(|position| *position > ground.now + ground.skew) {
-        return Floor::Unknown(Why::Ahead);
+    if marks.values().any(|position| *position > context.now + context.skew) {
+        return RequiredPosition::Unknown(Why::Ahead);
     }
-    let complete = carried || ground.heard_since <= since;
+    let complete = carried || context.complete_since <= since;
     // Without this all own reads after a start go to the primary for as long as replicas may lag.
-    let begun = ground.begun.filter(|b| ground.heard_since.is_finite() && ground.term == Some(b.term));
-    let begun = begun.filter(|b| b.position <= ground.now + ground.skew).map(|b| b.position);
+    let startup_mark =
+        context.startup_mark.filter(|b| context.complete_since.is_finite() && context.term == Some(b.term));
+    let startup_mark = startup_mark.filter(|b| b.position <= context.now + context.skew).map(|b| b.position);
     let mut binding = marks.iter().filter(|(_, position)| **position >= since).peekable();
     if binding.peek().is_none() {
-        return match (complete, begun) {
-            (true, _) => Floor::Nothing,
-            (false, Some(position)) => Floor::Known(position),
-            (false, None) => Floor::Unknown(Why::NoWord),
+        return match (complete, startup_mark) {
+            (true, _) => RequiredPosition::Nothing,
+            (false, Some(position)) => RequiredPosition::Known(position),
+            (false, None) => RequiredPosition::Unknown(Why::NoWord),
         };
     }
-    let Some(term) = ground.term else { return Floor::Unknown(Why::NoTerm) };
+    let Some(term) = context.term else { return RequiredPosition::Unknown(Why::NoTerm) };
     let mut highest: f64 = 0.0;
     for (of, position) in binding {
         if *of != term {
-            return Floor::Unknown(Why::OtherTerm);
+            return RequiredPosition::Unknown(Why::OtherTerm);
         }
         highest = highest.max(*position);
     }
-    match (complete, begun) {
-        (true, _) => Floor::Known(highest),
-        (false, Some(position)) => Floor::Known(highest.max(position)),
-        (false, None) => Floor::Unknown(Why::NoWord),
+    match (complete, startup_mark) {
+        (true, _) => RequiredPosition::Known(highest),
+        (false, Some(position)) => RequiredPosition::Known(highest.max(position)),
+        (false, None) => RequiredPosition::Unknown(Why::NoWord),
     }
 }
--- a/crates/sandstile-sessions/src/lib.rs
+++ b/crates/sandstile-sessions/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod store;
 pub mod token;
 
-pub use floor::{floor, Floor, Why};
-pub use mark::{Mark, Seen, Term};
+pub use floor::{required_position, RequiredPosition, Why};
+pub use mark::{Mark, SessionMarks, Term};
 pub use sketch::Sketch;
-pub use store::{Key, Store};
+pub use store::{SessionKey, Store};
 pub use token::{KeyRing, Token, Told};
--- a/crates/sandstile-sessions/src/mark.rs
+++ b/crates/sandstile-sessions/src/mark.rs
@@ -42,32 +42,32 @@
 /// All that is known of one session in one group: a position for each term, or too much to tell. A join-semilattice
 /// under `merge`: `Lost` is its top, the empty one its bottom.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum SessionMarks {
     Terms(BTreeMap<Term, f64>),
     /// Marks of more terms than are kept, or one that can't be read: nothing can be said but that it has written,
     /// at this position or before.
     Lost(f64),
 }
 
-impl Default for Seen {
+impl Default for SessionMarks {
     fn default() -> Self {
-        Seen::Terms(BTreeMap::new())
+        SessionMarks::Terms(BTreeMap::new())
     }
 }
 
-impl Seen {
-    pub fn of(mark: Mark) -> Seen {
+impl SessionMarks {
+    pub fn of(mark: Mark) -> SessionMarks {
         // What is no number marks nothing that could be reached: it has written, and no more is known.
         match mark.position.is_finite() {
-            true => Seen::Terms(BTreeMap::from([(mark.term, mark.position.max(0.0))])),
-            false => Seen::Lost(f64::INFINITY),
+            true => SessionMarks::Terms(BTreeMap::from([(mark.term, mark.position.max(0.0))])),
+            false => SessionMarks::Lost(f64::INFINITY),
         }
     }
 
-    pub fn merge(&mut self, other: &Seen) {
+    pub fn merge(&mut self, other: &SessionMarks) {
         let latest = self.latest().max(other.latest());
         let joined = match (&mut *self, other) {
-            (Seen::Terms(mine), Seen::Terms(theirs)) => {
+            (SessionMarks::Terms(mine), SessionMarks::Terms(theirs)) => {
                 for (term, position) in theirs {
                     let at = mine.entry(*term).or_insert(*position);
                     *at = at.max(*position);
@@ -77,26 +77,26 @@
             _ => false,
         };
         if !joined {
-            *self = Seen::Lost(latest);
+            *self = SessionMarks::Lost(latest);
         }
     }
 
     pub fn is_empty(&self) -> bool {
-        matches!(self, Seen::Terms(all) if all.is_empty())
+        matches!(self, SessionMarks::Terms(all) if all.is_empty())
     }
 
     /// The latest position under any term: how old the whole is.
     pub fn latest(&self) -> f64 {
         match self {
-            Seen::Terms(all) => all.values().copied().fold(0.0, f64::max),
-            Seen::Lost(latest) => *latest,
+            SessionMarks::Terms(all) => all.values().copied().fold(0.0, f64::max),
+            SessionMarks::Lost(latest) => *latest,
         }
     }
 
     pub fn marks(&self) -> impl Iterator<Item = Mark> + '_ {
         let all = match self {
-            Seen::Terms(all) => Some(all),
-            Seen::Lost(_) => None,
+            SessionMarks::Terms(all) => Some(all),
+            SessionMarks::Lost(_) => None,
         };
         all.into_iter().flatten().map(|(term, position)| Mark { term: *term, position: *position })
     }
--- a/crates/sandstile-sessions/src/store.rs
+++ b/crates/sandstile-sessions/src/store.rs
@@ -1,16 +1,16 @@
 //! One instance's memory of sessions: exact for those that wrote of late, a sketch for those that fell out of it.
-use crate::floor::{floor, Floor, Ground};
-use crate::mark::{Mark, Seen, Term};
+use crate::floor::{required_position, ReadContext, RequiredPosition};
+use crate::mark::{Mark, SessionMarks, Term};
 use crate::sketch::{key_of, Sketch};
 use imbl::{OrdMap, OrdSet};
 
 /// A session of a group, by its hash: names are not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key(pub u64);
+pub struct SessionKey(pub u64);
 
-impl Key {
-    pub fn of(group: &str, session: &str) -> Key {
-        Key(key_of(&[group, session]))
+impl SessionKey {
+    pub fn of(group: &str, session: &str) -> SessionKey {
+        SessionKey(key_of(&[group, session]))
     }
 }
 
@@ -25,7 +25,7 @@
 
 /// Sizes, each a bound.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct StoreLimits {
     /// Sessions that are remembered exactly.
     pub exact: usize,
     /// Cells in each row of a sketch.
@@ -34,21 +34,21 @@
     pub terms: usize,
 }
 
-impl Bounds {
-    pub fn usual() -> Bounds {
-        Bounds { exact: 1 << 16, cells: 1 << 18, terms: 4 }
+impl StoreLimits {
+    pub fn usual() -> StoreLimits {
+        StoreLimits { exact: 1 << 16, cells: 1 << 18, terms: 4 }
     }
 }
 
 /// What the exact part holds, for a snapshot: taking one copies nothing.
 #[derive(Clone, Default)]
-pub struct Exact {
-    seen: OrdMap<Key, Seen>,
+pub struct ExactMarks {
+    seen: OrdMap<SessionKey, SessionMarks>,
     /// Positions and keys, the oldest first.
-    ages: OrdSet<(u64, Key)>,
+    ages: OrdSet<(u64, SessionKey)>,
 }
 
-impl Exact {
+impl ExactMarks {
     pub fn len(&self) -> usize {
         self.seen.len()
     }
@@ -57,7 +57,7 @@
         self.seen.is_empty()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&Key, &Seen)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&SessionKey, &SessionMarks)> {
         self.seen.iter()
     }
 }
@@ -71,8 +71,8 @@
 }
 
 pub struct Store {
-    bounds: Bounds,
-    exact: Exact,
+    limits: StoreLimits,
+    exact: ExactMarks,
     behind: Vec<Behind>,
     /// Something fell out that no sketch holds, of at most this position: whoever is not found may be it.
     lost_to: f64,
@@ -80,22 +80,22 @@
 }
 
 impl Store {
-    pub fn new(bounds: Bounds) -> Store {
-        let (exact, behind, counts) = (Exact::default(), Vec::new(), Counts::default());
-        Store { bounds, exact, behind, lost_to: f64::NEG_INFINITY, counts }
+    pub fn new(limits: StoreLimits) -> Store {
+        let (exact, behind, counts) = (ExactMarks::default(), Vec::new(), Counts::default());
+        Store { limits, exact, behind, lost_to: f64::NEG_INFINITY, counts }
     }
 
     /// A write was acknowledged, or somebody says so.
-    pub fn note(&mut self, key: Key, mark: Mark) {
-        self.merge(key, &Seen::of(mark));
+    pub fn note(&mut self, key: SessionKey, mark: Mark) {
+        self.merge(key, &SessionMarks::of(mark));
     }
 
     /// A write was acknowledged by a host that told no position, or none that can be used.
-    pub fn note_unknown(&mut self, key: Key, now: f64) {
-        self.merge(key, &Seen::Lost(now));
+    pub fn note_unknown(&mut self, key: SessionKey, now: f64) {
+        self.merge(key, &SessionMarks::Lost(now));
     }
 
-    pub fn merge(&mut self, key: Key, news: &Seen) {
+    pub fn merge(&mut self, key: SessionKey, news: &SessionMarks) {
         if news.is_empty() {
             return;
         }
@@ -110,7 +110,7 @@
             self.exact.ages.insert((now, key));
         }
         self.exact.seen.insert(key, seen);
-        while self.exact.seen.len() > self.bounds.exact {
+        while self.exact.seen.len() > self.limits.exact {
             self.push_out();
         }
     }
@@ -120,7 +120,7 @@
         let Some((_, key)) = self.exact.ages.remove_min() else { return };
         let Some(seen) = self.exact.seen.remove(&key) else { return };
         self.counts.pushed_out += 1;
-        if let Seen::Lost(latest) = seen {
+        if let SessionMarks::Lost(latest) = seen {
             self.lost_to = self.lost_to.max(latest);
             self.counts.overflowed += 1;
         }
@@ -142,17 +142,17 @@
         if let Some(at) = self.behind.iter().position(|b| b.term == mark.term) {
             return Some(&mut self.behind[at]);
         }
-        if self.behind.len() >= self.bounds.terms {
+        if self.behind.len() >= self.limits.terms {
             return None;
         }
         // A day before the first that comes: what is older counts as that.
-        let sketch = Sketch::new(self.bounds.cells, mark.position - 86_400.0);
+        let sketch = Sketch::new(self.limits.cells, mark.position - 86_400.0);
         self.behind.push(Behind { term: mark.term, sketch, latest: mark.position });
         self.behind.last_mut()
     }
 
     /// Lets go of all whose latest mark is older than `horizon` seconds: every replica has it by now.
-    pub fn age_out(&mut self, now: f64, horizon: f64) {
+    pub fn remove_expired(&mut self, now: f64, horizon: f64) {
         let since = now - horizon;
         while let Some((position, key)) = self.exact.ages.get_min().copied() {
             if f64::from_bits(position) >= since {
@@ -169,29 +169,34 @@
     }
 
     /// All that this instance knows of a session.
-    pub fn seen(&self, key: Key) -> Seen {
+    pub fn seen(&self, key: SessionKey) -> SessionMarks {
         let mut seen = self.exact.seen.get(&key).cloned().unwrap_or_default();
         for b in &self.behind {
             if let Some(position) = b.sketch.get(key.0) {
-                seen.merge(&Seen::of(Mark { term: b.term, position }));
+                seen.merge(&SessionMarks::of(Mark { term: b.term, position }));
             }
         }
         seen
     }
 
     /// What a session's read must reach, with what its client carries.
-    pub fn floor(&self, key: Key, carried: Option<Mark>, ground: &Ground) -> Floor {
+    pub fn required_position(
+        &self,
+        key: SessionKey,
+        carried: Option<Mark>,
+        context: &ReadContext,
+    ) -> RequiredPosition {
         let mut seen = self.seen(key);
         if let Some(mark) = carried {
-            seen.merge(&Seen::of(mark));
+            seen.merge(&SessionMarks::of(mark));
         }
         // Somebody fell out without a trace: it may be this one.
-        let lost = seen.is_empty() && self.lost_to >= ground.now - ground.horizon;
-        let told = if lost { Seen::Lost(self.lost_to) } else { seen };
-        floor(&told, carried.is_some(), ground)
+        let lost = seen.is_empty() && self.lost_to >= context.now - context.horizon;
+        let told = if lost { SessionMarks::Lost(self.lost_to) } else { seen };
+        required_position(&told, carried.is_some(), context)
     }
 
-    pub fn snapshot(&self) -> Exact {
+    pub fn snapshot(&self) -> ExactMarks {
         self.exact.clone()
     }
 
@@ -214,6 +219,6 @@
 }
 
 /// Positions sort by their bits: they are never negative. What can't be told counts as the latest of all.
-fn age(seen: &Seen) -> u64 {
+fn age(seen: &SessionMarks) -> u64 {
     seen.latest().to_bits()
 }
--- a/crates/sandstile-sessions/src/token.rs
+++ b/crates/sandstile-sessions/src/token.rs
@@ -4,7 +4,7 @@
 //! term (8), position in whole milliseconds (6), time of issue in whole seconds (4), and 14 bytes of a keyed
 //! BLAKE3 hash over all of it.
 use crate::mark::{Mark, Term};
-use crate::store::Key;
+use crate::store::SessionKey;
 
 const VERSION: u8 = 1;
 const BODY: usize = 28;
@@ -15,7 +15,7 @@
 /// What a token says.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Token {
-    pub key: Key,
+    pub key: SessionKey,
     pub mark: Mark,
     /// Unix seconds.
     pub issued: f64,
@@ -99,7 +99,7 @@
 
     /// Secrets for another use, one of each key, the one that signs first. Whoever learns one of these learns
     /// nothing of the key.
-    pub fn derived(&self, context: &str) -> Vec<[u8; 32]> {
+    pub fn derive_secrets(&self, context: &str) -> Vec<[u8; 32]> {
         self.keys.iter().map(|k| blake3::derive_key(context, &k.secret)).collect()
     }
 
@@ -116,7 +116,7 @@
 
     /// Reads a token that a client brought for this session. `lasts` and `skew` are seconds: tokens are believed so
     /// long, and clocks differ so much at the most.
-    pub fn check(&self, text: &str, key: Key, now: f64, lasts: f64, skew: f64) -> Result<Token, Told> {
+    pub fn check(&self, text: &str, key: SessionKey, now: f64, lasts: f64, skew: f64) -> Result<Token, Told> {
         let token = self.read_token(text)?;
         if token.key != key {
             return Err(Told::Foreign);
@@ -150,7 +150,7 @@
         let issued = u32::from_le_bytes(std::array::from_fn(|n| body[24 + n]));
         let position = u64::from_le_bytes(position) as f64 / 1000.0;
         let mark = Mark { term: Term(eight(10)), position };
-        Ok(Token { key: Key(eight(2)), mark, issued: f64::from(issued) })
+        Ok(Token { key: SessionKey(eight(2)), mark, issued: f64::from(issued) })
     }
 }
 
--- a/crates/sandstile-sessions/tests/joins.rs
+++ b/crates/sandstile-sessions/tests/joins.rs
@@ -1,9 +1,11 @@
 //! Marks merge in any order, any number of times; sketches never say less than the truth.
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sandstile_sessions::floor::{floor, floor as super_floor, Floor, Ground, Why};
-use sandstile_sessions::mark::{Mark, Seen, Term};
+use sandstile_sessions::floor::{
+    required_position, required_position as super_floor, ReadContext, RequiredPosition, Why,
+};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 use sandstile_sessions::sketch::Sketch;
-use sandstile_sessions::store::{Bounds, Key, Store};
+use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
@@ -19,13 +21,13 @@
     Mark { term: Term(u64::from(term)), position: f64::from(position) }
 }
 
-fn seen(news: &News) -> Seen {
-    let mut seen = Seen::default();
-    news.0.iter().for_each(|(term, position)| seen.merge(&Seen::of(mark(*term, *position))));
+fn seen(news: &News) -> SessionMarks {
+    let mut seen = SessionMarks::default();
+    news.0.iter().for_each(|(term, position)| seen.merge(&SessionMarks::of(mark(*term, *position))));
     seen
 }
 
-fn join(a: &Seen, b: &Seen) -> Seen {
+fn join(a: &SessionMarks, b: &SessionMarks) -> SessionMarks {
     let mut joined = a.clone();
     joined.merge(b);
     joined
@@ -39,7 +41,7 @@
 fn marks_are_a_join_semilattice() {
     fn holds(a: News, b: News, c: News) -> bool {
         let (a, b, c) = (seen(&a), seen(&b), seen(&c));
-        let bottom = Seen::default();
+        let bottom = SessionMarks::default();
         join(&a, &b) == join(&b, &a)
             && join(&join(&a, &b), &c) == join(&a, &join(&b, &c))
             && join(&a, &a) == a
@@ -49,53 +51,72 @@
     check().quickcheck(holds as fn(News, News, News) -> bool);
 }
 
-fn ground(now: f64, term: u64) -> Ground {
-    Ground { now, term: Some(Term(term)), horizon: 60.0, skew: 1.0, heard_since: f64::INFINITY, begun: None }
+fn context(now: f64, term: u64) -> ReadContext {
+    ReadContext {
+        now,
+        term: Some(Term(term)),
+        horizon: 60.0,
+        skew: 1.0,
+        complete_since: f64::INFINITY,
+        startup_mark: None,
+    }
 }
 
 /// More news never lower what a read must reach, nor make the unknown known as nothing.
 #[test]
 fn news_never_weaken_a_floor() {
-    fn strength(f: Floor) -> f64 {
+    fn strength(f: RequiredPosition) -> f64 {
         match f {
-            Floor::Nothing => -1.0,
-            Floor::Known(position) => position,
-            Floor::Unknown(_) => f64::INFINITY,
+            RequiredPosition::Nothing => -1.0,
+            RequiredPosition::Known(position) => position,
+            RequiredPosition::Unknown(_) => f64::INFINITY,
         }
     }
     fn holds(a: News, b: News, term: u8) -> bool {
-        let mut g = ground(60.0, u64::from(term % 5));
-        g.heard_since = f64::NEG_INFINITY;
+        let mut g = context(60.0, u64::from(term % 5));
+        g.complete_since = f64::NEG_INFINITY;
         let (a, b) = (seen(&a), seen(&b));
-        strength(floor(&join(&a, &b), true, &g)) >= strength(floor(&a, true, &g))
+        strength(required_position(&join(&a, &b), true, &g)) >= strength(required_position(&a, true, &g))
     }
     check().quickcheck(holds as fn(News, News, u8) -> bool);
 }
 
 #[test]
 fn what_cannot_be_compared_is_unknown_and_unknown_is_never_nothing() {
-    let g = ground(1000.0, 1);
-    let of = |position: f64, term: u64| Seen::of(Mark { term: Term(term), position });
+    let g = context(1000.0, 1);
+    let of = |position: f64, term: u64| SessionMarks::of(Mark { term: Term(term), position });
     // Remembered here, but the session may have written elsewhere since.
-    assert_eq!(super_floor(&of(990.0, 1), false, &g), Floor::Unknown(Why::NoWord));
-    assert_eq!(super_floor(&of(990.0, 1), false, &Ground { heard_since: 900.0, ..g }), Floor::Known(990.0));
-    let floor = |seen: &Seen, g: &Ground| super_floor(seen, !seen.is_empty(), g);
-    assert_eq!(floor(&Seen::default(), &g), Floor::Unknown(Why::NoWord));
-    assert_eq!(floor(&Seen::default(), &Ground { heard_since: 900.0, ..g }), Floor::Nothing);
-    assert_eq!(floor(&Seen::default(), &Ground { heard_since: 990.0, ..g }), Floor::Unknown(Why::NoWord));
-    assert_eq!(floor(&of(990.0, 1), &g), Floor::Known(990.0));
-    assert_eq!(floor(&of(990.0, 2), &g), Floor::Unknown(Why::OtherTerm));
-    assert_eq!(floor(&of(990.0, 1), &Ground { term: None, ..g }), Floor::Unknown(Why::NoTerm));
+    assert_eq!(super_floor(&of(990.0, 1), false, &g), RequiredPosition::Unknown(Why::NoWord));
+    assert_eq!(
+        super_floor(&of(990.0, 1), false, &ReadContext { complete_since: 900.0, ..g }),
+        RequiredPosition::Known(990.0)
+    );
+    let required_position = |seen: &SessionMarks, g: &ReadContext| super_floor(seen, !seen.is_empty(), g);
+    assert_eq!(required_position(&SessionMarks::default(), &g), RequiredPosition::Unknown(Why::NoWord));
+    assert_eq!(
+        required_position(&SessionMarks::default(), &ReadContext { complete_since: 900.0, ..g }),
+        RequiredPosition::Nothing
+    );
+    assert_eq!(
+        required_position(&SessionMarks::default(), &ReadContext { complete_since: 990.0, ..g }),
+        RequiredPosition::Unknown(Why::NoWord)
+    );
+    assert_eq!(required_position(&of(990.0, 1), &g), RequiredPosition::Known(990.0));
+    assert_eq!(required_position(&of(990.0, 2), &g), RequiredPosition::Unknown(Why::OtherTerm));
+    assert_eq!(
+        required_position(&of(990.0, 1), &ReadContext { term: None, ..g }),
+        RequiredPosition::Unknown(Why::NoTerm)
+    );
     // A clock that is off by minutes; a position nobody can have reached; one that is no number.
-    assert_eq!(floor(&of(1300.0, 1), &g), Floor::Unknown(Why::Ahead));
-    assert_eq!(floor(&of(1000.5, 1), &g), Floor::Known(1000.5));
-    assert_eq!(floor(&of(f64::NAN, 1), &g), Floor::Unknown(Why::Lost));
+    assert_eq!(required_position(&of(1300.0, 1), &g), RequiredPosition::Unknown(Why::Ahead));
+    assert_eq!(required_position(&of(1000.5, 1), &g), RequiredPosition::Known(1000.5));
+    assert_eq!(required_position(&of(f64::NAN, 1), &g), RequiredPosition::Unknown(Why::Lost));
     // Old enough that every replica has it: binds nobody. Carried, it proves that nothing came later.
-    assert_eq!(super_floor(&of(900.0, 2), false, &g), Floor::Unknown(Why::NoWord));
-    assert_eq!(floor(&of(900.0, 2), &g), Floor::Nothing);
-    assert_eq!(floor(&join(&of(900.0, 2), &of(990.0, 1)), &g), Floor::Known(990.0));
-    let many = (1..=4).fold(Seen::default(), |all, n| join(&all, &of(990.0 + n as f64, n)));
-    assert_eq!(floor(&many, &g), Floor::Unknown(Why::Lost));
+    assert_eq!(super_floor(&of(900.0, 2), false, &g), RequiredPosition::Unknown(Why::NoWord));
+    assert_eq!(required_position(&of(900.0, 2), &g), RequiredPosition::Nothing);
+    assert_eq!(required_position(&join(&of(900.0, 2), &of(990.0, 1)), &g), RequiredPosition::Known(990.0));
+    let many = (1..=4).fold(SessionMarks::default(), |all, n| join(&all, &of(990.0 + n as f64, n)));
+    assert_eq!(required_position(&many, &g), RequiredPosition::Unknown(Why::Lost));
 }
 
 /// For every key: at least the greatest that was put in; and after merging, for both sides.
@@ -126,60 +147,60 @@
 /// Whatever falls out of the exact store is never asked for less than it must see.
 #[test]
 fn a_store_that_overflows_raises_and_never_lowers() {
-    let bounds = Bounds { exact: 50, cells: 4096, terms: 2 };
-    let mut store = Store::new(bounds);
+    let limits = StoreLimits { exact: 50, cells: 4096, terms: 2 };
+    let mut store = Store::new(limits);
     let mut truth: BTreeMap<u64, (u64, f64)> = BTreeMap::new();
     let mut chance = oorandom::Rand32::new(9);
     for n in 0..5000u64 {
         let term = 1 + n / 3000;
         let key = 200 * (term - 1) + u64::from(chance.rand_range(0..200));
         let position = 1000.0 + n as f64 * 0.01;
-        store.note(Key(key), Mark { term: Term(term), position });
+        store.note(SessionKey(key), Mark { term: Term(term), position });
         truth.insert(key, (term, position));
-        assert!(store.len() <= bounds.exact);
+        assert!(store.len() <= limits.exact);
     }
-    let mut g = ground(1050.0, 2);
-    g.heard_since = 0.0;
+    let mut g = context(1050.0, 2);
+    g.complete_since = 0.0;
     let (mut known, mut exact) = (0, 0);
     for (key, (term, position)) in &truth {
-        match store.floor(Key(*key), None, &g) {
-            Floor::Known(reach) => {
+        match store.required_position(SessionKey(*key), None, &g) {
+            RequiredPosition::Known(reach) => {
                 assert!(reach >= *position, "{key}: {reach} of {position}");
                 known += 1;
                 exact += usize::from((reach - position).abs() < 0.002);
             }
-            Floor::Unknown(_) => {}
-            Floor::Nothing => panic!("{key} wrote at {position} under {term}"),
+            RequiredPosition::Unknown(_) => {}
+            RequiredPosition::Nothing => panic!("{key} wrote at {position} under {term}"),
         }
     }
     assert!(known > 30 && exact >= 30, "{known} {exact}");
     // A third term finds no sketch: what falls out then is unknown to all, not nothing.
     for n in 0..100u64 {
-        store.note(Key(10_000 + n), Mark { term: Term(7), position: 1050.0 });
+        store.note(SessionKey(10_000 + n), Mark { term: Term(7), position: 1050.0 });
     }
     for n in 0..200u64 {
-        store.note(Key(20_000 + n), Mark { term: Term(8), position: 1050.5 });
+        store.note(SessionKey(20_000 + n), Mark { term: Term(8), position: 1050.5 });
     }
-    assert_eq!(store.floor(Key(999_999), None, &g), Floor::Unknown(Why::Lost));
+    assert_eq!(store.required_position(SessionKey(999_999), None, &g), RequiredPosition::Unknown(Why::Lost));
     assert!(store.counts().overflowed > 0 && store.counts().pushed_out > 4000);
     // All of it ages out.
-    store.age_out(2000.0, 60.0);
+    store.remove_expired(2000.0, 60.0);
     assert!(store.is_empty());
     g.now = 2000.0;
-    assert_eq!(store.floor(Key(999_999), None, &g), Floor::Nothing);
+    assert_eq!(store.required_position(SessionKey(999_999), None, &g), RequiredPosition::Nothing);
 }
 
 /// A snapshot stays as it was while the store goes on, and holds nothing twice.
 #[test]
 fn a_snapshot_is_of_its_moment() {
-    let mut store = Store::new(Bounds { exact: 1000, cells: 64, terms: 2 });
-    (0..500).for_each(|n| store.note(Key(n), Mark { term: Term(1), position: 100.0 }));
+    let mut store = Store::new(StoreLimits { exact: 1000, cells: 64, terms: 2 });
+    (0..500).for_each(|n| store.note(SessionKey(n), Mark { term: Term(1), position: 100.0 }));
     let before = store.snapshot();
-    (0..500).for_each(|n| store.note(Key(n), Mark { term: Term(1), position: 200.0 }));
-    store.age_out(300.0, 150.0);
+    (0..500).for_each(|n| store.note(SessionKey(n), Mark { term: Term(1), position: 200.0 }));
+    store.remove_expired(300.0, 150.0);
     assert_eq!((before.len(), store.len()), (500, 500));
     assert!(before.iter().all(|(_, seen)| seen.latest() == 100.0));
-    let mut other = Store::new(Bounds::usual());
+    let mut other = Store::new(StoreLimits::usual());
     for snapshot in [before.clone(), store.snapshot(), before] {
         snapshot.iter().for_each(|(key, seen)| other.merge(*key, seen));
     }
@@ -188,36 +209,48 @@
 
 #[test]
 fn a_carried_mark_is_joined_and_proves_what_it_carries() {
-    let mut store = Store::new(Bounds::usual());
-    let g = ground(1000.0, 1);
+    let mut store = Store::new(StoreLimits::usual());
+    let g = context(1000.0, 1);
     let carried = |position: f64, term: u64| Some(Mark { term: Term(term), position });
-    let key = Key(5);
-    assert_eq!(store.floor(key, carried(990.0, 1), &g), Floor::Known(990.0));
-    assert_eq!(store.floor(key, carried(990.0, 2), &g), Floor::Unknown(Why::OtherTerm));
-    assert_eq!(store.floor(key, carried(100.0, 2), &g), Floor::Nothing);
+    let key = SessionKey(5);
+    assert_eq!(store.required_position(key, carried(990.0, 1), &g), RequiredPosition::Known(990.0));
+    assert_eq!(
+        store.required_position(key, carried(990.0, 2), &g),
+        RequiredPosition::Unknown(Why::OtherTerm)
+    );
+    assert_eq!(store.required_position(key, carried(100.0, 2), &g), RequiredPosition::Nothing);
     store.note(key, Mark { term: Term(1), position: 995.0 });
-    assert_eq!(store.floor(key, carried(990.0, 1), &g), Floor::Known(995.0));
+    assert_eq!(store.required_position(key, carried(990.0, 1), &g), RequiredPosition::Known(995.0));
     store.note_unknown(key, 999.0);
-    assert_eq!(store.floor(key, carried(990.0, 1), &g), Floor::Unknown(Why::Lost));
+    assert_eq!(store.required_position(key, carried(990.0, 1), &g), RequiredPosition::Unknown(Why::Lost));
 }
 
 /// After a start: what the primary first told binds whoever is not known, and nobody more than what is known besides; it is nothing
 /// under another term, nor where sessions roam.
 #[test]
 fn after_a_start_the_primarys_first_word_is_enough() {
-    let of = |position: f64, term: u64| Seen::of(Mark { term: Term(term), position });
-    let g = Ground {
-        heard_since: 995.0,
-        begun: Some(Mark { term: Term(1), position: 996.0 }),
-        ..ground(1000.0, 1)
+    let of = |position: f64, term: u64| SessionMarks::of(Mark { term: Term(term), position });
+    let g = ReadContext {
+        complete_since: 995.0,
+        startup_mark: Some(Mark { term: Term(1), position: 996.0 }),
+        ..context(1000.0, 1)
     };
-    assert_eq!(super_floor(&Seen::default(), false, &g), Floor::Known(996.0));
-    assert_eq!(super_floor(&of(990.0, 1), false, &g), Floor::Known(996.0));
-    assert_eq!(super_floor(&of(998.0, 1), false, &g), Floor::Known(998.0));
-    assert_eq!(super_floor(&of(990.0, 2), false, &g), Floor::Unknown(Why::OtherTerm));
-    let unknown = Floor::Unknown(Why::NoWord);
-    assert_eq!(super_floor(&Seen::default(), false, &Ground { term: Some(Term(2)), ..g }), unknown);
-    assert_eq!(super_floor(&Seen::default(), false, &Ground { heard_since: f64::INFINITY, ..g }), unknown);
+    assert_eq!(super_floor(&SessionMarks::default(), false, &g), RequiredPosition::Known(996.0));
+    assert_eq!(super_floor(&of(990.0, 1), false, &g), RequiredPosition::Known(996.0));
+    assert_eq!(super_floor(&of(998.0, 1), false, &g), RequiredPosition::Known(998.0));
+    assert_eq!(super_floor(&of(990.0, 2), false, &g), RequiredPosition::Unknown(Why::OtherTerm));
+    let unknown = RequiredPosition::Unknown(Why::NoWord);
+    assert_eq!(
+        super_floor(&SessionMarks::default(), false, &ReadContext { term: Some(Term(2)), ..g }),
+        unknown
+    );
+    assert_eq!(
+        super_floor(&SessionMarks::default(), false, &ReadContext { complete_since: f64::INFINITY, ..g }),
+        unknown
+    );
     let ahead = Some(Mark { term: Term(1), position: 2000.0 });
-    assert_eq!(super_floor(&Seen::default(), false, &Ground { begun: ahead, ..g }), unknown);
+    assert_eq!(
+        super_floor(&SessionMarks::default(), false, &ReadContext { startup_mark: ahead, ..g }),
+        unknown
+    );
 }
--- a/crates/sandstile-sessions/tests/tokens.rs
+++ b/crates/sandstile-sessions/tests/tokens.rs
@@ -1,7 +1,7 @@
 //! Tokens: what was issued is read back, and nothing else is ever believed.
 use quickcheck::{Gen, QuickCheck};
 use sandstile_sessions::mark::{Mark, Term};
-use sandstile_sessions::store::Key;
+use sandstile_sessions::store::SessionKey;
 use sandstile_sessions::token::{KeyRing, Token, Told, LENGTH};
 
 const OLD: &str = "7 00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n";
@@ -13,7 +13,7 @@
 
 fn token(position: f64) -> Token {
     Token {
-        key: Key::of("1", "ann"),
+        key: SessionKey::of("1", "ann"),
         mark: Mark { term: Term::of("1", "s-1-a", 0.0), position },
         issued: 1000.0,
     }
@@ -24,11 +24,11 @@
     fn holds(key: u64, term: u64, ms: u32, issued: u32) -> bool {
         let ring = ring(NEW);
         let mark = Mark { term: Term(term), position: f64::from(ms) / 1000.0 };
-        let token = Token { key: Key(key), mark, issued: f64::from(issued) };
+        let token = Token { key: SessionKey(key), mark, issued: f64::from(issued) };
         let text = ring.issue(&token).expect("a key");
         let fits =
             text.len() == LENGTH && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b));
-        fits && ring.check(&text, Key(key), f64::from(issued), 60.0, 1.0) == Ok(token)
+        fits && ring.check(&text, SessionKey(key), f64::from(issued), 60.0, 1.0) == Ok(token)
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(64, 3)).tests(2000);
     check.quickcheck(holds as fn(u64, u64, u32, u32) -> bool);
@@ -41,7 +41,7 @@
 fn nothing_that_was_changed_cut_or_made_by_others_is_believed() {
     let (ours, now) = (ring(NEW), 1010.0);
     let text = ours.issue(&token(990.0)).expect("a key");
-    let check = |text: &str| ours.check(text, Key::of("1", "ann"), now, 60.0, 1.0);
+    let check = |text: &str| ours.check(text, SessionKey::of("1", "ann"), now, 60.0, 1.0);
     assert!(check(&text).is_ok());
     for at in 0..text.len() {
         for letter in [b'A', b'z', b'_', b'*', b','] {
@@ -56,10 +56,10 @@
     for odd in ["", "é", &"é".repeat(28), &format!("{text}A"), &"A".repeat(LENGTH), &" ".repeat(LENGTH)] {
         assert!(check(odd).is_err(), "{odd}");
     }
-    assert_eq!(ours.check(&text, Key::of("2", "ann"), now, 60.0, 1.0), Err(Told::Foreign));
-    assert_eq!(ours.check(&text, Key::of("1", "bob"), now, 60.0, 1.0), Err(Told::Foreign));
-    assert_eq!(ours.check(&text, Key::of("1", "ann"), 1070.0, 60.0, 1.0), Err(Told::Expired));
-    assert_eq!(ours.check(&text, Key::of("1", "ann"), 900.0, 60.0, 1.0), Err(Told::Ahead));
+    assert_eq!(ours.check(&text, SessionKey::of("2", "ann"), now, 60.0, 1.0), Err(Told::Foreign));
+    assert_eq!(ours.check(&text, SessionKey::of("1", "bob"), now, 60.0, 1.0), Err(Told::Foreign));
+    assert_eq!(ours.check(&text, SessionKey::of("1", "ann"), 1070.0, 60.0, 1.0), Err(Told::Expired));
+    assert_eq!(ours.check(&text, SessionKey::of("1", "ann"), 900.0, 60.0, 1.0), Err(Told::Ahead));
     let forger = ring("8 0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef");
     assert_eq!(check(&forger.issue(&token(1.0)).expect("a key")), Err(Told::Forged));
     assert_eq!(check(&ring(OLD).issue(&token(990.0)).expect("a key")), Err(Told::Stranger));
@@ -71,7 +71,7 @@
 fn keys_rotate_with_an_overlap() {
     let before = ring(&format!("{OLD}{NEW}"));
     let after = ring(&format!("{NEW}{OLD}"));
-    let key = Key::of("1", "ann");
+    let key = SessionKey::of("1", "ann");
     for (issuer, reader) in [(&before, &after), (&after, &before), (&ring(OLD), &after), (&after, &ring(NEW))]
     {
         let text = issuer.issue(&token(990.0)).expect("a key");
--- a/crates/sandstile-sessions/tests/walk.rs
+++ b/crates/sandstile-sessions/tests/walk.rs
@@ -1,14 +1,14 @@
 //! An exhaustive walk of a small world: three hosts, two routers, one session, a failover, restarts, a token. No
 //! reachable state serves an own read from a replica that lacks what the session was told it had written. With
 //! the term taken out of the mark the walk finds one that does.
-use sandstile_sessions::floor::{Floor, Ground};
+use sandstile_sessions::floor::{ReadContext, RequiredPosition};
 use sandstile_sessions::mark::{Mark, Term};
-use sandstile_sessions::store::{Bounds, Key, Store};
+use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use stateright::{Checker, Model, Property};
 
 const HOSTS: usize = 3;
 const ROUTERS: usize = 2;
-const KEY: Key = Key(1);
+const KEY: SessionKey = SessionKey(1);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Host {
@@ -85,26 +85,26 @@
     }
 
     /// What the session's read must reach, by the very code that routers use.
-    fn floor(&self, router: &Router, token: Option<(u8, u8)>) -> Floor {
-        let mut store = Store::new(Bounds { exact: 4, cells: 16, terms: 1 });
+    fn required_position(&self, router: &Router, token: Option<(u8, u8)>) -> RequiredPosition {
+        let mut store = Store::new(StoreLimits { exact: 4, cells: 16, terms: 1 });
         router.memory.iter().for_each(|m| store.note(KEY, self.mark(*m)));
-        let ground = Ground {
+        let context = ReadContext {
             now: 50.0,
             term: (router.term > 0).then(|| self.term(router.term)),
             horizon: 100.0,
             skew: 10.0,
-            heard_since: f64::INFINITY,
-            begun: None,
+            complete_since: f64::INFINITY,
+            startup_mark: None,
         };
-        store.floor(KEY, token.map(|t| self.mark(t)), &ground)
+        store.required_position(KEY, token.map(|t| self.mark(t)), &context)
     }
 
     /// Hosts that a router may send an own read to.
     fn may_serve(&self, world: &World, router: &Router, token: Option<(u8, u8)>) -> Vec<usize> {
-        match self.floor(router, token) {
-            Floor::Unknown(_) => vec![world.primary],
-            Floor::Nothing => (0..HOSTS).collect(),
-            Floor::Known(position) => {
+        match self.required_position(router, token) {
+            RequiredPosition::Unknown(_) => vec![world.primary],
+            RequiredPosition::Nothing => (0..HOSTS).collect(),
+            RequiredPosition::Known(position) => {
                 let come = |h: &usize| router.heard[*h].is_some_and(|claim| f64::from(claim) >= position);
                 (0..HOSTS).filter(come).chain([world.primary]).collect()
             }
