--- a/crates/sandstile-journal/src/pace.rs
+++ b/crates/sandstile-journal/src/pace.rs
@@ -14,7 +14,7 @@
         SyncSchedule { interval, first_unsynced_at: None }
     }
 
-    pub fn wrote(&mut self, now: f64) {
+    pub fn record_write(&mut self, now: f64) {
         self.first_unsynced_at.get_or_insert(now);
     }
 
--- a/crates/sandstile-journal/tests/damage.rs
+++ b/crates/sandstile-journal/tests/damage.rs
@@ -179,7 +179,7 @@
     for n in 0..1000 {
         let now = f64::from(n) * 0.010;
         oldest.get_or_insert(now);
-        schedule.wrote(now);
+        schedule.record_write(now);
         if schedule.due(now) {
             syncs += 1;
             oldest = None;
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -171,7 +171,7 @@
         if now > self.told_at + TELL {
             self.told_at = now;
             info!(self.log, "sessions: {:?}", self.counts; "remembered" => self.store.len(),
-                "sketch_fill" => self.store.fill(), "pushed_out" => self.store.counts().pushed_out);
+                "sketch_fill" => self.store.max_sketch_fill(), "pushed_out" => self.store.counts().pushed_out);
         }
         let key = SessionKey::of(&asked.group, session);
         let startup_mark = self.startup_mark.get_key_value(asked.group.as_str());
@@ -422,7 +422,7 @@
         if let Answer::Completed(_, token) = &mut given.answer {
             *token = Self::mark(&wish, outcome).and_then(|mark| {
                 // All that is known of it, not the last alone: it may have come from elsewhere with more.
-                let known = self.store.seen(wish.key);
+                let known = self.store.session_marks(wish.key);
                 let same = known.marks().filter(|m| m.term == mark.term).map(|m| m.position);
                 let position = same.fold(mark.position, f64::max);
                 self.ring.issue(&Token { key: wish.key, mark: Mark { position, ..mark }, issued: now })
@@ -512,7 +512,7 @@
                     Entry::SessionMarks { key, seen, then } => {
                         self.tried(|journal| journal.append(key, &seen));
                         if let Some(pace) = &mut pace {
-                            pace.wrote(self.clock.now());
+                            pace.record_write(self.clock.now());
                         }
                         answers.extend(then);
                     }
--- a/crates/sandstile-sessions/examples/marks.rs
+++ b/crates/sandstile-sessions/examples/marks.rs
@@ -52,7 +52,7 @@
             }
         }
         let store_query_ns = started.elapsed().as_nanos() as f64 / queries as f64;
-        let (store_mb, fill) = (resident_mb() - mb_before, store.fill());
+        let (store_mb, fill) = (resident_mb() - mb_before, store.max_sketch_fill());
         drop(store);
         // The baseline: a map that keeps the same number of exact sessions and drops the oldest.
         let mb_before = resident_mb();
--- a/crates/sandstile-sessions/src/store.rs
+++ b/crates/sandstile-sessions/src/store.rs
@@ -172,7 +172,7 @@
     }
 
     /// All marks of a session that this instance knows.
-    pub fn seen(&self, key: SessionKey) -> SessionMarks {
+    pub fn session_marks(&self, key: SessionKey) -> SessionMarks {
         let mut session_marks = self.exact.by_session.get(&key).cloned().unwrap_or_default();
         for term_sketch in &self.sketches {
             if let Some(position) = term_sketch.sketch.get(key.0) {
@@ -190,7 +190,7 @@
         carried: Option<Mark>,
         context: &ReadContext,
     ) -> RequiredPosition {
-        let mut session_marks = self.seen(key);
+        let mut session_marks = self.session_marks(key);
         if let Some(mark) = carried {
             session_marks.merge(&SessionMarks::of(mark));
         }
@@ -217,7 +217,7 @@
     }
 
     /// The fill ratio of the fullest sketch.
-    pub fn fill(&self) -> f64 {
+    pub fn max_sketch_fill(&self) -> f64 {
         self.sketches.iter().map(|s| s.sketch.fill_ratio()).fold(0.0, f64::max)
     }
 }
