--- a/crates/sandstile-journal/src/lib.rs
+++ b/crates/sandstile-journal/src/lib.rs
@@ -15,7 +15,7 @@
 
 const MAGIC: &[u8; 8] = b"sndsmark";
 const VERSION: u32 = 1;
-/// Magic, version, and the checksum of both.
+/// Magic (8 bytes), version (4), four unused bytes, and the checksum (8) of all these.
 const HEADER_LEN: usize = 24;
 /// Key, term and position (8 bytes each), kind (1), seven unused bytes, and the checksum (8) of all these.
 const RECORD_LEN: usize = 40;
--- a/crates/sandstile-sessions/src/sketch.rs
+++ b/crates/sandstile-sessions/src/sketch.rs
@@ -64,7 +64,7 @@
         (self.base as f64 + ms) / 1000.0
     }
 
-    /// Returns at least the greatest position inserted for this key, or `None` if no position was inserted.
+    /// Returns at least the greatest position inserted for this key. `None` proves that none was inserted.
     pub fn get(&self, key: u64) -> Option<f64> {
         let minimum = self.cell_indexes(key).into_iter().map(|index| self.cells[index]).min().unwrap_or(0);
         (minimum > 0).then(|| match minimum {
