--- a/crates/sandstile-membership-view/tests/views.rs
+++ b/crates/sandstile-membership-view/tests/views.rs
@@ -1,86 +1,92 @@
-//! The line that holds in every state, and what leads from one state to the next.
+//! The rule for acting on peer information in every view, the transitions between views, and the number of sharing routers.
 use oorandom::Rand64;
-use sandstile_membership_view::{may, About, Look, Sharers, View, Views, Way, ABOUT};
+use sandstile_membership_view::{
+    may_act, Direction, Observation, SharingRouters, Topic, View, ViewTracker, TOPICS,
+};
 
 const VIEWS: [View; 4] = [View::Agreed, View::Settling, View::CutOff, View::Alone];
 
 #[test]
-fn a_word_makes_more_careful_at_once_and_less_only_by_own_eyes() {
+fn peer_information_makes_more_careful_at_once_and_less_only_with_an_own_observation() {
     for view in VIEWS {
-        for about in ABOUT {
+        for topic in TOPICS {
             for own in [false, true] {
-                assert!(may(view, about, Way::MoreCareful, own));
+                assert!(may_act(view, topic, Direction::MoreCareful, own));
             }
-            assert!(!may(view, about, Way::LessCareful, false), "{view:?} {about:?}");
+            assert!(!may_act(view, topic, Direction::LessCareful, false), "{view:?} {topic:?}");
         }
-        assert!(!may(view, About::Mark, Way::LessCareful, true));
-        assert_eq!(may(view, About::Sharers, Way::LessCareful, true), view == View::Agreed);
+        assert!(!may_act(view, Topic::Mark, Direction::LessCareful, true));
+        assert_eq!(may_act(view, Topic::SharingRouters, Direction::LessCareful, true), view == View::Agreed);
     }
 }
 
 #[test]
-fn worse_counts_at_once_and_better_once_it_has_stood() {
-    let calm = Look { there: 8, ..Look::default() };
-    let mut views = Views::new(0.0);
-    assert_eq!((views.look(0.0, &calm), views.look(1.9, &calm)), (None, None));
-    assert_eq!(views.look(2.0, &calm), Some(View::Agreed));
-    assert_eq!(views.look(3.0, &Look { suspects: 1, ..calm }), Some(View::Settling));
-    assert_eq!(views.look(3.1, &Look { there: 4, dead: 4, ..calm }), Some(View::CutOff));
-    assert_eq!(views.look(3.2, &Look { there: 0, dead: 8, ..calm }), Some(View::Alone));
-    // It heals by way of what is still unsettled, and a flapping link never settles.
-    let mut t = 4.0;
+fn a_worse_view_counts_at_once_and_a_better_one_after_a_delay() {
+    let calm = Observation { live: 8, ..Observation::default() };
+    let mut tracker = ViewTracker::new(0.0);
+    assert_eq!((tracker.observe(0.0, &calm), tracker.observe(1.9, &calm)), (None, None));
+    assert_eq!(tracker.observe(2.0, &calm), Some(View::Agreed));
+    assert_eq!(tracker.observe(3.0, &Observation { suspects: 1, ..calm }), Some(View::Settling));
+    assert_eq!(tracker.observe(3.1, &Observation { live: 4, dead: 4, ..calm }), Some(View::CutOff));
+    assert_eq!(tracker.observe(3.2, &Observation { live: 0, dead: 8, ..calm }), Some(View::Alone));
+    // Recovery enters the worst view seen during the delay, so a flapping connection never reaches `Agreed`.
+    let mut now = 4.0;
     for n in 0..40 {
-        t += 1.0;
-        let look = if n % 2 == 0 { calm } else { Look { there: 3, dead: 5, ..calm } };
-        assert_ne!(views.look(t, &look), Some(View::Agreed), "{t}");
+        now += 1.0;
+        let observation = if n % 2 == 0 { calm } else { Observation { live: 3, dead: 5, ..calm } };
+        assert_ne!(tracker.observe(now, &observation), Some(View::Agreed), "{now}");
     }
     for _ in 0..6 {
-        t += 1.0;
-        views.look(t, &calm);
+        now += 1.0;
+        tracker.observe(now, &calm);
     }
-    assert_eq!(views.view(), View::Agreed);
-    // One crash among many is no cut; two of three are.
-    assert_eq!(views.look(t + 1.0, &Look { there: 7, dead: 1, ..calm }), None);
-    assert_eq!(views.look(t + 2.0, &Look { there: 1, dead: 2, ..calm }), Some(View::CutOff));
-    // Whoever hears nobody is alone at once, whomever it holds for there; one that is said dead is not heard.
-    assert_eq!(Views::new(0.0).look(0.0, &Look { silent: true, ..calm }), None, "as it was");
+    assert_eq!(tracker.view(), View::Agreed);
+    // One crash among many members is no partition; two of three are.
+    assert_eq!(tracker.observe(now + 1.0, &Observation { live: 7, dead: 1, ..calm }), None);
+    assert_eq!(tracker.observe(now + 2.0, &Observation { live: 1, dead: 2, ..calm }), Some(View::CutOff));
+    // A router that receives nothing is alone at once, however many members it considers live; one that is reported dead is cut off.
+    assert_eq!(
+        ViewTracker::new(0.0).observe(0.0, &Observation { silent: true, ..calm }),
+        None,
+        "the view is `Alone` from the start"
+    );
     for _ in 0..6 {
-        t += 1.0;
-        views.look(t + 3.0, &calm);
+        now += 1.0;
+        tracker.observe(now + 3.0, &calm);
     }
-    assert_eq!(views.view(), View::Agreed);
-    assert_eq!(views.look(t + 4.0, &Look { buried: true, ..calm }), Some(View::CutOff));
-    assert_eq!(views.look(t + 4.1, &Look { silent: true, ..calm }), Some(View::Alone));
+    assert_eq!(tracker.view(), View::Agreed);
+    assert_eq!(tracker.observe(now + 4.0, &Observation { declared_dead: true, ..calm }), Some(View::CutOff));
+    assert_eq!(tracker.observe(now + 4.1, &Observation { silent: true, ..calm }), Some(View::Alone));
     assert_eq!(
-        Views::new(0.0).look(5.0, &Look::default()),
+        ViewTracker::new(0.0).observe(5.0, &Observation::default()),
         None,
-        "one that needs nobody waits like any other"
+        "a router without configured peers also waits for the delay"
     );
 }
 
-/// Whatever is seen: no more than the file allows, never a larger part sooner than after thirty agreed seconds, and a smaller one
-/// at once.
+/// For any observations: the number stays within the bounds of the configured one, the own share grows only after 30 agreed seconds,
+/// and it shrinks at once.
 #[test]
 fn shares_grow_slowly_and_shrink_at_once() {
-    fn holds(seed: u64) -> bool {
-        let mut chance = Rand64::new(u128::from(seed));
-        let configured = 1 + chance.rand_range(0..40) as usize;
-        let mut sharers = Sharers::new(configured);
-        let (mut now, mut agreed_since, mut before) = (0.0, None, sharers.count());
+    fn property(seed: u64) -> bool {
+        let mut rng = Rand64::new(u128::from(seed));
+        let configured = 1 + rng.rand_range(0..40) as usize;
+        let mut sharing_routers = SharingRouters::new(configured);
+        let (mut now, mut agreed_since, mut before) = (0.0, None, sharing_routers.count());
         for _ in 0..400 {
-            now += chance.rand_float() * 4.0;
-            let view = if chance.rand_range(0..12) == 0 { View::CutOff } else { View::Agreed };
+            now += rng.rand_float() * 4.0;
+            let view = if rng.rand_range(0..12) == 0 { View::CutOff } else { View::Agreed };
             agreed_since = (view == View::Agreed).then(|| agreed_since.unwrap_or(now));
-            let there = 1 + chance.rand_range(0..60) as usize;
-            let count = sharers.look(now, view, there);
+            let live = 1 + rng.rand_range(0..60) as usize;
+            let count = sharing_routers.observe(now, view, live);
             let bounded = count >= (configured as f64 / 2.0).max(1.0) && count <= configured as f64 * 4.0;
-            let larger_part = count < before;
+            let share_grows = count < before;
             let allowed = agreed_since.is_some_and(|since: f64| now - since >= 30.0);
-            let seen = (there as f64).min(configured as f64 * 4.0);
+            let observed = (live as f64).min(configured as f64 * 4.0);
             if !bounded
-                || (larger_part && !allowed)
-                || count < seen.min(count)
-                || (seen > before && count < seen)
+                || (share_grows && !allowed)
+                || count < observed.min(count)
+                || (observed > before && count < observed)
             {
                 return false;
             }
@@ -88,5 +94,5 @@
         }
         true
     }
-    quickcheck::QuickCheck::new().tests(300).quickcheck(holds as fn(u64) -> bool);
+    quickcheck::QuickCheck::new().tests(300).quickcheck(property as fn(u64) -> bool);
 }
