--- a/crates/sandstile-replication/src/sim.rs
+++ b/crates/sandstile-replication/src/sim.rs
@@ -26,6 +26,7 @@
     Tick(usize, u64),
     /// Sender and receiver.
     Deliver(usize, usize),
+    /// Sender and receiver, and the generation of each.
     Connect(usize, usize, u64, u64),
 }
 
