--- a/crates/sandstile-emulator/src/lib.rs
+++ b/crates/sandstile-emulator/src/lib.rs
@@ -9,5 +9,6 @@
 
 pub use clock::Clock;
 pub use run::{
-    exchange_address, members_address, router_address, Emulator, Handle, Note, Record, Summary, What,
+    exchange_address, members_address, router_address, Emulator, Handle, Notification, Record, Summary,
+    TraceEvent,
 };
--- a/crates/sandstile-emulator/src/protocol.rs
+++ b/crates/sandstile-emulator/src/protocol.rs
@@ -1,11 +1,11 @@
 //! What a host reads in a query, and the bytes of what it answers.
-use sandstile_fleet::{Answer, Ask};
+use sandstile_fleet::{Answer, StatementRequest};
 use sandstile_pgwire as pg;
 
 /// What a host takes a query for.
 #[derive(Debug, PartialEq)]
 pub enum Query {
-    Statement(Ask),
+    Statement(StatementRequest),
     /// `SHOW stats`.
     Report,
     /// `SELECT 1`.
@@ -39,7 +39,7 @@
     statement(plain, workloads).map_or(Query::Unreadable, Query::Statement)
 }
 
-fn statement(text: &str, workloads: &[String]) -> Option<Ask> {
+fn statement(text: &str, workloads: &[String]) -> Option<StatementRequest> {
     let (comment, rest) = text.strip_prefix("/*")?.split_once("*/")?;
     let field = |name: &str| {
         comment.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('=').map(str::trim))
@@ -50,7 +50,7 @@
     let after = field("after").and_then(|ms| ms.parse::<f64>().ok()).map(|ms| ms / 1000.0);
     // The first quoted text is the key, which names the session where there is one.
     let session = rest.split('\'').nth(1).map(str::to_string);
-    Some(Ask { id: id.to_string(), workload, wait: f64::from(wait) / 1000.0, after, session })
+    Some(StatementRequest { id: id.to_string(), workload, wait: f64::from(wait) / 1000.0, after, session })
 }
 
 /// The workload that part of a query names, where that much of it has come.
@@ -71,7 +71,7 @@
 }
 
 /// The statement and the host that a value was made for and by, and the position it tells.
-pub fn made_for(value: &[u8]) -> Option<(&str, &str, f64)> {
+pub fn parse_value(value: &[u8]) -> Option<(&str, &str, f64)> {
     let text = std::str::from_utf8(value).ok()?;
     let (id, rest) = text.split_once('@')?;
     let (host, position) = rest.split_once('+')?;
--- a/crates/sandstile-emulator/src/run.rs
+++ b/crates/sandstile-emulator/src/run.rs
@@ -12,7 +12,7 @@
 use sandstile_faults::process::Whom;
 use sandstile_faults::{Blow, End, Strike};
 use sandstile_fleet::plan::Consistency;
-use sandstile_fleet::{Answer, Event, Fault, Fleet, Input, Kind, Output, Readiness};
+use sandstile_fleet::{Answer, Event, Fault, FaultKind, Fleet, Input, Output, Readiness};
 use sandstile_pgwire as pg;
 use sandstile_relay::Relay;
 use sandstile_scenario::script::{Act, AgentFault};
@@ -30,19 +30,19 @@
 pub struct Record {
     pub t: f64,
     #[serde(flatten)]
-    pub what: What,
+    pub what: TraceEvent,
 }
 
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
-pub enum What {
+pub enum TraceEvent {
     Fleet(Event),
-    Emulator(Own),
+    Emulator(EmulatorEvent),
 }
 
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum Own {
+pub enum EmulatorEvent {
     /// A router's agent was written what stands of a host.
     Told {
         router: usize,
@@ -78,13 +78,13 @@
 
 /// What the emulator has others do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum Notification {
     /// Routers are to hear that their agents answer at these addresses, one for each router.
-    Moved(Vec<SocketAddr>),
+    AgentsMoved(Vec<SocketAddr>),
     /// Router processes are to be struck.
     Process { name: String, whom: Whom, blow: Blow, spread: f64 },
     /// A cue found nothing that it could strike.
-    InVain(String),
+    NoTarget(String),
 }
 
 enum Command {
@@ -99,7 +99,7 @@
     pub late_us: Histogram<u64>,
     /// Cues whose event never came.
     pub missed: Vec<String>,
-    pub most_connections: usize,
+    pub max_connections: usize,
     /// How the relays did, where links may fail.
     pub relay: Option<sandstile_relay::Summary>,
 }
@@ -115,7 +115,7 @@
     pub agents: Vec<SocketAddr>,
     pub hosts: Vec<(String, SocketAddr)>,
     /// Where clients find each router.
-    pub doors: Vec<SocketAddr>,
+    pub client_addresses: Vec<SocketAddr>,
     commands: Sender<Command>,
     waker: Arc<Waker>,
     lists: Arc<Mutex<Vec<String>>>,
@@ -124,17 +124,17 @@
 
 impl Handle {
     /// The script's time runs from here.
-    pub fn begin(&self, at: f64) {
+    pub fn start_script(&self, at: f64) {
         let _ = self.commands.send(Command::Begin(at));
         let _ = self.waker.wake();
     }
 
     /// The list as discovery has it now, for one router.
-    pub fn known(&self, router: usize) -> String {
+    pub fn discovery_list(&self, router: usize) -> String {
         self.lists.lock().expect("no thread panics under the lock")[router].clone()
     }
 
-    pub fn ended(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 
@@ -193,7 +193,7 @@
     script: Script,
     clock: Clock,
     trace: Sender<Record>,
-    notes: Sender<Note>,
+    notes: Sender<Notification>,
     poll: Poll,
     waker: Arc<Waker>,
     places: BTreeMap<usize, Place>,
@@ -221,7 +221,7 @@
     ends: Vec<(f64, usize)>,
     net: (u8, u8),
     late_us: Histogram<u64>,
-    most_connections: usize,
+    max_connections: usize,
 }
 
 /// Between empty lines of a watch.
@@ -266,7 +266,7 @@
         net: (u8, u8),
         clock: Clock,
         trace: Sender<Record>,
-        notes: Sender<Note>,
+        notes: Sender<Notification>,
     ) -> io::Result<Emulator> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), Token(0))?);
@@ -300,7 +300,7 @@
             ends: Vec::new(),
             net,
             late_us: Histogram::new_with_bounds(1, 60_000_000, 3).expect("usable bounds"),
-            most_connections: 0,
+            max_connections: 0,
         };
         if script.cues.iter().any(|c| matches!(c.act, Act::Link { .. })) {
             emulator.relay = Some(Relay::start(script.plan.seed)?);
@@ -339,10 +339,11 @@
         let agents = self.agents.iter().map(|(address, ..)| *address).collect();
         let names = (0..self.fleet.hosts()).map(|h| self.fleet.listing(h).name);
         let hosts = names.zip(&self.hosts).map(|(name, place)| (name, place.address)).collect();
-        let doors = (0..self.script.routers.count).map(|n| self.door(n)).collect::<io::Result<_>>()?;
+        let client_addresses =
+            (0..self.script.routers.count).map(|n| self.door(n)).collect::<io::Result<_>>()?;
         let (waker, lists) = (self.waker.clone(), self.lists.clone());
         let thread = thread::Builder::new().name("emulator".to_string()).spawn(move || self.run(&told))?;
-        Ok(Handle { agents, hosts, doors, commands, waker, lists, thread })
+        Ok(Handle { agents, hosts, client_addresses, commands, waker, lists, thread })
     }
 
     fn token(&mut self, place: Place) -> usize {
@@ -453,8 +454,8 @@
         }
     }
 
-    fn record(&self, t: f64, what: Own) {
-        let _ = self.trace.send(Record { t, what: What::Emulator(what) });
+    fn record(&self, t: f64, what: EmulatorEvent) {
+        let _ = self.trace.send(Record { t, what: TraceEvent::Emulator(what) });
     }
 
     fn run(&mut self, commands: &Receiver<Command>) -> io::Result<Summary> {
@@ -489,7 +490,7 @@
     fn summary(&mut self) -> io::Result<Summary> {
         let missed = self.director.iter().flat_map(|d| d.missed()).map(|c| c.name.clone()).collect();
         let relay = self.relay.take().map(Relay::stop).transpose()?;
-        Ok(Summary { late_us: self.late_us.clone(), missed, most_connections: self.most_connections, relay })
+        Ok(Summary { late_us: self.late_us.clone(), missed, max_connections: self.max_connections, relay })
     }
 
     fn wake_at(&mut self) -> Option<f64> {
@@ -518,10 +519,10 @@
         loop {
             let now = self.clock.now();
             let mut moved = false;
-            while let Some((t, event)) = self.fleet.observed() {
+            while let Some((t, event)) = self.fleet.next_event() {
                 moved = true;
                 self.watch(now, &event);
-                let _ = self.trace.send(Record { t, what: What::Fleet(event) });
+                let _ = self.trace.send(Record { t, what: TraceEvent::Fleet(event) });
             }
             while let Some(at) = self.ends.iter().position(|(at, _)| *at <= now) {
                 let (_, cue) = self.ends.swap_remove(at);
@@ -529,7 +530,7 @@
                     self.director.as_ref().map(|d| d.cue(cue)).filter(|c| matches!(c.act, Act::Link { .. }));
                 if let (Some(relay), Some(name)) = (&self.relay, link.map(|c| c.name.clone())) {
                     relay.heal(cue);
-                    self.record(now, Own::LinkEnds { name });
+                    self.record(now, EmulatorEvent::LinkEnds { name });
                 }
                 self.happened(now, &Happening::Ended { cue });
                 moved = true;
@@ -575,16 +576,16 @@
         let mut on = Vec::new();
         let lasts = match act {
             Act::Fault { kind, target, lasts } => {
-                let drains = matches!(kind, Kind::Drain | Kind::Replace);
+                let drains = matches!(kind, FaultKind::Drain | FaultKind::Replace);
                 // Whatever the list says of it from now on is owed to this cue, before it is said.
                 let hosts = self.fleet.targets(&target);
                 on = hosts.iter().map(|h| self.fleet.listing(*h).name).collect();
                 if drains {
                     self.owed.extend(on.iter().map(|host| (host.clone(), cue)));
                 }
-                self.fleet.begin(now, Fault { kind, target, lasts });
+                self.fleet.start_fault(now, Fault { kind, target, lasts });
                 if on.is_empty() {
-                    let _ = self.notes.send(Note::InVain(name.clone()));
+                    let _ = self.notes.send(Notification::NoTarget(name.clone()));
                 }
                 lasts
             }
@@ -601,7 +602,7 @@
                 self.place_agents()?;
                 self.lines.values_mut().for_each(|l| l.ends = l.ends.min(now + MOVED));
                 let addresses = self.agents.iter().map(|(address, ..)| *address).collect();
-                let _ = self.notes.send(Note::Moved(addresses));
+                let _ = self.notes.send(Notification::AgentsMoved(addresses));
                 f64::INFINITY
             }
             Act::Link { at, strike, lasts } => {
@@ -610,11 +611,11 @@
                 }
                 let on = self.touched(&at);
                 let severs = self.severed(&at, strike);
-                self.record(now, Own::LinkBegins { name: name.clone(), on, severs });
+                self.record(now, EmulatorEvent::LinkBegins { name: name.clone(), on, severs });
                 lasts
             }
             Act::Process { whom, blow, spread } => {
-                let _ = self.notes.send(Note::Process { name: name.clone(), whom, blow, spread });
+                let _ = self.notes.send(Notification::Process { name: name.clone(), whom, blow, spread });
                 spread
                     + match blow {
                         Blow::Restart { back, .. } => back,
@@ -623,7 +624,7 @@
                     }
             }
         };
-        self.record(now, Own::Cue { name, on });
+        self.record(now, EmulatorEvent::Cue { name, on });
         self.happened(now, &Happening::Began { cue });
         if lasts.is_finite() {
             self.ends.push((now + lasts, cue));
@@ -856,7 +857,7 @@
                 part_told: false,
             };
             self.conns.insert(token, conn);
-            self.most_connections = self.most_connections.max(self.conns.len());
+            self.max_connections = self.max_connections.max(self.conns.len());
         }
         Ok(())
     }
@@ -910,7 +911,7 @@
         c.part_told = true;
         let (now, host) = (self.clock.now(), c.host);
         let (host, name) = (self.fleet.listing(host).name, self.workloads[workload].clone());
-        self.record(now, Own::Part { host, workload: name });
+        self.record(now, EmulatorEvent::Part { host, workload: name });
         self.happened(now, &Happening::Arriving { workload });
         self.settle()
     }
@@ -1023,7 +1024,7 @@
     fn told(&mut self, now: f64, router: usize, entries: &[Entry]) {
         for entry in entries {
             let (host, readiness, primary) = (entry.name.clone(), entry.readiness, entry.primary);
-            self.record(now, Own::Told { router, host, readiness, primary });
+            self.record(now, EmulatorEvent::Told { router, host, readiness, primary });
             let owed = self.owed.get(&entry.name).copied().filter(|_| entry.readiness == Readiness::Leaving);
             if let Some(cue) = owed {
                 self.happened(now, &Happening::Announced { cue });
@@ -1096,7 +1097,7 @@
         line.buf.drain(..length);
         let router = line.router;
         if wish != Wish::Nothing {
-            self.record(now, Own::ListAsked { router });
+            self.record(now, EmulatorEvent::ListAsked { router });
         }
         let whole = (wish == Wish::Whole).then(|| self.board.whole(&|e| self.seen_from(router, e)));
         let Some(line) = self.lines.get_mut(&token) else { return Ok(()) };
--- a/crates/sandstile-emulator/tests/hosts.rs
+++ b/crates/sandstile-emulator/tests/hosts.rs
@@ -1,6 +1,6 @@
 //! The emulator as a router meets it: greetings, statements, faults on sockets, discovery.
 use crossbeam_channel::{unbounded, Receiver};
-use sandstile_emulator::{protocol, Clock, Emulator, Handle, Note, Record};
+use sandstile_emulator::{protocol, Clock, Emulator, Handle, Notification, Record};
 use sandstile_pgwire as pg;
 use sandstile_scenario::Script;
 use std::io::{ErrorKind, Read, Write};
@@ -43,7 +43,7 @@
 struct Stage {
     handle: Handle,
     records: Receiver<Record>,
-    notes: Receiver<Note>,
+    notes: Receiver<Notification>,
     seen: Vec<serde_json::Value>,
 }
 
@@ -160,7 +160,7 @@
     let mut s = stage("");
     let mut primary = Link::up(s.host(0));
     let Got::Value(value) = primary.ask("w1", "save") else { panic!("a value") };
-    let made = protocol::made_for(value.as_bytes()).expect("a value in its form");
+    let made = protocol::parse_value(value.as_bytes()).expect("a value in its form");
     assert_eq!((made.0, made.1), ("w1", "s-1-a"));
     assert_eq!(s.saw("ran", "s-1-a")["id"], "w1");
     let mut replica = Link::up(s.host(1));
@@ -187,7 +187,7 @@
             "fault \"die\" {{\n kind = \"crash\"\n on = \"primary:1\"\n when = \"{when}:save:2\"\n for = 1\n}}\n"
         );
         let mut s = stage(&cue);
-        s.handle.begin(Clock::anchor().now());
+        s.handle.start_script(Clock::anchor().now());
         let mut link = Link::up(s.host(0));
         let mut reader = Link::up(s.host(1));
         assert!(matches!(link.ask("one", "save"), Got::Value(_)), "{when}");
@@ -212,7 +212,7 @@
     let cue =
         "fault \"gone\" {\n kind = \"lost\"\n on = \"host:s-1-b\"\n when = \"ran:look:1\"\n for = 2\n}\n";
     let mut s = stage(cue);
-    s.handle.begin(Clock::anchor().now());
+    s.handle.start_script(Clock::anchor().now());
     let mut link = Link::up(s.host(1));
     link.stream.set_read_timeout(Some(Duration::from_millis(300))).expect("a limit");
     assert_eq!(link.ask("one", "look"), Got::Nothing);
@@ -239,7 +239,7 @@
     let mut s = stage(&cues.concat());
     let mut link = Link::up(s.host(0));
     let begun = Instant::now();
-    s.handle.begin(Clock::anchor().now());
+    s.handle.start_script(Clock::anchor().now());
     s.saw("fault_begins", "s-1-a");
     assert!(matches!(link.ask("one", "look"), Got::Value(_)));
     assert!(begun.elapsed() >= Duration::from_millis(300));
@@ -316,7 +316,7 @@
     assert!(list.contains("\"snapshot\":true") && list.contains("s-1-b"), "{list}");
     let mut line = watch(agent, 2);
     until(&mut line, "chunked");
-    s.handle.begin(Clock::anchor().now());
+    s.handle.start_script(Clock::anchor().now());
     let told = until(&mut line, "leaving");
     assert!(told.contains("s-1-a") && told.contains("\"snapshot\":false"), "{told}");
     let mut told = s.saw("told", "s-1-a");
@@ -330,10 +330,12 @@
     let rest = until(&mut line, "s-1-b-r1");
     assert!(rest.contains("s-1-b-r1"), "{rest}");
     assert!(begun.elapsed() >= Duration::from_millis(400), "the agent was silent");
-    assert!(matches!(s.notes.recv_timeout(PATIENCE), Ok(Note::Moved(a)) if a.len() == 1 && a[0] != agent));
+    assert!(
+        matches!(s.notes.recv_timeout(PATIENCE), Ok(Notification::AgentsMoved(a)) if a.len() == 1 && a[0] != agent)
+    );
     until(&mut line, "no such text");
     assert!(TcpStream::connect(agent).is_err(), "the old address refuses");
-    assert!(s.handle.known(0).contains("leaving"));
+    assert!(s.handle.discovery_list(0).contains("leaving"));
     let summary = s.handle.stop().expect("an end");
     assert!(summary.missed.is_empty(), "{:?}", summary.missed);
 }
--- a/crates/sandstile-experiment/src/plan.rs
+++ b/crates/sandstile-experiment/src/plan.rs
@@ -1,5 +1,5 @@
 //! What is compared with what, how often, and in which order.
-use sandstile_fleet::random::Chance;
+use sandstile_fleet::random::Rng;
 use sandstile_hcl::{Problem, Section, Source};
 use sandstile_scenario::script::Remembering;
 use sandstile_scenario::Script;
@@ -85,11 +85,11 @@
 
     /// The order in which a pair's arms are played, drawn anew for each, or a machine that grows warm would favour one.
     pub fn order(&self, pair: usize) -> Vec<usize> {
-        let mut chance = Chance::new(self.seed, &format!("order {pair}"));
+        let mut rng = Rng::new(self.seed, &format!("order {pair}"));
         let mut left: Vec<usize> = (0..self.arms.len()).collect();
         let mut order = Vec::new();
         while !left.is_empty() {
-            order.push(left.swap_remove(chance.below(left.len())));
+            order.push(left.swap_remove(rng.below(left.len())));
         }
         order
     }
--- a/crates/sandstile-fleet/src/event.rs
+++ b/crates/sandstile-fleet/src/event.rs
@@ -3,7 +3,7 @@
 
 /// A statement as its host reads it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct StatementRequest {
     pub id: String,
     pub workload: usize,
     /// Seconds that the asking side waits.
@@ -19,7 +19,7 @@
     Connect {
         host: usize,
     },
-    Statement(Ask),
+    Statement(StatementRequest),
     /// The load report that a probe asks for.
     Report,
     /// The other side has closed.
--- a/crates/sandstile-fleet/src/fault.rs
+++ b/crates/sandstile-fleet/src/fault.rs
@@ -2,7 +2,7 @@
 //! time. `Effects` is what they come to together.
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum FaultKind {
     /// The process stands still: nothing is read, done or said. Its connections stay.
     Pause,
     /// It takes and runs what comes, and says nothing until the end.
@@ -33,29 +33,29 @@
     Neighbour(f64),
 }
 
-impl Kind {
+impl FaultKind {
     pub fn word(&self) -> &'static str {
         match self {
-            Kind::Pause => "pause",
-            Kind::Hang => "hang",
-            Kind::Slow(_) => "slow",
-            Kind::SlowReplay(_) => "slow_replay",
-            Kind::Crash => "crash",
-            Kind::Lost => "lost",
-            Kind::Drain => "drain",
-            Kind::Replace => "replace",
-            Kind::FastErrors(_) => "fast_errors",
-            Kind::RefuseConnections => "refuse_connections",
-            Kind::SlowConnections(_) => "slow_connections",
-            Kind::Spoilt(_) => "spoilt",
-            Kind::EarlyClose(_) => "early_close",
-            Kind::Neighbour(_) => "neighbour",
+            FaultKind::Pause => "pause",
+            FaultKind::Hang => "hang",
+            FaultKind::Slow(_) => "slow",
+            FaultKind::SlowReplay(_) => "slow_replay",
+            FaultKind::Crash => "crash",
+            FaultKind::Lost => "lost",
+            FaultKind::Drain => "drain",
+            FaultKind::Replace => "replace",
+            FaultKind::FastErrors(_) => "fast_errors",
+            FaultKind::RefuseConnections => "refuse_connections",
+            FaultKind::SlowConnections(_) => "slow_connections",
+            FaultKind::Spoilt(_) => "spoilt",
+            FaultKind::EarlyClose(_) => "early_close",
+            FaultKind::Neighbour(_) => "neighbour",
         }
     }
 
     /// Whether it ends what runs on the process.
     pub fn kills(&self) -> bool {
-        matches!(self, Kind::Crash | Kind::Lost)
+        matches!(self, FaultKind::Crash | FaultKind::Lost)
     }
 }
 
@@ -76,7 +76,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    pub kind: Kind,
+    pub kind: FaultKind,
     pub target: Target,
     /// Seconds that it lasts; infinite where it does not end.
     pub lasts: f64,
@@ -95,11 +95,11 @@
     pub greet_s: f64,
     pub errors: f64,
     pub spoils: f64,
-    pub idle_s: f64,
+    pub idle_timeout_s: f64,
 }
 
 impl Effects {
-    pub fn none(idle_s: f64) -> Self {
+    pub fn none(idle_timeout_s: f64) -> Self {
         Effects {
             speed: 1.0,
             replay: 1.0,
@@ -111,28 +111,28 @@
             greet_s: 0.0,
             errors: 0.0,
             spoils: 0.0,
-            idle_s,
+            idle_timeout_s,
         }
     }
 
     /// What these faults come to: shares multiply, for each takes its part of what the others leave.
-    pub fn of<'a>(kinds: impl Iterator<Item = &'a Kind>, idle_s: f64) -> Self {
-        let mut all = Effects::none(idle_s);
+    pub fn of<'a>(kinds: impl Iterator<Item = &'a FaultKind>, idle_timeout_s: f64) -> Self {
+        let mut all = Effects::none(idle_timeout_s);
         for kind in kinds {
             match *kind {
-                Kind::Pause => all.paused = true,
-                Kind::Hang => all.hung = true,
-                Kind::Slow(share) => all.speed *= share,
-                Kind::Neighbour(share) => all.speed *= 1.0 - share,
-                Kind::SlowReplay(share) => all.replay *= share,
-                Kind::Crash => all.dead = true,
-                Kind::Lost => all.silent = true,
-                Kind::Drain | Kind::Replace => {}
-                Kind::FastErrors(share) => all.errors = 1.0 - (1.0 - all.errors) * (1.0 - share),
-                Kind::Spoilt(share) => all.spoils = 1.0 - (1.0 - all.spoils) * (1.0 - share),
-                Kind::RefuseConnections => all.refuses = true,
-                Kind::SlowConnections(s) => all.greet_s += s,
-                Kind::EarlyClose(s) => all.idle_s = all.idle_s.min(s),
+                FaultKind::Pause => all.paused = true,
+                FaultKind::Hang => all.hung = true,
+                FaultKind::Slow(share) => all.speed *= share,
+                FaultKind::Neighbour(share) => all.speed *= 1.0 - share,
+                FaultKind::SlowReplay(share) => all.replay *= share,
+                FaultKind::Crash => all.dead = true,
+                FaultKind::Lost => all.silent = true,
+                FaultKind::Drain | FaultKind::Replace => {}
+                FaultKind::FastErrors(share) => all.errors = 1.0 - (1.0 - all.errors) * (1.0 - share),
+                FaultKind::Spoilt(share) => all.spoils = 1.0 - (1.0 - all.spoils) * (1.0 - share),
+                FaultKind::RefuseConnections => all.refuses = true,
+                FaultKind::SlowConnections(s) => all.greet_s += s,
+                FaultKind::EarlyClose(s) => all.idle_timeout_s = all.idle_timeout_s.min(s),
             }
         }
         all
--- a/crates/sandstile-fleet/src/fleet.rs
+++ b/crates/sandstile-fleet/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The whole: machines, hosts and groups, and the one queue of what is to happen when.
-use crate::event::{Answer, Ask, Event, Input, Output, Readiness};
-use crate::fault::{Effects, Fault, Kind, Target};
+use crate::event::{Answer, Event, Input, Output, Readiness, StatementRequest};
+use crate::fault::{Effects, Fault, FaultKind, Target};
 use crate::group::{Group, STEP};
 use crate::host::{Cold, Conn, Doing, Host, Job, What};
 use crate::machine::Machine;
 use crate::plan::{Consistency, Effect, Node, Plan, Tokens};
-use crate::random::Chance;
+use crate::random::Rng;
 use crate::replay::Replay;
 use crate::roles::{Seen, Step};
 use sandstile_timers::TimerWheel;
@@ -79,9 +79,9 @@
     now: f64,
     outputs: VecDeque<(f64, Output)>,
     events: VecDeque<(f64, Event)>,
-    work: Vec<Chance>,
-    replay: Vec<Chance>,
-    luck: Chance,
+    work: Vec<Rng>,
+    replay: Vec<Rng>,
+    luck: Rng,
 }
 
 /// Between looks of a read that is held.
@@ -93,12 +93,12 @@
         let kind = |n: &Node| &plan.kinds[n.kind];
         let machines: Vec<Machine> =
             plan.nodes.iter().map(|n| Machine::new(&n.name, &n.zone, n.kind, kind(n), now)).collect();
-        let streams = |of: &str, names: Vec<&String>| -> Vec<Chance> {
-            names.iter().map(|n| Chance::new(plan.seed, &format!("{of} {n}"))).collect()
+        let streams = |of: &str, names: Vec<&String>| -> Vec<Rng> {
+            names.iter().map(|n| Rng::new(plan.seed, &format!("{of} {n}"))).collect()
         };
         let work = streams("work", plan.workloads.iter().map(|w| &w.name).collect());
         let replay = streams("replay", plan.groups.iter().map(|g| &g.name).collect());
-        let luck = Chance::new(plan.seed, "luck");
+        let luck = Rng::new(plan.seed, "luck");
         let mut fleet = Fleet {
             machines,
             hosts: Vec::new(),
@@ -136,7 +136,7 @@
     fn host(&mut self, name: String, group: usize, node: usize, since: f64) -> usize {
         let index = self.hosts.len();
         self.machines[node].hosts.push(index);
-        let idle = self.plan.kinds[self.machines[node].kind].idle_s;
+        let idle = self.plan.kinds[self.machines[node].kind].idle_timeout_s;
         self.hosts.push(Host {
             name,
             group,
@@ -215,7 +215,7 @@
         self.outputs.pop_front()
     }
 
-    pub fn observed(&mut self) -> Option<(f64, Event)> {
+    pub fn next_event(&mut self) -> Option<(f64, Event)> {
         self.events.pop_front()
     }
 
@@ -351,14 +351,15 @@
         if group.roles.primary == Some(host) {
             return now;
         }
-        let heard_to = if h.linked { now - self.plan.groups[h.group].ship_s } else { h.heard_to };
+        let heard_to =
+            if h.linked { now - self.plan.groups[h.group].replication_delay_s } else { h.heard_to };
         match group.position(h.replay.applied.max(group.base())) {
             Some(next) if h.replay.applied < h.replay.received => next - STEP,
             _ => heard_to,
         }
     }
 
-    fn statement(&mut self, now: f64, host: usize, conn: u64, ask: Ask) {
+    fn statement(&mut self, now: f64, host: usize, conn: u64, ask: StatementRequest) {
         let names = (self.hosts[host].name.clone(), self.plan.workloads[ask.workload].name.clone());
         self.event(now, Event::Taken { host: names.0, id: ask.id.clone(), workload: names.1 });
         let doing = self.conns.get(&conn).map(|c| c.doing);
@@ -367,7 +368,7 @@
             return self.error(now, host, conn, &ask.id, "08P01");
         }
         let errors = self.hosts[host].effects.errors;
-        if self.luck.happens(errors) {
+        if self.luck.bernoulli(errors) {
             return self.error(now, host, conn, &ask.id, "XX000");
         }
         if self.hosts[host].readiness != Readiness::Active {
@@ -383,7 +384,7 @@
             Consistency::Write | Consistency::Any => 0.0,
             // Only the primary is sure to have all.
             Consistency::Fresh => now,
-            Consistency::Bounded => now - workload.bound_s,
+            Consistency::Bounded => now - workload.max_age_s,
             Consistency::Session => match (self.plan.tokens, &ask.session) {
                 (Tokens::Carried, _) => ask.after.unwrap_or(0.0),
                 (Tokens::Remembered, Some(session)) => self.groups[group].marked(session),
@@ -399,7 +400,7 @@
             c.turn += 1;
         }
         let reached = self.position(now, host);
-        if self.plan.guarded && !primary && reached < need {
+        if self.plan.hosts_check_reads && !primary && reached < need {
             let hold = self.plan.groups[group].hold_s;
             if fresh || hold <= 0.0 {
                 return self.refuse(now, job, "72000");
@@ -431,8 +432,8 @@
         if let Some(conn) = conn {
             conn.served = conn.served.saturating_add(1);
             let kind = &self.plan.kinds[self.machines[node].kind];
-            if conn.served <= kind.fresh_statements {
-                work *= kind.fresh_times;
+            if conn.served <= kind.first_statements {
+                work *= kind.first_statements_factor;
             }
         }
         self.run(now, job, work);
@@ -441,7 +442,7 @@
         if warmth >= 1.0 {
             return;
         }
-        let (most, window) = (kind.tip_multiple, kind.tip_s);
+        let (most, window) = (kind.cold_overload_multiple, kind.cold_overload_window_s);
         let restart = kind.restart_s;
         let cpu = &self.machines[node].cpu;
         let could = cpu.capacity() * cpu.share() * warmth;
@@ -449,7 +450,7 @@
         let name = self.hosts[host].name.clone();
         if multiple > most {
             self.event(now, Event::Tipped { host: name, multiple, most });
-            let fault = Fault { kind: Kind::Crash, target: Target::Host(String::new()), lasts: restart };
+            let fault = Fault { kind: FaultKind::Crash, target: Target::Host(String::new()), lasts: restart };
             self.stand(now, fault, vec![host]);
         } else if multiple > self.hosts[host].cold.peak + 0.25 {
             self.hosts[host].cold.peak = multiple;
@@ -495,7 +496,7 @@
         let Some(c) = self.conns.get_mut(&conn) else { return };
         c.doing = Doing::Idle;
         c.turn += 1;
-        let idle = self.hosts[c.host].effects.idle_s;
+        let idle = self.hosts[c.host].effects.idle_timeout_s;
         self.timers.push(now + idle, Timer::Idle { conn, turn: c.turn });
     }
 
@@ -504,7 +505,7 @@
         self.hosts[host].conns.remove(&conn);
         let Doing::Busy(job) = c.doing else { return };
         let node = self.hosts[host].node;
-        let stops = self.plan.kinds[self.machines[node].kind].stops_when_left;
+        let stops = self.plan.kinds[self.machines[node].kind].stops_on_disconnect;
         let Some(held) = self.jobs.get_mut(&job) else { return };
         held.conn = None;
         let What::Statement { ask, held_until, .. } = &held.what else { return };
@@ -603,7 +604,7 @@
                     None => self.said(now, host, &ask.id, "XX000"),
                 };
             }
-            let window = self.plan.groups[group].dedup_s;
+            let window = self.plan.groups[group].dedup_window_s;
             let before = match deduplicated {
                 true => self.groups[group].repeats(now, &ask.id, window),
                 false => None,
@@ -629,14 +630,14 @@
         }
         let Some(conn) = conn else { return self.said(now, host, &ask.id, "nobody") };
         let spoils = self.hosts[host].effects.spoils;
-        let spoilt = self.luck.happens(spoils).then(|| self.luck.below(4));
+        let spoilt = self.luck.bernoulli(spoils).then(|| self.luck.below(4));
         self.said(now, host, &ask.id, if spoilt.is_some() { "spoilt" } else { "row" });
         let primary = self.is_primary(host);
         let term = self.term_followed(host);
         self.say(now, host, conn, Answer::Row { id: ask.id, bytes, primary, position, term }, spoilt);
     }
 
-    fn commit(&mut self, now: f64, group: usize, host: usize, ask: &Ask) -> f64 {
+    fn commit(&mut self, now: f64, group: usize, host: usize, ask: &StatementRequest) -> f64 {
         let position = self.groups[group].commit(now, &ask.id);
         let upto = self.groups[group].end();
         self.hosts[host].replay.receive(upto);
@@ -650,7 +651,7 @@
         let commit = Some(position);
         let ran = Event::Ran { host: name, id, workload, session, commit, reached: position, need: 0.0 };
         self.event(now, ran);
-        let (term, ship) = (self.groups[group].roles.term, self.plan.groups[group].ship_s);
+        let (term, ship) = (self.groups[group].roles.term, self.plan.groups[group].replication_delay_s);
         for to in self.groups[group].hosts.clone() {
             if to != host && self.lives(to) {
                 self.timers.push(now + ship, Timer::Arrive { to, from: host, upto, term });
@@ -699,7 +700,7 @@
         let group = self.hosts[host].group;
         let Some(from) = self.groups[group].roles.primary.filter(|p| *p != host) else { return };
         let (upto, term) = (self.groups[group].end(), self.groups[group].roles.term);
-        let ship = self.plan.groups[group].ship_s;
+        let ship = self.plan.groups[group].replication_delay_s;
         self.timers.push(now + ship, Timer::Arrive { to: host, from, upto, term });
     }
 
@@ -710,7 +711,7 @@
         for host in self.groups[group].hosts.clone() {
             let hears = speaks && self.hosts[host].effects.heard();
             if self.hosts[host].linked && !hears {
-                self.hosts[host].heard_to = now - self.plan.groups[group].ship_s;
+                self.hosts[host].heard_to = now - self.plan.groups[group].replication_delay_s;
                 self.hosts[host].linked = false;
             } else if !self.hosts[host].linked && hears && Some(host) != primary {
                 self.resync(now, host);
@@ -769,7 +770,7 @@
                 self.relist(now, host);
                 for other in self.groups[group].hosts.clone() {
                     if other != host {
-                        let ship = self.plan.groups[group].ship_s;
+                        let ship = self.plan.groups[group].replication_delay_s;
                         if std::mem::take(&mut self.hosts[other].linked) {
                             self.hosts[other].heard_to = now - ship;
                         }
@@ -810,7 +811,7 @@
     }
 
     /// A fault begins; yields the hosts it stands on.
-    pub fn begin(&mut self, now: f64, fault: Fault) -> Vec<usize> {
+    pub fn start_fault(&mut self, now: f64, fault: Fault) -> Vec<usize> {
         self.advance(now);
         let hosts = self.targets(&fault.target);
         self.stand(self.now, fault, hosts.clone());
@@ -828,10 +829,10 @@
             let name = self.hosts[host].name.clone();
             self.event(now, Event::FaultBegins { fault: kind.word().to_string(), host: name });
             self.hosts[host].faults.push(number);
-            if matches!(kind, Kind::Drain | Kind::Replace) {
+            if matches!(kind, FaultKind::Drain | FaultKind::Replace) {
                 self.drain(now, host);
             }
-            if kind == Kind::Replace {
+            if kind == FaultKind::Replace {
                 self.replace(now, host);
             }
             self.settle(now, host);
@@ -882,7 +883,9 @@
             self.hosts[host].faults.retain(|f| *f != number);
             let name = self.hosts[host].name.clone();
             self.event(now, Event::FaultEnds { fault: kind.word().to_string(), host: name });
-            if matches!(kind, Kind::Drain | Kind::Replace) && self.hosts[host].readiness != Readiness::Left {
+            if matches!(kind, FaultKind::Drain | FaultKind::Replace)
+                && self.hosts[host].readiness != Readiness::Left
+            {
                 self.stop(now, host);
                 self.list(now, host, Readiness::Left);
                 self.out(now, Output::Down { host });
@@ -917,7 +920,7 @@
             return;
         }
         let (group, node) = (self.hosts[host].group, self.hosts[host].node);
-        let idle = self.plan.kinds[self.machines[node].kind].idle_s;
+        let idle = self.plan.kinds[self.machines[node].kind].idle_timeout_s;
         let kinds = self.hosts[host].faults.iter().map(|f| &self.standing[*f].fault.kind);
         let new = Effects::of(kinds, idle);
         let old = std::mem::replace(&mut self.hosts[host].effects, new.clone());
@@ -959,7 +962,7 @@
                 }
             }
         }
-        if old.idle_s != new.idle_s {
+        if old.idle_timeout_s != new.idle_timeout_s {
             for conn in self.hosts[host].conns.clone() {
                 if self.conns.get(&conn).is_some_and(|c| c.doing == Doing::Idle) {
                     self.idle(now, conn);
--- a/crates/sandstile-fleet/src/host.rs
+++ b/crates/sandstile-fleet/src/host.rs
@@ -1,5 +1,5 @@
 //! One host: a process that serves one group on one machine.
-use crate::event::{Ask, Input, Output, Readiness};
+use crate::event::{Input, Output, Readiness, StatementRequest};
 use crate::fault::Effects;
 use crate::plan::MachineKind;
 use crate::replay::Replay;
@@ -91,5 +91,5 @@
 
 pub(crate) enum What {
     Setup,
-    Statement { ask: Ask, need: f64, reached: f64, term: u64, held_until: Option<f64> },
+    Statement { ask: StatementRequest, need: f64, reached: f64, term: u64, held_until: Option<f64> },
 }
--- a/crates/sandstile-fleet/src/lib.rs
+++ b/crates/sandstile-fleet/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod roles;
 pub use sandstile_timers as timers;
 
-pub use event::{Answer, Ask, Event, Input, Output, Readiness};
-pub use fault::{Fault, Kind, Target};
+pub use event::{Answer, Event, Input, Output, Readiness, StatementRequest};
+pub use fault::{Fault, FaultKind, Target};
 pub use fleet::Fleet;
 pub use plan::Plan;
--- a/crates/sandstile-fleet/src/plan.rs
+++ b/crates/sandstile-fleet/src/plan.rs
@@ -22,22 +22,22 @@
     pub cold_share: f64,
     /// Seconds until it has the whole.
     pub warm_s: f64,
-    /// Work offered beyond this multiple of what it can do, over `tip_s`, knocks a cold machine over.
-    pub tip_multiple: f64,
-    pub tip_s: f64,
+    /// Work offered beyond this multiple of what it can do, over `cold_overload_window_s`, knocks a cold machine over.
+    pub cold_overload_multiple: f64,
+    pub cold_overload_window_s: f64,
     /// Seconds that a process needs to start anew once it was knocked over.
     pub restart_s: f64,
     /// Whether a statement's work ends when the connection that brought it does.
-    pub stops_when_left: bool,
+    pub stops_on_disconnect: bool,
     /// Connections that one host holds.
     pub connections: usize,
     /// Seconds after which it closes an idle connection.
-    pub idle_s: f64,
+    pub idle_timeout_s: f64,
     /// Seconds of work for a connection's set-up.
     pub setup_work: f64,
     /// The first statements of a connection take so many times their work: its process has nothing at hand yet.
-    pub fresh_times: f64,
-    pub fresh_statements: u32,
+    pub first_statements_factor: f64,
+    pub first_statements: u32,
 }
 
 impl MachineKind {
@@ -49,15 +49,15 @@
             queue: 64,
             cold_share: 0.3,
             warm_s: 5.0,
-            tip_multiple: 4.0,
-            tip_s: 0.5,
+            cold_overload_multiple: 4.0,
+            cold_overload_window_s: 0.5,
             restart_s: 2.0,
-            stops_when_left: true,
+            stops_on_disconnect: true,
             connections: 200,
-            idle_s: 15.0,
+            idle_timeout_s: 15.0,
             setup_work: 0.0005,
-            fresh_times: 1.0,
-            fresh_statements: 0,
+            first_statements_factor: 1.0,
+            first_statements: 0,
         }
     }
 }
@@ -76,7 +76,7 @@
     /// Indices of nodes, the first primary first. One node may serve several groups.
     pub nodes: Vec<usize>,
     /// Seconds for a commit to reach a replica.
-    pub ship_s: f64,
+    pub replication_delay_s: f64,
     /// Seconds of the replay thread for one commit.
     pub apply: Work,
     /// Seconds of silence after which the primary counts as lost.
@@ -86,7 +86,7 @@
     /// Seconds for which a replica holds a read that it has not come far enough for.
     pub hold_s: f64,
     /// Seconds for which a deduplicated statement's id is remembered.
-    pub dedup_s: f64,
+    pub dedup_window_s: f64,
 }
 
 /// How much work something takes.
@@ -131,7 +131,7 @@
     pub effect: Effect,
     pub consistency: Consistency,
     /// Seconds that a bounded read may lie behind.
-    pub bound_s: f64,
+    pub max_age_s: f64,
     pub work: Work,
     pub value_bytes: usize,
 }
@@ -154,7 +154,7 @@
     pub workloads: Vec<Workload>,
     pub tokens: Tokens,
     /// Whether replicas check a read's class at all.
-    pub guarded: bool,
+    pub hosts_check_reads: bool,
 }
 
 impl Plan {
--- a/crates/sandstile-fleet/src/random.rs
+++ b/crates/sandstile-fleet/src/random.rs
@@ -2,20 +2,20 @@
 //! other.
 use crate::plan::Work;
 
-pub struct Chance(oorandom::Rand64);
+pub struct Rng(oorandom::Rand64);
 
-impl Chance {
+impl Rng {
     /// The stream of this name under this seed.
     pub fn new(seed: u64, name: &str) -> Self {
         // FNV-1a over the name; two names that met would draw alike, which skews nothing.
         let hash = name
             .bytes()
             .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3));
-        Chance(oorandom::Rand64::new((u128::from(seed) << 64) | u128::from(hash)))
+        Rng(oorandom::Rand64::new((u128::from(seed) << 64) | u128::from(hash)))
     }
 
     /// In 0..1.
-    pub fn share(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.rand_float()
     }
 
@@ -23,12 +23,12 @@
         self.0.rand_range(0..most.max(1) as u64) as usize
     }
 
-    pub fn happens(&mut self, share: f64) -> bool {
-        share > 0.0 && self.share() < share
+    pub fn bernoulli(&mut self, uniform: f64) -> bool {
+        uniform > 0.0 && self.uniform() < uniform
     }
 
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.share()).ln()
+        -mean * (1.0 - self.uniform()).ln()
     }
 
     pub fn work(&mut self, work: &Work) -> f64 {
@@ -37,7 +37,7 @@
             Work::Exponential(mean) => self.exponential(mean),
             Work::LogNormal { mean, sigma } => {
                 // Box and Muller; the mean of the exponential of a normal is shifted by half its variance.
-                let (a, b) = (1.0 - self.share(), self.share());
+                let (a, b) = (1.0 - self.uniform(), self.uniform());
                 let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
                 mean * (sigma * normal - sigma * sigma / 2.0).exp()
             }
--- a/crates/sandstile-fleet/tests/driver/mod.rs
+++ b/crates/sandstile-fleet/tests/driver/mod.rs
@@ -1,7 +1,9 @@
 //! Drives the model in virtual time: connections, statements, and what came back when.
 #![allow(dead_code)]
 use sandstile_fleet::plan::*;
-use sandstile_fleet::{Answer, Ask, Event, Fault, Fleet, Input, Kind, Output, Plan, Target};
+use sandstile_fleet::{
+    Answer, Event, Fault, FaultKind, Fleet, Input, Output, Plan, StatementRequest, Target,
+};
 use std::collections::BTreeMap;
 
 pub const START: f64 = 1_000_000.0;
@@ -12,7 +14,7 @@
         (Consistency::Write, _) => Effect::NonIdempotent,
         _ => Effect::Idempotent,
     };
-    Workload { name: name.to_string(), effect, consistency, bound_s: 0.5, work, value_bytes: 16 }
+    Workload { name: name.to_string(), effect, consistency, max_age_s: 0.5, work, value_bytes: 16 }
 }
 
 /// One group of so many machines, and a workload of each kind with 10 ms of work.
@@ -27,12 +29,12 @@
         groups: vec![Group {
             name: "g".to_string(),
             nodes: (0..machines).collect(),
-            ship_s: 0.010,
+            replication_delay_s: 0.010,
             apply: Work::Fixed(0.001),
             detect_s: 1.0,
             elect_s: 0.5,
             hold_s: 0.050,
-            dedup_s: 60.0,
+            dedup_window_s: 60.0,
         }],
         workloads: vec![
             workload("save", Consistency::Write, work),
@@ -43,7 +45,7 @@
             workload("any", Consistency::Any, work),
         ],
         tokens: Tokens::Remembered,
-        guarded: true,
+        hosts_check_reads: true,
     }
 }
 
@@ -84,7 +86,7 @@
                 other => self.others.push((at, other)),
             }
         }
-        while let Some(event) = self.fleet.observed() {
+        while let Some(event) = self.fleet.next_event() {
             self.events.push(event);
         }
     }
@@ -108,7 +110,7 @@
 
     pub fn ask_on(&mut self, conn: u64, id: &str, workload: usize, session: Option<&str>) {
         let session = session.map(str::to_string);
-        let ask = Ask { id: id.to_string(), workload, wait: 1.0, after: None, session };
+        let ask = StatementRequest { id: id.to_string(), workload, wait: 1.0, after: None, session };
         self.fleet.input(self.now, conn, Input::Statement(ask));
         self.collect();
     }
@@ -126,9 +128,9 @@
         self.collect();
     }
 
-    pub fn fault(&mut self, kind: Kind, host: &str, lasts: f64) {
+    pub fn fault(&mut self, kind: FaultKind, host: &str, lasts: f64) {
         let fault = Fault { kind, target: Target::Host(host.to_string()), lasts };
-        assert!(!self.fleet.begin(self.now, fault).is_empty(), "{host}");
+        assert!(!self.fleet.start_fault(self.now, fault).is_empty(), "{host}");
         self.collect();
     }
 
--- a/crates/sandstile-fleet/tests/faults.rs
+++ b/crates/sandstile-fleet/tests/faults.rs
@@ -3,7 +3,7 @@
 
 use driver::*;
 use sandstile_fleet::plan::{Discipline, Work};
-use sandstile_fleet::{Answer, Event, Kind, Output, Readiness};
+use sandstile_fleet::{Answer, Event, FaultKind, Output, Readiness};
 
 #[test]
 fn a_write_runs_on_the_primary_and_reaches_the_replicas() {
@@ -27,7 +27,7 @@
 #[test]
 fn a_replica_too_far_behind_holds_a_read_and_then_refuses_it() {
     let mut d = Driver::new(plan(2));
-    d.fault(Kind::SlowReplay(0.0), "s-g-m1", 30.0);
+    d.fault(FaultKind::SlowReplay(0.0), "s-g-m1", 30.0);
     d.ask(0, "w", SAVE, Some("ann"));
     d.run(1.0);
     let (own, recent, any) =
@@ -48,13 +48,13 @@
 fn a_lost_primary_is_replaced_by_the_furthest_and_what_was_not_replicated_is_seen_lost() {
     let mut d = Driver::new(plan(3));
     // m1 stands still for the first write, so that m2 is further.
-    d.fault(Kind::Pause, "s-g-m1", 0.5);
+    d.fault(FaultKind::Pause, "s-g-m1", 0.5);
     d.ask(0, "first", SAVE, None);
     d.run(0.1);
     let last = d.ask(0, "last", SAVE, None);
     d.run(0.012);
     assert_eq!(d.word(last), "row");
-    d.fault(Kind::Lost, "s-g-m0", 10.0);
+    d.fault(FaultKind::Lost, "s-g-m0", 10.0);
     assert_eq!(d.others.last().map(|o| &o.1), Some(&Output::Silent { host: 0 }));
     d.run(0.9);
     assert_eq!(d.fleet.primary_of(0), Some(0), "not missed for long enough yet");
@@ -89,8 +89,8 @@
             d.run(when - at);
             at = when;
             match drains {
-                true => d.fault(Kind::Drain, "s-g-m0", 20.0),
-                false => d.fault(Kind::Pause, "s-g-m0", 0.4),
+                true => d.fault(FaultKind::Drain, "s-g-m0", 20.0),
+                false => d.fault(FaultKind::Pause, "s-g-m0", 0.4),
             }
         }
         assert_eq!(d.fleet.listing(0).readiness, Readiness::Leaving);
@@ -113,20 +113,20 @@
     let mut d = Driver::new(plan(2));
     let before = d.ask(1, "before", ANY, None);
     d.run(0.005);
-    d.fault(Kind::Pause, "s-g-m1", 0.5);
+    d.fault(FaultKind::Pause, "s-g-m1", 0.5);
     let during = d.connect(1);
     d.run(0.45);
     assert_eq!((d.word(before), d.greeted(during), d.ran("before")), ("-", None, 0));
     d.run(0.1);
     assert_eq!((d.word(before), d.greeted(during)), ("row", Some(true)));
-    d.fault(Kind::Hang, "s-g-m0", 0.5);
+    d.fault(FaultKind::Hang, "s-g-m0", 0.5);
     let write = d.ask(0, "w", SAVE, None);
     d.run(0.4);
     assert_eq!((d.word(write), d.ran("w")), ("-", 1));
     d.run(0.2);
     assert_eq!(d.word(write), "row");
     // One that gave up in the meantime hears nothing.
-    d.fault(Kind::Hang, "s-g-m0", 0.5);
+    d.fault(FaultKind::Hang, "s-g-m0", 0.5);
     let left = d.ask(0, "x", SAVE, None);
     d.run(0.2);
     d.close(left);
@@ -137,17 +137,17 @@
 #[test]
 fn a_crash_under_a_pause_and_a_slow_machine_compose() {
     let mut d = Driver::new(plan(2));
-    d.fault(Kind::Slow(0.5), "s-g-m1", 60.0);
-    d.fault(Kind::Neighbour(0.5), "s-g-m1", 60.0);
+    d.fault(FaultKind::Slow(0.5), "s-g-m1", 60.0);
+    d.fault(FaultKind::Neighbour(0.5), "s-g-m1", 60.0);
     let slow = d.ask(1, "slow", ANY, None);
     d.run(0.039);
     assert_eq!(d.word(slow), "-");
     d.run(0.002);
     assert_eq!(d.word(slow), "row");
-    d.fault(Kind::Pause, "s-g-m1", 10.0);
+    d.fault(FaultKind::Pause, "s-g-m1", 10.0);
     let gone = d.ask(1, "gone", ANY, None);
     d.run(1.0);
-    d.fault(Kind::Crash, "s-g-m1", 2.0);
+    d.fault(FaultKind::Crash, "s-g-m1", 2.0);
     d.run(3.0);
     // It started anew, and stands still all the same until the pause is over.
     assert!(d.fleet.lives(1) && d.fleet.effects(1).paused);
@@ -161,7 +161,7 @@
 #[test]
 fn a_machine_that_dies_while_cold_starts_cold_once_more() {
     let mut d = Driver::new(plan(2));
-    d.fault(Kind::Crash, "s-g-m1", 1.0);
+    d.fault(FaultKind::Crash, "s-g-m1", 1.0);
     d.run(2.0);
     let first = d.fleet.listing(1).since;
     let read = d.ask(1, "r", ANY, None);
@@ -169,8 +169,8 @@
     assert_eq!(d.word(read), "-", "cold: 10 ms of work take longer");
     d.run(0.05);
     assert_eq!(d.word(read), "row");
-    d.fault(Kind::Crash, "s-g-m1", 1.0);
-    d.fault(Kind::Lost, "s-g-m1", 3.0);
+    d.fault(FaultKind::Crash, "s-g-m1", 1.0);
+    d.fault(FaultKind::Lost, "s-g-m1", 3.0);
     d.run(2.0);
     assert!(!d.fleet.lives(1));
     d.run(2.0);
@@ -188,7 +188,7 @@
     push(&mut d, "warm");
     d.run(3.0);
     assert_eq!(d.saw(|e| matches!(e, Event::Tipped { .. })), 0);
-    d.fault(Kind::Crash, "s-g-m1", 1.0);
+    d.fault(FaultKind::Crash, "s-g-m1", 1.0);
     d.run(1.01);
     // 4 times what 2 cores at 0.3 can do in half a second is 1.2 s: 40 of 10 ms do not reach it.
     push(&mut d, "cold");
@@ -207,8 +207,8 @@
 #[test]
 fn a_group_without_members_has_no_primary_until_one_comes_back() {
     let mut d = Driver::new(plan(2));
-    d.fault(Kind::Crash, "s-g-m0", 6.0);
-    d.fault(Kind::Crash, "s-g-m1", 4.0);
+    d.fault(FaultKind::Crash, "s-g-m0", 6.0);
+    d.fault(FaultKind::Crash, "s-g-m1", 4.0);
     d.run(3.0);
     assert_eq!(d.fleet.primary_of(0), None);
     d.run(2.0);
@@ -220,7 +220,7 @@
 #[test]
 fn a_replaced_host_leaves_and_its_successor_serves_under_its_own_name() {
     let mut d = Driver::new(plan(3));
-    d.fault(Kind::Replace, "s-g-m0", 3.0);
+    d.fault(FaultKind::Replace, "s-g-m0", 3.0);
     let born = d.fleet.find("s-g-m0-r1").expect("a successor");
     assert!(d.others.iter().any(|(_, o)| *o == Output::Born { host: born }));
     d.run(4.0);
@@ -238,26 +238,26 @@
 #[test]
 fn errors_spoilt_answers_refusals_and_early_closes_come_as_told() {
     let mut d = Driver::new(plan(2));
-    d.fault(Kind::FastErrors(1.0), "s-g-m1", 1.0);
+    d.fault(FaultKind::FastErrors(1.0), "s-g-m1", 1.0);
     let error = d.ask(1, "e", ANY, None);
     assert_eq!((d.word(error), d.ran("e")), ("XX000", 0));
     d.run(2.0);
-    d.fault(Kind::Spoilt(1.0), "s-g-m0", 1.0);
+    d.fault(FaultKind::Spoilt(1.0), "s-g-m0", 1.0);
     let spoilt = d.ask(0, "s", SAVE, None);
     d.run(0.1);
     assert_eq!((d.word(spoilt), d.ran("s")), ("spoilt", 1));
-    d.fault(Kind::RefuseConnections, "s-g-m0", 1.0);
+    d.fault(FaultKind::RefuseConnections, "s-g-m0", 1.0);
     assert!(d.others.iter().any(|(_, o)| *o == Output::Refuse { host: 0 }));
     d.run(1.1);
     assert!(d.others.iter().any(|(_, o)| *o == Output::Admit { host: 0 }));
     let idle = d.connect(1);
     d.run(0.1);
-    d.fault(Kind::EarlyClose(0.3), "s-g-m1", 5.0);
+    d.fault(FaultKind::EarlyClose(0.3), "s-g-m1", 5.0);
     d.run(0.2);
     assert!(!d.others.iter().any(|(_, o)| *o == Output::Close { conn: idle }));
     d.run(0.2);
     assert!(d.others.iter().any(|(_, o)| *o == Output::Close { conn: idle }));
-    d.fault(Kind::SlowConnections(0.5), "s-g-m1", 5.0);
+    d.fault(FaultKind::SlowConnections(0.5), "s-g-m1", 5.0);
     let late = d.connect(1);
     d.run(0.4);
     assert_eq!(d.greeted(late), None);
@@ -290,7 +290,7 @@
 fn work_stops_with_its_client_or_goes_on_as_the_machine_has_it() {
     for stops in [true, false] {
         let mut p = plan(1);
-        p.kinds[0].stops_when_left = stops;
+        p.kinds[0].stops_on_disconnect = stops;
         let mut d = Driver::new(p);
         let conn = d.ask(0, "w", SAVE, None);
         d.run(0.005);
@@ -321,7 +321,7 @@
     let mut d = Driver::new(plan(2));
     let write = d.ask(0, "w", SAVE, None);
     d.run(0.005);
-    d.fault(Kind::Pause, "s-g-m0", 5.0);
+    d.fault(FaultKind::Pause, "s-g-m0", 5.0);
     d.run(3.0);
     assert_eq!(d.fleet.primary_of(0), Some(1));
     d.run(3.0);
@@ -341,10 +341,10 @@
         d.ask(0, &format!("w{n}"), SAVE, Some(&format!("u{}", n % 7)));
         d.run(0.007);
         if n == 100 {
-            d.fault(Kind::SlowReplay(0.3), "s-g-m1", 1.0);
+            d.fault(FaultKind::SlowReplay(0.3), "s-g-m1", 1.0);
         }
         if n == 200 {
-            d.fault(Kind::Pause, "s-g-m2", 0.5);
+            d.fault(FaultKind::Pause, "s-g-m2", 0.5);
         }
         acked = d
             .events
--- a/crates/sandstile-fleet/tests/theory.rs
+++ b/crates/sandstile-fleet/tests/theory.rs
@@ -3,7 +3,7 @@
 
 use driver::*;
 use sandstile_fleet::plan::*;
-use sandstile_fleet::random::Chance;
+use sandstile_fleet::random::Rng;
 use sandstile_fleet::{Answer, Event};
 
 /// The mean time in an M/M/c queue, waiting and served, after Erlang C.
@@ -28,11 +28,11 @@
     p.kinds[0].discipline = discipline;
     p.kinds[0].queue = 1_000_000;
     p.kinds[0].connections = 1_000_000;
-    p.kinds[0].idle_s = 1e9;
+    p.kinds[0].idle_timeout_s = 1e9;
     p.workloads[ANY].work = Work::Exponential(service);
     let mut d = Driver::new(p);
     let rate = load * cores as f64 / service;
-    let mut chance = Chance::new(11, "arrivals");
+    let mut rng = Rng::new(11, "arrivals");
     let (mut total, mut count) = (0.0, 0u32);
     // Set-up is work too: all connections are up before the first statement.
     let mut free: Vec<u64> = (0..2000).map(|_| d.connect(0)).collect();
@@ -40,7 +40,7 @@
     let mut asked: std::collections::BTreeMap<u64, f64> = Default::default();
     let warm = 20_000;
     for n in 0..2_000_000u32 {
-        let gap = chance.exponential(1.0 / rate);
+        let gap = rng.exponential(1.0 / rate);
         d.run(gap);
         for (at, conn, answer) in std::mem::take(&mut d.answers) {
             assert!(matches!(answer, Answer::Row { .. }));
@@ -82,18 +82,18 @@
         let mut p = plan(2);
         p.workloads[SAVE].work = Work::Fixed(0.0);
         p.groups[0].apply = Work::Fixed(apply);
-        p.kinds[0].idle_s = 1e9;
+        p.kinds[0].idle_timeout_s = 1e9;
         p.kinds[0].queue = 1000;
         let mut d = Driver::new(p);
         let conn = d.connect(0);
         d.run(0.1);
-        let mut chance = Chance::new(5, "commits");
+        let mut rng = Rng::new(5, "commits");
         let mut lag = 0.0;
         let rounds = 120_000;
         let mut sum_backlog = 0.0;
         let mut last = d.now;
         for _ in 0..rounds {
-            let gap = chance.exponential(apply / load);
+            let gap = rng.exponential(apply / load);
             // The backlog's time average, by Little the rate times the mean delay; looked at in small steps.
             let steps = 32;
             for _ in 0..steps {
@@ -118,30 +118,30 @@
     p.seed = seed;
     p.workloads.iter_mut().for_each(|w| w.work = Work::LogNormal { mean: 0.010, sigma: 1.0 });
     let mut d = Driver::new(p);
-    let mut chance = Chance::new(seed, "story");
+    let mut rng = Rng::new(seed, "story");
     let kinds = [
-        sandstile_fleet::Kind::Pause,
-        sandstile_fleet::Kind::Hang,
-        sandstile_fleet::Kind::Slow(0.4),
-        sandstile_fleet::Kind::Crash,
-        sandstile_fleet::Kind::Lost,
-        sandstile_fleet::Kind::SlowReplay(0.1),
-        sandstile_fleet::Kind::Spoilt(0.5),
-        sandstile_fleet::Kind::FastErrors(0.5),
+        sandstile_fleet::FaultKind::Pause,
+        sandstile_fleet::FaultKind::Hang,
+        sandstile_fleet::FaultKind::Slow(0.4),
+        sandstile_fleet::FaultKind::Crash,
+        sandstile_fleet::FaultKind::Lost,
+        sandstile_fleet::FaultKind::SlowReplay(0.1),
+        sandstile_fleet::FaultKind::Spoilt(0.5),
+        sandstile_fleet::FaultKind::FastErrors(0.5),
     ];
     let mut conns = Vec::new();
     for n in 0..4000 {
-        d.run(chance.exponential(0.004));
-        let host = chance.below(d.fleet.hosts());
-        if chance.happens(0.01) {
-            let kind = kinds[chance.below(kinds.len())].clone();
+        d.run(rng.exponential(0.004));
+        let host = rng.below(d.fleet.hosts());
+        if rng.bernoulli(0.01) {
+            let kind = kinds[rng.below(kinds.len())].clone();
             let target = sandstile_fleet::Target::Host(d.fleet.listing(host).name);
-            d.fleet.begin(d.now, sandstile_fleet::Fault { kind, target, lasts: chance.exponential(1.0) });
+            d.fleet.start_fault(d.now, sandstile_fleet::Fault { kind, target, lasts: rng.exponential(1.0) });
         }
-        let session = format!("u{}", chance.below(20));
-        conns.push(d.ask(host, &format!("i{n}"), chance.below(6), Some(&session)));
-        if chance.happens(0.3) {
-            let conn = conns.swap_remove(chance.below(conns.len()));
+        let session = format!("u{}", rng.below(20));
+        conns.push(d.ask(host, &format!("i{n}"), rng.below(6), Some(&session)));
+        if rng.bernoulli(0.3) {
+            let conn = conns.swap_remove(rng.below(conns.len()));
             d.close(conn);
         }
     }
--- a/crates/sandstile-lab/src/capacity.rs
+++ b/crates/sandstile-lab/src/capacity.rs
@@ -211,7 +211,7 @@
     let (emulator, _notes, net) = rehearse::emulator(&script, clock, records).map_err(|e| e.to_string())?;
     let emulator = emulator.spawn().map_err(|e| e.to_string())?;
     let address = rehearse::router_address(net, 0);
-    let config = processes::config(&script, 0, address, emulator.agents[0], &emulator.known(0));
+    let config = processes::config(&script, 0, address, emulator.agents[0], &emulator.discovery_list(0));
     let mut router = pinned(wanted, &dir, &config)?;
     router.wait_ready(Duration::from_secs(10)).map_err(|e| e.to_string())?;
     let mut table = String::from(
--- a/crates/sandstile-lab/src/clients.rs
+++ b/crates/sandstile-lab/src/clients.rs
@@ -516,7 +516,7 @@
         match &answer.stage {
             pg::Stage::Complete => {
                 let value = &answer.rows[answer.value.clone()];
-                let made = protocol::made_for(value);
+                let made = protocol::parse_value(value);
                 self.answered_by(id, t, "completed", None, made);
                 Ended::Completed(made.map(|(_, _, position)| position))
             }
--- a/crates/sandstile-lab/src/main.rs
+++ b/crates/sandstile-lab/src/main.rs
@@ -451,7 +451,7 @@
     let (emulator, _notes, net) = rehearse::emulator(&script, clock, records).map_err(|e| e.to_string())?;
     let emulator = emulator.spawn().map_err(|e| e.to_string())?;
     let listen = rehearse::router_address(net, 0);
-    let config = processes::config(&script, 0, listen, emulator.agents[0], &emulator.known(0));
+    let config = processes::config(&script, 0, listen, emulator.agents[0], &emulator.discovery_list(0));
     // Before anybody can read that it is up: a signal that came earlier would end it without a word.
     let mut signals =
         signal_hook::iterator::Signals::new([signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM])
@@ -459,7 +459,7 @@
     println!("{config:#}");
     info!("hosts and discovery are up; put the above into a file and name it by LB_CONFIG");
     if cues {
-        emulator.begin(clock.now());
+        emulator.start_script(clock.now());
     }
     std::thread::spawn(move || {
         for record in lines {
--- a/crates/sandstile-lab/src/processes.rs
+++ b/crates/sandstile-lab/src/processes.rs
@@ -29,7 +29,7 @@
             };
             json!({"name": w.name, "aimMs": t.slo * 1e3, "deadlineMs": t.timeout * 1e3, "credit": t.importance,
                 "lateWorth": t.late_share, "effect": effect, "dedupScope": "group",
-                "windowMs": plan.groups.iter().map(|g| g.dedup_s).fold(f64::INFINITY, f64::min) * 1e3})
+                "windowMs": plan.groups.iter().map(|g| g.dedup_window_s).fold(f64::INFINITY, f64::min) * 1e3})
         })
         .collect();
     let consistency: Vec<&str> = plan
@@ -43,7 +43,7 @@
             Consistency::Any => "loose",
         })
         .collect();
-    let ages: Vec<f64> = plan.workloads.iter().map(|w| w.bound_s * 1e3).collect();
+    let ages: Vec<f64> = plan.workloads.iter().map(|w| w.max_age_s * 1e3).collect();
     // Where kinds differ, routers are told the most careful figures.
     let least = |of: &dyn Fn(&sandstile_fleet::plan::MachineKind) -> f64| {
         plan.kinds.iter().map(of).fold(f64::INFINITY, f64::min)
@@ -54,12 +54,12 @@
         "classes": classes, "peersTotal": script.routers.count, "tickMs": 5.0, "discovery": "pushed",
         "allowed": {"mostTries": a.executions, "mayCancel": a.recall, "probes": a.probes,
             "retryAfter": a.return_s > 0.0, "maxRetryAfterMs": a.return_s * 1e3, "dialTimeoutMs": a.dial_s * 1e3,
-            "idleCloseMs": least(&|k| k.idle_s) * 1e3},
+            "idleCloseMs": least(&|k| k.idle_timeout_s) * 1e3},
         "rules": {"coldFrom": least(&|k| k.cold_share), "coldMs": warm * 1e3,
-            "tipMultiple": least(&|k| k.tip_multiple)},
+            "tipMultiple": least(&|k| k.cold_overload_multiple)},
         "clients": {"marksRetry": true},
         "specifics": {"consistency": consistency, "maxAgeMs": ages, "answersStamped": true,
-            "guards": if plan.guarded { "reject" } else { "off" },
+            "guards": if plan.hosts_check_reads { "reject" } else { "off" },
             "tokens": match plan.tokens { Tokens::Remembered => "router", Tokens::Carried => "client" }},
     })
 }
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -6,7 +6,7 @@
 use crate::trace_writer::{self, Book, Line};
 use crossbeam_channel::{unbounded, Receiver, RecvTimeoutError};
 pub use sandstile_emulator::router_address;
-use sandstile_emulator::{Clock, Emulator, Handle, Note, Record};
+use sandstile_emulator::{Clock, Emulator, Handle, Notification, Record};
 use sandstile_faults::{Blow, State};
 use sandstile_fleet::plan::{Consistency, Effect};
 use sandstile_scenario::traffic::Traffic;
@@ -49,7 +49,7 @@
     script: &Script,
     clock: Clock,
     records: crossbeam_channel::Sender<Record>,
-) -> io::Result<(Emulator, Receiver<Note>, u8)> {
+) -> io::Result<(Emulator, Receiver<Notification>, u8)> {
     let base = (std::process::id() % 200) as u8;
     for step in 0..40u8 {
         let net = 20 + base.wrapping_add(step.wrapping_mul(5)) % 200;
@@ -203,7 +203,7 @@
         if self.over.load(SeqCst) {
             return Ok(());
         }
-        self.start(number, &emulator.known(number))?;
+        self.start(number, &emulator.discovery_list(number))?;
         crew.door(number).open.store(true, SeqCst);
         crew.crowd(number, self.script.clients.crowd);
         Ok(())
@@ -337,14 +337,14 @@
         over: AtomicBool::new(false),
     });
     for number in 0..script.routers.count {
-        stage.start(number, &emulator.known(number)).map_err(told("a router"))?;
+        stage.start(number, &emulator.discovery_list(number)).map_err(told("a router"))?;
         thread::sleep(Duration::from_secs_f64(script.routers.apart));
     }
-    let crew = Crew::new(&script, script.plan.seed, &emulator.doors, clock, book.clone())
+    let crew = Crew::new(&script, script.plan.seed, &emulator.client_addresses, clock, book.clone())
         .map_err(told("clients"))?;
     let begin = clock.now() + 0.1;
     stage.book.line(begin, stage.run_line());
-    emulator.begin(begin);
+    emulator.start_script(begin);
     info!(title = script.title, seconds = script.seconds, seed = script.plan.seed, "begins");
     let traffic = Traffic::new(&script, script.plan.seed);
     thread::scope(|scope| {
@@ -373,7 +373,7 @@
                     script.seconds
                 );
             }
-            !emulator.ended() && !stopped.load(SeqCst)
+            !emulator.is_finished() && !stopped.load(SeqCst)
         });
         while clock.now() < begin + script.seconds && !stopped.load(SeqCst) {
             thread::sleep(clock.until(begin + script.seconds).min(Duration::from_millis(50)));
@@ -412,7 +412,7 @@
 }
 
 /// What the emulator has the lab do, until the end.
-fn follow(stage: &Arc<Stage>, notes: &Receiver<Note>, crew: &Crew, emulator: &Handle) {
+fn follow(stage: &Arc<Stage>, notes: &Receiver<Notification>, crew: &Crew, emulator: &Handle) {
     thread::scope(|scope| loop {
         let note = match notes.recv_timeout(Duration::from_millis(50)) {
             Ok(note) => note,
@@ -420,7 +420,7 @@
             Err(_) => return,
         };
         match note {
-            Note::Process { name, whom, blow, spread } => {
+            Notification::Process { name, whom, blow, spread } => {
                 // Each cue of a script chooses for itself, the same with each play of a seed.
                 let seed =
                     name.bytes().fold(stage.script.plan.seed, |h, b| h.wrapping_mul(31) ^ u64::from(b));
@@ -435,7 +435,7 @@
                     });
                 }
             }
-            Note::Moved(addresses) => {
+            Notification::AgentsMoved(addresses) => {
                 info!("discovery moves");
                 *stage.agents.lock().expect("no thread panics under the lock") = addresses.clone();
                 for (slot, address) in stage.routers.iter().zip(addresses) {
@@ -444,7 +444,7 @@
                     }
                 }
             }
-            Note::InVain(name) => warn!(name, "a cue found nothing to strike"),
+            Notification::NoTarget(name) => warn!(name, "a cue found nothing to strike"),
         }
     });
 }
--- a/crates/sandstile-lab/src/report.rs
+++ b/crates/sandstile-lab/src/report.rs
@@ -156,7 +156,7 @@
     json!({"title": played.script.title, "seed": played.script.plan.seed, "quick": played.quick,
         "seconds": played.script.seconds, "service": service.overall(), "workloads": workloads,
         "found": counts(findings), "emulator_late": quantiles(&played.emulator.late_us),
-        "clients_late": quantiles(&played.clients_late_us), "most_connections": played.emulator.most_connections,
+        "clients_late": quantiles(&played.clients_late_us), "most_connections": played.emulator.max_connections,
         "own_reads": {"checked": own.checked, "missed": own.missed, "by_replicas": own.by_replicas},
         "returning": measures(back),
         "unsound": trace.unsound, "missed_cues": played.emulator.missed, "lost_commits": trace.lost.len(),
@@ -252,7 +252,7 @@
         "\nEmulator's timers late: p50 {} us, p99 {} us, most {} us ({} timers); clients' asking late: p99 {} us. \
          {} connections at the most.",
         e.value_at_quantile(0.5), e.value_at_quantile(0.99), e.max(), e.len(),
-        played.clients_late_us.value_at_quantile(0.99), played.emulator.most_connections
+        played.clients_late_us.value_at_quantile(0.99), played.emulator.max_connections
     );
     if !played.emulator.missed.is_empty() {
         let _ = writeln!(out, "\nCues whose event never came: {}.", played.emulator.missed.join(", "));
--- a/crates/sandstile-lab/src/returns.rs
+++ b/crates/sandstile-lab/src/returns.rs
@@ -3,13 +3,13 @@
 use crate::charts::{self, Line};
 use sandstile_fleet::event::Event;
 use sandstile_fleet::plan::*;
-use sandstile_fleet::random::Chance;
-use sandstile_fleet::{Fault, Fleet, Kind as Trouble, Target};
+use sandstile_fleet::random::Rng;
+use sandstile_fleet::{Fault, FaultKind, Fleet, Target};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms;
 use sandstile_restart_pacing::{DialPacer, Pace};
 use sandstile_simulation::world::{Clients, World};
-use sandstile_simulation::{Final, Mind, Wanted, EPOCH};
+use sandstile_simulation::{ClientRequest, FinalAnswer, InstanceDriver, EPOCH};
 use sandstile_timers::TimerHeap;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -66,7 +66,7 @@
 
 /// Open-loop clients, each with a wish of its own that it tries until its time is over.
 struct Crowd {
-    chance: Chance,
+    rng: Rng,
     rate: f64,
     routers: usize,
     due: TimerHeap<Due>,
@@ -82,8 +82,8 @@
     fn new(seed: u64, routers: usize, rate: f64) -> Crowd {
         let mut due = TimerHeap::default();
         due.push(EPOCH + 0.001, Due::Arrival);
-        let (chance, wishes, done) = (Chance::new(seed, "crowd"), BTreeMap::new(), Vec::new());
-        Crowd { chance, rate, routers, due, earliest: EPOCH, wishes, next: 0, until: EPOCH + END, done }
+        let (rng, wishes, done) = (Rng::new(seed, "crowd"), BTreeMap::new(), Vec::new());
+        Crowd { rng, rate, routers, due, earliest: EPOCH, wishes, next: 0, until: EPOCH + END, done }
     }
 
     fn wish(&mut self, now: f64, router: usize) {
@@ -92,8 +92,8 @@
             at: now,
             until: now + WAIT,
             router,
-            workload: usize::from(self.chance.happens(WRITES)),
-            group: self.chance.below(GROUPS),
+            workload: usize::from(self.rng.bernoulli(WRITES)),
+            group: self.rng.below(GROUPS),
             session: self.next as usize,
         };
         self.wishes.insert(self.next, wish);
@@ -110,18 +110,18 @@
 }
 
 impl Clients for Crowd {
-    fn next(&self) -> f64 {
+    fn next_request_at(&self) -> f64 {
         self.earliest
     }
 
-    fn due(&mut self, now: f64) -> Vec<(usize, Wanted)> {
+    fn take_due_requests(&mut self, now: f64) -> Vec<(usize, ClientRequest)> {
         let mut asked = Vec::new();
         while let Some((_, due)) = self.due.pop(now) {
             match due {
                 Due::Arrival => {
-                    let router = self.chance.below(self.routers);
+                    let router = self.rng.below(self.routers);
                     self.wish(now, router);
-                    let at = now + self.chance.exponential(1.0 / self.rate);
+                    let at = now + self.rng.exponential(1.0 / self.rate);
                     if at < self.until {
                         self.due.push(at, Due::Arrival);
                     }
@@ -129,7 +129,7 @@
                 Due::TimeOver(key) => self.end(key, false),
                 Due::Again(key) => {
                     let Some(wish) = self.wishes.get(&key) else { continue };
-                    let wanted = Wanted {
+                    let wanted = ClientRequest {
                         key,
                         workload: wish.workload,
                         group: wish.group,
@@ -144,14 +144,14 @@
         asked
     }
 
-    fn answered(&mut self, now: f64, key: u64, answer: Final) {
+    fn on_answer(&mut self, now: f64, key: u64, answer: FinalAnswer) {
         let Some(wish) = self.wishes.get(&key) else { return };
         match answer {
-            Final::Completed => {
+            FinalAnswer::Completed => {
                 let good = now - wish.at <= SLO;
                 self.end(key, good);
             }
-            Final::Rejected(after) => {
+            FinalAnswer::Rejected(after) => {
                 let at = now + after.max(PAUSE);
                 if at < wish.until {
                     self.due.push(at, Due::Again(key));
@@ -160,7 +160,7 @@
                     self.end(key, false);
                 }
             }
-            Final::Aborted => self.end(key, false),
+            FinalAnswer::Aborted => self.end(key, false),
         }
     }
 }
@@ -170,7 +170,7 @@
         cores: vec![1.0; CORES],
         queue: 10_000,
         connections: 100_000,
-        idle_s: 3600.0,
+        idle_timeout_s: 3600.0,
         setup_work: SETUP,
         warm_s: WARM,
         ..MachineKind::standard("std")
@@ -179,18 +179,18 @@
     let groups = (0..GROUPS).map(|g| Group {
         name: g.to_string(),
         nodes: (g * MEMBERS..(g + 1) * MEMBERS).collect(),
-        ship_s: 0.01,
+        replication_delay_s: 0.01,
         apply: Work::Fixed(0.0005),
         detect_s: 1.5,
         elect_s: 0.5,
         hold_s: 0.0,
-        dedup_s: 60.0,
+        dedup_window_s: 60.0,
     });
     let workload = |name: &str, consistency, effect| Workload {
         name: name.to_string(),
         effect,
         consistency,
-        bound_s: 0.0,
+        max_age_s: 0.0,
         work: Work::Exponential(WORK),
         value_bytes: 64,
     };
@@ -204,7 +204,7 @@
             workload("save", Consistency::Write, Effect::NonIdempotent),
         ],
         tokens: Tokens::Remembered,
-        guarded: true,
+        hosts_check_reads: true,
     }
 }
 
@@ -238,7 +238,7 @@
         tick: 0.005,
         cold_initial_share: kind.cold_share,
         cold_duration: WARM,
-        cold_overload_multiple: kind.tip_multiple,
+        cold_overload_multiple: kind.cold_overload_multiple,
         ..terms::Terms::default()
     }
 }
@@ -257,9 +257,10 @@
     let terms = told(routers);
     let mind = |number: usize, life: u64, now: f64| {
         let own = seed * 1_000_003 + number as u64 * 7919 + life;
-        let mind = Mind::module(Instance::new(&terms, own, now), number as u64, routers as u64, DIAL);
+        let mind =
+            InstanceDriver::with_policy(Instance::new(&terms, own, now), number as u64, routers as u64, DIAL);
         match pace {
-            Some(pace) => mind.paced(DialPacer::new(pace, routers, number as u64, own, now)),
+            Some(pace) => mind.with_dial_pacing(DialPacer::new(pace, routers, number as u64, own, now)),
             None => mind,
         }
     };
@@ -267,7 +268,7 @@
     let mut world = World::new(fleet, minds, 0.5);
     let dials: Rc<RefCell<BTreeMap<(String, i64), f64>>> = Rc::default();
     let seen = dials.clone();
-    world.watch = Some(Box::new(move |t, event| {
+    world.observer = Some(Box::new(move |t, event| {
         if let Event::Dialled { host } = event {
             let moment = ((t - EPOCH) / 0.1) as i64;
             *seen.borrow_mut().entry((host.clone(), moment)).or_default() += 1.0;
@@ -275,7 +276,7 @@
     }));
     let capacity = (GROUPS * MEMBERS * CORES) as f64 / WORK;
     let mut crowd = Crowd::new(seed, routers, LOAD * capacity);
-    world.play(&mut crowd, EPOCH + FAULT);
+    world.run_until(&mut crowd, EPOCH + FAULT);
     let struck: Vec<usize> = match story {
         Story::MostRestart => (0..routers).filter(|n| n % 10 < 7).collect(),
         Story::PowerCut => (0..routers).collect(),
@@ -284,16 +285,16 @@
     if story == Story::PowerCut {
         for group in 0..GROUPS {
             let target = Target::Group(group.to_string());
-            world.fleet.begin(EPOCH + FAULT, Fault { kind: Trouble::Crash, target, lasts: 2.0 });
+            world.fleet.start_fault(EPOCH + FAULT, Fault { kind: FaultKind::Crash, target, lasts: 2.0 });
         }
     }
-    world.play(&mut crowd, EPOCH + FAULT + BACK);
+    world.run_until(&mut crowd, EPOCH + FAULT + BACK);
     let each = (CROWD * LOAD * capacity / routers as f64).ceil() as usize;
     for n in struck {
         world.start(n, mind(n, 1, world.now()));
         (0..each).for_each(|_| crowd.wish(world.now(), n));
     }
-    world.play(&mut crowd, EPOCH + END + WAIT);
+    world.run_until(&mut crowd, EPOCH + END + WAIT);
     let share = |from: f64, to: f64| {
         let of = || crowd.done.iter().filter(|(at, _)| (from..to).contains(at));
         let all = of().count() as f64;
--- a/crates/sandstile-lab/src/scale_out.rs
+++ b/crates/sandstile-lab/src/scale_out.rs
@@ -12,7 +12,7 @@
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{self, DedupScope, Terms};
 use sandstile_scenario::Script;
-use sandstile_simulation::{Mind, Workers, World, EPOCH};
+use sandstile_simulation::{InstanceDriver, Workers, World, EPOCH};
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Duration;
@@ -133,7 +133,7 @@
         cores: vec![1.0; e.cores],
         queue: 1_000_000,
         connections: 1_000_000,
-        idle_s: 3600.0,
+        idle_timeout_s: 3600.0,
         setup_work: 0.0,
         ..MachineKind::standard(name)
     };
@@ -145,18 +145,18 @@
     let group = |g: usize| Group {
         name: format!("db{g}"),
         nodes: std::iter::once(0).chain(copy(g)).collect(),
-        ship_s: 0.001,
+        replication_delay_s: 0.001,
         apply: Work::Exponential(0.0005),
         detect_s: 2.0,
         elect_s: 1.0,
         hold_s: 0.0,
-        dedup_s: 0.0,
+        dedup_window_s: 0.0,
     };
     let workload = |name: &str, consistency, effect, work| Workload {
         name: name.to_string(),
         effect,
         consistency,
-        bound_s: 0.0,
+        max_age_s: 0.0,
         work: Work::Exponential(work),
         value_bytes: 100,
     };
@@ -170,7 +170,7 @@
             workload("write", Consistency::Write, Effect::NonIdempotent, e.write_work),
         ],
         tokens: Tokens::Remembered,
-        guarded: true,
+        hosts_check_reads: true,
     }
 }
 
@@ -211,10 +211,10 @@
     let terms = deployed(e);
     let of = e.routers as u64;
     let minds = (0..of).map(|n| match way {
-        Way::Farm => Mind::module(Instance::new(&terms, e.seed + n, EPOCH), n, of, 1.0),
+        Way::Farm => InstanceDriver::with_policy(Instance::new(&terms, e.seed + n, EPOCH), n, of, 1.0),
         _ => {
             let primaries = (0..f.databases).map(|g| fleet.primary_of(g).unwrap_or(0)).collect();
-            Mind::direct(primaries, n, of)
+            InstanceDriver::direct(primaries, n, of)
         }
     });
     let minds = minds.collect();
@@ -222,13 +222,13 @@
     let from = EPOCH + e.warm;
     let mut clients =
         Workers::new(e.seed, workers, f.databases, e.routers, e.writes, e.wait, EPOCH, from, e.seconds);
-    world.play(&mut clients, from + e.seconds);
+    world.run_until(&mut clients, from + e.seconds);
     let t = &clients.tally;
     Point {
         workers,
         mean_ms: t.mean_ms(),
-        p90_ms: t.at_ms(0.9),
-        p99_ms: t.at_ms(0.99),
+        p90_ms: t.quantile_ms(0.9),
+        p99_ms: t.quantile_ms(0.99),
         rate: t.rate(),
         rejected: t.rejected,
         aborted: t.aborted,
@@ -280,7 +280,7 @@
     let (emulator, _notes, net) = rehearse::emulator(&script, clock, records).map_err(|e| e.to_string())?;
     let emulator = emulator.spawn().map_err(|e| e.to_string())?;
     let address = rehearse::router_address(net, 0);
-    let config = processes::config(&script, 0, address, emulator.agents[0], &emulator.known(0));
+    let config = processes::config(&script, 0, address, emulator.agents[0], &emulator.discovery_list(0));
     let mut router = Router::start(program, &dir, 0, &config, None).map_err(|e| e.to_string())?;
     router.wait_ready(Duration::from_secs(10)).map_err(|e| e.to_string())?;
     let mut points = Vec::new();
@@ -294,10 +294,10 @@
             closed: true,
             seconds: seconds + 2.0,
         };
-        let mut chance = sandstile_fleet::random::Chance::new(e.seed, "sockets");
+        let mut rng = sandstile_fleet::random::Rng::new(e.seed, "sockets");
         let arrivals = Arrivals::new(Shape::Constant(1.0), load.seconds, e.seed);
         let report = run(&load, arrivals, &mut |n, ms| {
-            let (write, group) = (chance.happens(e.writes), chance.below(f.databases) + 1);
+            let (write, group) = (rng.bernoulli(e.writes), rng.below(f.databases) + 1);
             let viewer = n % *workers as u64;
             let (class, verb) = match write {
                 true => (
--- a/crates/sandstile-load/src/arrivals.rs
+++ b/crates/sandstile-load/src/arrivals.rs
@@ -1,5 +1,5 @@
 //! When statements are meant to be asked. Pure and seeded.
-use sandstile_fleet::random::Chance;
+use sandstile_fleet::random::Rng;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Shape {
@@ -51,15 +51,15 @@
     /// In place of the shape: times as they are read from somewhere, so that no more than one is held.
     stream: Option<Box<dyn Iterator<Item = f64>>>,
     seconds: f64,
-    chance: Chance,
+    rng: Rng,
     now: f64,
     count: usize,
 }
 
 impl Arrivals {
     pub fn new(shape: Shape, seconds: f64, seed: u64) -> Self {
-        let chance = Chance::new(seed, "arrivals");
-        Arrivals { shape, stream: None, seconds, chance, now: 0.0, count: 0 }
+        let rng = Rng::new(seed, "arrivals");
+        Arrivals { shape, stream: None, seconds, rng, now: 0.0, count: 0 }
     }
 
     /// Times in order, as they come.
@@ -86,11 +86,11 @@
                     return None;
                 }
                 loop {
-                    self.now += self.chance.exponential(1.0 / most);
+                    self.now += self.rng.exponential(1.0 / most);
                     if self.now > self.seconds {
                         return None;
                     }
-                    if self.chance.share() * most <= shape.rate(self.now, self.seconds) {
+                    if self.rng.uniform() * most <= shape.rate(self.now, self.seconds) {
                         break self.now;
                     }
                 }
--- a/crates/sandstile-router/tests/agreement.rs
+++ b/crates/sandstile-router/tests/agreement.rs
@@ -214,8 +214,8 @@
     let net = (210 + (std::process::id() % 40) as u8, 1 + 2 * NEXT.fetch_add(1, SeqCst));
     let emulator = Emulator::new(&script, net, Clock::anchor(), trace, notes).expect("loopback addresses");
     let handle: Handle = emulator.spawn().expect("a thread");
-    let router = Router::start(&config(handle.agents[0], &handle.known(0)));
-    handle.begin(Clock::anchor().now());
+    let router = Router::start(&config(handle.agents[0], &handle.discovery_list(0)));
+    handle.start_script(Clock::anchor().now());
     let mut standing = 0;
     while standing < play.stand {
         let record = records.recv_timeout(TEST_TIMEOUT).expect("faults that begin");
@@ -223,7 +223,7 @@
         standing += usize::from(line.contains("FaultBegins"));
     }
     let ends = ends(&router, &play.steps, |value| {
-        let (_, host, _) = protocol::made_for(value).expect("a value in its form");
+        let (_, host, _) = protocol::parse_value(value).expect("a value in its form");
         if host == "s-3-0" { "primary" } else { "replica" }.to_string()
     });
     drop(router);
--- a/crates/sandstile-scenario/src/script.rs
+++ b/crates/sandstile-scenario/src/script.rs
@@ -4,7 +4,7 @@
 use sandstile_faults::process::{Whom, STATES};
 use sandstile_faults::{Blow, End, Pick, State, Strike};
 use sandstile_fleet::plan::*;
-use sandstile_fleet::{Kind, Plan, Target};
+use sandstile_fleet::{FaultKind, Plan, Target};
 use sandstile_hcl::{Problem, Section, Source};
 
 /// What clients and routers are told of a workload, beside what hosts do for it.
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
     Fault {
-        kind: Kind,
+        kind: FaultKind,
         target: Target,
         lasts: f64,
     },
@@ -312,7 +312,7 @@
     let settle = file.number("settle", 0.0..LONG, seconds * 0.05);
     let seed = file.number("seed", 0.0..9e15, 1.0) as u64;
     let discovery_delay = file.ms("discovery_delay_ms", 0.0..60_000.0, 0.02);
-    let guarded = file.boolean("guards", true);
+    let hosts_check_reads = file.boolean("guards", true);
     let tokens = file.choice(
         "tokens",
         &[("remembered", Tokens::Remembered), ("carried", Tokens::Carried)],
@@ -348,7 +348,7 @@
     }
     let streams = blocks("traffic");
     let streams = streams.iter().map(|s| stream(s, &workload_names, &group_names)).collect();
-    let plan = Plan { seed, kinds, nodes, groups, workloads, tokens, guarded };
+    let plan = Plan { seed, kinds, nodes, groups, workloads, tokens, hosts_check_reads };
     let clients = optional_block("clients");
     let clients = clients.map_or(Clients::usual(), |s| {
         let clients = Clients {
@@ -470,15 +470,15 @@
         queue: s.count("queue", 1.0..100_000.0, usual.queue),
         cold_share: s.number("cold_share", 0.01..1.0, usual.cold_share),
         warm_s: s.number("warm_s", 0.0..3600.0, usual.warm_s),
-        tip_multiple: s.number("tip_multiple", 1.0..1000.0, usual.tip_multiple),
-        tip_s: s.number("tip_s", 0.01..60.0, usual.tip_s),
+        cold_overload_multiple: s.number("tip_multiple", 1.0..1000.0, usual.cold_overload_multiple),
+        cold_overload_window_s: s.number("tip_s", 0.01..60.0, usual.cold_overload_window_s),
         restart_s: s.number("restart_s", 0.01..3600.0, usual.restart_s),
-        stops_when_left: s.boolean("stops_when_left", usual.stops_when_left),
+        stops_on_disconnect: s.boolean("stops_when_left", usual.stops_on_disconnect),
         connections: s.count("connections", 1.0..10_000.0, usual.connections),
-        idle_s: s.number("idle_s", 0.05..86_400.0, usual.idle_s),
+        idle_timeout_s: s.number("idle_s", 0.05..86_400.0, usual.idle_timeout_s),
         setup_work: s.ms("setup_work_ms", 0.0..1000.0, usual.setup_work),
-        fresh_times: s.number("fresh_times", 1.0..100.0, usual.fresh_times),
-        fresh_statements: s.count("fresh_statements", 0.0..1000.0, usual.fresh_statements as usize) as u32,
+        first_statements_factor: s.number("fresh_times", 1.0..100.0, usual.first_statements_factor),
+        first_statements: s.count("fresh_statements", 0.0..1000.0, usual.first_statements as usize) as u32,
         name: usual.name,
     };
     s.finish();
@@ -501,12 +501,12 @@
     let group = Group {
         name: s.name.clone(),
         nodes: found,
-        ship_s: s.ms("ship_ms", 0.0..60_000.0, 0.010),
+        replication_delay_s: s.ms("ship_ms", 0.0..60_000.0, 0.010),
         apply: Work::Exponential(apply),
         detect_s: s.number("detect_s", 0.05..600.0, 2.0),
         elect_s: s.number("elect_s", 0.0..600.0, 0.5),
         hold_s: s.ms("hold_ms", 0.0..10_000.0, 0.020),
-        dedup_s: s.number("dedup_s", 0.0..3600.0, 60.0),
+        dedup_window_s: s.number("dedup_s", 0.0..3600.0, 60.0),
     };
     s.finish();
     group
@@ -540,7 +540,7 @@
     if consistency == Consistency::Bounded && !s.has("bound_ms") {
         s.problem("consistency", "a bounded read lacks bound_ms", None);
     }
-    let bound_s = s.ms("bound_ms", 0.0..3_600_000.0, 1.0);
+    let max_age_s = s.ms("bound_ms", 0.0..3_600_000.0, 1.0);
     let mean = s.required_number("work_ms", 0.0..60_000.0) / 1000.0;
     let sigma = s.optional_number("sigma", 0.0..3.0);
     let spread = s.text("spread").unwrap_or_else(|| "exponential".to_string());
@@ -575,7 +575,7 @@
         let hint = Some("letters, digits, - and _".to_string());
         s.source().problem(s.offset, format!("\"{name}\" is no name for a workload"), hint);
     }
-    (Workload { name, effect, consistency, bound_s, work, value_bytes }, terms)
+    (Workload { name, effect, consistency, max_age_s, work, value_bytes }, terms)
 }
 
 fn stream(s: &Section, workloads: &[String], groups: &[String]) -> Stream {
@@ -781,29 +781,31 @@
     }
 }
 
-fn fault(s: &Section) -> Kind {
+fn fault(s: &Section) -> FaultKind {
     let kind = s.required_text("kind");
     let share = || s.required_number("share", 0.0..1.0);
     match kind.as_str() {
-        "pause" => Kind::Pause,
-        "hang" => Kind::Hang,
-        "slow" => Kind::Slow(share()),
-        "slow_replay" => Kind::SlowReplay(share()),
-        "crash" => Kind::Crash,
-        "lost" => Kind::Lost,
-        "drain" => Kind::Drain,
-        "replace" => Kind::Replace,
-        "fast_errors" => Kind::FastErrors(share()),
-        "spoilt" => Kind::Spoilt(share()),
-        "neighbour" => Kind::Neighbour(share()),
-        "refuse_connections" => Kind::RefuseConnections,
-        "slow_connections" => Kind::SlowConnections(s.required_number("delay_ms", 0.0..60_000.0) / 1000.0),
-        "early_close" => Kind::EarlyClose(s.required_number("idle_ms", 1.0..600_000.0) / 1000.0),
+        "pause" => FaultKind::Pause,
+        "hang" => FaultKind::Hang,
+        "slow" => FaultKind::Slow(share()),
+        "slow_replay" => FaultKind::SlowReplay(share()),
+        "crash" => FaultKind::Crash,
+        "lost" => FaultKind::Lost,
+        "drain" => FaultKind::Drain,
+        "replace" => FaultKind::Replace,
+        "fast_errors" => FaultKind::FastErrors(share()),
+        "spoilt" => FaultKind::Spoilt(share()),
+        "neighbour" => FaultKind::Neighbour(share()),
+        "refuse_connections" => FaultKind::RefuseConnections,
+        "slow_connections" => {
+            FaultKind::SlowConnections(s.required_number("delay_ms", 0.0..60_000.0) / 1000.0)
+        }
+        "early_close" => FaultKind::EarlyClose(s.required_number("idle_ms", 1.0..600_000.0) / 1000.0),
         other => {
             let all = "pause, hang, slow, slow_replay, crash, lost, drain, replace, fast_errors, spoilt, \
                        neighbour, refuse_connections, slow_connections, early_close";
             s.problem("kind", format!("kind = \"{other}\""), Some(format!("one of: {all}")));
-            Kind::Pause
+            FaultKind::Pause
         }
     }
 }
--- a/crates/sandstile-scenario/src/traffic.rs
+++ b/crates/sandstile-scenario/src/traffic.rs
@@ -1,7 +1,7 @@
 //! What clients ask when: open-loop arrivals whose rate moves with the script. Seeded; nothing here waits for
 //! answers, so that a fleet that slows down gets no less.
 use crate::script::{Jump, Script, Stream};
-use sandstile_fleet::random::Chance;
+use sandstile_fleet::random::Rng;
 
 /// One statement that a client is to ask.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,7 +35,7 @@
 
 /// The arrivals of one stream, one after the other, by thinning a stream of the highest rate.
 struct Source {
-    chance: Chance,
+    rng: Rng,
     now: f64,
     most: f64,
 }
@@ -50,7 +50,7 @@
 impl Traffic {
     pub fn new(script: &Script, seed: u64) -> Self {
         let sources = script.streams.iter().map(|s| Source {
-            chance: Chance::new(seed, &format!("traffic {}", s.name)),
+            rng: Rng::new(seed, &format!("traffic {}", s.name)),
             now: 0.0,
             most: s.rate * s.jumps.iter().map(|j| j.times.max(1.0)).product::<f64>(),
         });
@@ -67,17 +67,17 @@
     fn draw(&mut self, stream: usize) -> Option<Arrival> {
         let (s, source) = (&self.streams[stream], &mut self.sources[stream]);
         loop {
-            source.now += source.chance.exponential(1.0 / source.most);
+            source.now += source.rng.exponential(1.0 / source.most);
             if source.now > self.seconds {
                 return None;
             }
-            if source.chance.share() * source.most <= s.rate * level(&s.jumps, source.now) {
+            if source.rng.uniform() * source.most <= s.rate * level(&s.jumps, source.now) {
                 break;
             }
         }
-        let group = s.groups[source.chance.below(s.groups.len())];
-        let session = source.chance.below(s.sessions) as u64;
-        let draw = source.chance.share();
+        let group = s.groups[source.rng.below(s.groups.len())];
+        let session = source.rng.below(s.sessions) as u64;
+        let draw = source.rng.uniform();
         Some(Arrival { at: source.now, stream, workload: s.workload, group, session, draw })
     }
 }
--- a/crates/sandstile-scenario/tests/scripts.rs
+++ b/crates/sandstile-scenario/tests/scripts.rs
@@ -1,5 +1,5 @@
 //! Scripts that read, scripts that do not and say where, cues and traffic.
-use sandstile_fleet::{Kind, Target};
+use sandstile_fleet::{FaultKind, Target};
 use sandstile_scenario::script::*;
 use sandstile_scenario::traffic::{level, Traffic};
 use sandstile_scenario::{Director, Happening, Script};
@@ -63,7 +63,7 @@
 fn a_script_reads_whole() {
     let script = Script::read("good.hcl", GOOD).expect("good");
     assert_eq!((script.seconds, script.plan.groups[0].nodes.len(), script.cues.len()), (20.0, 2, 3));
-    let fault = Act::Fault { kind: Kind::Pause, target: Target::Primary("1".to_string()), lasts: 2.0 };
+    let fault = Act::Fault { kind: FaultKind::Pause, target: Target::Primary("1".to_string()), lasts: 2.0 };
     assert_eq!(script.cues[0].act, fault);
     assert_eq!(script.cues[1].trigger, Trigger::After(When::Begun(1, 3), 0.020));
     let quick = script.quick();
--- a/crates/sandstile-simulation/src/instance_driver.rs
+++ b/crates/sandstile-simulation/src/instance_driver.rs
@@ -1,6 +1,6 @@
 //! One router of the model: its connections, the executions on them, and what decides. The module decides here as it
-//! does behind sockets; `Mind::direct` decides nothing and asks the primary, as clients without a router would.
-use sandstile_fleet::event::{Answer, Ask, Input};
+//! does behind sockets; `InstanceDriver::direct` decides nothing and asks the primary, as clients without a router would.
+use sandstile_fleet::event::{Answer, Input, StatementRequest};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{Arrival, Decision, HostReport, ListedHost, OutcomeClass};
 use sandstile_restart_pacing::{DialDecision, DialOutcome, DialPacer};
@@ -8,7 +8,7 @@
 
 /// What a client wants; `key` is its own name for it.
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct ClientRequest {
     pub key: u64,
     pub workload: usize,
     pub group: usize,
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
     Completed,
     /// With the seconds after which to come again, 0 for none.
     Rejected(f64),
@@ -27,11 +27,11 @@
 
 /// What a router does to the world; connections are named by the world.
 #[derive(Debug)]
-pub enum Act {
+pub enum DriverAction {
     Dial { conn: u64, host: usize, until: f64 },
     Say { conn: u64, input: Input, until: f64 },
     Leave(u64),
-    Answer { key: u64, answer: Final },
+    Answer { key: u64, answer: FinalAnswer },
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -55,7 +55,7 @@
 }
 
 struct Open {
-    wanted: Wanted,
+    wanted: ClientRequest,
     answered: bool,
     hosts: Vec<usize>,
 }
@@ -66,7 +66,7 @@
     Direct(Vec<usize>),
 }
 
-pub struct Mind {
+pub struct InstanceDriver {
     decider: Decider,
     conns: BTreeMap<u64, Conn>,
     /// Idle connections of each host, the latest used last.
@@ -75,7 +75,7 @@
     next: u64,
     /// Statements that may be over.
     ending: BTreeSet<u64>,
-    acts: Vec<Act>,
+    acts: Vec<DriverAction>,
     /// Names of connections come from here, each used once.
     conns_made: u64,
     /// Keeps the names of two routers' connections apart.
@@ -93,19 +93,19 @@
     pub probes: u64,
 }
 
-impl Mind {
+impl InstanceDriver {
     /// A router with the module. `number` of so many routers.
-    pub fn module(policy: Instance, number: u64, of: u64, dial_limit: f64) -> Self {
-        Mind::new(Decider::Module(Box::new(policy)), number, of, dial_limit)
+    pub fn with_policy(policy: Instance, number: u64, of: u64, dial_limit: f64) -> Self {
+        InstanceDriver::new(Decider::Module(Box::new(policy)), number, of, dial_limit)
     }
 
     /// Clients that hold connections to the primaries themselves.
     pub fn direct(primaries: Vec<usize>, number: u64, of: u64) -> Self {
-        Mind::new(Decider::Direct(primaries), number, of, 60.0)
+        InstanceDriver::new(Decider::Direct(primaries), number, of, 60.0)
     }
 
     fn new(decider: Decider, number: u64, of: u64, dial_limit: f64) -> Self {
-        Mind {
+        InstanceDriver {
             decider,
             conns: BTreeMap::new(),
             idle: BTreeMap::new(),
@@ -127,17 +127,17 @@
     }
 
     /// Its dials keep this pace.
-    pub fn paced(mut self, dials: DialPacer) -> Self {
+    pub fn with_dial_pacing(mut self, dials: DialPacer) -> Self {
         self.dials = Some(dials);
         self
     }
 
     /// It takes the place of another: names of connections are used once in the world's life.
-    pub(crate) fn goes_on_from(&mut self, former: &Mind) {
+    pub(crate) fn goes_on_from(&mut self, former: &InstanceDriver) {
         self.conns_made = former.conns_made;
     }
 
-    pub fn acts(&mut self) -> Vec<Act> {
+    pub fn acts(&mut self) -> Vec<DriverAction> {
         std::mem::take(&mut self.acts)
     }
 
@@ -159,7 +159,7 @@
         self.decide(now);
     }
 
-    pub fn statement_arrived(&mut self, now: f64, wanted: Wanted) {
+    pub fn statement_arrived(&mut self, now: f64, wanted: ClientRequest) {
         let statement_id = self.next;
         self.next += 1;
         let open = Open { wanted: wanted.clone(), answered: false, hosts: Vec::new() };
@@ -206,7 +206,7 @@
         if let Some(dials) = &mut self.dials {
             dials.dial_started(now, host);
         }
-        self.acts.push(Act::Dial { conn, host, until: self.dial_limit });
+        self.acts.push(DriverAction::Dial { conn, host, until: self.dial_limit });
     }
 
     /// Begins what dials the jobs of a host need and may have now.
@@ -295,7 +295,7 @@
         self.conns_made += self.stride;
         let conn = self.conns_made;
         self.conns.insert(conn, Conn { host, doing: Doing::Rising(job) });
-        self.acts.push(Act::Dial { conn, host, until: self.dial_limit });
+        self.acts.push(DriverAction::Dial { conn, host, until: self.dial_limit });
     }
 
     fn say(&mut self, conn: u64, job: Job) {
@@ -303,7 +303,7 @@
             None => Input::Report,
             Some((statement_id, _)) => {
                 let wanted = &self.open[&statement_id].wanted;
-                Input::Statement(Ask {
+                Input::Statement(StatementRequest {
                     id: format!("{}-{statement_id}", conn % self.stride),
                     workload: wanted.workload,
                     wait: wanted.wait,
@@ -313,7 +313,7 @@
             }
         };
         self.conns.get_mut(&conn).expect("its own").doing = Doing::Busy(job);
-        self.acts.push(Act::Say { conn, input, until: job.until });
+        self.acts.push(DriverAction::Say { conn, input, until: job.until });
     }
 
     /// The host admits it.
@@ -396,7 +396,7 @@
         if verdict == OutcomeClass::UnusableAnswer {
             let host = c.host;
             self.conns.remove(&conn);
-            self.acts.push(Act::Leave(conn));
+            self.acts.push(DriverAction::Leave(conn));
             self.told(now, host, job, verdict, note);
         } else {
             let host = c.host;
@@ -424,13 +424,13 @@
         let Some(open) = self.open.get_mut(&statement_id) else { return };
         if verdict == OutcomeClass::Completed && !open.answered {
             open.answered = true;
-            self.acts.push(Act::Answer { key: open.wanted.key, answer: Final::Completed });
+            self.acts.push(DriverAction::Answer { key: open.wanted.key, answer: FinalAnswer::Completed });
         }
         let over = open.answered;
         self.ending.insert(statement_id);
         match &mut self.decider {
             Decider::Module(policy) => policy.ended(now, statement_id, execution, verdict, over, note),
-            Decider::Direct(_) => self.give(statement_id, Final::Aborted),
+            Decider::Direct(_) => self.give(statement_id, FinalAnswer::Aborted),
         }
     }
 
@@ -446,14 +446,14 @@
             // The alarm of a job that was answered long ago.
             _ => return,
         };
-        self.acts.push(Act::Leave(conn));
+        self.acts.push(DriverAction::Leave(conn));
         self.lost(now, conn, rising, busy);
     }
 
-    fn give(&mut self, statement_id: u64, answer: Final) {
+    fn give(&mut self, statement_id: u64, answer: FinalAnswer) {
         if let Some(open) = self.open.get_mut(&statement_id).filter(|open| !open.answered) {
             open.answered = true;
-            self.acts.push(Act::Answer { key: open.wanted.key, answer });
+            self.acts.push(DriverAction::Answer { key: open.wanted.key, answer });
         }
         self.ending.insert(statement_id);
     }
@@ -470,9 +470,9 @@
                     self.send(now, host, statement_id, now + timeout)
                 }
                 Decision::Reject { statement_id, retry_after, .. } => {
-                    self.give(statement_id, Final::Rejected(retry_after))
+                    self.give(statement_id, FinalAnswer::Rejected(retry_after))
                 }
-                Decision::Abort { statement_id, .. } => self.give(statement_id, Final::Aborted),
+                Decision::Abort { statement_id, .. } => self.give(statement_id, FinalAnswer::Aborted),
                 Decision::Cancel { statement_id, execution } => self.recall(now, (statement_id, execution)),
                 Decision::Probe { host } => {
                     self.probes += 1;
@@ -509,7 +509,7 @@
             }
             return;
         };
-        self.acts.push(Act::Leave(conn));
+        self.acts.push(DriverAction::Leave(conn));
         let c = self.conns.remove(&conn).expect("found just now");
         let (job, verdict) = match c.doing {
             Doing::Rising(job) => (job, OutcomeClass::NotSent),
--- a/crates/sandstile-simulation/src/lib.rs
+++ b/crates/sandstile-simulation/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod workers;
 pub mod world;
 
-pub use instance_driver::{Final, Mind, Wanted};
+pub use instance_driver::{ClientRequest, FinalAnswer, InstanceDriver};
 pub use workers::{Tally, Workers};
 pub use world::World;
 
--- a/crates/sandstile-simulation/src/workers.rs
+++ b/crates/sandstile-simulation/src/workers.rs
@@ -1,15 +1,15 @@
 //! Clients in a closed loop, as in the paper's measurements: each asks, waits for its answer and asks again at once, of a
 //! database drawn anew each time. What was answered in the counted time goes into histograms.
-use crate::instance_driver::{Final, Wanted};
+use crate::instance_driver::{ClientRequest, FinalAnswer};
 use crate::world::Clients;
 use hdrhistogram::Histogram;
-use sandstile_fleet::random::Chance;
+use sandstile_fleet::random::Rng;
 use sandstile_timers::TimerHeap;
 use std::collections::BTreeMap;
 
 pub struct Tally {
     /// Microseconds from the first try of a statement to its last answer.
-    pub took: Histogram<u64>,
+    pub latency_us: Histogram<u64>,
     pub completed: u64,
     pub rejected: u64,
     pub aborted: u64,
@@ -23,11 +23,11 @@
     }
 
     pub fn mean_ms(&self) -> f64 {
-        self.took.mean() / 1e3
+        self.latency_us.mean() / 1e3
     }
 
-    pub fn at_ms(&self, quantile: f64) -> f64 {
-        self.took.value_at_quantile(quantile) as f64 / 1e3
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
+        self.latency_us.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
@@ -39,7 +39,7 @@
 }
 
 pub struct Workers {
-    chance: Chance,
+    rng: Rng,
     groups: usize,
     routers: usize,
     /// The share of statements that are of workload 1; the others are of workload 0.
@@ -72,11 +72,11 @@
         let mut ready = TimerHeap::default();
         // Not all in the same instant, which no real start is.
         (0..workers).for_each(|n| ready.push(now + n as f64 * 1e-3, (n, None)));
-        let took = Histogram::new_with_bounds(1, 600_000_000, 3).expect("usable bounds");
-        let tally = Tally { took, completed: 0, rejected: 0, aborted: 0, seconds };
-        let chance = Chance::new(seed, "workers");
+        let latency_us = Histogram::new_with_bounds(1, 600_000_000, 3).expect("usable bounds");
+        let tally = Tally { latency_us, completed: 0, rejected: 0, aborted: 0, seconds };
+        let rng = Rng::new(seed, "workers");
         let (out, next) = (BTreeMap::new(), 0);
-        Workers { chance, groups, routers, writes, wait, ready, earliest: now, out, next, from, tally }
+        Workers { rng, groups, routers, writes, wait, ready, earliest: now, out, next, from, tally }
     }
 }
 
@@ -93,21 +93,21 @@
 }
 
 impl Clients for Workers {
-    fn next(&self) -> f64 {
+    fn next_request_at(&self) -> f64 {
         self.earliest
     }
 
-    fn due(&mut self, now: f64) -> Vec<(usize, Wanted)> {
+    fn take_due_requests(&mut self, now: f64) -> Vec<(usize, ClientRequest)> {
         let mut asked = Vec::new();
         while let Some((_, (worker, again))) = self.ready.pop(now) {
             let out = again.unwrap_or_else(|| Out {
                 worker,
                 since: now,
-                workload: usize::from(self.chance.happens(self.writes)),
-                group: self.chance.below(self.groups),
+                workload: usize::from(self.rng.bernoulli(self.writes)),
+                group: self.rng.below(self.groups),
             });
             self.next += 1;
-            let wanted = Wanted {
+            let wanted = ClientRequest {
                 key: self.next,
                 workload: out.workload,
                 group: out.group,
@@ -121,24 +121,24 @@
         asked
     }
 
-    fn answered(&mut self, now: f64, key: u64, answer: Final) {
+    fn on_answer(&mut self, now: f64, key: u64, answer: FinalAnswer) {
         let Some(out) = self.out.remove(&key) else { return };
         let counted = now >= self.from;
         let worker = out.worker;
         let (at, again) = match answer {
-            Final::Completed => {
+            FinalAnswer::Completed => {
                 if counted {
                     self.tally.completed += 1;
-                    self.tally.took.saturating_record(((now - out.since) * 1e6) as u64);
+                    self.tally.latency_us.saturating_record(((now - out.since) * 1e6) as u64);
                 }
                 (now, None)
             }
-            Final::Aborted => {
+            FinalAnswer::Aborted => {
                 self.tally.aborted += u64::from(counted);
                 (now, None)
             }
             // It comes again when it is told to, and its time runs.
-            Final::Rejected(after) => {
+            FinalAnswer::Rejected(after) => {
                 self.tally.rejected += u64::from(counted);
                 (now + after.max(0.001), Some(out))
             }
--- a/crates/sandstile-simulation/src/world.rs
+++ b/crates/sandstile-simulation/src/world.rs
@@ -1,5 +1,5 @@
 //! The one clock: what happens next, in the model, at a router or at a client, and to whom it is told.
-use crate::instance_driver::{Act, Final, Mind, Wanted};
+use crate::instance_driver::{ClientRequest, DriverAction, FinalAnswer, InstanceDriver};
 use crate::EPOCH;
 use sandstile_fleet::event::{Event, Input, Output, Readiness as Listed};
 use sandstile_fleet::Fleet;
@@ -10,14 +10,14 @@
 /// Who asks. Times are those of the world's clock.
 pub trait Clients {
     /// When somebody wants to ask next; infinite where nobody does.
-    fn next(&self) -> f64;
+    fn next_request_at(&self) -> f64;
     /// What is asked at `now`, each with the router that it goes to.
-    fn due(&mut self, now: f64) -> Vec<(usize, Wanted)>;
-    fn answered(&mut self, now: f64, key: u64, answer: Final);
+    fn take_due_requests(&mut self, now: f64) -> Vec<(usize, ClientRequest)>;
+    fn on_answer(&mut self, now: f64, key: u64, answer: FinalAnswer);
 }
 
 /// Takes each event of the model with its time.
-pub type Watch = Box<dyn FnMut(f64, &Event)>;
+pub type EventObserver = Box<dyn FnMut(f64, &Event)>;
 
 enum Alarm {
     /// A connection's time is up.
@@ -28,7 +28,7 @@
 
 pub struct World {
     pub fleet: Fleet,
-    pub minds: Vec<Mind>,
+    pub instances: Vec<InstanceDriver>,
     alarms: TimerHeap<Alarm>,
     now: f64,
     /// Whose connection it is, and at which host.
@@ -48,17 +48,17 @@
     /// Routers that something has happened to: they may want to act, and to look at another time.
     touched: BTreeSet<usize>,
     /// Looks at all that happens inside the model.
-    pub watch: Option<Watch>,
+    pub observer: Option<EventObserver>,
 }
 
 impl World {
-    pub fn new(fleet: Fleet, minds: Vec<Mind>, list_late: f64) -> Self {
+    pub fn new(fleet: Fleet, instances: Vec<InstanceDriver>, list_late: f64) -> Self {
         let mut world = World {
             wakes: BTreeSet::new(),
-            wake_of: vec![None; minds.len()],
+            wake_of: vec![None; instances.len()],
             touched: BTreeSet::new(),
             fleet,
-            minds,
+            instances,
             alarms: TimerHeap::default(),
             now: EPOCH,
             owners: BTreeMap::new(),
@@ -67,10 +67,10 @@
             silent: BTreeSet::new(),
             away: BTreeSet::new(),
             list_late,
-            watch: None,
+            observer: None,
         };
         let list = world.list();
-        for router in 0..world.minds.len() {
+        for router in 0..world.instances.len() {
             world.mind(router).listed(EPOCH, &list);
             world.act(router);
         }
@@ -79,16 +79,16 @@
     }
 
     /// A router that something is about to happen to.
-    fn mind(&mut self, router: usize) -> &mut Mind {
+    fn mind(&mut self, router: usize) -> &mut InstanceDriver {
         self.touched.insert(router);
-        &mut self.minds[router]
+        &mut self.instances[router]
     }
 
     /// Sets the alarms of those that something has happened to. Times are positive, and bits of such floats sort as they do.
     fn wind(&mut self) {
         for router in std::mem::take(&mut self.touched) {
             let there = !self.away.contains(&router);
-            let wake = self.minds[router].wake().filter(|_| there).map(f64::to_bits);
+            let wake = self.instances[router].wake().filter(|_| there).map(f64::to_bits);
             if let Some(former) = std::mem::replace(&mut self.wake_of[router], wake) {
                 self.wakes.remove(&(former, router));
             }
@@ -136,10 +136,10 @@
     }
 
     /// Another process in its place, which knows the list and no more.
-    pub fn start(&mut self, router: usize, mind: Mind) {
+    pub fn start(&mut self, router: usize, mind: InstanceDriver) {
         self.away.remove(&router);
-        let former = std::mem::replace(&mut self.minds[router], mind);
-        self.minds[router].goes_on_from(&former);
+        let former = std::mem::replace(&mut self.instances[router], mind);
+        self.instances[router].goes_on_from(&former);
         let (now, list) = (self.now, self.list());
         self.mind(router).listed(now, &list);
         self.act(router);
@@ -147,13 +147,13 @@
     }
 
     /// Plays until this time of the world's clock.
-    pub fn play(&mut self, clients: &mut dyn Clients, until: f64) {
+    pub fn run_until(&mut self, clients: &mut dyn Clients, until: f64) {
         loop {
             let wake = self.wakes.first().map_or(f64::INFINITY, |(at, _)| f64::from_bits(*at));
             let model = self.fleet.next_wake().unwrap_or(f64::INFINITY);
             let alarm = self.alarms.earliest().unwrap_or(f64::INFINITY);
             // The decisions look no more often than behind sockets.
-            let at = wake.max(self.now + 0.001).min(model).min(alarm).min(clients.next());
+            let at = wake.max(self.now + 0.001).min(model).min(alarm).min(clients.next_request_at());
             if at > until {
                 self.now = until;
                 return;
@@ -170,13 +170,13 @@
                         }
                     }
                     Alarm::Told(list) => {
-                        (0..self.minds.len()).for_each(|router| self.mind(router).listed(now, &list));
+                        (0..self.instances.len()).for_each(|router| self.mind(router).listed(now, &list));
                     }
                 }
             }
-            for (router, wanted) in clients.due(now) {
+            for (router, wanted) in clients.take_due_requests(now) {
                 match self.away.contains(&router) {
-                    true => clients.answered(now, wanted.key, Final::Rejected(0.0)),
+                    true => clients.on_answer(now, wanted.key, FinalAnswer::Rejected(0.0)),
                     false => self.mind(router).statement_arrived(now, wanted),
                 }
             }
@@ -184,7 +184,7 @@
             let mut waking: BTreeSet<usize> = self.touched.clone();
             waking.extend(self.wakes.range(..=(now.to_bits(), usize::MAX)).map(|(_, router)| *router));
             for router in waking {
-                if !self.away.contains(&router) && self.minds[router].wake().is_some_and(|at| at <= now) {
+                if !self.away.contains(&router) && self.instances[router].wake().is_some_and(|at| at <= now) {
                     self.mind(router).woken(now);
                 }
             }
@@ -199,7 +199,7 @@
             let mut acted = false;
             for router in self.touched.clone() {
                 for (key, answer) in self.act(router) {
-                    clients.answered(self.now, key, answer);
+                    clients.on_answer(self.now, key, answer);
                     acted = true;
                 }
             }
@@ -210,16 +210,16 @@
     }
 
     /// Does what a router wants done; yields its final answers.
-    fn act(&mut self, router: usize) -> Vec<(u64, Final)> {
+    fn act(&mut self, router: usize) -> Vec<(u64, FinalAnswer)> {
         let (now, mut answers) = (self.now, Vec::new());
         loop {
-            let acts = self.minds[router].acts();
+            let acts = self.instances[router].acts();
             if acts.is_empty() || self.away.contains(&router) {
                 return answers;
             }
             for act in acts {
                 match act {
-                    Act::Dial { conn, host, until } => {
+                    DriverAction::Dial { conn, host, until } => {
                         if self.down.contains(&host) {
                             let refused = OutcomeClass::ConnectFailed;
                             self.mind(router).lost(now, conn, refused, refused);
@@ -232,15 +232,15 @@
                             self.fleet.input(now, conn, Input::Connect { host });
                         }
                     }
-                    Act::Say { conn, input, until } => {
+                    DriverAction::Say { conn, input, until } => {
                         self.alarms.push(until, Alarm::Conn { router, conn });
                         self.fleet.input(now, conn, input);
                     }
-                    Act::Leave(conn) => {
+                    DriverAction::Leave(conn) => {
                         self.fleet.input(now, conn, Input::Closed);
                         self.forget(conn);
                     }
-                    Act::Answer { key, answer } => answers.push((key, answer)),
+                    DriverAction::Answer { key, answer } => answers.push((key, answer)),
                 }
             }
         }
@@ -257,9 +257,9 @@
     /// Tells the routers what came out of the model; `false` where nothing did.
     fn heard(&mut self, clients: &mut dyn Clients) -> bool {
         let mut any = false;
-        while let Some((at, event)) = self.fleet.observed() {
-            if let Some(watch) = &mut self.watch {
-                watch(at, &event);
+        while let Some((at, event)) = self.fleet.next_event() {
+            if let Some(observer) = &mut self.observer {
+                observer(at, &event);
             }
         }
         while let Some((_, output)) = self.fleet.output() {
@@ -308,7 +308,7 @@
             }
             for router in self.touched.clone() {
                 for (key, answer) in self.act(router) {
-                    clients.answered(self.now, key, answer);
+                    clients.on_answer(self.now, key, answer);
                 }
             }
         }
--- a/crates/sandstile-simulation/tests/world.rs
+++ b/crates/sandstile-simulation/tests/world.rs
@@ -1,10 +1,10 @@
 //! The deployment in virtual time against what can be reckoned, and against what must never happen.
 use sandstile_fleet::event::Event;
 use sandstile_fleet::plan::*;
-use sandstile_fleet::{Fault, Fleet, Kind, Target};
+use sandstile_fleet::{Fault, FaultKind, Fleet, Target};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::{self, DedupScope, Terms};
-use sandstile_simulation::{Mind, Workers, World, EPOCH};
+use sandstile_simulation::{InstanceDriver, Workers, World, EPOCH};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
         cores: vec![1.0; cores],
         queue: 100_000,
         connections: 100_000,
-        idle_s: 3600.0,
+        idle_timeout_s: 3600.0,
         setup_work: 0.0,
         ..MachineKind::standard(name)
     };
@@ -25,19 +25,19 @@
         .map(|g| Group {
             name: format!("db{g}"),
             nodes: std::iter::once(0).chain((satellites > 0).then(|| 1 + g % satellites.max(1))).collect(),
-            ship_s: 0.001,
+            replication_delay_s: 0.001,
             apply: Work::Fixed(0.0005),
             detect_s: 1.0,
             elect_s: 0.5,
             hold_s: 0.0,
-            dedup_s: 0.0,
+            dedup_window_s: 0.0,
         })
         .collect();
     let workload = |name: &str, consistency, effect, work| Workload {
         name: name.to_string(),
         effect,
         consistency,
-        bound_s: 0.0,
+        max_age_s: 0.0,
         work,
         value_bytes: 100,
     };
@@ -51,7 +51,7 @@
             workload("write", Consistency::Write, Effect::NonIdempotent, Work::Exponential(0.004)),
         ],
         tokens: Tokens::Remembered,
-        guarded: true,
+        hosts_check_reads: true,
     }
 }
 
@@ -91,16 +91,21 @@
     let seed = plan.seed;
     let fleet = Fleet::new(plan, EPOCH);
     let groups = fleet.plan().groups.len();
-    let minds = (0..routers)
+    let instances = (0..routers)
         .map(|n| match direct {
             true => {
                 let primaries = (0..groups).map(|g| fleet.primary_of(g).expect("a primary")).collect();
-                Mind::direct(primaries, n, routers)
+                InstanceDriver::direct(primaries, n, routers)
             }
-            false => Mind::module(Instance::new(&terms(routers as usize), seed + n, EPOCH), n, routers, 1.0),
+            false => InstanceDriver::with_policy(
+                Instance::new(&terms(routers as usize), seed + n, EPOCH),
+                n,
+                routers,
+                1.0,
+            ),
         })
         .collect();
-    World::new(fleet, minds, 0.5)
+    World::new(fleet, instances, 0.5)
 }
 
 fn workers(count: usize, groups: usize, routers: usize) -> Workers {
@@ -112,7 +117,7 @@
 fn a_master_alone_saturates_where_its_cores_do() {
     let mut world = world(plan(100, 0, 2, 1), 1, true);
     let mut workers = workers(300, 100, 1);
-    world.play(&mut workers, EPOCH + 40.0);
+    world.run_until(&mut workers, EPOCH + 40.0);
     let (rate, mean) = (workers.tally.rate(), workers.tally.mean_ms() / 1e3);
     let expected = 2.0 / (0.8 * 0.008 + 0.2 * 0.004);
     assert!((rate / expected - 1.0).abs() < 0.03, "{rate} of {expected} a second");
@@ -125,12 +130,12 @@
 fn satellites_take_the_reads() {
     let mut alone = world(plan(100, 0, 2, 1), 1, false);
     let mut few = workers(300, 100, 1);
-    alone.play(&mut few, EPOCH + 40.0);
+    alone.run_until(&mut few, EPOCH + 40.0);
     let mut farm = world(plan(100, 10, 2, 1), 1, false);
     let mut many = workers(300, 100, 1);
-    farm.play(&mut many, EPOCH + 40.0);
+    farm.run_until(&mut many, EPOCH + 40.0);
     assert!(many.tally.rate() > 3.0 * few.tally.rate(), "{} {}", many.tally.rate(), few.tally.rate());
-    assert!(many.tally.at_ms(0.9) < few.tally.at_ms(0.9));
+    assert!(many.tally.quantile_ms(0.9) < few.tally.quantile_ms(0.9));
 }
 
 /// Many small databases whose work is far shorter than their SLO time: one slow answer of a database seldom met does not
@@ -143,10 +148,10 @@
     plan.workloads[1].work = Work::Exponential(0.001_33);
     let mut farm = world(plan, 1, false);
     let mut clients = Workers::new(1, 200, 100, 1, 0.2, 20.0, EPOCH, EPOCH + 10.0, 20.0);
-    farm.play(&mut clients, EPOCH + 30.0);
+    farm.run_until(&mut clients, EPOCH + 30.0);
     let t = &clients.tally;
-    println!("{} a second, most {} ms, {} rejected", t.rate(), t.at_ms(1.0), t.rejected);
-    assert!(t.rate() > 2_500.0 && t.rejected == 0 && t.at_ms(1.0) < 5_000.0);
+    println!("{} a second, most {} ms, {} rejected", t.rate(), t.quantile_ms(1.0), t.rejected);
+    assert!(t.rate() > 2_500.0 && t.rejected == 0 && t.quantile_ms(1.0) < 5_000.0);
 }
 
 /// The same seed plays the same hour.
@@ -155,9 +160,9 @@
     let play = || {
         let mut world = world(plan(20, 4, 1, 9), 3, false);
         let mut workers = workers(60, 20, 3);
-        world.play(&mut workers, EPOCH + 20.0);
-        let sent: Vec<u64> = world.minds.iter().map(|m| m.sent).collect();
-        (workers.tally.completed, workers.tally.took.value_at_quantile(0.99), sent)
+        world.run_until(&mut workers, EPOCH + 20.0);
+        let sent: Vec<u64> = world.instances.iter().map(|m| m.sent).collect();
+        (workers.tally.completed, workers.tally.latency_us.value_at_quantile(0.99), sent)
     };
     assert_eq!(play(), play());
 }
@@ -171,7 +176,7 @@
         let mut world = world(plan(12, 4, 2, seed), 2, false);
         let ran: Rc<RefCell<BTreeMap<String, usize>>> = Rc::default();
         let seen = ran.clone();
-        world.watch = Some(Box::new(move |_, event| {
+        world.observer = Some(Box::new(move |_, event| {
             if let Event::Ran { id, commit: Some(_), .. } = event {
                 *seen.borrow_mut().entry(id.clone()).or_default() += 1;
             }
@@ -180,13 +185,15 @@
         let mut at = EPOCH;
         for n in 0..12 {
             at += 1.0;
-            world.play(&mut workers, at);
+            world.run_until(&mut workers, at);
             let host = (seed as usize * 5 + n * 3) % world.fleet.hosts();
-            let kind = [Kind::Crash, Kind::Pause, Kind::Lost, Kind::FastErrors(0.5)][n % 4].clone();
+            let kind = [FaultKind::Crash, FaultKind::Pause, FaultKind::Lost, FaultKind::FastErrors(0.5)]
+                [n % 4]
+                .clone();
             let target = Target::Host(world.fleet.listing(host).name);
-            world.fleet.begin(at, Fault { kind, target, lasts: 0.8 });
+            world.fleet.start_fault(at, Fault { kind, target, lasts: 0.8 });
         }
-        world.play(&mut workers, EPOCH + 20.0);
+        world.run_until(&mut workers, EPOCH + 20.0);
         let t = &workers.tally;
         hurt += t.aborted + t.rejected;
         assert!(t.completed > 2_000, "{} {} {}", t.completed, t.rejected, t.aborted);
