--- a/crates/sandstile-emulator/src/run.rs
+++ b/crates/sandstile-emulator/src/run.rs
@@ -8,15 +8,15 @@
 use hdrhistogram::Histogram;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use sandstile_faults::fault_state::Where;
-use sandstile_faults::process::Whom;
-use sandstile_faults::{Blow, End, Strike};
+use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::process::ProcessSelector;
+use sandstile_faults::{Endpoint, LinkFault, ProcessFault};
 use sandstile_fleet::plan::Consistency;
 use sandstile_fleet::{Answer, Event, Fault, FaultKind, Fleet, Input, Output, Readiness};
 use sandstile_pgwire as pg;
 use sandstile_relay::Relay;
-use sandstile_scenario::script::{Act, AgentFault};
-use sandstile_scenario::{Director, Happening, Script};
+use sandstile_scenario::script::{AgentFault, CueAction};
+use sandstile_scenario::{CueScheduler, ScenarioEvent, Script};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind, Read, Write};
@@ -82,7 +82,7 @@
     /// Routers are to hear that their agents answer at these addresses, one for each router.
     AgentsMoved(Vec<SocketAddr>),
     /// Router processes are to be struck.
-    Process { name: String, whom: Whom, blow: Blow, spread: f64 },
+    Process { name: String, selector: ProcessSelector, process_fault: ProcessFault, spread: f64 },
     /// A cue found nothing that it could strike.
     NoTarget(String),
 }
@@ -200,7 +200,7 @@
     next_token: usize,
     fleet: Fleet,
     workloads: Vec<String>,
-    director: Option<Director>,
+    cue_scheduler: Option<CueScheduler>,
     hosts: Vec<HostPlace>,
     conns: BTreeMap<usize, Conn>,
     board: Board,
@@ -282,7 +282,7 @@
             places: BTreeMap::from([(0, Place::Wake)]),
             next_token: 1,
             fleet,
-            director: None,
+            cue_scheduler: None,
             hosts: Vec::new(),
             conns: BTreeMap::new(),
             board: Board::default(),
@@ -302,7 +302,7 @@
             late_us: Histogram::new_with_bounds(1, 60_000_000, 3).expect("usable bounds"),
             max_connections: 0,
         };
-        if script.cues.iter().any(|c| matches!(c.act, Act::Link { .. })) {
+        if script.cues.iter().any(|c| matches!(c.action, CueAction::Link { .. })) {
             emulator.relay = Some(Relay::start(script.plan.seed)?);
         }
         let now = emulator.clock.now();
@@ -316,8 +316,8 @@
         emulator.place_agents()?;
         if let Some(relay) = emulator.relay.as_ref().filter(|_| script.routers.members) {
             let spot = |n: usize| {
-                let (at, found_at) = members_address(net.0, n, true);
-                sandstile_relay::Spot { end: End::Router(n), found_at, at }
+                let (address, relay_address) = members_address(net.0, n, true);
+                sandstile_relay::HubMember { endpoint: Endpoint::Router(n), relay_address, address }
             };
             relay.hub((0..script.routers.count).map(spot).collect())?;
         }
@@ -326,7 +326,7 @@
             for (by, number) in all.clone().flat_map(|by| all.clone().map(move |n| (by, n))) {
                 if by != number {
                     let (at, found_at) = exchange_address(net.0, number, by, true);
-                    relay.stream(End::Router(by), End::Router(number), found_at, at)?;
+                    relay.stream(Endpoint::Router(by), Endpoint::Router(number), found_at, at)?;
                 }
             }
         }
@@ -360,12 +360,12 @@
         self.listen(host)?;
         let Some(relay) = &self.relay else { return Ok(()) };
         let l = self.fleet.listing(host);
-        let end = End::Host { name: l.name.clone(), group: l.group, zone: l.zone };
+        let end = Endpoint::Host { name: l.name.clone(), group: l.group, zone: l.zone };
         for router in 0..self.script.routers.count {
-            if self.script.relayed(&End::Router(router), &end) {
+            if self.script.needs_relay(&Endpoint::Router(router), &end) {
                 let mut listen = address;
                 listen.set_port(RELAYS + router as u16);
-                relay.stream(End::Router(router), end.clone(), listen, address)?;
+                relay.stream(Endpoint::Router(router), end.clone(), listen, address)?;
                 self.over.insert((router, l.name.clone()), listen);
             }
         }
@@ -376,10 +376,10 @@
     fn door(&self, router: usize) -> io::Result<SocketAddr> {
         let address = router_address(self.net.0, router);
         match &self.relay {
-            Some(relay) if self.script.relayed(&End::Clients, &End::Router(router)) => {
+            Some(relay) if self.script.needs_relay(&Endpoint::Clients, &Endpoint::Router(router)) => {
                 let mut listen = address;
                 listen.set_port(RELAYS);
-                relay.stream(End::Clients, End::Router(router), listen, address)?;
+                relay.stream(Endpoint::Clients, Endpoint::Router(router), listen, address)?;
                 Ok(listen)
             }
             _ => Ok(address),
@@ -416,9 +416,9 @@
             self.poll.registry().register(&mut listener, Token(token), Interest::READABLE)?;
             let mut told = address;
             if let Some(relay) = &self.relay {
-                if self.script.relayed(&End::Router(router), &End::Agent(router)) {
+                if self.script.needs_relay(&Endpoint::Router(router), &Endpoint::Agent(router)) {
                     told.set_port(RELAYS);
-                    relay.stream(End::Router(router), End::Agent(router), told, address)?;
+                    relay.stream(Endpoint::Router(router), Endpoint::Agent(router), told, address)?;
                 }
             }
             self.agents.push((told, token, listener));
@@ -463,7 +463,7 @@
         loop {
             while let Ok(command) = commands.try_recv() {
                 match command {
-                    Command::Begin(at) => self.director = Some(Director::new(&self.script.cues, at)),
+                    Command::Begin(at) => self.cue_scheduler = Some(CueScheduler::new(&self.script.cues, at)),
                     Command::Stop => return self.summary(),
                 }
             }
@@ -488,7 +488,8 @@
     }
 
     fn summary(&mut self) -> io::Result<Summary> {
-        let missed = self.director.iter().flat_map(|d| d.missed()).map(|c| c.name.clone()).collect();
+        let missed =
+            self.cue_scheduler.iter().flat_map(|d| d.missed_cues()).map(|c| c.name.clone()).collect();
         let relay = self.relay.take().map(Relay::stop).transpose()?;
         Ok(Summary { late_us: self.late_us.clone(), missed, max_connections: self.max_connections, relay })
     }
@@ -498,8 +499,8 @@
         let ends = self.ends.iter().map(|(at, _)| *at).reduce(f64::min);
         let lines = self.lines.values().map(|l| l.ends.min(l.next_line.max(silent))).reduce(f64::min);
         let board = self.board.next().map(|at| at.max(silent));
-        let director = self.director.as_ref().and_then(Director::next);
-        [self.fleet.next_wake(), ends, lines, board, director].into_iter().flatten().reduce(f64::min)
+        let cue_scheduler = self.cue_scheduler.as_ref().and_then(CueScheduler::next_due);
+        [self.fleet.next_wake(), ends, lines, board, cue_scheduler].into_iter().flatten().reduce(f64::min)
     }
 
     /// All that is due: the model, the cues, the agents.
@@ -526,16 +527,19 @@
             }
             while let Some(at) = self.ends.iter().position(|(at, _)| *at <= now) {
                 let (_, cue) = self.ends.swap_remove(at);
-                let link =
-                    self.director.as_ref().map(|d| d.cue(cue)).filter(|c| matches!(c.act, Act::Link { .. }));
+                let link = self
+                    .cue_scheduler
+                    .as_ref()
+                    .map(|d| d.cue(cue))
+                    .filter(|c| matches!(c.action, CueAction::Link { .. }));
                 if let (Some(relay), Some(name)) = (&self.relay, link.map(|c| c.name.clone())) {
                     relay.heal(cue);
                     self.record(now, EmulatorEvent::LinkEnds { name });
                 }
-                self.happened(now, &Happening::Ended { cue });
+                self.record_event(now, &ScenarioEvent::CueEnded { cue });
                 moved = true;
             }
-            while let Some(cue) = self.director.as_mut().and_then(|d| d.due(now)) {
+            while let Some(cue) = self.cue_scheduler.as_mut().and_then(|d| d.take_due(now)) {
                 self.carry_out(now, cue)?;
                 moved = true;
             }
@@ -553,29 +557,29 @@
         }
     }
 
-    fn happened(&mut self, now: f64, what: &Happening) {
-        if let Some(director) = &mut self.director {
-            director.happened(now, what);
+    fn record_event(&mut self, now: f64, what: &ScenarioEvent) {
+        if let Some(cue_scheduler) = &mut self.cue_scheduler {
+            cue_scheduler.record_event(now, what);
         }
     }
 
     fn watch(&mut self, now: f64, event: &Event) {
         let index = |name: &String| self.workloads.iter().position(|w| w == name).unwrap_or(0);
         let what = match event {
-            Event::Taken { workload, .. } => Happening::Begun { workload: index(workload) },
-            Event::Ran { workload, .. } => Happening::Ran { workload: index(workload) },
-            Event::Primary { group, .. } => Happening::Primary { group: group.clone() },
+            Event::Taken { workload, .. } => ScenarioEvent::Received { workload: index(workload) },
+            Event::Ran { workload, .. } => ScenarioEvent::Executed { workload: index(workload) },
+            Event::Primary { group, .. } => ScenarioEvent::PrimaryElected { group: group.clone() },
             _ => return,
         };
-        self.happened(now, &what);
+        self.record_event(now, &what);
     }
 
     fn carry_out(&mut self, now: f64, cue: usize) -> io::Result<()> {
-        let Some(director) = &self.director else { return Ok(()) };
-        let (name, act) = (director.cue(cue).name.clone(), director.act(cue).clone());
+        let Some(cue_scheduler) = &self.cue_scheduler else { return Ok(()) };
+        let (name, action) = (cue_scheduler.cue(cue).name.clone(), cue_scheduler.action(cue).clone());
         let mut on = Vec::new();
-        let lasts = match act {
-            Act::Fault { kind, target, lasts } => {
+        let duration_s = match action {
+            CueAction::Fault { kind, target, duration_s } => {
                 let drains = matches!(kind, FaultKind::Drain | FaultKind::Replace);
                 // Whatever the list says of it from now on is owed to this cue, before it is said.
                 let hosts = self.fleet.targets(&target);
@@ -583,21 +587,21 @@
                 if drains {
                     self.owed.extend(on.iter().map(|host| (host.clone(), cue)));
                 }
-                self.fleet.start_fault(now, Fault { kind, target, lasts });
+                self.fleet.start_fault(now, Fault { kind, target, duration_s });
                 if on.is_empty() {
                     let _ = self.notes.send(Notification::NoTarget(name.clone()));
                 }
-                lasts
+                duration_s
             }
-            Act::Agent { kind: AgentFault::Silent, lasts } => {
-                self.silent_until = now + lasts;
-                lasts
+            CueAction::Agent { kind: AgentFault::Silent, duration_s } => {
+                self.silent_until = now + duration_s;
+                duration_s
             }
-            Act::Agent { kind: AgentFault::Delay(s), lasts } => {
-                (self.delay, self.delay_until) = (s, now + lasts);
-                lasts
+            CueAction::Agent { kind: AgentFault::Delay(s), duration_s } => {
+                (self.delay, self.delay_until) = (s, now + duration_s);
+                duration_s
             }
-            Act::Agent { kind: AgentFault::Move, .. } => {
+            CueAction::Agent { kind: AgentFault::Move, .. } => {
                 self.moves += 1;
                 self.place_agents()?;
                 self.lines.values_mut().for_each(|l| l.ends = l.ends.min(now + MOVED));
@@ -605,62 +609,69 @@
                 let _ = self.notes.send(Notification::AgentsMoved(addresses));
                 f64::INFINITY
             }
-            Act::Link { at, strike, lasts } => {
+            CueAction::Link { scope, link_fault, duration_s } => {
                 if let Some(relay) = &self.relay {
-                    relay.begin(cue, at.clone(), strike);
+                    relay.begin(cue, scope.clone(), link_fault);
                 }
-                let on = self.touched(&at);
-                let severs = self.severed(&at, strike);
+                let on = self.touched(&scope);
+                let severs = self.severed(&scope, link_fault);
                 self.record(now, EmulatorEvent::LinkBegins { name: name.clone(), on, severs });
-                lasts
+                duration_s
             }
-            Act::Process { whom, blow, spread } => {
-                let _ = self.notes.send(Notification::Process { name: name.clone(), whom, blow, spread });
+            CueAction::Process { selector, process_fault, spread } => {
+                let _ = self.notes.send(Notification::Process {
+                    name: name.clone(),
+                    selector,
+                    process_fault,
+                    spread,
+                });
                 spread
-                    + match blow {
-                        Blow::Restart { back, .. } => back,
-                        Blow::Stop { lasts } | Blow::Slow { lasts, .. } => lasts,
-                        Blow::Copy => 0.0,
+                    + match process_fault {
+                        ProcessFault::Restart { back, .. } => back,
+                        ProcessFault::Stop { duration_s } | ProcessFault::Slow { duration_s, .. } => {
+                            duration_s
+                        }
+                        ProcessFault::SaveState => 0.0,
                     }
             }
         };
         self.record(now, EmulatorEvent::Cue { name, on });
-        self.happened(now, &Happening::Began { cue });
-        if lasts.is_finite() {
-            self.ends.push((now + lasts, cue));
+        self.record_event(now, &ScenarioEvent::CueBegan { cue });
+        if duration_s.is_finite() {
+            self.ends.push((now + duration_s, cue));
         }
         Ok(())
     }
 
     /// From which router to which nothing gets through any more.
-    fn severed(&self, at: &Where, strike: Strike) -> Vec<(usize, usize)> {
-        if !matches!(strike, Strike::Cut | Strike::Reset) {
+    fn severed(&self, at: &FaultScope, link_fault: LinkFault) -> Vec<(usize, usize)> {
+        if !matches!(link_fault, LinkFault::Cut | LinkFault::Reset) {
             return Vec::new();
         }
         let all = 0..self.script.routers.count;
         let pairs = all.clone().flat_map(|a| all.clone().map(move |b| (a, b)));
-        pairs.filter(|(a, b)| a != b && at.touches(&End::Router(*a), &End::Router(*b))).collect()
+        pairs.filter(|(a, b)| a != b && at.affects(&Endpoint::Router(*a), &Endpoint::Router(*b))).collect()
     }
 
     /// Which kinds of ends a strike on links touches, for whoever judges the run.
-    fn touched(&self, at: &Where) -> Vec<&'static str> {
-        let routers = || (0..self.script.routers.count).map(End::Router);
+    fn touched(&self, at: &FaultScope) -> Vec<&'static str> {
+        let routers = || (0..self.script.routers.count).map(Endpoint::Router);
         let hosts = (0..self.fleet.hosts()).map(|h| self.fleet.listing(h));
-        let hosts: Vec<End> =
-            hosts.map(|l| End::Host { name: l.name, group: l.group, zone: l.zone }).collect();
-        let any = |of: &dyn Fn(usize) -> Vec<End>| {
+        let hosts: Vec<Endpoint> =
+            hosts.map(|l| Endpoint::Host { name: l.name, group: l.group, zone: l.zone }).collect();
+        let any = |of: &dyn Fn(usize) -> Vec<Endpoint>| {
             routers()
                 .enumerate()
-                .any(|(n, r)| of(n).iter().any(|end| r.talks_to(end) && at.concerns(&r, end)))
+                .any(|(n, r)| of(n).iter().any(|end| r.talks_to(end) && at.affects_either_way(&r, end)))
         };
         let mut on = Vec::new();
-        if any(&|_| vec![End::Clients]) {
+        if any(&|_| vec![Endpoint::Clients]) {
             on.push("clients");
         }
         if any(&|_| hosts.clone()) {
             on.push("hosts");
         }
-        if any(&|n| vec![End::Agent(n)]) {
+        if any(&|n| vec![Endpoint::Agent(n)]) {
             on.push("agents");
         }
         if any(&|_| routers().collect()) {
@@ -747,14 +758,15 @@
         };
         let mut bytes = Vec::new();
         protocol::say(answer, &name, &mut bytes);
-        let halves = workload.filter(|w| self.director.as_ref().is_some_and(|d| d.looks_for_halves(*w)));
+        let halves =
+            workload.filter(|w| self.cue_scheduler.as_ref().is_some_and(|d| d.awaits_partial_answer(*w)));
         if let Some(workload) = halves {
             // The description and part of the row.
             let half = bytes.len() / 3;
             self.put(token, |out| out.extend_from_slice(&bytes[..half]));
             let now = self.clock.now();
-            self.happened(now, &Happening::HalfSaid { workload });
-            while let Some(cue) = self.director.as_mut().and_then(|d| d.due(now)) {
+            self.record_event(now, &ScenarioEvent::PartlyAnswered { workload });
+            while let Some(cue) = self.cue_scheduler.as_mut().and_then(|d| d.take_due(now)) {
                 self.carry_out(now, cue)?;
             }
             bytes.drain(..half);
@@ -795,7 +807,8 @@
     /// The other side has gone.
     fn lose(&mut self, token: usize) {
         let now = self.clock.now();
-        if let Some(c) = self.conns.get(&token).filter(|c| self.script.planted && c.workload.is_some()) {
+        if let Some(c) = self.conns.get(&token).filter(|c| self.script.planted_defect && c.workload.is_some())
+        {
             self.denying.insert(c.host);
         }
         self.fleet.input(now, token as u64, Input::Closed);
@@ -865,7 +878,7 @@
     fn receive(&mut self, token: usize) -> io::Result<()> {
         let mut bytes = [0; 4096];
         loop {
-            let pieces = self.director.as_ref().is_some_and(Director::looks_for_parts);
+            let pieces = self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement);
             let Some(c) = self.conns.get_mut(&token).filter(|c| !c.mute) else { return Ok(()) };
             let piece = if pieces { PIECE } else { bytes.len() };
             match c.stream.read(&mut bytes[..piece]) {
@@ -902,7 +915,9 @@
     /// A statement has come in part: cues may wait for just that.
     fn part(&mut self, token: usize) -> io::Result<()> {
         let Some(c) = self.conns.get_mut(&token).filter(|c| !c.part_told) else { return Ok(()) };
-        if c.ear.buffered_bytes() == 0 || !self.director.as_ref().is_some_and(Director::looks_for_parts) {
+        if c.ear.buffered_bytes() == 0
+            || !self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement)
+        {
             return Ok(());
         }
         let Some(workload) = protocol::workload_of_part(c.ear.incomplete_message(), &self.workloads) else {
@@ -912,7 +927,7 @@
         let (now, host) = (self.clock.now(), c.host);
         let (host, name) = (self.fleet.listing(host).name, self.workloads[workload].clone());
         self.record(now, EmulatorEvent::Part { host, workload: name });
-        self.happened(now, &Happening::Arriving { workload });
+        self.record_event(now, &ScenarioEvent::PartlyReceived { workload });
         self.settle()
     }
 
@@ -1027,7 +1042,7 @@
             self.record(now, EmulatorEvent::Told { router, host, readiness, primary });
             let owed = self.owed.get(&entry.name).copied().filter(|_| entry.readiness == Readiness::Leaving);
             if let Some(cue) = owed {
-                self.happened(now, &Happening::Announced { cue });
+                self.record_event(now, &ScenarioEvent::CueAnnounced { cue });
             }
         }
     }
--- a/crates/sandstile-experiment/src/plan.rs
+++ b/crates/sandstile-experiment/src/plan.rs
@@ -1,7 +1,7 @@
 //! What is compared with what, how often, and in which order.
 use sandstile_fleet::random::Rng;
 use sandstile_hcl::{Problem, Section, Source};
-use sandstile_scenario::script::Remembering;
+use sandstile_scenario::script::SessionTracking;
 use sandstile_scenario::Script;
 use sandstile_stats::Plan;
 
@@ -15,7 +15,7 @@
     pub return_s: Option<f64>,
     pub retries: Option<usize>,
     pub routers: Option<usize>,
-    pub sessions: Option<Remembering>,
+    pub sessions: Option<SessionTracking>,
     /// How routers come back, in the words of our own file.
     pub pace: Option<String>,
     pub limits: Option<bool>,
@@ -31,8 +31,8 @@
     pub fn of(&self, script: &Script, seed: u64) -> Script {
         let mut script = script.clone();
         script.plan.seed = seed;
-        script.allowed.executions = self.executions.unwrap_or(script.allowed.executions);
-        script.allowed.return_s = self.return_s.unwrap_or(script.allowed.return_s);
+        script.allowed.max_executions = self.executions.unwrap_or(script.allowed.max_executions);
+        script.allowed.max_retry_after_s = self.return_s.unwrap_or(script.allowed.max_retry_after_s);
         script.clients.retries = self.retries.unwrap_or(script.clients.retries);
         script.routers.count = self.routers.unwrap_or(script.routers.count);
         script.sessions = self.sessions.unwrap_or(script.sessions);
@@ -99,15 +99,15 @@
     let mut arms = Vec::new();
     for s in file.blocks("arm", true) {
         let count = |key: &str, most: f64| s.has(key).then(|| s.count(key, 0.0..most, 0));
-        let off = Remembering::OFF;
+        let off = SessionTracking::OFF;
         let words = [
             ("off", off),
-            ("tokens", Remembering { tokens: true, ..off }),
-            ("journal", Remembering { journal: true, ..off }),
-            ("both", Remembering { tokens: true, journal: true, ..off }),
-            ("exchange", Remembering { exchange: true, ..off }),
-            ("state", Remembering { exchange: true, state: true, ..off }),
-            ("together", Remembering { exchange: true, state: true, together: true, ..off }),
+            ("tokens", SessionTracking { tokens: true, ..off }),
+            ("journal", SessionTracking { journal: true, ..off }),
+            ("both", SessionTracking { tokens: true, journal: true, ..off }),
+            ("exchange", SessionTracking { exchange: true, ..off }),
+            ("state", SessionTracking { exchange: true, state: true, ..off }),
+            ("together", SessionTracking { exchange: true, state: true, share_probes: true, ..off }),
         ];
         arms.push(Arm {
             name: s.name.clone(),
--- a/crates/sandstile-faults/src/draw.rs
+++ b/crates/sandstile-faults/src/draw.rs
@@ -1,34 +1,34 @@
 //! Schedules drawn by seed: what a hunt plays. A drawn fault is written in the form of our scripts, so that what was
 //! found is a script like any other.
-use crate::ends::Pick;
-use crate::fault_state::{Strike, Where};
-use crate::process::{Blow, State, Whom};
+use crate::ends::EndpointSelector;
+use crate::fault_state::{FaultScope, LinkFault};
+use crate::process::{ProcessFault, ProcessSelector, StateAfterRestart};
 use oorandom::Rand64;
 use std::fmt::Write;
 
 /// One fault of a schedule. Times in seconds from the beginning.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct ScheduledFault {
     pub at: f64,
-    pub what: What,
+    pub action: FaultAction,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum FaultAction {
     Link {
         from: String,
         to: String,
-        strike: Strike,
+        link_fault: LinkFault,
         one_way: bool,
-        lasts: f64,
+        duration_s: f64,
     },
     Partition {
         sides: Vec<String>,
-        lasts: f64,
+        duration_s: f64,
     },
     Process {
-        whom: Whom,
-        blow: Blow,
+        selector: ProcessSelector,
+        process_fault: ProcessFault,
         spread: f64,
     },
     /// A database host's own trouble, in the words of scripts: kind, target, keys beside.
@@ -36,13 +36,13 @@
         kind: &'static str,
         on: String,
         keys: String,
-        lasts: f64,
+        duration_s: f64,
     },
 }
 
 /// What a schedule may strike.
 #[derive(Clone, Debug)]
-pub struct Field {
+pub struct FaultTargets {
     pub routers: usize,
     pub groups: Vec<String>,
     pub zones: Vec<String>,
@@ -63,57 +63,63 @@
 }
 
 /// So many faults, in the order of their times. The same seed draws the same.
-pub fn draw(field: &Field, size: usize, seed: u64) -> Vec<Fault> {
+pub fn draw_schedule(field: &FaultTargets, size: usize, seed: u64) -> Vec<ScheduledFault> {
     let mut chance = Rand64::new(u128::from(seed) ^ 0x5eed_fa17);
-    let mut all: Vec<Fault> = (0..size).map(|_| fault(field, &mut chance)).collect();
+    let mut all: Vec<ScheduledFault> = (0..size).map(|_| fault(field, &mut chance)).collect();
     all.sort_by(|a, b| a.at.total_cmp(&b.at));
     all
 }
 
 /// Trouble between routers.
-fn among(field: &Field, lasts: f64, chance: &mut Rand64) -> What {
+fn among(field: &FaultTargets, duration_s: f64, chance: &mut Rand64) -> FaultAction {
     let last = field.routers - 1;
     let one = chance.rand_range(0..field.routers as u64) as usize;
     let middle = chance.rand_range(0..last.max(1) as u64) as usize;
     let halves = vec![format!("router:0-{middle}"), format!("router:{}-{last}", middle + 1)];
     let by = tenths(0.1 + 0.4 * chance.rand_float());
-    let strike = match chance.rand_range(0..6) {
-        0 | 1 => return What::Partition { sides: halves, lasts: 2.0 * lasts },
-        2 => Strike::Cut,
-        3 => Strike::Loss(tenths(0.1 + 0.4 * chance.rand_float())),
-        4 => Strike::Delay { by, jitter: by },
-        _ => Strike::Spoil(0.2),
+    let link_fault = match chance.rand_range(0..6) {
+        0 | 1 => return FaultAction::Partition { sides: halves, duration_s: 2.0 * duration_s },
+        2 => LinkFault::Cut,
+        3 => LinkFault::Loss(tenths(0.1 + 0.4 * chance.rand_float())),
+        4 => LinkFault::Delay { by, jitter: by },
+        _ => LinkFault::Corrupt(0.2),
     };
     let from = if chance.rand_range(0..2) == 0 { "router:*".to_string() } else { format!("router:{one}") };
     // Cut from all others at once it would be no link between two.
-    let to = if strike == Strike::Cut {
+    let to = if link_fault == LinkFault::Cut {
         format!("router:{}", (one + 1) % field.routers)
     } else {
         "router:*".to_string()
     };
-    let from = if strike == Strike::Cut { format!("router:{one}") } else { from };
-    What::Link { from, to, strike, one_way: chance.rand_range(0..3) == 0, lasts: 2.0 * lasts }
+    let from = if link_fault == LinkFault::Cut { format!("router:{one}") } else { from };
+    FaultAction::Link {
+        from,
+        to,
+        link_fault,
+        one_way: chance.rand_range(0..3) == 0,
+        duration_s: 2.0 * duration_s,
+    }
 }
 
-fn fault(field: &Field, chance: &mut Rand64) -> Fault {
+fn fault(field: &FaultTargets, chance: &mut Rand64) -> ScheduledFault {
     let at = tenths(field.from + (field.to - field.from) * chance.rand_float());
-    let lasts = tenths(0.3 + 2.7 * chance.rand_float());
+    let duration_s = tenths(0.3 + 2.7 * chance.rand_float());
     let router = chance.rand_range(0..field.routers as u64);
     let group = of(&field.groups, chance).clone();
     if field.members && chance.rand_range(0..2) == 0 {
-        return Fault { at, what: among(field, lasts, chance) };
+        return ScheduledFault { at, action: among(field, duration_s, chance) };
     }
-    let what = match chance.rand_range(0..11) {
+    let action = match chance.rand_range(0..11) {
         0..=3 => {
             let by = tenths(0.1 + 0.4 * chance.rand_float());
-            let strike = match chance.rand_range(0..7) {
-                0 => Strike::Cut,
-                1 | 2 => Strike::Reset,
-                3 => Strike::Delay { by, jitter: by },
-                4 => Strike::Loss(0.1),
+            let link_fault = match chance.rand_range(0..7) {
+                0 => LinkFault::Cut,
+                1 | 2 => LinkFault::Reset,
+                3 => LinkFault::Delay { by, jitter: by },
+                4 => LinkFault::Loss(0.1),
                 // A stream's own checksums keep spoilt bytes from its ends: such a strike is for datagrams.
-                5 => Strike::Rate(20_000.0),
-                _ => Strike::Delay { by: 0.0, jitter: by },
+                5 => LinkFault::Rate(20_000.0),
+                _ => LinkFault::Delay { by: 0.0, jitter: by },
             };
             let to = match chance.rand_range(0..4) {
                 0 => format!("agent:{router}"),
@@ -122,7 +128,7 @@
             };
             let all = matches!(chance.rand_range(0..3), 0) && !to.starts_with("agent");
             let from = if all { "router:*".to_string() } else { format!("router:{router}") };
-            What::Link { from, to, strike, one_way: chance.rand_range(0..4) == 0, lasts }
+            FaultAction::Link { from, to, link_fault, one_way: chance.rand_range(0..4) == 0, duration_s }
         }
         4 => {
             let middle = (field.routers / 2).max(1) - 1;
@@ -135,45 +141,57 @@
                 true => format!("router:{}-{last} {}", middle + 1, others.join(" ")),
                 false => others.join(" "),
             };
-            What::Partition { sides: vec![one, other.trim().to_string()], lasts }
+            FaultAction::Partition { sides: vec![one, other.trim().to_string()], duration_s }
         }
         5 | 6 => {
             let share = *of(&[0.3, 0.7, 1.0], chance);
             let back = tenths(0.2 + 0.8 * chance.rand_float());
             let kill = chance.rand_range(0..3) > 0;
-            let blow = Blow::Restart { kill, back, state: State::Kept };
-            What::Process { whom: Whom::Share(share), blow, spread: *of(&[0.0, 0.0, 1.0], chance) }
+            let process_fault = ProcessFault::Restart { kill, back, state: StateAfterRestart::Kept };
+            FaultAction::Process {
+                selector: ProcessSelector::Share(share),
+                process_fault,
+                spread: *of(&[0.0, 0.0, 1.0], chance),
+            }
         }
         7 => {
-            let blow = Blow::Stop { lasts: tenths(0.5 + 2.5 * chance.rand_float()) };
-            What::Process { whom: Whom::One(router as usize), blow, spread: 0.0 }
+            let process_fault = ProcessFault::Stop { duration_s: tenths(0.5 + 2.5 * chance.rand_float()) };
+            FaultAction::Process {
+                selector: ProcessSelector::One(router as usize),
+                process_fault,
+                spread: 0.0,
+            }
         }
         8 => {
-            let blow = Blow::Slow { share: 0.6, lasts };
-            What::Process { whom: Whom::One(router as usize), blow, spread: 0.0 }
+            let process_fault = ProcessFault::Slow { share: 0.6, duration_s };
+            FaultAction::Process {
+                selector: ProcessSelector::One(router as usize),
+                process_fault,
+                spread: 0.0,
+            }
         }
         9 => {
             let kind = *of(&["crash", "drain", "pause"], chance);
-            What::Host { kind, on: format!("primary:{group}"), keys: String::new(), lasts }
+            FaultAction::Host { kind, on: format!("primary:{group}"), keys: String::new(), duration_s }
         }
         _ => {
             let (kind, keys) = *of(&[("crash", ""), ("slow", "share = 0.3"), ("hang", "")], chance);
-            What::Host { kind, on: format!("replica:{group}:0"), keys: keys.to_string(), lasts }
+            FaultAction::Host { kind, on: format!("replica:{group}:0"), keys: keys.to_string(), duration_s }
         }
     };
-    Fault { at, what }
+    ScheduledFault { at, action }
 }
 
-fn strike(out: &mut String, strike: Strike) {
-    let _ = match strike {
-        Strike::Cut => writeln!(out, "  kind = \"cut\""),
-        Strike::Reset => writeln!(out, "  kind = \"reset\""),
-        Strike::Loss(p) => writeln!(out, "  kind = \"loss\"\n  share = {p}"),
-        Strike::Reorder(p) => writeln!(out, "  kind = \"reorder\"\n  share = {p}"),
-        Strike::Duplicate(p) => writeln!(out, "  kind = \"duplicate\"\n  share = {p}"),
-        Strike::Spoil(p) => writeln!(out, "  kind = \"spoil\"\n  share = {p}"),
-        Strike::Rate(rate) => writeln!(out, "  kind = \"rate\"\n  bytes_s = {rate}"),
-        Strike::Delay { by, jitter } => {
+fn link_fault(out: &mut String, link_fault: LinkFault) {
+    let _ = match link_fault {
+        LinkFault::Cut => writeln!(out, "  kind = \"cut\""),
+        LinkFault::Reset => writeln!(out, "  kind = \"reset\""),
+        LinkFault::Loss(p) => writeln!(out, "  kind = \"loss\"\n  share = {p}"),
+        LinkFault::Reorder(p) => writeln!(out, "  kind = \"reorder\"\n  share = {p}"),
+        LinkFault::Duplicate(p) => writeln!(out, "  kind = \"duplicate\"\n  share = {p}"),
+        LinkFault::Corrupt(p) => writeln!(out, "  kind = \"spoil\"\n  share = {p}"),
+        LinkFault::Rate(rate) => writeln!(out, "  kind = \"rate\"\n  bytes_s = {rate}"),
+        LinkFault::Delay { by, jitter } => {
             writeln!(
                 out,
                 "  kind = \"delay\"\n  delay_ms = {:.0}\n  jitter_ms = {:.0}",
@@ -185,52 +203,52 @@
 }
 
 /// Faults as blocks of a script, which its reader turns into the very same.
-pub fn script(faults: &[Fault]) -> String {
+pub fn to_script(faults: &[ScheduledFault]) -> String {
     let mut out = String::new();
     for (n, fault) in faults.iter().enumerate() {
         let (at, n) = (fault.at, n + 1);
-        match &fault.what {
-            What::Link { from, to, strike: s, one_way, lasts } => {
+        match &fault.action {
+            FaultAction::Link { from, to, link_fault: s, one_way, duration_s } => {
                 let _ = writeln!(out, "link \"drawn-{n}\" {{\n  from = \"{from}\"\n  to = \"{to}\"");
-                strike(&mut out, *s);
-                let _ = writeln!(out, "  one_way = {one_way}\n  at = {at}\n  for = {lasts}\n}}");
+                link_fault(&mut out, *s);
+                let _ = writeln!(out, "  one_way = {one_way}\n  at = {at}\n  for = {duration_s}\n}}");
             }
-            What::Partition { sides, lasts } => {
+            FaultAction::Partition { sides, duration_s } => {
                 let sides: Vec<String> = sides.iter().map(|s| format!("\"{s}\"")).collect();
                 let _ = writeln!(
                     out,
-                    "partition \"drawn-{n}\" {{\n  sides = [{}]\n  at = {at}\n  for = {lasts}\n}}",
+                    "partition \"drawn-{n}\" {{\n  sides = [{}]\n  at = {at}\n  for = {duration_s}\n}}",
                     sides.join(", ")
                 );
             }
-            What::Process { whom, blow, spread } => {
-                let whom = match whom {
-                    Whom::One(n) => format!("router = {n}"),
-                    Whom::Share(share) => format!("share = {share}"),
+            FaultAction::Process { selector, process_fault, spread } => {
+                let selector = match selector {
+                    ProcessSelector::One(n) => format!("router = {n}"),
+                    ProcessSelector::Share(share) => format!("share = {share}"),
                 };
-                let _ = match blow {
-                    Blow::Restart { kill, back, .. } => {
+                let _ = match process_fault {
+                    ProcessFault::Restart { kill, back, .. } => {
                         let kind = if *kill { "kill" } else { "term" };
                         writeln!(
                             out,
-                            "restart \"drawn-{n}\" {{\n  {whom}\n  kind = \"{kind}\"\n  back = {back}\n  spread = {spread}\n  at = {at}\n}}"
+                            "restart \"drawn-{n}\" {{\n  {selector}\n  kind = \"{kind}\"\n  back = {back}\n  spread = {spread}\n  at = {at}\n}}"
                         )
                     }
-                    Blow::Stop { lasts } => {
-                        writeln!(out, "stop \"drawn-{n}\" {{\n  {whom}\n  at = {at}\n  for = {lasts}\n}}")
+                    ProcessFault::Stop { duration_s } => {
+                        writeln!(out, "stop \"drawn-{n}\" {{\n  {selector}\n  at = {at}\n  for = {duration_s}\n}}")
                     }
-                    Blow::Slow { share, lasts } => writeln!(
+                    ProcessFault::Slow { share, duration_s } => writeln!(
                         out,
-                        "stop \"drawn-{n}\" {{\n  {whom}\n  of_the_time = {share}\n  at = {at}\n  for = {lasts}\n}}"
+                        "stop \"drawn-{n}\" {{\n  {selector}\n  of_the_time = {share}\n  at = {at}\n  for = {duration_s}\n}}"
                     ),
-                    Blow::Copy => writeln!(out, "state \"drawn-{n}\" {{\n  {whom}\n  at = {at}\n}}"),
+                    ProcessFault::SaveState => writeln!(out, "state \"drawn-{n}\" {{\n  {selector}\n  at = {at}\n}}"),
                 };
             }
-            What::Host { kind, on, keys, lasts } => {
+            FaultAction::Host { kind, on, keys, duration_s } => {
                 let keys = if keys.is_empty() { String::new() } else { format!("  {keys}\n") };
                 let _ = writeln!(
                     out,
-                    "fault \"drawn-{n}\" {{\n  kind = \"{kind}\"\n  on = \"{on}\"\n{keys}  at = {at}\n  for = {lasts}\n}}"
+                    "fault \"drawn-{n}\" {{\n  kind = \"{kind}\"\n  on = \"{on}\"\n{keys}  at = {at}\n  for = {duration_s}\n}}"
                 );
             }
         }
@@ -239,15 +257,15 @@
 }
 
 /// Where a drawn fault falls, as relays have it; `None` for one of processes or hosts.
-pub fn place(what: &What) -> Option<(Where, Strike)> {
-    match what {
-        What::Link { from, to, strike, one_way, .. } => {
-            let (from, to) = (Pick::read(from).ok()?, Pick::read(to).ok()?);
-            Some((Where::Between { from, to, one_way: *one_way }, *strike))
+pub fn as_link_fault(action: &FaultAction) -> Option<(FaultScope, LinkFault)> {
+    match action {
+        FaultAction::Link { from, to, link_fault, one_way, .. } => {
+            let (from, to) = (EndpointSelector::parse(from).ok()?, EndpointSelector::parse(to).ok()?);
+            Some((FaultScope::Between { from, to, one_way: *one_way }, *link_fault))
         }
-        What::Partition { sides, .. } => {
-            let sides = sides.iter().map(|s| Pick::read(s).ok()).collect::<Option<Vec<_>>>()?;
-            Some((Where::Sides(sides), Strike::Cut))
+        FaultAction::Partition { sides, .. } => {
+            let sides = sides.iter().map(|s| EndpointSelector::parse(s).ok()).collect::<Option<Vec<_>>>()?;
+            Some((FaultScope::Sides(sides), LinkFault::Cut))
         }
         _ => None,
     }
--- a/crates/sandstile-faults/src/ends.rs
+++ b/crates/sandstile-faults/src/ends.rs
@@ -3,7 +3,7 @@
 
 /// One process, or all clients together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum Endpoint {
     Router(usize),
     /// The discovery agent of a router.
     Agent(usize),
@@ -15,25 +15,25 @@
     Clients,
 }
 
-impl End {
+impl Endpoint {
     /// Whether two ends ever talk: routers to all, clients to routers alone.
-    pub fn talks_to(&self, other: &End) -> bool {
+    pub fn talks_to(&self, other: &Endpoint) -> bool {
         match (self, other) {
-            (End::Router(a), End::Router(b)) => a != b,
-            (End::Router(a), End::Agent(b)) | (End::Agent(b), End::Router(a)) => a == b,
-            (End::Router(_), _) | (_, End::Router(_)) => true,
+            (Endpoint::Router(a), Endpoint::Router(b)) => a != b,
+            (Endpoint::Router(a), Endpoint::Agent(b)) | (Endpoint::Agent(b), Endpoint::Router(a)) => a == b,
+            (Endpoint::Router(_), _) | (_, Endpoint::Router(_)) => true,
             _ => false,
         }
     }
 }
 
-impl fmt::Display for End {
+impl fmt::Display for Endpoint {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            End::Router(n) => write!(f, "router {n}"),
-            End::Agent(n) => write!(f, "agent {n}"),
-            End::Host { name, .. } => f.write_str(name),
-            End::Clients => f.write_str("clients"),
+            Endpoint::Router(n) => write!(f, "router {n}"),
+            Endpoint::Agent(n) => write!(f, "agent {n}"),
+            Endpoint::Host { name, .. } => f.write_str(name),
+            Endpoint::Clients => f.write_str("clients"),
         }
     }
 }
@@ -41,7 +41,7 @@
 /// Some ends: `router:3`, `router:0-7`, `router:*`, `agent:…` alike, `host:NAME`, `host:*`, `group:NAME`, `zone:NAME`
 /// (database hosts of that zone), `clients`. Several are divided by blanks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pick(Vec<One>);
+pub struct EndpointSelector(Vec<One>);
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum One {
@@ -54,25 +54,25 @@
     Clients,
 }
 
-impl Pick {
+impl EndpointSelector {
     /// The message says which word is none of ours.
-    pub fn read(text: &str) -> Result<Pick, String> {
+    pub fn parse(text: &str) -> Result<EndpointSelector, String> {
         let all = text.split_whitespace().map(one).collect::<Result<Vec<_>, _>>()?;
         match all.is_empty() {
             true => Err("nothing is picked".to_string()),
-            false => Ok(Pick(all)),
+            false => Ok(EndpointSelector(all)),
         }
     }
 
-    pub fn holds(&self, end: &End) -> bool {
+    pub fn matches(&self, end: &Endpoint) -> bool {
         self.0.iter().any(|one| match (one, end) {
-            (One::Routers(from, to), End::Router(n)) | (One::Agents(from, to), End::Agent(n)) => {
+            (One::Routers(from, to), Endpoint::Router(n)) | (One::Agents(from, to), Endpoint::Agent(n)) => {
                 (*from..=*to).contains(n)
             }
-            (One::Host(want), End::Host { name, .. }) => want == name,
-            (One::AnyHost, End::Host { .. }) | (One::Clients, End::Clients) => true,
-            (One::Group(want), End::Host { group, .. }) => want == group,
-            (One::Zone(want), End::Host { zone, .. }) => want == zone,
+            (One::Host(want), Endpoint::Host { name, .. }) => want == name,
+            (One::AnyHost, Endpoint::Host { .. }) | (One::Clients, Endpoint::Clients) => true,
+            (One::Group(want), Endpoint::Host { group, .. }) => want == group,
+            (One::Zone(want), Endpoint::Host { zone, .. }) => want == zone,
             _ => false,
         })
     }
@@ -88,7 +88,7 @@
     }
 
     /// The last router or agent that is named by number.
-    pub fn highest(&self) -> Option<usize> {
+    pub fn max_number(&self) -> Option<usize> {
         let of = |one: &One| match one {
             One::Routers(_, to) | One::Agents(_, to) if *to != usize::MAX => Some(*to),
             _ => None,
--- a/crates/sandstile-faults/src/fault_state.rs
+++ b/crates/sandstile-faults/src/fault_state.rs
@@ -1,10 +1,10 @@
 //! What stands on links: strikes begin and end, and what holds in one direction of one link at one time is their sum.
-use crate::ends::{End, Pick};
+use crate::ends::{Endpoint, EndpointSelector};
 use std::collections::BTreeMap;
 
 /// One kind of trouble. Shares are of 1, times in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Strike {
+pub enum LinkFault {
     /// Nothing gets through and nobody is told; what a stream carries arrives after the heal, datagrams are lost.
     Cut,
     /// Connections are reset, new ones ended at once.
@@ -21,12 +21,12 @@
     /// Bytes a second.
     Rate(f64),
     /// The share of pieces in which one byte is another.
-    Spoil(f64),
+    Corrupt(f64),
 }
 
 /// What holds in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct LinkCondition {
     pub cut: bool,
     pub reset: bool,
     pub loss: f64,
@@ -36,53 +36,53 @@
     pub duplicate: f64,
     /// Bytes a second; 0 for as many as come.
     pub rate: f64,
-    pub spoil: f64,
+    pub corrupt: f64,
 }
 
-impl Weather {
-    pub fn is_fair(&self) -> bool {
-        *self == Weather::default()
+impl LinkCondition {
+    pub fn is_healthy(&self) -> bool {
+        *self == LinkCondition::default()
     }
 
-    fn add(&mut self, strike: Strike) {
+    fn add(&mut self, link_fault: LinkFault) {
         // Independent chances: both have to spare it.
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
-        match strike {
-            Strike::Cut => self.cut = true,
-            Strike::Reset => self.reset = true,
-            Strike::Loss(p) => self.loss = either(self.loss, p),
-            Strike::Delay { by, jitter } => {
+        match link_fault {
+            LinkFault::Cut => self.cut = true,
+            LinkFault::Reset => self.reset = true,
+            LinkFault::Loss(p) => self.loss = either(self.loss, p),
+            LinkFault::Delay { by, jitter } => {
                 self.delay += by;
                 self.jitter += jitter;
             }
-            Strike::Reorder(p) => self.reorder = either(self.reorder, p),
-            Strike::Duplicate(p) => self.duplicate = either(self.duplicate, p),
-            Strike::Rate(rate) if self.rate > 0.0 => self.rate = self.rate.min(rate),
-            Strike::Rate(rate) => self.rate = rate,
-            Strike::Spoil(p) => self.spoil = either(self.spoil, p),
+            LinkFault::Reorder(p) => self.reorder = either(self.reorder, p),
+            LinkFault::Duplicate(p) => self.duplicate = either(self.duplicate, p),
+            LinkFault::Rate(rate) if self.rate > 0.0 => self.rate = self.rate.min(rate),
+            LinkFault::Rate(rate) => self.rate = rate,
+            LinkFault::Corrupt(p) => self.corrupt = either(self.corrupt, p),
         }
     }
 }
 
 /// Where a strike falls.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Where {
+pub enum FaultScope {
     /// Between these and those; `one_way` spares what goes from those to these.
-    Between { from: Pick, to: Pick, one_way: bool },
+    Between { from: EndpointSelector, to: EndpointSelector, one_way: bool },
     /// Between any two sides.
-    Sides(Vec<Pick>),
+    Sides(Vec<EndpointSelector>),
 }
 
-impl Where {
+impl FaultScope {
     /// Whether it touches what goes from one end to the other.
-    pub fn touches(&self, from: &End, to: &End) -> bool {
+    pub fn affects(&self, from: &Endpoint, to: &Endpoint) -> bool {
         match self {
-            Where::Between { from: these, to: those, one_way } => {
-                let forth = these.holds(from) && those.holds(to);
-                forth || (!one_way && these.holds(to) && those.holds(from))
+            FaultScope::Between { from: these, to: those, one_way } => {
+                let forth = these.matches(from) && those.matches(to);
+                forth || (!one_way && these.matches(to) && those.matches(from))
             }
-            Where::Sides(sides) => {
-                let side = |end: &End| sides.iter().position(|s| s.holds(end));
+            FaultScope::Sides(sides) => {
+                let side = |end: &Endpoint| sides.iter().position(|s| s.matches(end));
                 match (side(from), side(to)) {
                     (Some(a), Some(b)) => a != b,
                     // Whoever is on no side hears all of them.
@@ -93,21 +93,21 @@
     }
 
     /// Whether it touches either direction, so that the link has to go over a relay.
-    pub fn concerns(&self, one: &End, other: &End) -> bool {
-        self.touches(one, other) || self.touches(other, one)
+    pub fn affects_either_way(&self, one: &Endpoint, other: &Endpoint) -> bool {
+        self.affects(one, other) || self.affects(other, one)
     }
 }
 
 /// All that stands at present.
 #[derive(Clone, Debug, Default)]
-pub struct Net {
-    standing: BTreeMap<usize, (Where, Strike)>,
+pub struct ActiveFaults {
+    standing: BTreeMap<usize, (FaultScope, LinkFault)>,
 }
 
-impl Net {
+impl ActiveFaults {
     /// A strike begins, under a number of the caller's.
-    pub fn begin(&mut self, number: usize, at: Where, strike: Strike) {
-        self.standing.insert(number, (at, strike));
+    pub fn begin(&mut self, number: usize, at: FaultScope, link_fault: LinkFault) {
+        self.standing.insert(number, (at, link_fault));
     }
 
     pub fn heal(&mut self, number: usize) {
@@ -115,13 +115,13 @@
     }
 
     /// What holds from one end to the other.
-    pub fn weather(&self, from: &End, to: &End) -> Weather {
-        let mut weather = Weather::default();
-        for (at, strike) in self.standing.values() {
-            if at.touches(from, to) {
-                weather.add(*strike);
+    pub fn condition(&self, from: &Endpoint, to: &Endpoint) -> LinkCondition {
+        let mut condition = LinkCondition::default();
+        for (at, link_fault) in self.standing.values() {
+            if at.affects(from, to) {
+                condition.add(*link_fault);
             }
         }
-        weather
+        condition
     }
 }
--- a/crates/sandstile-faults/src/lane.rs
+++ b/crates/sandstile-faults/src/lane.rs
@@ -1,23 +1,23 @@
 //! What is on its way in one direction of one link. A lane keeps the order of a stream's bytes whatever stands on it;
 //! datagrams keep none.
-use crate::fault_state::Weather;
+use crate::fault_state::LinkCondition;
 use oorandom::Rand64;
 use std::collections::VecDeque;
 
 /// Seconds after which a lost segment of a stream is sent again, and after which a healed one is tried.
-pub const AGAIN: f64 = 0.2;
+pub const RETRANSMIT_DELAY_S: f64 = 0.2;
 /// Bytes of a segment: so much of a stream is lost or spoilt at a time.
-pub const SEGMENT: usize = 1400;
+pub const SEGMENT_BYTES: usize = 1400;
 /// A stream's bytes on their way at the most; its sender waits, as with a full window.
-pub const WINDOW: usize = 256 * 1024;
+pub const WINDOW_BYTES: usize = 256 * 1024;
 /// Datagrams on their way at the most; what comes beyond is lost, as in a full queue.
-pub const QUEUE: usize = 1024;
+pub const MAX_QUEUED_DATAGRAMS: usize = 1024;
 
-fn jittered(weather: &Weather, chance: &mut Rand64) -> f64 {
-    weather.delay + weather.jitter * chance.rand_float()
+fn jittered(condition: &LinkCondition, chance: &mut Rand64) -> f64 {
+    condition.delay + condition.jitter * chance.rand_float()
 }
 
-fn spoil(bytes: &mut [u8], share: f64, chance: &mut Rand64) {
+fn corrupt(bytes: &mut [u8], share: f64, chance: &mut Rand64) {
     if !bytes.is_empty() && share > 0.0 && chance.rand_float() < share {
         let at = chance.rand_range(0..bytes.len() as u64) as usize;
         // Never the same byte again.
@@ -26,7 +26,7 @@
 }
 
 /// One direction of a stream.
-pub struct Lane {
+pub struct StreamChannel {
     way: VecDeque<(f64, Vec<u8>)>,
     held: usize,
     /// Nothing arrives before what came before it.
@@ -37,9 +37,9 @@
     chance: Rand64,
 }
 
-impl Lane {
-    pub fn new(seed: u64) -> Lane {
-        Lane {
+impl StreamChannel {
+    pub fn new(seed: u64) -> StreamChannel {
+        StreamChannel {
             way: VecDeque::new(),
             held: 0,
             last: 0.0,
@@ -50,8 +50,8 @@
     }
 
     /// How many more bytes may be given to it.
-    pub fn room(&self) -> usize {
-        WINDOW.saturating_sub(self.held)
+    pub fn free_bytes(&self) -> usize {
+        WINDOW_BYTES.saturating_sub(self.held)
     }
 
     pub fn is_empty(&self) -> bool {
@@ -59,26 +59,26 @@
     }
 
     /// Bytes come from the sender.
-    pub fn push(&mut self, now: f64, bytes: &[u8], weather: &Weather) {
-        for segment in bytes.chunks(SEGMENT) {
-            let mut at = now + jittered(weather, &mut self.chance);
-            if weather.loss > 0.0 {
+    pub fn push(&mut self, now: f64, bytes: &[u8], condition: &LinkCondition) {
+        for segment in bytes.chunks(SEGMENT_BYTES) {
+            let mut at = now + jittered(condition, &mut self.chance);
+            if condition.loss > 0.0 {
                 // Each time it is lost it comes later by twice as much; five times is the end of bad luck.
-                let mut wait = AGAIN;
+                let mut wait = RETRANSMIT_DELAY_S;
                 for _ in 0..5 {
-                    if self.chance.rand_float() >= weather.loss {
+                    if self.chance.rand_float() >= condition.loss {
                         break;
                     }
                     at += wait;
                     wait *= 2.0;
                 }
             }
-            if weather.rate > 0.0 {
-                self.passed = self.passed.max(now) + segment.len() as f64 / weather.rate;
+            if condition.rate > 0.0 {
+                self.passed = self.passed.max(now) + segment.len() as f64 / condition.rate;
                 at = at.max(self.passed);
             }
             let mut segment = segment.to_vec();
-            spoil(&mut segment, weather.spoil, &mut self.chance);
+            corrupt(&mut segment, condition.corrupt, &mut self.chance);
             self.held += segment.len();
             self.last = self.last.max(at);
             self.way.push_back((self.last, segment));
@@ -86,23 +86,23 @@
     }
 
     /// The weather has changed. What was under way during a cut sets out again a while after its heal.
-    pub fn changed(&mut self, now: f64, weather: &Weather) {
-        if self.cut && !weather.cut {
-            let at = now + AGAIN;
+    pub fn on_condition_change(&mut self, now: f64, condition: &LinkCondition) {
+        if self.cut && !condition.cut {
+            let at = now + RETRANSMIT_DELAY_S;
             self.way.iter_mut().for_each(|(due, _)| *due = due.max(at));
             self.last = self.last.max(if self.way.is_empty() { now } else { at });
         }
-        self.cut = weather.cut;
+        self.cut = condition.cut;
     }
 
     /// When the next piece arrives, as far as is known.
-    pub fn next(&self) -> Option<f64> {
+    pub fn next_arrival(&self) -> Option<f64> {
         self.way.front().filter(|_| !self.cut).map(|(at, _)| *at)
     }
 
     /// The next piece that has arrived.
     pub fn pop(&mut self, now: f64) -> Option<Vec<u8>> {
-        if self.next()? > now {
+        if self.next_arrival()? > now {
             return None;
         }
         let (_, bytes) = self.way.pop_front()?;
@@ -112,51 +112,51 @@
 }
 
 /// One direction between two that send datagrams.
-pub struct Datagrams {
+pub struct DatagramChannel {
     /// By their time of arrival.
     way: Vec<(f64, Vec<u8>)>,
     chance: Rand64,
     pub lost: u64,
 }
 
-impl Datagrams {
-    pub fn new(seed: u64) -> Datagrams {
-        Datagrams { way: Vec::new(), chance: Rand64::new(u128::from(seed)), lost: 0 }
+impl DatagramChannel {
+    pub fn new(seed: u64) -> DatagramChannel {
+        DatagramChannel { way: Vec::new(), chance: Rand64::new(u128::from(seed)), lost: 0 }
     }
 
-    pub fn push(&mut self, now: f64, bytes: &[u8], weather: &Weather) {
-        let copies = 1 + usize::from(self.chance.rand_float() < weather.duplicate);
+    pub fn push(&mut self, now: f64, bytes: &[u8], condition: &LinkCondition) {
+        let copies = 1 + usize::from(self.chance.rand_float() < condition.duplicate);
         for _ in 0..copies {
-            let lost = weather.cut || weather.reset || self.chance.rand_float() < weather.loss;
-            if lost || self.way.len() >= QUEUE {
+            let lost = condition.cut || condition.reset || self.chance.rand_float() < condition.loss;
+            if lost || self.way.len() >= MAX_QUEUED_DATAGRAMS {
                 self.lost += 1;
                 continue;
             }
-            let mut at = now + jittered(weather, &mut self.chance);
-            if weather.reorder > 0.0 && self.chance.rand_float() < weather.reorder {
+            let mut at = now + jittered(condition, &mut self.chance);
+            if condition.reorder > 0.0 && self.chance.rand_float() < condition.reorder {
                 // Behind what is sent within the time that one takes, and two milliseconds at least.
-                at += weather.delay.max(0.002) * (1.0 + self.chance.rand_float());
+                at += condition.delay.max(0.002) * (1.0 + self.chance.rand_float());
             }
             let mut bytes = bytes.to_vec();
-            spoil(&mut bytes, weather.spoil, &mut self.chance);
+            corrupt(&mut bytes, condition.corrupt, &mut self.chance);
             let place = self.way.partition_point(|(other, _)| *other <= at);
             self.way.insert(place, (at, bytes));
         }
     }
 
     /// What was on its way into a cut is lost.
-    pub fn changed(&mut self, weather: &Weather) {
-        if weather.cut || weather.reset {
+    pub fn on_condition_change(&mut self, condition: &LinkCondition) {
+        if condition.cut || condition.reset {
             self.lost += self.way.len() as u64;
             self.way.clear();
         }
     }
 
-    pub fn next(&self) -> Option<f64> {
+    pub fn next_arrival(&self) -> Option<f64> {
         self.way.first().map(|(at, _)| *at)
     }
 
     pub fn pop(&mut self, now: f64) -> Option<Vec<u8>> {
-        (self.next()? <= now).then(|| self.way.remove(0).1)
+        (self.next_arrival()? <= now).then(|| self.way.remove(0).1)
     }
 }
--- a/crates/sandstile-faults/src/lib.rs
+++ b/crates/sandstile-faults/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod process;
 pub mod shrink;
 
-pub use ends::{End, Pick};
-pub use fault_state::{Net, Strike, Weather};
-pub use lane::{Datagrams, Lane};
-pub use process::{Blow, State};
+pub use ends::{Endpoint, EndpointSelector};
+pub use fault_state::{ActiveFaults, LinkCondition, LinkFault};
+pub use lane::{DatagramChannel, StreamChannel};
+pub use process::{ProcessFault, StateAfterRestart};
--- a/crates/sandstile-faults/src/process.rs
+++ b/crates/sandstile-faults/src/process.rs
@@ -3,34 +3,34 @@
 
 /// What a process finds of its stored state when it starts again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum StateAfterRestart {
     Kept,
     Lost,
     /// A copy that was taken earlier is put back; where none was taken the state is lost.
-    Older,
+    OlderCopy,
     /// The latter half is missing.
     Cut,
     /// Some bytes are others.
-    Spoilt,
+    Corrupted,
 }
 
-pub const STATES: [(&str, State); 5] = [
-    ("kept", State::Kept),
-    ("lost", State::Lost),
-    ("older", State::Older),
-    ("cut", State::Cut),
-    ("spoilt", State::Spoilt),
+pub const STATE_NAMES: [(&str, StateAfterRestart); 5] = [
+    ("kept", StateAfterRestart::Kept),
+    ("lost", StateAfterRestart::Lost),
+    ("older", StateAfterRestart::OlderCopy),
+    ("cut", StateAfterRestart::Cut),
+    ("spoilt", StateAfterRestart::Corrupted),
 ];
 
-impl State {
+impl StateAfterRestart {
     /// What is found of these bytes; `None` where nothing is. `copy` is what was put by earlier.
-    pub fn of(self, bytes: Vec<u8>, copy: Option<&[u8]>, seed: u64) -> Option<Vec<u8>> {
+    pub fn apply(self, bytes: Vec<u8>, copy: Option<&[u8]>, seed: u64) -> Option<Vec<u8>> {
         match self {
-            State::Kept => Some(bytes),
-            State::Lost => None,
-            State::Older => copy.map(<[u8]>::to_vec),
-            State::Cut => Some(bytes[..bytes.len() / 2].to_vec()),
-            State::Spoilt => {
+            StateAfterRestart::Kept => Some(bytes),
+            StateAfterRestart::Lost => None,
+            StateAfterRestart::OlderCopy => copy.map(<[u8]>::to_vec),
+            StateAfterRestart::Cut => Some(bytes[..bytes.len() / 2].to_vec()),
+            StateAfterRestart::Corrupted => {
                 let mut bytes = bytes;
                 let mut chance = Rand64::new(u128::from(seed));
                 // One in a thousand, and one at least.
@@ -48,32 +48,32 @@
 
 /// What strikes a process. Times in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Blow {
+pub enum ProcessFault {
     /// SIGTERM or SIGKILL, then a start after so long, with this of its state.
-    Restart { kill: bool, back: f64, state: State },
+    Restart { kill: bool, back: f64, state: StateAfterRestart },
     /// SIGSTOP, and SIGCONT after so long.
-    Stop { lasts: f64 },
+    Stop { duration_s: f64 },
     /// It stands still for this share of the time, in short turns.
-    Slow { share: f64, lasts: f64 },
+    Slow { share: f64, duration_s: f64 },
     /// A copy of its state is put by.
-    Copy,
+    SaveState,
 }
 
 /// Which processes a blow strikes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Whom {
+pub enum ProcessSelector {
     One(usize),
     /// This share of all, rounded, chosen by seed.
     Share(f64),
 }
 
-impl Whom {
+impl ProcessSelector {
     /// The processes and how many seconds after the cue each is struck: all at once, or one after the other over `spread`.
-    pub fn of(self, count: usize, spread: f64, seed: u64) -> Vec<(usize, f64)> {
+    pub fn select(self, count: usize, spread: f64, seed: u64) -> Vec<(usize, f64)> {
         let mut all: Vec<usize> = (0..count).collect();
         let struck = match self {
-            Whom::One(n) => return if n < count { vec![(n, 0.0)] } else { Vec::new() },
-            Whom::Share(share) => {
+            ProcessSelector::One(n) => return if n < count { vec![(n, 0.0)] } else { Vec::new() },
+            ProcessSelector::Share(share) => {
                 ((share * count as f64).round() as usize).clamp(usize::from(share > 0.0), count)
             }
         };
--- a/crates/sandstile-faults/src/shrink.rs
+++ b/crates/sandstile-faults/src/shrink.rs
@@ -1,35 +1,35 @@
 //! The least of a schedule that still fails: delta debugging (Zeller and Hildebrandt, 2002), asked step by step, for each
 //! question is a run of real processes.
 
-/// A search under way. `to_try` yields what to play, `told` takes whether it failed.
+/// A search under way. `next_candidate` yields what to play, `told` takes whether it failed.
 #[derive(Clone, Debug)]
-pub struct Shrink<T> {
+pub struct Shrinker<T> {
     /// What is known to fail.
-    least: Vec<T>,
+    smallest_failing: Vec<T>,
     parts: usize,
     at: usize,
     trying: Option<Vec<T>>,
-    asked: usize,
+    runs: usize,
 }
 
-impl<T: Clone> Shrink<T> {
+impl<T: Clone> Shrinker<T> {
     /// `fails` has been seen to fail.
     pub fn new(fails: Vec<T>) -> Self {
-        Shrink { parts: 2, least: fails, at: 0, trying: None, asked: 0 }
+        Shrinker { parts: 2, smallest_failing: fails, at: 0, trying: None, runs: 0 }
     }
 
-    pub fn least(&self) -> &[T] {
-        &self.least
+    pub fn smallest_failing(&self) -> &[T] {
+        &self.smallest_failing
     }
 
     /// Runs asked for so far.
-    pub fn asked(&self) -> usize {
-        self.asked
+    pub fn runs(&self) -> usize {
+        self.runs
     }
 
     /// The next to try; `None` once no single one can be left out any more.
-    pub fn to_try(&mut self) -> Option<Vec<T>> {
-        let n = self.least.len();
+    pub fn next_candidate(&mut self) -> Option<Vec<T>> {
+        let n = self.smallest_failing.len();
         if n < 2 {
             return None;
         }
@@ -39,21 +39,22 @@
                 return None;
             }
             (self.parts, self.at) = ((parts * 2).min(n), 0);
-            return self.to_try();
+            return self.next_candidate();
         }
         // All but one part.
         let (from, to) = (n * self.at / parts, n * (self.at + 1) / parts);
-        let rest: Vec<T> = self.least[..from].iter().chain(&self.least[to..]).cloned().collect();
+        let rest: Vec<T> =
+            self.smallest_failing[..from].iter().chain(&self.smallest_failing[to..]).cloned().collect();
         self.trying = Some(rest.clone());
-        self.asked += 1;
+        self.runs += 1;
         Some(rest)
     }
 
-    /// Whether what `to_try` yielded failed.
-    pub fn told(&mut self, failed: bool) {
+    /// Whether what `next_candidate` yielded failed.
+    pub fn record_result(&mut self, failed: bool) {
         let Some(tried) = self.trying.take() else { return };
         if failed {
-            self.least = tried;
+            self.smallest_failing = tried;
             self.parts = self.parts.saturating_sub(1).max(2);
             self.at = 0;
         } else {
--- a/crates/sandstile-fleet/src/fault.rs
+++ b/crates/sandstile-fleet/src/fault.rs
@@ -79,7 +79,7 @@
     pub kind: FaultKind,
     pub target: Target,
     /// Seconds that it lasts; infinite where it does not end.
-    pub lasts: f64,
+    pub duration_s: f64,
 }
 
 /// What stands on one host now.
--- a/crates/sandstile-fleet/src/fleet.rs
+++ b/crates/sandstile-fleet/src/fleet.rs
@@ -450,7 +450,8 @@
         let name = self.hosts[host].name.clone();
         if multiple > most {
             self.event(now, Event::Tipped { host: name, multiple, most });
-            let fault = Fault { kind: FaultKind::Crash, target: Target::Host(String::new()), lasts: restart };
+            let fault =
+                Fault { kind: FaultKind::Crash, target: Target::Host(String::new()), duration_s: restart };
             self.stand(now, fault, vec![host]);
         } else if multiple > self.hosts[host].cold.peak + 0.25 {
             self.hosts[host].cold.peak = multiple;
@@ -821,8 +822,8 @@
     fn stand(&mut self, now: f64, fault: Fault, hosts: Vec<usize>) {
         let number = self.standing.len();
         let kind = fault.kind.clone();
-        if fault.lasts.is_finite() {
-            self.timers.push(now + fault.lasts, Timer::FaultEnds { fault: number });
+        if fault.duration_s.is_finite() {
+            self.timers.push(now + fault.duration_s, Timer::FaultEnds { fault: number });
         }
         self.standing.push(Standing { fault, hosts: hosts.clone(), over: false });
         for host in hosts {
--- a/crates/sandstile-fleet/tests/driver/mod.rs
+++ b/crates/sandstile-fleet/tests/driver/mod.rs
@@ -128,8 +128,8 @@
         self.collect();
     }
 
-    pub fn fault(&mut self, kind: FaultKind, host: &str, lasts: f64) {
-        let fault = Fault { kind, target: Target::Host(host.to_string()), lasts };
+    pub fn fault(&mut self, kind: FaultKind, host: &str, duration_s: f64) {
+        let fault = Fault { kind, target: Target::Host(host.to_string()), duration_s };
         assert!(!self.fleet.start_fault(self.now, fault).is_empty(), "{host}");
         self.collect();
     }
--- a/crates/sandstile-fleet/tests/theory.rs
+++ b/crates/sandstile-fleet/tests/theory.rs
@@ -136,7 +136,10 @@
         if rng.bernoulli(0.01) {
             let kind = kinds[rng.below(kinds.len())].clone();
             let target = sandstile_fleet::Target::Host(d.fleet.listing(host).name);
-            d.fleet.start_fault(d.now, sandstile_fleet::Fault { kind, target, lasts: rng.exponential(1.0) });
+            d.fleet.start_fault(
+                d.now,
+                sandstile_fleet::Fault { kind, target, duration_s: rng.exponential(1.0) },
+            );
         }
         let session = format!("u{}", rng.below(20));
         conns.push(d.ask(host, &format!("i{n}"), rng.below(6), Some(&session)));
--- a/crates/sandstile-lab/src/clients.rs
+++ b/crates/sandstile-lab/src/clients.rs
@@ -95,7 +95,7 @@
         // Enough for a time in which nothing is answered.
         let rate: f64 = script.streams.iter().map(|s| s.rate * peak(s)).sum();
         let wait = script.terms.iter().map(|t| t.timeout).fold(0.1, f64::max);
-        let crowd = script.clients.crowd * script.routers.count;
+        let crowd = script.clients.returning_clients * script.routers.count;
         let workers = ((rate * wait * 2.0) as usize + crowd).clamp(32, MOST_WORKERS);
         let (jobs, take) = unbounded();
         let workers =
@@ -137,7 +137,7 @@
             // Viewers of their own, whose home is this router.
             let session = router as u64 + doors * (1_000_000 + n);
             let group = stream.groups[n as usize % stream.groups.len()];
-            let arrival = Arrival { at: now, stream: 0, workload, group, session, draw: 1.0 };
+            let arrival = Arrival { at: now, stream: 0, workload, group, session, router_draw: 1.0 };
             if jobs.send((now, arrival)).is_err() {
                 return;
             }
@@ -159,9 +159,9 @@
     }
 }
 
-fn peak(stream: &sandstile_scenario::script::Stream) -> f64 {
-    stream.jumps.iter().map(|j| j.times.max(1.0)).product::<f64>()
-        * if stream.then.is_some() { 2.0 } else { 1.0 }
+fn peak(stream: &sandstile_scenario::script::TrafficStream) -> f64 {
+    stream.jumps.iter().map(|j| j.multiple.max(1.0)).product::<f64>()
+        * if stream.follow_up.is_some() { 2.0 } else { 1.0 }
 }
 
 fn worker(shared: Arc<Shared>, jobs: Receiver<(f64, Arrival)>) -> io::Result<JoinHandle<()>> {
@@ -197,7 +197,8 @@
 impl Shared {
     fn serve(&self, at: f64, arrival: &Arrival) {
         let stream = &self.script.streams[arrival.stream];
-        let home = (arrival.session as usize + usize::from(arrival.draw < stream.roams)) % self.doors.len();
+        let home = (arrival.session as usize + usize::from(arrival.router_draw < stream.roaming_share))
+            % self.doors.len();
         let group = arrival.group;
         let mut session = arrival.session;
         while !self.at_work.lock().expect("no worker panics under the lock").insert((group, session)) {
@@ -211,10 +212,10 @@
     fn both(&self, at: f64, arrival: &Arrival, session: u64, home: usize) {
         let (stream, group) = (&self.script.streams[arrival.stream], arrival.group);
         let done = self.wish(&Wish { workload: arrival.workload, group, session, home, intended: at });
-        if let (true, Some((workload, think))) = (done, stream.then) {
+        if let (true, Some((workload, think))) = (done, stream.follow_up) {
             thread::sleep(Duration::from_secs_f64(think));
             // Those that roam read at another door than they wrote.
-            let home = home + usize::from(arrival.draw < stream.roams);
+            let home = home + usize::from(arrival.router_draw < stream.roaming_share);
             let intended = self.clock.now();
             self.wish(&Wish { workload, group, session, home: home % self.doors.len(), intended });
         }
@@ -248,13 +249,13 @@
                     return true;
                 }
                 // Told to come again, which is harmless; or nothing went out.
-                Ended::Rejected(wait) => match self.script.clients.ignore_return {
-                    true => self.script.clients.pause,
-                    false => wait.unwrap_or(self.script.clients.pause),
+                Ended::Rejected(wait) => match self.script.clients.ignore_retry_after {
+                    true => self.script.clients.retry_pause,
+                    false => wait.unwrap_or(self.script.clients.retry_pause),
                 },
-                Ended::Nothing { sent: false } => self.script.clients.pause,
+                Ended::Nothing { sent: false } => self.script.clients.retry_pause,
                 Ended::Failed | Ended::Nothing { sent: true } if effect == Effect::Idempotent => {
-                    self.script.clients.pause
+                    self.script.clients.retry_pause
                 }
                 _ => return false,
             };
--- a/crates/sandstile-lab/src/hunt.rs
+++ b/crates/sandstile-lab/src/hunt.rs
@@ -3,8 +3,8 @@
 use crate::rehearse::{self, Wanted as Rehearsal};
 use crate::report;
 use sandstile_audit::returning;
-use sandstile_faults::draw::{self, Fault, Field};
-use sandstile_faults::shrink::Shrink;
+use sandstile_faults::draw::{self, FaultTargets, ScheduledFault};
+use sandstile_faults::shrink::Shrinker;
 use sandstile_scenario::Script;
 use std::fmt::Write as _;
 use std::fs;
@@ -51,9 +51,9 @@
     pub failed: usize,
 }
 
-fn text_of(wanted: &Wanted, base: &str, faults: &[Fault], seed: u64) -> String {
+fn text_of(wanted: &Wanted, base: &str, faults: &[ScheduledFault], seed: u64) -> String {
     let planted = if wanted.plant { "planted = true\n" } else { "" };
-    format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", draw::script(faults))
+    format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", draw::to_script(faults))
 }
 
 fn script(wanted: &Wanted, text: &str, seed: u64) -> Result<Script, String> {
@@ -119,7 +119,7 @@
     let base = fs::read_to_string(&wanted.base).map_err(|e| format!("{}: {e}", wanted.base.display()))?;
     let plain = script(wanted, &base, wanted.seed)?;
     let zones: Vec<String> = plain.plan.nodes.iter().map(|n| n.zone.clone()).collect();
-    let mut field = Field {
+    let mut field = FaultTargets {
         routers: plain.routers.count,
         groups: plain.plan.groups.iter().map(|g| g.name.clone()).collect(),
         zones,
@@ -135,7 +135,7 @@
     let mut failed = 0;
     for run in 0..wanted.runs as u64 {
         let seed = wanted.seed + run;
-        let faults = draw::draw(&field, wanted.size, seed);
+        let faults = draw::draw_schedule(&field, wanted.size, seed);
         let text = text_of(wanted, &base, &faults, seed);
         let played = play(wanted, &text, seed)?;
         let whole = match played.whole_after {
@@ -165,20 +165,25 @@
             least.len(),
             wanted.size
         );
-        let _ = writeln!(out, "```\n{}```\n", draw::script(&least));
+        let _ = writeln!(out, "```\n{}```\n", draw::to_script(&least));
     }
     let _ = writeln!(out, "\n{} schedules of {} faults, {failed} failed", wanted.runs, wanted.size);
     fs::write(wanted.out.join("hunt.md"), &out).map_err(told)?;
     Ok(Found { text: out, failed })
 }
 
-fn shrink(wanted: &Wanted, base: &str, faults: Vec<Fault>, seed: u64) -> Result<(Vec<Fault>, usize), String> {
-    let mut shrink = Shrink::new(faults);
-    while shrink.asked() < wanted.shrinks {
-        let Some(fewer) = shrink.to_try() else { break };
+fn shrink(
+    wanted: &Wanted,
+    base: &str,
+    faults: Vec<ScheduledFault>,
+    seed: u64,
+) -> Result<(Vec<ScheduledFault>, usize), String> {
+    let mut shrink = Shrinker::new(faults);
+    while shrink.runs() < wanted.shrinks {
+        let Some(fewer) = shrink.next_candidate() else { break };
         let failed = fails(wanted, &text_of(wanted, base, &fewer, seed), seed)?;
         info!(seed, faults = fewer.len(), failed, "shrinks");
-        shrink.told(failed.is_some());
+        shrink.record_result(failed.is_some());
     }
-    Ok((shrink.least().to_vec(), shrink.asked()))
+    Ok((shrink.smallest_failing().to_vec(), shrink.runs()))
 }
--- a/crates/sandstile-lab/src/main.rs
+++ b/crates/sandstile-lab/src/main.rs
@@ -422,7 +422,7 @@
                 file.display(),
                 s.title,
                 s.seconds,
-                s.quick,
+                s.quick_seconds,
                 s.plan.groups.iter().map(|g| g.nodes.len()).sum::<usize>(),
                 s.plan.workloads.len(),
                 s.cues.len()
--- a/crates/sandstile-lab/src/processes.rs
+++ b/crates/sandstile-lab/src/processes.rs
@@ -52,8 +52,8 @@
     let a = &script.allowed;
     json!({
         "classes": classes, "peersTotal": script.routers.count, "tickMs": 5.0, "discovery": "pushed",
-        "allowed": {"mostTries": a.executions, "mayCancel": a.recall, "probes": a.probes,
-            "retryAfter": a.return_s > 0.0, "maxRetryAfterMs": a.return_s * 1e3, "dialTimeoutMs": a.dial_s * 1e3,
+        "allowed": {"mostTries": a.max_executions, "mayCancel": a.may_cancel, "probes": a.probes,
+            "retryAfter": a.max_retry_after_s > 0.0, "maxRetryAfterMs": a.max_retry_after_s * 1e3, "dialTimeoutMs": a.dial_timeout_s * 1e3,
             "idleCloseMs": least(&|k| k.idle_timeout_s) * 1e3},
         "rules": {"coldFrom": least(&|k| k.cold_share), "coldMs": warm * 1e3,
             "tipMultiple": least(&|k| k.cold_overload_multiple)},
@@ -107,7 +107,7 @@
         let path = state_file(script, dir, number);
         text += &format!("  journal = {:?}\n  durability = \"before-answer\"\n", path.display().to_string());
         // Only where nobody roams has one router heard of all that a session wrote.
-        let stay = script.streams.iter().all(|s| s.roams == 0.0) && script.routers.count == 1;
+        let stay = script.streams.iter().all(|s| s.roaming_share == 0.0) && script.routers.count == 1;
         text += &format!("  sessions_stay = {stay}\n");
     }
     if wanted.exchange {
@@ -130,7 +130,7 @@
             file.parent().unwrap_or(dir).display().to_string(),
             dir.join(format!("router-{number}.witness")).display().to_string(),
             state_socket(net, number).display().to_string(),
-            wanted.together,
+            wanted.share_probes,
         );
     }
     fs::write(&path, text + "}\n" + &beside)?;
@@ -177,7 +177,7 @@
 }
 
 fn relayed(script: &Script) -> bool {
-    script.cues.iter().any(|c| matches!(c.act, sandstile_scenario::script::Act::Link { .. }))
+    script.cues.iter().any(|c| matches!(c.action, sandstile_scenario::script::CueAction::Link { .. }))
 }
 
 /// Where a router is asked for the state that it keeps with others.
--- a/crates/sandstile-lab/src/recordings.rs
+++ b/crates/sandstile-lab/src/recordings.rs
@@ -1,7 +1,7 @@
 //! Recordings on disk: taken from a rehearsal's trace, looked at, cut, scaled, merged, and played at an address.
 use crate::report;
 use sandstile_load::{run, Arrivals, Load, Report, Shape};
-use sandstile_recording::{edit, Arrival, Head, Player, Recorder, Wrong};
+use sandstile_recording::{edit, Arrival, Header, RecordingError, RecordingReader, RecordingWriter};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::fmt::Write as _;
@@ -11,15 +11,15 @@
 use std::path::Path;
 use std::rc::Rc;
 
-type Reader = Player<BufReader<File>>;
+type Reader = RecordingReader<BufReader<File>>;
 
-fn told(path: &Path) -> impl Fn(Wrong) -> String + '_ {
+fn told(path: &Path) -> impl Fn(RecordingError) -> String + '_ {
     move |e| format!("{}: {e}", path.display())
 }
 
 pub fn open(path: &Path) -> Result<Reader, String> {
     let file = File::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Player::open(BufReader::new(file)).map_err(told(path))
+    RecordingReader::open(BufReader::new(file)).map_err(told(path))
 }
 
 fn create(path: &Path) -> Result<BufWriter<File>, String> {
@@ -41,17 +41,17 @@
     let begin = terms.begin.to_bits().to_le_bytes();
     let hash = blake3::hash(&[&begin[..], &terms.seed.to_le_bytes(), terms.title.as_bytes()].concat());
     let salt = std::array::from_fn(|n| hash.as_bytes()[n]);
-    let head = Head { salt, workloads, groups };
-    let mut recorder = Recorder::begin(create(out)?, &head).map_err(|e| e.to_string())?;
+    let header = Header { salt, workloads, groups };
+    let mut recorder = RecordingWriter::begin(create(out)?, &header).map_err(|e| e.to_string())?;
     let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
     for a in asked {
         let arrival = Arrival {
             at_us: ((a.intended - terms.begin).max(0.0) * 1e6) as u64,
-            workload: place(&head.workloads, &a.workload),
-            group: place(&head.groups, &a.group),
-            session: head.session(&a.session),
+            workload: place(&header.workloads, &a.workload),
+            group: place(&header.groups, &a.group),
+            session: header.session(&a.session),
             wait_ms: (a.wait * 1e3) as u32,
-            again: false,
+            is_retry: false,
         };
         recorder.add(&arrival).map_err(|e| e.to_string())?;
     }
@@ -61,8 +61,8 @@
 }
 
 pub fn inspect(path: &Path) -> Result<String, String> {
-    let mut player = open(path)?;
-    let s = edit::inspect(&mut player).map_err(told(path))?;
+    let mut reader = open(path)?;
+    let s = edit::inspect(&mut reader).map_err(told(path))?;
     let mut out = String::new();
     let rate = s.arrivals as f64 / s.seconds.max(1e-9);
     let _ = writeln!(
@@ -70,9 +70,9 @@
         "{} arrivals in {:.1} s, {rate:.1} a second; most in one second {} (at {} s)",
         s.arrivals, s.seconds, s.peak.0, s.peak.1
     );
-    let rows = player.head.workloads.iter().zip(&s.by_workload).map(|(n, c)| ("workload", n, c));
+    let rows = reader.header.workloads.iter().zip(&s.by_workload).map(|(n, c)| ("workload", n, c));
     for (kind, name, count) in
-        rows.chain(player.head.groups.iter().zip(&s.by_group).map(|(n, c)| ("group", n, c)))
+        rows.chain(reader.header.groups.iter().zip(&s.by_group).map(|(n, c)| ("group", n, c)))
     {
         let _ = writeln!(out, "{kind} {name}: {count}");
     }
@@ -111,17 +111,17 @@
 pub fn play(wanted: &Play) -> Result<Report, String> {
     // What is due and not yet asked: the recording is read as it is played.
     let due: Rc<RefCell<VecDeque<Arrival>>> = Rc::default();
-    let (mut names, mut seconds) = (Head::default(), wanted.seconds);
-    let wrong: Rc<RefCell<Option<Wrong>>> = Rc::default();
+    let (mut names, mut seconds) = (Header::default(), wanted.seconds);
+    let wrong: Rc<RefCell<Option<RecordingError>>> = Rc::default();
     let arrivals = match &wanted.recording {
         None => Arrivals::new(Shape::Poisson(wanted.rate), seconds, 1),
         Some(path) => {
             // A look through it first: its length, and whether it is whole.
             seconds = edit::inspect(&mut open(path)?).map_err(told(path))?.seconds;
-            let mut player = open(path)?;
-            names = player.head.clone();
+            let mut reader = open(path)?;
+            names = reader.header.clone();
             let (due, wrong) = (due.clone(), wrong.clone());
-            let next = move || match player.next_arrival() {
+            let next = move || match reader.next_arrival() {
                 Ok(arrival) => arrival.map(|a| {
                     due.borrow_mut().push_back(a);
                     a.at_us as f64 / 1e6
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -7,7 +7,7 @@
 use crossbeam_channel::{unbounded, Receiver, RecvTimeoutError};
 pub use sandstile_emulator::router_address;
 use sandstile_emulator::{Clock, Emulator, Handle, Notification, Record};
-use sandstile_faults::{Blow, State};
+use sandstile_faults::{ProcessFault, StateAfterRestart};
 use sandstile_fleet::plan::{Consistency, Effect};
 use sandstile_scenario::traffic::Traffic;
 use sandstile_scenario::Script;
@@ -104,19 +104,27 @@
     }
 
     /// One process is struck as told.
-    fn strike(&self, number: usize, blow: Blow, crew: &Crew, emulator: &Handle) -> io::Result<()> {
-        match blow {
-            Blow::Restart { kill, back, state } => self.restart(number, kill, back, state, crew, emulator),
-            Blow::Stop { lasts } => {
+    fn strike(
+        &self,
+        number: usize,
+        process_fault: ProcessFault,
+        crew: &Crew,
+        emulator: &Handle,
+    ) -> io::Result<()> {
+        match process_fault {
+            ProcessFault::Restart { kill, back, state } => {
+                self.restart(number, kill, back, state, crew, emulator)
+            }
+            ProcessFault::Stop { duration_s } => {
                 self.note(number, "stopped", None);
                 self.with(number, Router::stop);
-                self.sleep(lasts);
+                self.sleep(duration_s);
                 self.with(number, Router::go_on);
                 self.note(number, "continued", None);
                 Ok(())
             }
-            Blow::Slow { share, lasts } => {
-                let until = self.clock.now() + lasts;
+            ProcessFault::Slow { share, duration_s } => {
+                let until = self.clock.now() + duration_s;
                 self.note(number, "slow", None);
                 while self.clock.now() < until && !self.over.load(SeqCst) {
                     self.with(number, Router::stop);
@@ -127,7 +135,7 @@
                 self.note(number, "continued", None);
                 Ok(())
             }
-            Blow::Copy => {
+            ProcessFault::SaveState => {
                 let file = processes::state_file(&self.script, &self.out, number);
                 match std::fs::copy(&file, file.with_extension("copy")) {
                     Ok(_) => Ok(()),
@@ -153,11 +161,11 @@
     }
 
     /// What a process that starts again finds of its state.
-    fn state(&self, number: usize, state: State) -> io::Result<()> {
+    fn state(&self, number: usize, state: StateAfterRestart) -> io::Result<()> {
         let file = processes::state_file(&self.script, &self.out, number);
         let Ok(bytes) = std::fs::read(&file) else { return Ok(()) };
         let copy = std::fs::read(file.with_extension("copy")).ok();
-        match state.of(bytes, copy.as_deref(), self.script.plan.seed ^ number as u64) {
+        match state.apply(bytes, copy.as_deref(), self.script.plan.seed ^ number as u64) {
             Some(bytes) => std::fs::write(&file, bytes),
             None => std::fs::remove_file(&file),
         }
@@ -169,7 +177,7 @@
         number: usize,
         kill: bool,
         back: f64,
-        state: State,
+        state: StateAfterRestart,
         crew: &Crew,
         emulator: &Handle,
     ) -> io::Result<()> {
@@ -197,7 +205,7 @@
             true => (began + back - self.clock.now()).max(0.0),
             false => back - waited,
         });
-        if state != State::Kept {
+        if state != StateAfterRestart::Kept {
             self.state(number, state)?;
         }
         if self.over.load(SeqCst) {
@@ -205,7 +213,7 @@
         }
         self.start(number, &emulator.discovery_list(number))?;
         crew.door(number).open.store(true, SeqCst);
-        crew.crowd(number, self.script.clients.crowd);
+        crew.crowd(number, self.script.clients.returning_clients);
         Ok(())
     }
 
@@ -304,7 +312,7 @@
 /// Plays a script; the trace and the summary lie in `out` afterwards.
 pub fn rehearse(wanted: Wanted) -> Result<report::Summary, String> {
     let told = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
-    let script = if wanted.quick { wanted.script.quick() } else { wanted.script };
+    let script = if wanted.quick { wanted.script.shortened() } else { wanted.script };
     std::fs::create_dir_all(&wanted.out).map_err(told("the folder for results"))?;
     for number in 0..script.routers.count {
         // Logs of an earlier rehearsal in the same folder.
@@ -338,7 +346,7 @@
     });
     for number in 0..script.routers.count {
         stage.start(number, &emulator.discovery_list(number)).map_err(told("a router"))?;
-        thread::sleep(Duration::from_secs_f64(script.routers.apart));
+        thread::sleep(Duration::from_secs_f64(script.routers.start_interval));
     }
     let crew = Crew::new(&script, script.plan.seed, &emulator.client_addresses, clock, book.clone())
         .map_err(told("clients"))?;
@@ -420,16 +428,16 @@
             Err(_) => return,
         };
         match note {
-            Notification::Process { name, whom, blow, spread } => {
+            Notification::Process { name, selector, process_fault, spread } => {
                 // Each cue of a script chooses for itself, the same with each play of a seed.
                 let seed =
                     name.bytes().fold(stage.script.plan.seed, |h, b| h.wrapping_mul(31) ^ u64::from(b));
-                let struck = whom.of(stage.routers.len(), spread, seed);
-                info!(name, ?blow, routers = struck.len(), "processes are struck");
+                let struck = selector.select(stage.routers.len(), spread, seed);
+                info!(name, ?process_fault, routers = struck.len(), "processes are struck");
                 for (number, after) in struck {
                     scope.spawn(move || {
                         stage.sleep(after);
-                        if let Err(e) = stage.strike(number, blow, crew, emulator) {
+                        if let Err(e) = stage.strike(number, process_fault, crew, emulator) {
                             warn!(number, "not struck: {e}");
                         }
                     });
--- a/crates/sandstile-lab/src/returns.rs
+++ b/crates/sandstile-lab/src/returns.rs
@@ -285,7 +285,7 @@
     if story == Story::PowerCut {
         for group in 0..GROUPS {
             let target = Target::Group(group.to_string());
-            world.fleet.start_fault(EPOCH + FAULT, Fault { kind: FaultKind::Crash, target, lasts: 2.0 });
+            world.fleet.start_fault(EPOCH + FAULT, Fault { kind: FaultKind::Crash, target, duration_s: 2.0 });
         }
     }
     world.run_until(&mut crowd, EPOCH + FAULT + BACK);
--- a/crates/sandstile-recording/src/edit.rs
+++ b/crates/sandstile-recording/src/edit.rs
@@ -1,13 +1,18 @@
 //! Cutting, scaling and merging recordings, and what can be said of one; all of it streamed.
-use crate::{Arrival, Head, Player, Recorder, Wrong};
+use crate::{Arrival, Header, RecordingError, RecordingReader, RecordingWriter};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 
 /// Keeps what lies between two times, in seconds; it begins anew at the first.
-pub fn cut<R: Read, W: Write>(player: &mut Player<R>, out: W, from: f64, to: f64) -> Result<u64, Wrong> {
+pub fn cut<R: Read, W: Write>(
+    reader: &mut RecordingReader<R>,
+    out: W,
+    from: f64,
+    to: f64,
+) -> Result<u64, RecordingError> {
     let (from_us, to_us) = ((from * 1e6) as u64, (to * 1e6) as u64);
-    let mut recorder = Recorder::begin(out, &player.head)?;
-    while let Some(a) = player.next_arrival()? {
+    let mut recorder = RecordingWriter::begin(out, &reader.header)?;
+    while let Some(a) = reader.next_arrival()? {
         if a.at_us >= to_us {
             break;
         }
@@ -23,17 +28,17 @@
 /// Plays time faster or slower, and sessions several times over: `copies` of each arrival, each with sessions of its own.
 /// Copies come `spread` seconds apart, or all of them would meet at one moment.
 pub fn scale<R: Read, W: Write>(
-    player: &mut Player<R>,
+    reader: &mut RecordingReader<R>,
     out: W,
     speed: f64,
     copies: u32,
     spread: f64,
-) -> Result<u64, Wrong> {
-    let mut recorder = Recorder::begin(out, &player.head)?;
+) -> Result<u64, RecordingError> {
+    let mut recorder = RecordingWriter::begin(out, &reader.header)?;
     // Copies that are still to come; no more than lie within the spread.
     let mut coming: BTreeMap<(u64, u64), Arrival> = BTreeMap::new();
     let mut number = 0;
-    while let Some(a) = player.next_arrival()? {
+    while let Some(a) = reader.next_arrival()? {
         let at = (a.at_us as f64 / speed) as u64;
         while let Some(first) = coming.first_entry().filter(|e| e.key().0 <= at) {
             recorder.add(&first.remove())?;
@@ -57,10 +62,14 @@
 }
 
 /// Plays two recordings over each other. Names are joined; sessions stay strangers, for their salts differ.
-pub fn merge<A: Read, B: Read, W: Write>(a: &mut Player<A>, b: &mut Player<B>, out: W) -> Result<u64, Wrong> {
-    let mut head = Head { salt: a.head.salt, ..Head::default() };
-    let mut join = |names: &[String], all: fn(&mut Head) -> &mut Vec<String>| -> Vec<u32> {
-        let all = all(&mut head);
+pub fn merge<A: Read, B: Read, W: Write>(
+    a: &mut RecordingReader<A>,
+    b: &mut RecordingReader<B>,
+    out: W,
+) -> Result<u64, RecordingError> {
+    let mut header = Header { salt: a.header.salt, ..Header::default() };
+    let mut join = |names: &[String], all: fn(&mut Header) -> &mut Vec<String>| -> Vec<u32> {
+        let all = all(&mut header);
         let place = |name: &String| {
             let found = all.iter().position(|n| n == name);
             found.unwrap_or_else(|| {
@@ -71,9 +80,9 @@
         names.iter().map(place).collect()
     };
     let workloads =
-        [join(&a.head.workloads, |h| &mut h.workloads), join(&b.head.workloads, |h| &mut h.workloads)];
-    let groups = [join(&a.head.groups, |h| &mut h.groups), join(&b.head.groups, |h| &mut h.groups)];
-    let mut recorder = Recorder::begin(out, &head)?;
+        [join(&a.header.workloads, |h| &mut h.workloads), join(&b.header.workloads, |h| &mut h.workloads)];
+    let groups = [join(&a.header.groups, |h| &mut h.groups), join(&b.header.groups, |h| &mut h.groups)];
+    let mut recorder = RecordingWriter::begin(out, &header)?;
     let (mut one, mut other) = (a.next_arrival()?, b.next_arrival()?);
     loop {
         let first = match (&one, &other) {
@@ -99,23 +108,23 @@
 pub struct Summary {
     pub arrivals: u64,
     pub seconds: f64,
-    pub again: u64,
+    pub retries: u64,
     pub by_workload: Vec<u64>,
     pub by_group: Vec<u64>,
     /// The most in one second, and which.
     pub peak: (u64, u64),
 }
 
-pub fn inspect<R: Read>(player: &mut Player<R>) -> Result<Summary, Wrong> {
+pub fn inspect<R: Read>(reader: &mut RecordingReader<R>) -> Result<Summary, RecordingError> {
     let mut s = Summary {
-        by_workload: vec![0; player.head.workloads.len()],
-        by_group: vec![0; player.head.groups.len()],
+        by_workload: vec![0; reader.header.workloads.len()],
+        by_group: vec![0; reader.header.groups.len()],
         ..Summary::default()
     };
     let mut second = (0, 0);
-    while let Some(a) = player.next_arrival()? {
+    while let Some(a) = reader.next_arrival()? {
         s.arrivals += 1;
-        s.again += u64::from(a.again);
+        s.retries += u64::from(a.is_retry);
         s.seconds = a.at_us as f64 / 1e6;
         s.by_workload[a.workload as usize] += 1;
         s.by_group[a.group as usize] += 1;
--- a/crates/sandstile-recording/src/lib.rs
+++ b/crates/sandstile-recording/src/lib.rs
@@ -27,17 +27,17 @@
     pub session: u64,
     /// Milliseconds that the client waits.
     pub wait_ms: u32,
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Head {
+pub struct Header {
     pub salt: [u8; 16],
     pub workloads: Vec<String>,
     pub groups: Vec<String>,
 }
 
-impl Head {
+impl Header {
     /// What stands for a session's name in this recording.
     pub fn session(&self, name: &str) -> u64 {
         let mut key = [0; 32];
@@ -49,30 +49,32 @@
 }
 
 #[derive(Debug)]
-pub enum Wrong {
-    Stranger,
-    Newer(u16),
+pub enum RecordingError {
+    NotARecording,
+    UnsupportedVersion(u16),
     /// What is told has been changed, or was never written like this.
-    Spoilt,
+    Corrupted,
     /// The end is missing: what stands before it was whole.
-    Cut,
+    Truncated,
     Io(io::Error),
 }
 
-impl From<io::Error> for Wrong {
+impl From<io::Error> for RecordingError {
     fn from(e: io::Error) -> Self {
-        Wrong::Io(e)
+        RecordingError::Io(e)
     }
 }
 
-impl std::fmt::Display for Wrong {
+impl std::fmt::Display for RecordingError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Wrong::Stranger => write!(f, "no recording"),
-            Wrong::Newer(v) => write!(f, "a recording of version {v}; this program knows {VERSION}"),
-            Wrong::Spoilt => write!(f, "spoilt"),
-            Wrong::Cut => write!(f, "cut off"),
-            Wrong::Io(e) => write!(f, "{e}"),
+            RecordingError::NotARecording => write!(f, "no recording"),
+            RecordingError::UnsupportedVersion(v) => {
+                write!(f, "a recording of version {v}; this program knows {VERSION}")
+            }
+            RecordingError::Corrupted => write!(f, "spoilt"),
+            RecordingError::Truncated => write!(f, "cut off"),
+            RecordingError::Io(e) => write!(f, "{e}"),
         }
     }
 }
@@ -85,17 +87,17 @@
     out.push(n as u8);
 }
 
-fn get(bytes: &[u8], at: &mut usize) -> Result<u64, Wrong> {
+fn get(bytes: &[u8], at: &mut usize) -> Result<u64, RecordingError> {
     let mut n = 0u64;
     for shift in (0..64).step_by(7) {
-        let byte = *bytes.get(*at).ok_or(Wrong::Spoilt)?;
+        let byte = *bytes.get(*at).ok_or(RecordingError::Corrupted)?;
         *at += 1;
-        n |= u64::from(byte & 0x7f).checked_shl(shift).ok_or(Wrong::Spoilt)?;
+        n |= u64::from(byte & 0x7f).checked_shl(shift).ok_or(RecordingError::Corrupted)?;
         if byte < 0x80 {
             return Ok(n);
         }
     }
-    Err(Wrong::Spoilt)
+    Err(RecordingError::Corrupted)
 }
 
 fn hash(bytes: &[u8]) -> [u8; 8] {
@@ -104,7 +106,7 @@
 }
 
 /// Writes a recording; arrivals come in the order of their times.
-pub struct Recorder<W: Write> {
+pub struct RecordingWriter<W: Write> {
     out: W,
     block: Vec<u8>,
     count: usize,
@@ -112,10 +114,10 @@
     pub written: u64,
 }
 
-impl<W: Write> Recorder<W> {
-    pub fn begin(mut out: W, head: &Head) -> io::Result<Self> {
-        let mut body = head.salt.to_vec();
-        for names in [&head.workloads, &head.groups] {
+impl<W: Write> RecordingWriter<W> {
+    pub fn begin(mut out: W, header: &Header) -> io::Result<Self> {
+        let mut body = header.salt.to_vec();
+        for names in [&header.workloads, &header.groups] {
             put(&mut body, names.len() as u64);
             for name in names {
                 put(&mut body, name.len() as u64);
@@ -125,14 +127,14 @@
         out.write_all(MAGIC)?;
         out.write_all(&VERSION.to_le_bytes())?;
         frame(&mut out, &body)?;
-        Ok(Recorder { out, block: Vec::new(), count: 0, last_us: 0, written: 0 })
+        Ok(RecordingWriter { out, block: Vec::new(), count: 0, last_us: 0, written: 0 })
     }
 
     /// Adds one; what is earlier than the last counts as at the same time.
     pub fn add(&mut self, a: &Arrival) -> io::Result<()> {
         let at = a.at_us.max(self.last_us);
         put(&mut self.block, at - self.last_us);
-        put(&mut self.block, u64::from(a.workload) << 1 | u64::from(a.again));
+        put(&mut self.block, u64::from(a.workload) << 1 | u64::from(a.is_retry));
         put(&mut self.block, u64::from(a.group));
         put(&mut self.block, u64::from(a.wait_ms));
         self.block.extend_from_slice(&a.session.to_le_bytes());
@@ -186,9 +188,9 @@
 }
 
 /// Reads a recording, block by block.
-pub struct Player<R: Read> {
+pub struct RecordingReader<R: Read> {
     from: R,
-    pub head: Head,
+    pub header: Header,
     block: Vec<u8>,
     at: usize,
     left: u64,
@@ -197,34 +199,46 @@
     over: bool,
 }
 
-impl<R: Read> Player<R> {
-    pub fn open(mut from: R) -> Result<Self, Wrong> {
+impl<R: Read> RecordingReader<R> {
+    pub fn open(mut from: R) -> Result<Self, RecordingError> {
         let mut start = [0; 10];
         from.read_exact(&mut start).map_err(cut)?;
         if &start[..8] != MAGIC {
-            return Err(Wrong::Stranger);
+            return Err(RecordingError::NotARecording);
         }
         let version = u16::from_le_bytes([start[8], start[9]]);
         if version != VERSION {
-            return Err(Wrong::Newer(version));
+            return Err(RecordingError::UnsupportedVersion(version));
         }
         let body = take(&mut from)?;
-        let mut head = Head { salt: [0; 16], ..Head::default() };
-        head.salt.copy_from_slice(body.get(..16).ok_or(Wrong::Spoilt)?);
+        let mut header = Header { salt: [0; 16], ..Header::default() };
+        header.salt.copy_from_slice(body.get(..16).ok_or(RecordingError::Corrupted)?);
         let mut at = 16;
-        for names in [&mut head.workloads, &mut head.groups] {
+        for names in [&mut header.workloads, &mut header.groups] {
             for _ in 0..get(&body, &mut at)? {
                 let length = get(&body, &mut at)? as usize;
-                let name = at.checked_add(length).and_then(|end| body.get(at..end)).ok_or(Wrong::Spoilt)?;
-                names.push(String::from_utf8(name.to_vec()).map_err(|_| Wrong::Spoilt)?);
+                let name = at
+                    .checked_add(length)
+                    .and_then(|end| body.get(at..end))
+                    .ok_or(RecordingError::Corrupted)?;
+                names.push(String::from_utf8(name.to_vec()).map_err(|_| RecordingError::Corrupted)?);
                 at += length;
             }
         }
-        Ok(Player { from, head, block: Vec::new(), at: 0, left: 0, last_us: 0, read: 0, over: false })
+        Ok(RecordingReader {
+            from,
+            header,
+            block: Vec::new(),
+            at: 0,
+            left: 0,
+            last_us: 0,
+            read: 0,
+            over: false,
+        })
     }
 
     /// The next arrival; `None` once all that was written was read.
-    pub fn next_arrival(&mut self) -> Result<Option<Arrival>, Wrong> {
+    pub fn next_arrival(&mut self) -> Result<Option<Arrival>, RecordingError> {
         while self.left == 0 {
             if self.over {
                 return Ok(None);
@@ -235,7 +249,7 @@
             if self.left == 0 {
                 self.over = true;
                 if get(&self.block, &mut self.at)? != self.read {
-                    return Err(Wrong::Spoilt);
+                    return Err(RecordingError::Corrupted);
                 }
             }
         }
@@ -245,39 +259,39 @@
         let kind = get(block, at)?;
         let group = get(block, at)?;
         let wait = get(block, at)?;
-        let session = block.get(*at..*at + 8).ok_or(Wrong::Spoilt)?;
+        let session = block.get(*at..*at + 8).ok_or(RecordingError::Corrupted)?;
         let session = u64::from_le_bytes(std::array::from_fn(|n| session[n]));
         *at += 8;
-        self.last_us = self.last_us.checked_add(step).ok_or(Wrong::Spoilt)?;
+        self.last_us = self.last_us.checked_add(step).ok_or(RecordingError::Corrupted)?;
         self.read += 1;
-        let narrow = |n: u64| u32::try_from(n).map_err(|_| Wrong::Spoilt);
+        let narrow = |n: u64| u32::try_from(n).map_err(|_| RecordingError::Corrupted);
         let (workload, group, wait_ms) = (narrow(kind >> 1)?, narrow(group)?, narrow(wait)?);
         // Indices of names that the head has: whoever plays it looks them up.
-        if workload as usize >= self.head.workloads.len() || group as usize >= self.head.groups.len() {
-            return Err(Wrong::Spoilt);
+        if workload as usize >= self.header.workloads.len() || group as usize >= self.header.groups.len() {
+            return Err(RecordingError::Corrupted);
         }
-        Ok(Some(Arrival { at_us: self.last_us, workload, group, session, wait_ms, again: kind & 1 == 1 }))
+        Ok(Some(Arrival { at_us: self.last_us, workload, group, session, wait_ms, is_retry: kind & 1 == 1 }))
     }
 }
 
-fn cut(e: io::Error) -> Wrong {
+fn cut(e: io::Error) -> RecordingError {
     match e.kind() {
-        io::ErrorKind::UnexpectedEof => Wrong::Cut,
-        _ => Wrong::Io(e),
+        io::ErrorKind::UnexpectedEof => RecordingError::Truncated,
+        _ => RecordingError::Io(e),
     }
 }
 
-fn take(from: &mut impl Read) -> Result<Vec<u8>, Wrong> {
+fn take(from: &mut impl Read) -> Result<Vec<u8>, RecordingError> {
     let mut front = [0; 12];
     from.read_exact(&mut front).map_err(cut)?;
     let length = u32::from_le_bytes(std::array::from_fn(|n| front[n])) as usize;
     if length > MOST {
-        return Err(Wrong::Spoilt);
+        return Err(RecordingError::Corrupted);
     }
     let mut body = vec![0; length];
     from.read_exact(&mut body).map_err(cut)?;
     match hash(&body) == front[4..] {
         true => Ok(body),
-        false => Err(Wrong::Spoilt),
+        false => Err(RecordingError::Corrupted),
     }
 }
--- a/crates/sandstile-recording/tests/stream.rs
+++ b/crates/sandstile-recording/tests/stream.rs
@@ -2,11 +2,11 @@
 //! would like.
 use quickcheck::{Gen, QuickCheck};
 use sandstile_recording::edit::{cut, inspect, merge, scale};
-use sandstile_recording::{Arrival, Head, Player, Recorder, Wrong};
+use sandstile_recording::{Arrival, Header, RecordingError, RecordingReader, RecordingWriter};
 
-fn head() -> Head {
+fn header() -> Header {
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect();
-    Head { salt: [3; 16], workloads: names(&["look", "save", "own"]), groups: names(&["1", "2"]) }
+    Header { salt: [3; 16], workloads: names(&["look", "save", "own"]), groups: names(&["1", "2"]) }
 }
 
 fn arrival(n: u64) -> Arrival {
@@ -14,23 +14,23 @@
         at_us: n * 10_000,
         workload: (n % 3) as u32,
         group: (n % 2) as u32,
-        session: head().session(&format!("u{}", n % 7)),
+        session: header().session(&format!("u{}", n % 7)),
         wait_ms: 1000,
-        again: n.is_multiple_of(5),
+        is_retry: n.is_multiple_of(5),
     }
 }
 
 fn recorded(all: &[Arrival]) -> Vec<u8> {
-    let mut recorder = Recorder::begin(Vec::new(), &head()).expect("memory");
+    let mut recorder = RecordingWriter::begin(Vec::new(), &header()).expect("memory");
     all.iter().for_each(|a| recorder.add(a).expect("memory"));
     recorder.end().expect("memory")
 }
 
-fn read(bytes: &[u8]) -> Result<Vec<Arrival>, (usize, Wrong)> {
-    let mut player = Player::open(bytes).map_err(|e| (0, e))?;
+fn read(bytes: &[u8]) -> Result<Vec<Arrival>, (usize, RecordingError)> {
+    let mut reader = RecordingReader::open(bytes).map_err(|e| (0, e))?;
     let mut all = Vec::new();
     loop {
-        match player.next_arrival() {
+        match reader.next_arrival() {
             Ok(Some(a)) => all.push(a),
             Ok(None) => return Ok(all),
             Err(e) => return Err((all.len(), e)),
@@ -44,10 +44,10 @@
         let mut at = 0;
         let all: Vec<Arrival> = steps
             .into_iter()
-            .map(|(step, kind, again, session, wait_ms)| {
+            .map(|(step, kind, is_retry, session, wait_ms)| {
                 at += u64::from(step);
                 let (workload, group) = (u32::from(kind) % 3, u32::from(kind) % 2);
-                Arrival { at_us: at, workload, group, session, wait_ms, again }
+                Arrival { at_us: at, workload, group, session, wait_ms, is_retry }
             })
             .collect();
         read(&recorded(&all)).is_ok_and(|played| played == all)
@@ -63,7 +63,7 @@
     let bytes = recorded(&all);
     for end in 0..bytes.len() {
         match read(&bytes[..end]) {
-            Err((n, Wrong::Cut)) => assert!(n == 0 || n == 40, "{end}: {n}"),
+            Err((n, RecordingError::Truncated)) => assert!(n == 0 || n == 40, "{end}: {n}"),
             other => panic!("{end}: {other:?}"),
         }
     }
@@ -74,30 +74,30 @@
     }
     let mut newer = bytes;
     newer[8] = 2;
-    assert!(matches!(read(&newer), Err((0, Wrong::Newer(2)))));
-    assert!(matches!(read(b"not a recording at all"), Err((0, Wrong::Stranger))));
+    assert!(matches!(read(&newer), Err((0, RecordingError::UnsupportedVersion(2)))));
+    assert!(matches!(read(b"not a recording at all"), Err((0, RecordingError::NotARecording))));
 }
 
 #[test]
 fn names_of_sessions_are_not_in_it_and_two_recordings_cannot_be_matched() {
     let bytes = recorded(&(0..100).map(arrival).collect::<Vec<_>>());
     assert!(!bytes.windows(2).any(|w| w == b"u3"));
-    let other = Head { salt: [4; 16], ..head() };
-    assert_ne!(head().session("ann"), other.session("ann"));
-    assert_eq!(head().session("ann"), head().session("ann"));
+    let other = Header { salt: [4; 16], ..header() };
+    assert_ne!(header().session("ann"), other.session("ann"));
+    assert_eq!(header().session("ann"), header().session("ann"));
 }
 
 #[test]
 fn cut_scaled_and_merged_they_hold_what_they_should() {
     let bytes = recorded(&(0..1000).map(arrival).collect::<Vec<_>>());
-    let open = || Player::open(&bytes[..]).expect("ours");
+    let open = || RecordingReader::open(&bytes[..]).expect("ours");
     let mut out = Vec::new();
     assert_eq!(cut(&mut open(), &mut out, 2.0, 5.0).expect("ours"), 300);
     let part = read(&out).expect("ours");
     assert_eq!((part[0].at_us, part[299].at_us), (0, 2_990_000));
     let mut out = Vec::new();
     assert_eq!(scale(&mut open(), &mut out, 2.0, 3, 0.5).expect("ours"), 3000);
-    let summary = inspect(&mut Player::open(&out[..]).expect("ours")).expect("ours");
+    let summary = inspect(&mut RecordingReader::open(&out[..]).expect("ours")).expect("ours");
     assert_eq!((summary.arrivals, summary.by_workload.iter().sum::<u64>()), (3000, 3000));
     assert!((summary.seconds - (4.995 + 1.0)).abs() < 1e-6, "{}", summary.seconds);
     let scaled = read(&out).expect("ours");
@@ -105,12 +105,12 @@
     let sessions: std::collections::BTreeSet<u64> = scaled.iter().map(|a| a.session).collect();
     assert_eq!(sessions.len(), 21);
     // Another with names of its own.
-    let names = Head {
+    let names = Header {
         salt: [9; 16],
         workloads: vec!["save".to_string(), "new".to_string()],
         groups: vec!["9".to_string()],
     };
-    let mut other = Recorder::begin(Vec::new(), &names).expect("memory");
+    let mut other = RecordingWriter::begin(Vec::new(), &names).expect("memory");
     (0..10).for_each(|n| {
         other
             .add(&Arrival { at_us: n * 777, workload: (n % 2) as u32, group: 0, ..arrival(n) })
@@ -118,11 +118,12 @@
     });
     let other = other.end().expect("memory");
     let mut out = Vec::new();
-    let written = merge(&mut open(), &mut Player::open(&other[..]).expect("ours"), &mut out).expect("ours");
+    let written =
+        merge(&mut open(), &mut RecordingReader::open(&other[..]).expect("ours"), &mut out).expect("ours");
     assert_eq!(written, 1010);
-    let mut player = Player::open(&out[..]).expect("ours");
-    assert_eq!(player.head.workloads, ["look", "save", "own", "new"]);
-    let summary = inspect(&mut player).expect("ours");
+    let mut reader = RecordingReader::open(&out[..]).expect("ours");
+    assert_eq!(reader.header.workloads, ["look", "save", "own", "new"]);
+    let summary = inspect(&mut reader).expect("ours");
     assert_eq!((summary.by_workload[3], summary.by_group[2]), (5, 10));
 }
 
@@ -140,10 +141,10 @@
             Ok(())
         }
     }
-    let mut recorder = Recorder::begin(Count(0), &head()).expect("nowhere");
-    let session = head().session("u1");
+    let mut recorder = RecordingWriter::begin(Count(0), &header()).expect("nowhere");
+    let session = header().session("u1");
     for n in 0..2_000_000u64 {
-        let a = Arrival { at_us: n * 500, workload: 0, group: 1, session, wait_ms: 1000, again: false };
+        let a = Arrival { at_us: n * 500, workload: 0, group: 1, session, wait_ms: 1000, is_retry: false };
         recorder.add(&a).expect("nowhere");
     }
     let bytes = recorder.end().expect("nowhere").0;
--- a/crates/sandstile-relay/examples/cost.rs
+++ b/crates/sandstile-relay/examples/cost.rs
@@ -1,6 +1,6 @@
 //! What a relay costs where no fault stands: round trips of a small statement and its answer with and without one, one
 //! at a time, in microseconds. `cargo run --release -p sandstile-relay --example cost`
-use sandstile_faults::End;
+use sandstile_faults::Endpoint;
 use sandstile_relay::Relay;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -39,7 +39,7 @@
     });
     let relay = Relay::start(1).expect("a loop");
     let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a socket");
-    relay.stream(End::Router(0), End::Clients, free, target).expect("it listens");
+    relay.stream(Endpoint::Router(0), Endpoint::Clients, free, target).expect("it listens");
     println!("| | p50 us | p99 us |\n| --- | --- | --- |");
     for (name, at) in [("direct", target), ("over a relay", free)] {
         let (p50, p99) = measure(at);
--- a/crates/sandstile-relay/src/forward.rs
+++ b/crates/sandstile-relay/src/forward.rs
@@ -1,11 +1,11 @@
 //! The loop that holds all relays.
-use crate::{Side, Spot, Summary};
+use crate::{DatagramPeer, HubMember, Summary};
 use crossbeam_channel::Receiver;
 use hdrhistogram::Histogram;
 use mio::net::{TcpListener, TcpStream, UdpSocket};
 use mio::{Events, Interest, Poll, Token};
-use sandstile_faults::fault_state::Where;
-use sandstile_faults::{Datagrams, End, Lane, Net, Strike, Weather};
+use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::{ActiveFaults, DatagramChannel, Endpoint, LinkCondition, LinkFault, StreamChannel};
 use socket2::SockRef;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -14,17 +14,17 @@
 use std::time::{Duration, Instant};
 
 pub(crate) enum Command {
-    Stream { from: End, to: End, listener: std::net::TcpListener, target: SocketAddr },
-    Datagrams { sides: Box<[Side; 2]>, sockets: [std::net::UdpSocket; 2] },
-    Hub { spots: Vec<Spot>, sockets: Vec<std::net::UdpSocket> },
-    Begin(usize, Where, Strike),
+    Stream { from: Endpoint, to: Endpoint, listener: std::net::TcpListener, target: SocketAddr },
+    DatagramPair { sides: Box<[DatagramPeer; 2]>, sockets: [std::net::UdpSocket; 2] },
+    Hub { spots: Vec<HubMember>, sockets: Vec<std::net::UdpSocket> },
+    Begin(usize, FaultScope, LinkFault),
     Heal(usize),
     Stop,
 }
 
 struct Route {
-    from: End,
-    to: End,
+    from: Endpoint,
+    to: Endpoint,
     listener: TcpListener,
     target: SocketAddr,
 }
@@ -34,7 +34,7 @@
     socket: Option<TcpStream>,
     up: bool,
     /// What comes from the other half on its way to this socket.
-    lane: Lane,
+    channel: StreamChannel,
     /// Bytes that the platform has not taken yet.
     out: Vec<u8>,
     sent: usize,
@@ -58,25 +58,25 @@
     /// The one that dialled, and the one that is dialled: 0 and 1.
     halves: [Half; 2],
     /// What holds on the way to each half.
-    weather: [Weather; 2],
+    condition: [LinkCondition; 2],
 }
 
 struct Pair {
-    sides: [Side; 2],
+    sides: [DatagramPeer; 2],
     sockets: [UdpSocket; 2],
     /// On their way to each side.
-    ways: [Datagrams; 2],
-    weather: [Weather; 2],
+    ways: [DatagramChannel; 2],
+    condition: [LinkCondition; 2],
 }
 
 /// Many that send datagrams to each other.
 struct Hub {
-    spots: Vec<Spot>,
+    spots: Vec<HubMember>,
     sockets: Vec<UdpSocket>,
     /// Who sends from there.
     senders: BTreeMap<SocketAddr, usize>,
     /// From one to another, once something was sent.
-    ways: BTreeMap<(usize, usize), (Datagrams, Weather)>,
+    ways: BTreeMap<(usize, usize), (DatagramChannel, LinkCondition)>,
 }
 
 #[derive(Clone, Copy)]
@@ -91,7 +91,7 @@
     poll: Poll,
     seed: u64,
     start: Instant,
-    net: Net,
+    active_faults: ActiveFaults,
     routes: Vec<Route>,
     streams: BTreeMap<usize, Stream>,
     pairs: Vec<Pair>,
@@ -120,7 +120,7 @@
             poll,
             seed,
             start: Instant::now(),
-            net: Net::default(),
+            active_faults: ActiveFaults::default(),
             routes: Vec::new(),
             streams: BTreeMap::new(),
             pairs: Vec::new(),
@@ -207,16 +207,16 @@
                 self.routes.push(Route { from, to, listener, target });
                 self.accept(self.routes.len() - 1)?;
             }
-            Command::Datagrams { sides, sockets } => {
+            Command::DatagramPair { sides, sockets } => {
                 let pair = self.pairs.len();
                 let mut sockets = sockets.map(UdpSocket::from_std);
                 for (side, socket) in sockets.iter_mut().enumerate() {
                     let token = self.token(Place::Pair(pair, side));
                     self.poll.registry().register(socket, token, Interest::READABLE)?;
                 }
-                let ways = [Datagrams::new(self.chance()), Datagrams::new(self.chance())];
-                let weather = self.of_pair(&sides);
-                self.pairs.push(Pair { sides: *sides, sockets, ways, weather });
+                let ways = [DatagramChannel::new(self.chance()), DatagramChannel::new(self.chance())];
+                let condition = self.of_pair(&sides);
+                self.pairs.push(Pair { sides: *sides, sockets, ways, condition });
                 (0..2).for_each(|side| self.datagrams(pair, side));
             }
             Command::Hub { spots, sockets } => {
@@ -226,45 +226,48 @@
                     let token = self.token(Place::Hub(hub, spot));
                     self.poll.registry().register(socket, token, Interest::READABLE)?;
                 }
-                let senders = spots.iter().enumerate().map(|(n, s)| (s.at, n)).collect();
+                let senders = spots.iter().enumerate().map(|(n, s)| (s.address, n)).collect();
                 self.hubs.push(Hub { spots, sockets, senders, ways: BTreeMap::new() });
                 (0..self.hubs[hub].spots.len()).for_each(|spot| self.letters(hub, spot));
             }
-            Command::Begin(number, at, strike) => {
-                self.net.begin(number, at, strike);
-                self.changed();
+            Command::Begin(number, at, link_fault) => {
+                self.active_faults.begin(number, at, link_fault);
+                self.on_condition_change();
             }
             Command::Heal(number) => {
-                self.net.heal(number);
-                self.changed();
+                self.active_faults.heal(number);
+                self.on_condition_change();
             }
             Command::Stop => {}
         }
         Ok(())
     }
 
-    fn of_pair(&self, sides: &[Side; 2]) -> [Weather; 2] {
-        [self.net.weather(&sides[1].end, &sides[0].end), self.net.weather(&sides[0].end, &sides[1].end)]
+    fn of_pair(&self, sides: &[DatagramPeer; 2]) -> [LinkCondition; 2] {
+        [
+            self.active_faults.condition(&sides[1].endpoint, &sides[0].endpoint),
+            self.active_faults.condition(&sides[0].endpoint, &sides[1].endpoint),
+        ]
     }
 
-    fn of_route(&self, route: usize) -> [Weather; 2] {
+    fn of_route(&self, route: usize) -> [LinkCondition; 2] {
         let Route { from, to, .. } = &self.routes[route];
-        [self.net.weather(to, from), self.net.weather(from, to)]
+        [self.active_faults.condition(to, from), self.active_faults.condition(from, to)]
     }
 
     /// The weather is another: each link takes note.
-    fn changed(&mut self) {
+    fn on_condition_change(&mut self) {
         let now = self.now();
         let keys: Vec<usize> = self.streams.keys().copied().collect();
         for key in keys {
             let Some(s) = self.streams.get(&key) else { continue };
-            let weather = self.of_route(s.route);
+            let condition = self.of_route(s.route);
             let Some(s) = self.streams.get_mut(&key) else { continue };
-            for (half, weather) in s.halves.iter_mut().zip(&weather) {
-                half.lane.changed(now, weather);
+            for (half, condition) in s.halves.iter_mut().zip(&condition) {
+                half.channel.on_condition_change(now, condition);
             }
-            s.weather = weather;
-            if weather.iter().any(|w| w.reset) {
+            s.condition = condition;
+            if condition.iter().any(|w| w.reset) {
                 self.summary.reset += 1;
                 self.drop_stream(key, true);
             } else {
@@ -272,15 +275,16 @@
             }
         }
         for pair in 0..self.pairs.len() {
-            let weather = self.of_pair(&self.pairs[pair].sides);
+            let condition = self.of_pair(&self.pairs[pair].sides);
             let p = &mut self.pairs[pair];
-            p.weather = weather;
-            p.ways.iter_mut().zip(&weather).for_each(|(way, weather)| way.changed(weather));
+            p.condition = condition;
+            p.ways.iter_mut().zip(&condition).for_each(|(way, condition)| way.on_condition_change(condition));
         }
         for hub in &mut self.hubs {
-            for ((from, to), (way, weather)) in &mut hub.ways {
-                *weather = self.net.weather(&hub.spots[*from].end, &hub.spots[*to].end);
-                way.changed(weather);
+            for ((from, to), (way, condition)) in &mut hub.ways {
+                *condition =
+                    self.active_faults.condition(&hub.spots[*from].endpoint, &hub.spots[*to].endpoint);
+                way.on_condition_change(condition);
             }
         }
     }
@@ -298,12 +302,13 @@
                     self.summary.bytes += n as u64;
                     if !self.hubs[hub].ways.contains_key(&(from, to)) {
                         let spots = &self.hubs[hub].spots;
-                        let weather = self.net.weather(&spots[from].end, &spots[to].end);
-                        let way = Datagrams::new(self.chance());
-                        self.hubs[hub].ways.insert((from, to), (way, weather));
+                        let condition =
+                            self.active_faults.condition(&spots[from].endpoint, &spots[to].endpoint);
+                        let way = DatagramChannel::new(self.chance());
+                        self.hubs[hub].ways.insert((from, to), (way, condition));
                     }
-                    if let Some((way, weather)) = self.hubs[hub].ways.get_mut(&(from, to)) {
-                        way.push(now, &bytes[..n], weather);
+                    if let Some((way, condition)) = self.hubs[hub].ways.get_mut(&(from, to)) {
+                        way.push(now, &bytes[..n], condition);
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -320,9 +325,9 @@
         let mut next = f64::INFINITY;
         for ((from, to), (way, _)) in &mut h.ways {
             while let Some(bytes) = way.pop(now) {
-                let _ = h.sockets[*from].send_to(&bytes, h.spots[*to].at);
+                let _ = h.sockets[*from].send_to(&bytes, h.spots[*to].address);
             }
-            next = way.next().map_or(next, |at| at.min(next));
+            next = way.next_arrival().map_or(next, |at| at.min(next));
         }
         if next.is_finite() {
             self.plan(HUBS + hub, next);
@@ -338,8 +343,8 @@
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => continue,
                 Err(_) => return Ok(()),
             };
-            let weather = self.of_route(route);
-            if weather.iter().any(|w| w.reset) {
+            let condition = self.of_route(route);
+            if condition.iter().any(|w| w.reset) {
                 self.summary.reset += 1;
                 let _ = SockRef::from(&near).set_linger(Some(Duration::ZERO));
                 continue;
@@ -351,8 +356,8 @@
             self.poll.registry().register(&mut near, token, Interest::READABLE | Interest::WRITABLE)?;
             let mut halves = [Half::new(self.chance()), Half::new(self.chance())];
             (halves[0].socket, halves[0].up) = (Some(near), true);
-            halves.iter_mut().zip(&weather).for_each(|(h, w)| h.lane.changed(0.0, w));
-            self.streams.insert(key, Stream { route, halves, weather });
+            halves.iter_mut().zip(&condition).for_each(|(h, w)| h.channel.on_condition_change(0.0, w));
+            self.streams.insert(key, Stream { route, halves, condition });
             self.summary.streams += 1;
             self.turn(key);
         }
@@ -361,7 +366,7 @@
     /// The far side is dialled once nothing keeps a first packet from it.
     fn dial(&mut self, key: usize) -> io::Result<()> {
         let Some(s) = self.streams.get(&key) else { return Ok(()) };
-        if s.halves[1].socket.is_some() || s.weather.iter().any(|w| w.cut) {
+        if s.halves[1].socket.is_some() || s.condition.iter().any(|w| w.cut) {
             return Ok(());
         }
         let mut far = TcpStream::connect(self.routes[s.route].target)?;
@@ -383,13 +388,14 @@
         let mut over = false;
         for from in 0..2 {
             let to = 1 - from;
-            let weather = s.weather[to];
+            let condition = s.condition[to];
             let [near, far] = &mut s.halves;
             let (one, other) = if from == 0 { (near, far) } else { (far, near) };
-            self.summary.bytes += one.read(now, other, &weather);
-            over |= !other.write(now, weather.cut, &mut self.summary.late_us);
+            self.summary.bytes += one.read(now, other, &condition);
+            over |= !other.write(now, condition.cut, &mut self.summary.late_us);
         }
-        let due = s.halves.iter().filter(|h| h.out.is_empty() && h.up).filter_map(|h| h.lane.next());
+        let due =
+            s.halves.iter().filter(|h| h.out.is_empty() && h.up).filter_map(|h| h.channel.next_arrival());
         let due = due.reduce(f64::min);
         let [near, far] = &s.halves;
         let goes_on = near.unread(far) || far.unread(near);
@@ -447,7 +453,7 @@
                     let to = 1 - side;
                     self.summary.datagrams += 1;
                     self.summary.bytes += n as u64;
-                    p.ways[to].push(now, &bytes[..n], &p.weather[to]);
+                    p.ways[to].push(now, &bytes[..n], &p.condition[to]);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 // What could not be delivered earlier is told here, too.
@@ -464,10 +470,10 @@
         for to in 0..2 {
             while let Some(bytes) = p.ways[to].pop(now) {
                 // From the address that this side sends to itself, so that it takes it for the other's.
-                let _ = p.sockets[to].send_to(&bytes, p.sides[to].at);
+                let _ = p.sockets[to].send_to(&bytes, p.sides[to].address);
             }
         }
-        if let Some(at) = p.ways.iter().filter_map(Datagrams::next).reduce(f64::min) {
+        if let Some(at) = p.ways.iter().filter_map(DatagramChannel::next_arrival).reduce(f64::min) {
             self.plan(PAIRS + pair, at);
         }
     }
@@ -478,7 +484,7 @@
         Half {
             socket: None,
             up: false,
-            lane: Lane::new(seed),
+            channel: StreamChannel::new(seed),
             out: Vec::new(),
             sent: 0,
             ends: None,
@@ -506,27 +512,28 @@
 
     /// Bytes may wait in its socket, and the way to the other has room for them.
     fn unread(&self, other: &Half) -> bool {
-        self.rest && self.up && self.socket.is_some() && !self.heard_end && other.lane.room() > 0
+        self.rest && self.up && self.socket.is_some() && !self.heard_end && other.channel.free_bytes() > 0
     }
 
     /// Takes what has come and puts it on the way to the other half; yields how much.
-    fn read(&mut self, now: f64, other: &mut Half, weather: &Weather) -> u64 {
+    fn read(&mut self, now: f64, other: &mut Half, condition: &LinkCondition) -> u64 {
         let mut bytes = [0; PIECE];
         let mut all = 0;
         self.rest = true;
         for _ in 0..TURN {
-            let room = other.lane.room().min(PIECE);
-            let Some(socket) = self.socket.as_mut().filter(|_| self.up && !self.heard_end && room > 0) else {
+            let free_bytes = other.channel.free_bytes().min(PIECE);
+            let Some(socket) = self.socket.as_mut().filter(|_| self.up && !self.heard_end && free_bytes > 0)
+            else {
                 break;
             };
-            match socket.read(&mut bytes[..room]) {
+            match socket.read(&mut bytes[..free_bytes]) {
                 Ok(0) => {
                     self.heard_end = true;
                     other.ends = Some(Ends::Whole);
                 }
                 Ok(n) => {
                     all += n as u64;
-                    other.lane.push(now, &bytes[..n], weather);
+                    other.channel.push(now, &bytes[..n], condition);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.rest = false;
@@ -552,8 +559,8 @@
         }
         loop {
             if self.out.is_empty() {
-                let due = self.lane.next();
-                match self.lane.pop(now) {
+                let due = self.channel.next_arrival();
+                match self.channel.pop(now) {
                     Some(bytes) => {
                         late_us.saturating_record(((now - due.unwrap_or(now)) * 1e6) as u64);
                         self.out = bytes;
@@ -575,7 +582,7 @@
             }
         }
         // An end is news as well, and a cut keeps it.
-        match self.ends.filter(|_| self.lane.is_empty() && !cut) {
+        match self.ends.filter(|_| self.channel.is_empty() && !cut) {
             Some(Ends::Whole) => {
                 if let Some(socket) = &self.socket {
                     let _ = socket.shutdown(Shutdown::Write);
--- a/crates/sandstile-relay/src/lib.rs
+++ b/crates/sandstile-relay/src/lib.rs
@@ -7,8 +7,8 @@
 use forward::{Carry, Command};
 use hdrhistogram::Histogram;
 use mio::{Poll, Token, Waker};
-use sandstile_faults::fault_state::Where;
-use sandstile_faults::{End, Strike};
+use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::{Endpoint, LinkFault};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
 use std::net::SocketAddr;
@@ -31,22 +31,22 @@
 
 /// One side of a pair that sends datagrams.
 #[derive(Clone, Debug)]
-pub struct Side {
-    pub end: End,
+pub struct DatagramPeer {
+    pub endpoint: Endpoint,
     /// Where it sends what is for the other.
     pub sends_to: SocketAddr,
     /// Where it listens itself.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
 /// One of many that send datagrams to each other.
 #[derive(Clone, Debug)]
-pub struct Spot {
-    pub end: End,
+pub struct HubMember {
+    pub endpoint: Endpoint,
     /// Where the others send what is for it, and where what it sends seems to come from.
-    pub found_at: SocketAddr,
+    pub relay_address: SocketAddr,
     /// Where it listens, and sends from.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
 pub struct Relay {
@@ -84,7 +84,13 @@
     }
 
     /// Connections that come at `listen` go on to `target`. It listens once this returns.
-    pub fn stream(&self, from: End, to: End, listen: SocketAddr, target: SocketAddr) -> io::Result<()> {
+    pub fn stream(
+        &self,
+        from: Endpoint,
+        to: Endpoint,
+        listen: SocketAddr,
+        target: SocketAddr,
+    ) -> io::Result<()> {
         let socket = bind(listen, Type::STREAM, Protocol::TCP)?;
         socket.listen(BACKLOG)?;
         self.tell(Command::Stream { from, to, listener: socket.into(), target });
@@ -92,10 +98,10 @@
     }
 
     /// Datagrams between two: each hears the other from the address that it sends to itself.
-    pub fn datagrams(&self, one: Side, other: Side) -> io::Result<()> {
+    pub fn datagrams(&self, one: DatagramPeer, other: DatagramPeer) -> io::Result<()> {
         let first = bind(one.sends_to, Type::DGRAM, Protocol::UDP)?;
         let second = bind(other.sends_to, Type::DGRAM, Protocol::UDP)?;
-        self.tell(Command::Datagrams {
+        self.tell(Command::DatagramPair {
             sides: Box::new([one, other]),
             sockets: [first.into(), second.into()],
         });
@@ -103,16 +109,16 @@
     }
 
     /// Datagrams among many, each of whom is found at one address by all: whom one is from is told by where it was sent from.
-    pub fn hub(&self, spots: Vec<Spot>) -> io::Result<()> {
-        let sockets = spots.iter().map(|s| Ok(bind(s.found_at, Type::DGRAM, Protocol::UDP)?.into()));
+    pub fn hub(&self, spots: Vec<HubMember>) -> io::Result<()> {
+        let sockets = spots.iter().map(|s| Ok(bind(s.relay_address, Type::DGRAM, Protocol::UDP)?.into()));
         let sockets = sockets.collect::<io::Result<Vec<std::net::UdpSocket>>>()?;
         self.tell(Command::Hub { spots, sockets });
         Ok(())
     }
 
     /// A strike begins, under a number of the caller's, and stands until it is healed.
-    pub fn begin(&self, number: usize, at: Where, strike: Strike) {
-        self.tell(Command::Begin(number, at, strike));
+    pub fn begin(&self, number: usize, scope: FaultScope, link_fault: LinkFault) {
+        self.tell(Command::Begin(number, scope, link_fault));
     }
 
     pub fn heal(&self, number: usize) {
--- a/crates/sandstile-relay/tests/links.rs
+++ b/crates/sandstile-relay/tests/links.rs
@@ -1,18 +1,18 @@
 //! Relays on real sockets of loopback: what a fault does to a link is seen at its ends.
-use sandstile_faults::fault_state::Where;
-use sandstile_faults::{End, Pick, Strike};
-use sandstile_relay::{Relay, Side};
+use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::{Endpoint, EndpointSelector, LinkFault};
+use sandstile_relay::{DatagramPeer, Relay};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn pick(text: &str) -> Pick {
-    Pick::read(text).unwrap()
+fn pick(text: &str) -> EndpointSelector {
+    EndpointSelector::parse(text).unwrap()
 }
 
-fn between(one_way: bool) -> Where {
-    Where::Between { from: pick("router:0"), to: pick("agent:0"), one_way }
+fn between(one_way: bool) -> FaultScope {
+    FaultScope::Between { from: pick("router:0"), to: pick("agent:0"), one_way }
 }
 
 /// One that says back what it is told, behind a relay.
@@ -33,7 +33,7 @@
         }
     });
     let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    relay.stream(End::Router(0), End::Agent(0), free, target).unwrap();
+    relay.stream(Endpoint::Router(0), Endpoint::Agent(0), free, target).unwrap();
     free
 }
 
@@ -79,8 +79,8 @@
     let relay = Relay::start(1).unwrap();
     let target = TcpListener::bind("127.0.0.1:0").unwrap();
     let free = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    relay.stream(End::Router(0), End::Agent(0), free, target.local_addr().unwrap()).unwrap();
-    relay.begin(1, between(false), Strike::Cut);
+    relay.stream(Endpoint::Router(0), Endpoint::Agent(0), free, target.local_addr().unwrap()).unwrap();
+    relay.begin(1, between(false), LinkFault::Cut);
     let mut stream = dial(free);
     // As much as the relay holds during a cut and the sockets beside it: the write does not wait for the heal.
     stream.write_all(&vec![7; ALL]).unwrap();
@@ -101,7 +101,7 @@
     let at = echo(&relay);
     let mut stream = dial(at);
     told(&mut stream, b"before");
-    relay.begin(1, between(false), Strike::Cut);
+    relay.begin(1, between(false), LinkFault::Cut);
     // The strike is obeyed by the relay's thread: what is written then is held.
     thread::sleep(Duration::from_millis(50));
     stream.write_all(b"during").unwrap();
@@ -122,8 +122,8 @@
     let at = echo(&relay);
     let mut stream = dial(at);
     told(&mut stream, b"before");
-    let back_way = Where::Between { from: pick("agent:0"), to: pick("router:0"), one_way: true };
-    relay.begin(1, back_way, Strike::Cut);
+    let back_way = FaultScope::Between { from: pick("agent:0"), to: pick("router:0"), one_way: true };
+    relay.begin(1, back_way, LinkFault::Cut);
     thread::sleep(Duration::from_millis(50));
     stream.write_all(b"asked").unwrap();
     thread::sleep(Duration::from_millis(100));
@@ -142,7 +142,7 @@
     let at = echo(&relay);
     let mut stream = dial(at);
     told(&mut stream, b"before");
-    relay.begin(1, between(false), Strike::Reset);
+    relay.begin(1, between(false), LinkFault::Reset);
     let mut byte = [0; 1];
     let ended = |r: std::io::Result<usize>| match r {
         Ok(n) => n == 0,
@@ -168,11 +168,11 @@
     let at = echo(&relay);
     let mut stream = dial(at);
     told(&mut stream, b"up");
-    relay.begin(1, between(false), Strike::Delay { by: 0.05, jitter: 0.0 });
+    relay.begin(1, between(false), LinkFault::Delay { by: 0.05, jitter: 0.0 });
     thread::sleep(Duration::from_millis(50));
     assert!(told(&mut stream, b"there and back") >= Duration::from_millis(100));
     relay.heal(1);
-    relay.begin(2, between(true), Strike::Rate(100_000.0));
+    relay.begin(2, between(true), LinkFault::Rate(100_000.0));
     thread::sleep(Duration::from_millis(50));
     assert!(told(&mut stream, &[7; 30_000]) >= Duration::from_millis(280));
     relay.stop().unwrap();
@@ -183,8 +183,11 @@
     let relay = Relay::start(1).unwrap();
     let sockets = [(); 2].map(|()| UdpSocket::bind("127.0.0.1:0").unwrap());
     let free = [(); 2].map(|()| UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap());
-    let side =
-        |n: usize| Side { end: End::Router(n), sends_to: free[n], at: sockets[n].local_addr().unwrap() };
+    let side = |n: usize| DatagramPeer {
+        endpoint: Endpoint::Router(n),
+        sends_to: free[n],
+        address: sockets[n].local_addr().unwrap(),
+    };
     relay.datagrams(side(0), side(1)).unwrap();
     let mut bytes = [0; 64];
     for s in &sockets {
@@ -197,8 +200,8 @@
     sockets[1].send_to(b"back", from).unwrap();
     let (n, from) = sockets[0].recv_from(&mut bytes).unwrap();
     assert_eq!((&bytes[..n], from), (&b"back"[..], free[0]));
-    let one_way = Where::Between { from: pick("router:0"), to: pick("router:1"), one_way: true };
-    relay.begin(1, one_way, Strike::Cut);
+    let one_way = FaultScope::Between { from: pick("router:0"), to: pick("router:1"), one_way: true };
+    relay.begin(1, one_way, LinkFault::Cut);
     thread::sleep(Duration::from_millis(50));
     sockets[0].send_to(b"lost", free[0]).unwrap();
     sockets[1].send_to(b"heard", free[1]).unwrap();
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -6,7 +6,7 @@
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Source, StatementRequest};
-use sandstile_recording::{Arrival, Head, Recorder};
+use sandstile_recording::{Arrival, Header, RecordingWriter};
 use slog::{info, warn, Logger};
 use std::fs::{File, OpenOptions};
 use std::io::{self, BufWriter, Read, Write};
@@ -71,12 +71,12 @@
     groups.dedup();
     // Groups that no list has named by now.
     groups.push(String::new());
-    let head = Head { salt, workloads, groups };
+    let header = Header { salt, workloads, groups };
     let out = Counted { out: BufWriter::new(file), written: 0 };
-    let recorder = Recorder::begin(out, &head).map_err(told)?;
+    let recorder = RecordingWriter::begin(out, &header).map_err(told)?;
     let (post, mailbox) = bounded_mailbox(MOST_WAITING);
     let (max_bytes, own) = (plan.max_bytes, log.clone());
-    let write = move || match write(recorder, &head, &mailbox, now, max_bytes) {
+    let write = move || match write(recorder, &header, &mailbox, now, max_bytes) {
         Ok((written, true)) => info!(own, "the recording is whole"; "arrivals" => written),
         Ok((written, false)) => {
             warn!(own, "the recording has reached its most and ends"; "arrivals" => written)
@@ -108,24 +108,24 @@
 
 /// `false` where it ended at its most.
 fn write(
-    mut recorder: Recorder<Counted<BufWriter<File>>>,
-    head: &Head,
+    mut recorder: RecordingWriter<Counted<BufWriter<File>>>,
+    header: &Header,
     mailbox: &Mailbox<Seen>,
     begun: f64,
     max_bytes: u64,
 ) -> io::Result<(u64, bool)> {
-    let unnamed = head.groups.len() - 1;
+    let unnamed = header.groups.len() - 1;
     loop {
         match mailbox.recv(Some(EVERY)) {
             Ok(seen) => {
-                let group = head.groups[..unnamed].binary_search(&seen.group).unwrap_or(unnamed);
+                let group = header.groups[..unnamed].binary_search(&seen.group).unwrap_or(unnamed);
                 recorder.add(&Arrival {
                     at_us: ((seen.at - begun).max(0.0) * 1e6) as u64,
                     workload: seen.workload as u32,
                     group: group as u32,
-                    session: seen.session.map_or(0, |name| head.session(&name)),
+                    session: seen.session.map_or(0, |name| header.session(&name)),
                     wait_ms: (seen.wait * 1e3) as u32,
-                    again: seen.again,
+                    is_retry: seen.again,
                 })?;
                 if recorder.out().written >= max_bytes {
                     let written = recorder.written;
--- a/crates/sandstile-router/tests/recorder.rs
+++ b/crates/sandstile-router/tests/recorder.rs
@@ -2,7 +2,7 @@
 #[allow(dead_code)]
 mod stand_ins;
 
-use sandstile_recording::Player;
+use sandstile_recording::RecordingReader;
 use stand_ins::*;
 use std::collections::BTreeSet;
 use std::fs;
@@ -35,17 +35,17 @@
     assert!(!["INSERT", "payload", "SELECT"]
         .iter()
         .any(|w| bytes.windows(w.len()).any(|b| b == w.as_bytes())));
-    let mut player = Player::open(&bytes[..]).expect("a recording");
+    let mut reader = RecordingReader::open(&bytes[..]).expect("a recording");
     let mut played = Vec::new();
-    while let Some(arrival) = player.next_arrival().expect("whole") {
+    while let Some(arrival) = reader.next_arrival().expect("whole") {
         played.push(arrival);
     }
-    let name = |n: u32| player.head.workloads[n as usize].as_str();
+    let name = |n: u32| reader.header.workloads[n as usize].as_str();
     assert_eq!(
         played.iter().map(|a| name(a.workload)).collect::<Vec<_>>(),
         ["look", "look", "book", "look", "look", "look"]
     );
-    let groups: Vec<&str> = played.iter().map(|a| player.head.groups[a.group as usize].as_str()).collect();
+    let groups: Vec<&str> = played.iter().map(|a| reader.header.groups[a.group as usize].as_str()).collect();
     assert_eq!(groups, ["3", "3", "3", "3", "3", ""]);
     assert!(played[2].session != 0 && played[2].wait_ms <= 800 && played.is_sorted_by_key(|a| a.at_us));
 
--- a/crates/sandstile-scenario/src/director.rs
+++ b/crates/sandstile-scenario/src/director.rs
@@ -1,34 +1,34 @@
 //! Says which cues are due: it is told the time and what happens, and holds no clock of its own. Each cue is due
 //! once.
-use crate::script::{Act, Cue, Trigger, When};
+use crate::script::{Cue, CueAction, Trigger, TriggerEvent};
 
 /// What a cue can wait for, as the emulator sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happening {
+pub enum ScenarioEvent {
     /// A cue was carried out.
-    Began {
+    CueBegan {
         cue: usize,
     },
-    Ended {
+    CueEnded {
         cue: usize,
     },
     /// The list's change that this cue brought has been written to a router.
-    Announced {
+    CueAnnounced {
         cue: usize,
     },
-    Arriving {
+    PartlyReceived {
         workload: usize,
     },
-    Begun {
+    Received {
         workload: usize,
     },
-    Ran {
+    Executed {
         workload: usize,
     },
-    HalfSaid {
+    PartlyAnswered {
         workload: usize,
     },
-    Primary {
+    PrimaryElected {
         group: String,
     },
 }
@@ -57,41 +57,41 @@
     Done,
 }
 
-pub struct Director {
+pub struct CueScheduler {
     cues: Vec<Cue>,
     standing: Vec<Standing>,
     seen: Seen,
 }
 
-impl Director {
+impl CueScheduler {
     /// The script began at `start`.
     pub fn new(cues: &[Cue], start: f64) -> Self {
         let standing = cues.iter().map(|c| match &c.trigger {
             Trigger::At(at) => Standing::Due(start + at),
             Trigger::After(..) => Standing::Waits,
         });
-        Director { standing: standing.collect(), cues: cues.to_vec(), seen: Seen::default() }
+        CueScheduler { standing: standing.collect(), cues: cues.to_vec(), seen: Seen::default() }
     }
 
     pub fn cue(&self, cue: usize) -> &Cue {
         &self.cues[cue]
     }
 
-    pub fn act(&self, cue: usize) -> &Act {
-        &self.cues[cue].act
+    pub fn action(&self, cue: usize) -> &CueAction {
+        &self.cues[cue].action
     }
 
     /// Whether some cue still waits for statements to arrive in part; the emulator reads in small pieces then.
-    pub fn looks_for_parts(&self) -> bool {
-        self.waits_for(|w| matches!(w, When::Arriving(..)))
+    pub fn awaits_partial_statement(&self) -> bool {
+        self.waits_for(|w| matches!(w, TriggerEvent::PartlyReceived(..)))
     }
 
     /// Whether some cue still waits for the first bytes of an answer; it is then said in two pieces.
-    pub fn looks_for_halves(&self, workload: usize) -> bool {
-        self.waits_for(|w| matches!(w, When::HalfSaid(of, _) if *of == workload))
+    pub fn awaits_partial_answer(&self, workload: usize) -> bool {
+        self.waits_for(|w| matches!(w, TriggerEvent::PartlyAnswered(of, _) if *of == workload))
     }
 
-    fn waits_for(&self, which: impl Fn(&When) -> bool) -> bool {
+    fn waits_for(&self, which: impl Fn(&TriggerEvent) -> bool) -> bool {
         let waits = |(cue, standing): (&Cue, &Standing)| match (&cue.trigger, standing) {
             (Trigger::After(when, _), Standing::Waits) => which(when),
             _ => false,
@@ -100,13 +100,13 @@
     }
 
     /// Something has happened.
-    pub fn happened(&mut self, now: f64, what: &Happening) {
+    pub fn record_event(&mut self, now: f64, what: &ScenarioEvent) {
         let nth = match what {
-            Happening::Arriving { workload } => one_more(&mut self.seen.arriving, *workload),
-            Happening::Begun { workload } => one_more(&mut self.seen.begun, *workload),
-            Happening::Ran { workload } => one_more(&mut self.seen.ran, *workload),
-            Happening::HalfSaid { workload } => one_more(&mut self.seen.half_said, *workload),
-            Happening::Primary { group } => {
+            ScenarioEvent::PartlyReceived { workload } => one_more(&mut self.seen.arriving, *workload),
+            ScenarioEvent::Received { workload } => one_more(&mut self.seen.begun, *workload),
+            ScenarioEvent::Executed { workload } => one_more(&mut self.seen.ran, *workload),
+            ScenarioEvent::PartlyAnswered { workload } => one_more(&mut self.seen.half_said, *workload),
+            ScenarioEvent::PrimaryElected { group } => {
                 let count = self.seen.primaries.entry(group.clone()).or_default();
                 *count += 1;
                 *count
@@ -120,14 +120,24 @@
                 continue;
             };
             let met = match (when, what) {
-                (When::Begins(n), Happening::Began { cue }) => *n == name(cue),
-                (When::Ends(n), Happening::Ended { cue }) => *n == name(cue),
-                (When::Announced(n), Happening::Announced { cue }) => *n == name(cue),
-                (When::Arriving(w, n), Happening::Arriving { workload }) => w == workload && *n == nth,
-                (When::Begun(w, n), Happening::Begun { workload }) => w == workload && *n == nth,
-                (When::Ran(w, n), Happening::Ran { workload }) => w == workload && *n == nth,
-                (When::HalfSaid(w, n), Happening::HalfSaid { workload }) => w == workload && *n == nth,
-                (When::Primary(g, n), Happening::Primary { group }) => g == group && *n == nth,
+                (TriggerEvent::CueBegins(n), ScenarioEvent::CueBegan { cue }) => *n == name(cue),
+                (TriggerEvent::CueEnds(n), ScenarioEvent::CueEnded { cue }) => *n == name(cue),
+                (TriggerEvent::CueAnnounced(n), ScenarioEvent::CueAnnounced { cue }) => *n == name(cue),
+                (TriggerEvent::PartlyReceived(w, n), ScenarioEvent::PartlyReceived { workload }) => {
+                    w == workload && *n == nth
+                }
+                (TriggerEvent::Received(w, n), ScenarioEvent::Received { workload }) => {
+                    w == workload && *n == nth
+                }
+                (TriggerEvent::Executed(w, n), ScenarioEvent::Executed { workload }) => {
+                    w == workload && *n == nth
+                }
+                (TriggerEvent::PartlyAnswered(w, n), ScenarioEvent::PartlyAnswered { workload }) => {
+                    w == workload && *n == nth
+                }
+                (TriggerEvent::PrimaryElected(g, n), ScenarioEvent::PrimaryElected { group }) => {
+                    g == group && *n == nth
+                }
                 _ => false,
             };
             if met {
@@ -137,7 +147,7 @@
     }
 
     /// When the next cue is due, as far as is known.
-    pub fn next(&self) -> Option<f64> {
+    pub fn next_due(&self) -> Option<f64> {
         let due = |s: &Standing| match s {
             Standing::Due(at) => Some(*at),
             _ => None,
@@ -146,7 +156,7 @@
     }
 
     /// The cue that is due longest, each once.
-    pub fn due(&mut self, now: f64) -> Option<usize> {
+    pub fn take_due(&mut self, now: f64) -> Option<usize> {
         let due = |(n, s): (usize, &Standing)| match s {
             Standing::Due(at) if *at <= now => Some((*at, n)),
             _ => None,
@@ -158,7 +168,7 @@
     }
 
     /// Cues whose event never came.
-    pub fn missed(&self) -> Vec<&Cue> {
+    pub fn missed_cues(&self) -> Vec<&Cue> {
         let waits = self.cues.iter().zip(&self.standing);
         waits.filter(|(_, s)| !matches!(s, Standing::Done)).map(|(c, _)| c).collect()
     }
--- a/crates/sandstile-scenario/src/lib.rs
+++ b/crates/sandstile-scenario/src/lib.rs
@@ -5,6 +5,6 @@
 pub mod script;
 pub mod traffic;
 
-pub use director::{Director, Happening};
+pub use director::{CueScheduler, ScenarioEvent};
 pub use sandstile_hcl::Problem;
 pub use script::Script;
--- a/crates/sandstile-scenario/src/script.rs
+++ b/crates/sandstile-scenario/src/script.rs
@@ -1,15 +1,15 @@
 //! A rehearsal as a whole: fleet, workloads, traffic, routers and cues, each checked against the others before
 //! anything starts.
-use sandstile_faults::fault_state::Where;
-use sandstile_faults::process::{Whom, STATES};
-use sandstile_faults::{Blow, End, Pick, State, Strike};
+use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::process::{ProcessSelector, STATE_NAMES};
+use sandstile_faults::{Endpoint, EndpointSelector, LinkFault, ProcessFault, StateAfterRestart};
 use sandstile_fleet::plan::*;
 use sandstile_fleet::{FaultKind, Plan, Target};
 use sandstile_hcl::{Problem, Section, Source};
 
 /// What clients and routers are told of a workload, beside what hosts do for it.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct WorkloadTerms {
     /// Seconds.
     pub slo: f64,
     /// Seconds that a client waits over all its tries.
@@ -20,16 +20,16 @@
 
 /// A rise of the rate for a while.
 #[derive(Clone, Debug)]
-pub struct Jump {
+pub struct RateJump {
     pub at: f64,
-    pub lasts: f64,
-    pub times: f64,
+    pub duration_s: f64,
+    pub multiple: f64,
     /// Seconds in which it rises, and falls again.
     pub ramp: f64,
 }
 
 #[derive(Clone, Debug)]
-pub struct Stream {
+pub struct TrafficStream {
     pub name: String,
     pub workload: usize,
     /// Indices of groups, drawn from evenly.
@@ -38,11 +38,11 @@
     pub rate: f64,
     /// Names that statements draw from; a workload with sessions takes them as sessions.
     pub sessions: usize,
-    pub jumps: Vec<Jump>,
+    pub jumps: Vec<RateJump>,
     /// After each completed statement, one of this workload by the same session after so many seconds.
-    pub then: Option<(usize, f64)>,
+    pub follow_up: Option<(usize, f64)>,
     /// The share of sessions that ask the next router for what follows.
-    pub roams: f64,
+    pub roaming_share: f64,
 }
 
 #[derive(Clone, Debug)]
@@ -50,13 +50,13 @@
     /// Further tries of a statement that was rejected, and of an idempotent one that failed.
     pub retries: usize,
     /// Seconds before a try where the rejection named no time.
-    pub pause: f64,
+    pub retry_pause: f64,
     /// Connections to each router at the most.
     pub connections: usize,
     /// Clients that come to a router in the instant in which it is back, each with a wish.
-    pub crowd: usize,
-    /// They come again after `pause`, whatever time they were told.
-    pub ignore_return: bool,
+    pub returning_clients: usize,
+    /// They come again after `retry_pause`, whatever time they were told.
+    pub ignore_retry_after: bool,
     /// Their front sends each session to its own router, or to none while that is away.
     pub pinned: bool,
 }
@@ -67,7 +67,7 @@
     pub memory_mb: usize,
     pub sockets: usize,
     /// Seconds between the starts of one and the next before the script begins.
-    pub apart: f64,
+    pub start_interval: f64,
     /// How those that start come back, in the words of our own file; `None` where that is off.
     pub pace: Option<String>,
     /// Storms are watched and later tries held to a budget, by our own file.
@@ -79,17 +79,17 @@
 
 #[derive(Clone, Debug)]
 pub struct Allowed {
-    pub executions: usize,
-    pub recall: bool,
+    pub max_executions: usize,
+    pub may_cancel: bool,
     pub probes: bool,
     /// 0 where a rejection names no time.
-    pub return_s: f64,
-    pub dial_s: f64,
+    pub max_retry_after_s: f64,
+    pub dial_timeout_s: f64,
 }
 
 /// How routers keep what sessions have written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Remembering {
+pub struct SessionTracking {
     /// Clients carry marks that routers hand out.
     pub tokens: bool,
     /// Routers put marks down in a journal, and sessions stay with their router.
@@ -99,17 +99,17 @@
     /// They keep state together besides, on disks of their own.
     pub state: bool,
     /// And share probes and refusals.
-    pub together: bool,
+    pub share_probes: bool,
 }
 
-impl Remembering {
-    pub const OFF: Remembering =
-        Remembering { tokens: false, journal: false, exchange: false, state: false, together: false };
+impl SessionTracking {
+    pub const OFF: SessionTracking =
+        SessionTracking { tokens: false, journal: false, exchange: false, state: false, share_probes: false };
 }
 
 /// What the audit holds the run against.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct AuditRules {
     /// Seconds after a drain was told in which statements may still come.
     pub grace: f64,
     /// Seconds by which each limit of time is extended.
@@ -122,48 +122,48 @@
     /// Seconds after the start.
     At(f64),
     /// So many seconds after something has happened.
-    After(When, f64),
+    After(TriggerEvent, f64),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum When {
+pub enum TriggerEvent {
     /// The fault of this name begins, or ends.
-    Begins(String),
-    Ends(String),
+    CueBegins(String),
+    CueEnds(String),
     /// The change that the fault of this name brings to the list is written to a router.
-    Announced(String),
+    CueAnnounced(String),
     /// Part of the n-th statement of a workload has been read by a host.
-    Arriving(usize, u64),
+    PartlyReceived(usize, u64),
     /// The n-th statement of a workload has been read whole.
-    Begun(usize, u64),
+    Received(usize, u64),
     /// It has run, and nothing was said yet.
-    Ran(usize, u64),
+    Executed(usize, u64),
     /// The first bytes of its answer are out.
-    HalfSaid(usize, u64),
+    PartlyAnswered(usize, u64),
     /// A group has a new primary, for the n-th time.
-    Primary(String, u64),
+    PrimaryElected(String, u64),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum CueAction {
     Fault {
         kind: FaultKind,
         target: Target,
-        lasts: f64,
+        duration_s: f64,
     },
     Agent {
         kind: AgentFault,
-        lasts: f64,
+        duration_s: f64,
     },
     Link {
-        at: Where,
-        strike: Strike,
-        lasts: f64,
+        scope: FaultScope,
+        link_fault: LinkFault,
+        duration_s: f64,
     },
     /// What is done to router processes, at once or one after the other over `spread` seconds.
     Process {
-        whom: Whom,
-        blow: Blow,
+        selector: ProcessSelector,
+        process_fault: ProcessFault,
         spread: f64,
     },
 }
@@ -182,7 +182,7 @@
 pub struct Cue {
     pub name: String,
     pub trigger: Trigger,
-    pub act: Act,
+    pub action: CueAction,
     /// Its line in the file.
     pub line: usize,
 }
@@ -191,22 +191,22 @@
 pub struct Script {
     pub title: String,
     pub seconds: f64,
-    /// What `--quick` plays it in.
-    pub quick: f64,
+    /// What `--quick_seconds` plays it in.
+    pub quick_seconds: f64,
     /// Seconds after the start that reports leave out.
     pub settle: f64,
     pub plan: Plan,
-    pub terms: Vec<Terms>,
-    pub streams: Vec<Stream>,
+    pub terms: Vec<WorkloadTerms>,
+    pub streams: Vec<TrafficStream>,
     pub clients: Clients,
     pub routers: Routers,
     pub allowed: Allowed,
-    pub rules: Rules,
-    pub sessions: Remembering,
+    pub rules: AuditRules,
+    pub sessions: SessionTracking,
     pub discovery_delay: f64,
     /// A flaw of the hosts' own that a hunt is to find: the next write after a connection ended under a statement runs,
     /// and is said never to have run.
-    pub planted: bool,
+    pub planted_defect: bool,
     pub cues: Vec<Cue>,
 }
 
@@ -254,24 +254,24 @@
     }
 
     /// Whether the link between two ends has to go over a relay, for some cue strikes it.
-    pub fn relayed(&self, one: &End, other: &End) -> bool {
+    pub fn needs_relay(&self, one: &Endpoint, other: &Endpoint) -> bool {
         one.talks_to(other)
-            && self.cues.iter().any(|c| match &c.act {
-                Act::Link { at, .. } => at.concerns(one, other),
+            && self.cues.iter().any(|c| match &c.action {
+                CueAction::Link { scope, .. } => scope.affects_either_way(one, other),
                 _ => false,
             })
     }
 
     /// The same evening in less time: the script's own times shrink, those of hosts, statements and what follows
     /// an event stay.
-    pub fn quick(mut self) -> Script {
-        let part = (self.quick / self.seconds).min(1.0);
+    pub fn shortened(mut self) -> Script {
+        let part = (self.quick_seconds / self.seconds).min(1.0);
         self.seconds *= part;
         self.settle *= part;
         for stream in &mut self.streams {
             for jump in &mut stream.jumps {
                 jump.at *= part;
-                jump.lasts *= part;
+                jump.duration_s *= part;
                 jump.ramp *= part;
             }
         }
@@ -279,11 +279,11 @@
             if let Trigger::At(at) = &mut cue.trigger {
                 *at *= part;
             }
-            match &mut cue.act {
-                Act::Fault { lasts, .. } | Act::Agent { lasts, .. } | Act::Link { lasts, .. } => {
-                    *lasts *= part
-                }
-                Act::Process { .. } => {}
+            match &mut cue.action {
+                CueAction::Fault { duration_s, .. }
+                | CueAction::Agent { duration_s, .. }
+                | CueAction::Link { duration_s, .. } => *duration_s *= part,
+                CueAction::Process { .. } => {}
             }
         }
         self
@@ -308,7 +308,7 @@
     };
     let title = file.required_text("title");
     let seconds = file.required_number("seconds", 1.0..LONG);
-    let quick = file.number("quick", 1.0..LONG, seconds.min(30.0));
+    let quick_seconds = file.number("quick", 1.0..LONG, seconds.min(30.0));
     let settle = file.number("settle", 0.0..LONG, seconds * 0.05);
     let seed = file.number("seed", 0.0..9e15, 1.0) as u64;
     let discovery_delay = file.ms("discovery_delay_ms", 0.0..60_000.0, 0.02);
@@ -330,7 +330,8 @@
     let node_names: Vec<String> = nodes.iter().map(|n| n.name.clone()).collect();
     let groups: Vec<Group> = blocks("group").iter().map(|s| group(s, &node_names)).collect();
     let group_names: Vec<String> = groups.iter().map(|g| g.name.clone()).collect();
-    let (workloads, terms): (Vec<Workload>, Vec<Terms>) = blocks("workload").iter().map(workload).unzip();
+    let (workloads, terms): (Vec<Workload>, Vec<WorkloadTerms>) =
+        blocks("workload").iter().map(workload).unzip();
     let workload_names: Vec<String> = workloads.iter().map(|w| w.name.clone()).collect();
     for (what, empty) in [
         ("machine", kinds.is_empty()),
@@ -353,10 +354,10 @@
     let clients = clients.map_or(Clients::usual(), |s| {
         let clients = Clients {
             retries: s.count("retries", 0.0..10.0, 2),
-            pause: s.ms("pause_ms", 0.0..60_000.0, 0.1),
+            retry_pause: s.ms("pause_ms", 0.0..60_000.0, 0.1),
             connections: s.count("connections", 1.0..2000.0, 128),
-            crowd: s.count("crowd", 0.0..2000.0, 0),
-            ignore_return: s.boolean("ignore_return", false),
+            returning_clients: s.count("crowd", 0.0..2000.0, 0),
+            ignore_retry_after: s.boolean("ignore_return", false),
             pinned: s.boolean("pinned", false),
         };
         s.finish();
@@ -367,7 +368,7 @@
             count: s.count("count", 1.0..64.0, 2),
             memory_mb: s.count("memory_mb", 16.0..65_536.0, 192),
             sockets: s.count("sockets", 64.0..65_536.0, 1024),
-            apart: s.ms("apart_ms", 0.0..60_000.0, 0.0),
+            start_interval: s.ms("apart_ms", 0.0..60_000.0, 0.0),
             pace: s.text("pace"),
             limits: s.boolean("limits", false),
             members: s.boolean("members", false),
@@ -379,34 +380,36 @@
     let allowed = optional_block("allowed").map_or_else(Allowed::usual, |s| {
         let usual = Allowed::usual();
         let allowed = Allowed {
-            executions: s.count("executions", 1.0..16.0, usual.executions),
-            recall: s.boolean("recall", usual.recall),
+            max_executions: s.count("executions", 1.0..16.0, usual.max_executions),
+            may_cancel: s.boolean("recall", usual.may_cancel),
             probes: s.boolean("probes", usual.probes),
-            return_s: s.ms("return_ms", 0.0..60_000.0, usual.return_s),
-            dial_s: s.ms("dial_ms", 10.0..10_000.0, usual.dial_s),
+            max_retry_after_s: s.ms("return_ms", 0.0..60_000.0, usual.max_retry_after_s),
+            dial_timeout_s: s.ms("dial_ms", 10.0..10_000.0, usual.dial_timeout_s),
         };
         s.finish();
         allowed
     });
-    let rules = optional_block("rules").map_or(Rules { grace: 1.0, slack: 0.05 }, |s| {
-        let rules =
-            Rules { grace: s.ms("grace_ms", 0.0..60_000.0, 1.0), slack: s.ms("slack_ms", 0.0..1000.0, 0.05) };
+    let rules = optional_block("rules").map_or(AuditRules { grace: 1.0, slack: 0.05 }, |s| {
+        let rules = AuditRules {
+            grace: s.ms("grace_ms", 0.0..60_000.0, 1.0),
+            slack: s.ms("slack_ms", 0.0..1000.0, 0.05),
+        };
         s.finish();
         rules
     });
-    let off = Remembering::OFF;
-    let exchange = Remembering { exchange: true, ..off };
+    let off = SessionTracking::OFF;
+    let exchange = SessionTracking { exchange: true, ..off };
     let words = [
         ("off", off),
-        ("tokens", Remembering { tokens: true, ..off }),
-        ("journal", Remembering { journal: true, ..off }),
-        ("both", Remembering { tokens: true, journal: true, ..off }),
+        ("tokens", SessionTracking { tokens: true, ..off }),
+        ("journal", SessionTracking { journal: true, ..off }),
+        ("both", SessionTracking { tokens: true, journal: true, ..off }),
         ("exchange", exchange),
-        ("state", Remembering { state: true, ..exchange }),
-        ("together", Remembering { state: true, together: true, ..exchange }),
+        ("state", SessionTracking { state: true, ..exchange }),
+        ("together", SessionTracking { state: true, share_probes: true, ..exchange }),
     ];
     let sessions = file.choice("sessions", &words, Some(off));
-    let planted = file.boolean("planted", false);
+    let planted_defect = file.boolean("planted", false);
     let cues = cues(file, &plan, &group_names, &workload_names, &node_names, routers.count, seconds);
     file.finish();
     if let Some(shared) = shared {
@@ -415,7 +418,7 @@
     Script {
         title,
         seconds,
-        quick,
+        quick_seconds,
         settle,
         plan,
         terms,
@@ -426,14 +429,21 @@
         rules,
         sessions,
         discovery_delay,
-        planted,
+        planted_defect,
         cues,
     }
 }
 
 impl Clients {
     fn usual() -> Self {
-        Clients { retries: 2, pause: 0.1, connections: 128, crowd: 0, ignore_return: false, pinned: false }
+        Clients {
+            retries: 2,
+            retry_pause: 0.1,
+            connections: 128,
+            returning_clients: 0,
+            ignore_retry_after: false,
+            pinned: false,
+        }
     }
 }
 
@@ -443,7 +453,7 @@
             count: 2,
             memory_mb: 192,
             sockets: 1024,
-            apart: 0.0,
+            start_interval: 0.0,
             pace: None,
             limits: false,
             members: false,
@@ -454,7 +464,13 @@
 
 impl Allowed {
     fn usual() -> Self {
-        Allowed { executions: 4, recall: true, probes: true, return_s: 2.0, dial_s: 0.25 }
+        Allowed {
+            max_executions: 4,
+            may_cancel: true,
+            probes: true,
+            max_retry_after_s: 2.0,
+            dial_timeout_s: 0.25,
+        }
     }
 }
 
@@ -512,7 +528,7 @@
     group
 }
 
-fn workload(s: &Section) -> (Workload, Terms) {
+fn workload(s: &Section) -> (Workload, WorkloadTerms) {
     let consistency = s.choice(
         "consistency",
         &[
@@ -562,7 +578,7 @@
     if slo > timeout {
         s.problem("slo_ms", "slo_ms is beyond timeout_ms", None);
     }
-    let terms = Terms {
+    let terms = WorkloadTerms {
         slo,
         timeout,
         importance: s.number("importance", 0.0..1000.0, 1.0),
@@ -578,7 +594,7 @@
     (Workload { name, effect, consistency, max_age_s, work, value_bytes }, terms)
 }
 
-fn stream(s: &Section, workloads: &[String], groups: &[String]) -> Stream {
+fn stream(s: &Section, workloads: &[String], groups: &[String]) -> TrafficStream {
     let workload = s.reference("workload", "workload", workloads).unwrap_or(0);
     let chosen = match s.texts("groups") {
         Some(names) => names.iter().filter_map(|n| s.find("groups", "group", n, groups)).collect(),
@@ -587,22 +603,22 @@
     let mut jumps = Vec::new();
     for j in s.blocks("jump", false) {
         let at = j.required_number("at", 0.0..LONG);
-        let lasts = j.number("for", 0.0..LONG, LONG);
-        let times = j.required_number("times", 0.0..1000.0);
-        jumps.push(Jump { at, lasts, times, ramp: j.number("ramp", 0.0..LONG, 0.0) });
+        let duration_s = j.number("for", 0.0..LONG, LONG);
+        let multiple = j.required_number("times", 0.0..1000.0);
+        jumps.push(RateJump { at, duration_s, multiple, ramp: j.number("ramp", 0.0..LONG, 0.0) });
         j.finish();
     }
     let then = s.has("then").then(|| s.reference("then", "workload", workloads)).flatten();
     let think = s.ms("think_ms", 0.0..600_000.0, 0.05);
-    let stream = Stream {
+    let stream = TrafficStream {
         name: s.name.clone(),
         workload,
         groups: chosen,
         rate: s.required_number("rate", 0.001..1_000_000.0),
         sessions: s.count("sessions", 1.0..1e9, 1000),
         jumps,
-        then: then.map(|w| (w, think)),
-        roams: s.number("roams", 0.0..1.0, 0.0),
+        follow_up: then.map(|w| (w, think)),
+        roaming_share: s.number("roams", 0.0..1.0, 0.0),
     };
     s.finish();
     stream
@@ -635,14 +651,14 @@
     let names =
         Names { plan, groups, workloads, nodes, faults: all.map(|s| s.name.clone()).collect(), seconds };
     let mut cues = Vec::new();
-    let mut push = |s: &Section, act: Act| {
+    let mut push = |s: &Section, action: CueAction| {
         let trigger = trigger(s, &names);
         s.finish();
-        cues.push(Cue { name: s.name.clone(), trigger, act, line: s.source().line(s.offset) });
+        cues.push(Cue { name: s.name.clone(), trigger, action, line: s.source().line(s.offset) });
     };
     for s in &faults {
-        let (kind, target, lasts) = (fault(s), target(s, &names), lasts(s));
-        push(s, Act::Fault { kind, target, lasts });
+        let (kind, target, duration_s) = (fault(s), target(s, &names), duration_s(s));
+        push(s, CueAction::Fault { kind, target, duration_s });
     }
     for s in &agents {
         let kind = s.required_text("kind");
@@ -656,39 +672,42 @@
                 AgentFault::Silent
             }
         };
-        let lasts = lasts(s);
-        push(s, Act::Agent { kind, lasts });
+        let duration_s = duration_s(s);
+        push(s, CueAction::Agent { kind, duration_s });
     }
     for s in &restarts {
-        let whom = whom(s, routers);
-        let blow = Blow::Restart {
+        let selector = selector(s, routers);
+        let process_fault = ProcessFault::Restart {
             kill: s.choice("kind", &[("term", false), ("kill", true)], None),
             back: s.number("back", 0.0..3600.0, 1.0),
-            state: s.choice("state", &STATES, Some(State::Kept)),
+            state: s.choice("state", &STATE_NAMES, Some(StateAfterRestart::Kept)),
         };
         let spread = s.number("spread", 0.0..3600.0, 0.0);
-        push(s, Act::Process { whom, blow, spread });
+        push(s, CueAction::Process { selector, process_fault, spread });
     }
     for s in &stops {
-        let (whom, lasts) = (whom(s, routers), s.required_number("for", 0.01..3600.0));
-        let blow = match s.has("of_the_time") {
-            true => Blow::Slow { share: s.required_number("of_the_time", 0.01..0.99), lasts },
-            false => Blow::Stop { lasts },
+        let (selector, duration_s) = (selector(s, routers), s.required_number("for", 0.01..3600.0));
+        let process_fault = match s.has("of_the_time") {
+            true => ProcessFault::Slow { share: s.required_number("of_the_time", 0.01..0.99), duration_s },
+            false => ProcessFault::Stop { duration_s },
         };
         let spread = s.number("spread", 0.0..3600.0, 0.0);
-        push(s, Act::Process { whom, blow, spread });
+        push(s, CueAction::Process { selector, process_fault, spread });
     }
     for s in &states {
-        let whom = whom(s, routers);
-        push(s, Act::Process { whom, blow: Blow::Copy, spread: 0.0 });
+        let selector = selector(s, routers);
+        push(s, CueAction::Process { selector, process_fault: ProcessFault::SaveState, spread: 0.0 });
     }
-    let field = Field { plan, groups, routers };
+    let field = KnownEndpoints { plan, groups, routers };
     for s in &links {
         let ends = |key: &str| field.pick(s, key, &s.required_text(key));
         let (from, to, one_way) = (ends("from"), ends("to"), s.boolean("one_way", false));
-        let (strike, lasts) = (strike(s), lasts(s));
+        let (link_fault, duration_s) = (link_fault(s), duration_s(s));
         if let (Some(from), Some(to)) = (from, to) {
-            push(s, Act::Link { at: Where::Between { from, to, one_way }, strike, lasts });
+            push(
+                s,
+                CueAction::Link { scope: FaultScope::Between { from, to, one_way }, link_fault, duration_s },
+            );
         }
     }
     for s in &partitions {
@@ -697,23 +716,24 @@
             let hint = "sides = [\"router:0-3 zone:a\", \"router:4-7 zone:b\"]";
             s.problem("sides", "a partition has two sides or more", Some(hint.to_string()));
         }
-        let sides: Vec<Pick> = sides.iter().filter_map(|text| field.pick(s, "sides", text)).collect();
-        let lasts = lasts(s);
-        push(s, Act::Link { at: Where::Sides(sides), strike: Strike::Cut, lasts });
+        let sides: Vec<EndpointSelector> =
+            sides.iter().filter_map(|text| field.pick(s, "sides", text)).collect();
+        let duration_s = duration_s(s);
+        push(s, CueAction::Link { scope: FaultScope::Sides(sides), link_fault: LinkFault::Cut, duration_s });
     }
     cues
 }
 
 /// What the ends of links are picked from.
-struct Field<'a> {
+struct KnownEndpoints<'a> {
     plan: &'a Plan,
     groups: &'a [String],
     routers: usize,
 }
 
-impl Field<'_> {
-    fn pick(&self, s: &Section, key: &str, text: &str) -> Option<Pick> {
-        let pick = match Pick::read(text) {
+impl KnownEndpoints<'_> {
+    fn pick(&self, s: &Section, key: &str, text: &str) -> Option<EndpointSelector> {
+        let pick = match EndpointSelector::parse(text) {
             Ok(pick) => pick,
             Err(why) => {
                 s.problem(key, why, None);
@@ -727,7 +747,7 @@
             // A host that comes by a replacement has no name before that.
             _ => true,
         });
-        if pick.highest().is_some_and(|n| n >= self.routers) {
+        if pick.max_number().is_some_and(|n| n >= self.routers) {
             let hint = Some(format!("there are {}, counted from 0", self.routers));
             s.problem(key, format!("\"{text}\": no such router"), hint);
         }
@@ -736,45 +756,45 @@
 }
 
 /// `router = N`, `share = 0.7`, or all.
-fn whom(s: &Section, routers: usize) -> Whom {
+fn selector(s: &Section, routers: usize) -> ProcessSelector {
     if s.has("share") {
         if s.has("router") {
             s.problem("share", format!("{} has both router and share", s.title), None);
         }
-        return Whom::Share(s.required_number("share", 0.0..1.0));
+        return ProcessSelector::Share(s.required_number("share", 0.0..1.0));
     }
     let number = s.required_number("router", 0.0..63.0) as usize;
     if number >= routers {
         let hint = Some(format!("there are {routers}, counted from 0"));
         s.problem("router", format!("no router {number}"), hint);
     }
-    Whom::One(number)
+    ProcessSelector::One(number)
 }
 
-fn strike(s: &Section) -> Strike {
+fn link_fault(s: &Section) -> LinkFault {
     let share = || s.required_number("share", 0.0..1.0);
     let kind = s.required_text("kind");
     match kind.as_str() {
-        "cut" => Strike::Cut,
-        "reset" => Strike::Reset,
-        "loss" => Strike::Loss(share()),
-        "reorder" => Strike::Reorder(share()),
-        "duplicate" => Strike::Duplicate(share()),
-        "spoil" => Strike::Spoil(share()),
-        "rate" => Strike::Rate(s.required_number("bytes_s", 1.0..1e12)),
-        "delay" => Strike::Delay {
+        "cut" => LinkFault::Cut,
+        "reset" => LinkFault::Reset,
+        "loss" => LinkFault::Loss(share()),
+        "reorder" => LinkFault::Reorder(share()),
+        "duplicate" => LinkFault::Duplicate(share()),
+        "spoil" => LinkFault::Corrupt(share()),
+        "rate" => LinkFault::Rate(s.required_number("bytes_s", 1.0..1e12)),
+        "delay" => LinkFault::Delay {
             by: s.required_number("delay_ms", 0.0..60_000.0) / 1000.0,
             jitter: s.ms("jitter_ms", 0.0..60_000.0, 0.0),
         },
         other => {
             let all = "cut, reset, loss, delay, rate, spoil, reorder, duplicate";
             s.problem("kind", format!("kind = \"{other}\""), Some(format!("one of: {all}")));
-            Strike::Cut
+            LinkFault::Cut
         }
     }
 }
 
-fn lasts(s: &Section) -> f64 {
+fn duration_s(s: &Section) -> f64 {
     match s.has("for") {
         true => s.required_number("for", 0.001..LONG),
         false => f64::INFINITY,
@@ -871,7 +891,7 @@
     }
 }
 
-fn when_of(s: &Section, text: &str, names: &Names) -> When {
+fn when_of(s: &Section, text: &str, names: &Names) -> TriggerEvent {
     let words: Vec<&str> = text.split(':').collect();
     let name = words.get(1).map_or(String::new(), |w| w.to_string());
     let nth = words.get(2).and_then(|n| n.parse::<u64>().ok()).filter(|n| *n > 0);
@@ -886,29 +906,29 @@
             known("fault, agent or restart", &names.faults);
             itself();
             match choice {
-                "begins" => When::Begins(name),
-                "ends" => When::Ends(name),
-                _ => When::Announced(name),
+                "begins" => TriggerEvent::CueBegins(name),
+                "ends" => TriggerEvent::CueEnds(name),
+                _ => TriggerEvent::CueAnnounced(name),
             }
         }
         (choice @ ("arriving" | "begun" | "ran" | "half_said"), 3, Some(nth)) => {
             let workload = known("workload", names.workloads).unwrap_or(0);
             match choice {
-                "arriving" => When::Arriving(workload, nth),
-                "begun" => When::Begun(workload, nth),
-                "ran" => When::Ran(workload, nth),
-                _ => When::HalfSaid(workload, nth),
+                "arriving" => TriggerEvent::PartlyReceived(workload, nth),
+                "begun" => TriggerEvent::Received(workload, nth),
+                "ran" => TriggerEvent::Executed(workload, nth),
+                _ => TriggerEvent::PartlyAnswered(workload, nth),
             }
         }
         ("primary", 3, Some(nth)) => {
             known("group", names.groups);
-            When::Primary(name, nth)
+            TriggerEvent::PrimaryElected(name, nth)
         }
         _ => {
             let forms = "begins:NAME, ends:NAME, announced:NAME, arriving:WORKLOAD:N, begun:WORKLOAD:N, \
                          ran:WORKLOAD:N, half_said:WORKLOAD:N or primary:GROUP:N";
             s.problem("when", format!("when = \"{text}\""), Some(forms.to_string()));
-            When::Begins(name)
+            TriggerEvent::CueBegins(name)
         }
     }
 }
--- a/crates/sandstile-scenario/src/traffic.rs
+++ b/crates/sandstile-scenario/src/traffic.rs
@@ -1,6 +1,6 @@
 //! What clients ask when: open-loop arrivals whose rate moves with the script. Seeded; nothing here waits for
 //! answers, so that a fleet that slows down gets no less.
-use crate::script::{Jump, Script, Stream};
+use crate::script::{RateJump, Script, TrafficStream};
 use sandstile_fleet::random::Rng;
 
 /// One statement that a client is to ask.
@@ -13,16 +13,16 @@
     pub group: usize,
     pub session: u64,
     /// Drawn per arrival, for whoever has to choose among routers.
-    pub draw: f64,
+    pub router_draw: f64,
 }
 
 /// The rate's multiple at this time: jumps that overlap multiply.
-pub fn level(jumps: &[Jump], at: f64) -> f64 {
+pub fn rate_multiple(jumps: &[RateJump], at: f64) -> f64 {
     jumps.iter().map(|j| one(j, at)).product()
 }
 
-fn one(j: &Jump, at: f64) -> f64 {
-    let (since, left) = (at - j.at, j.at + j.lasts - at);
+fn one(j: &RateJump, at: f64) -> f64 {
+    let (since, left) = (at - j.at, j.at + j.duration_s - at);
     if since < 0.0 || left < 0.0 {
         return 1.0;
     }
@@ -30,7 +30,7 @@
         true => (since / j.ramp).min(left / j.ramp).clamp(0.0, 1.0),
         false => 1.0,
     };
-    1.0 + (j.times - 1.0) * part
+    1.0 + (j.multiple - 1.0) * part
 }
 
 /// The arrivals of one stream, one after the other, by thinning a stream of the highest rate.
@@ -41,7 +41,7 @@
 }
 
 pub struct Traffic {
-    streams: Vec<Stream>,
+    streams: Vec<TrafficStream>,
     sources: Vec<Source>,
     next: Vec<Option<Arrival>>,
     seconds: f64,
@@ -52,7 +52,7 @@
         let sources = script.streams.iter().map(|s| Source {
             rng: Rng::new(seed, &format!("traffic {}", s.name)),
             now: 0.0,
-            most: s.rate * s.jumps.iter().map(|j| j.times.max(1.0)).product::<f64>(),
+            most: s.rate * s.jumps.iter().map(|j| j.multiple.max(1.0)).product::<f64>(),
         });
         let sources: Vec<Source> = sources.collect();
         let mut traffic =
@@ -71,14 +71,14 @@
             if source.now > self.seconds {
                 return None;
             }
-            if source.rng.uniform() * source.most <= s.rate * level(&s.jumps, source.now) {
+            if source.rng.uniform() * source.most <= s.rate * rate_multiple(&s.jumps, source.now) {
                 break;
             }
         }
         let group = s.groups[source.rng.below(s.groups.len())];
         let session = source.rng.below(s.sessions) as u64;
-        let draw = source.rng.uniform();
-        Some(Arrival { at: source.now, stream, workload: s.workload, group, session, draw })
+        let router_draw = source.rng.uniform();
+        Some(Arrival { at: source.now, stream, workload: s.workload, group, session, router_draw })
     }
 }
 
--- a/crates/sandstile-scenario/tests/scripts.rs
+++ b/crates/sandstile-scenario/tests/scripts.rs
@@ -1,8 +1,8 @@
 //! Scripts that read, scripts that do not and say where, cues and traffic.
 use sandstile_fleet::{FaultKind, Target};
 use sandstile_scenario::script::*;
-use sandstile_scenario::traffic::{level, Traffic};
-use sandstile_scenario::{Director, Happening, Script};
+use sandstile_scenario::traffic::{rate_multiple, Traffic};
+use sandstile_scenario::{CueScheduler, ScenarioEvent, Script};
 
 const GOOD: &str = r#"title = "A small evening"
 seconds = 20
@@ -63,13 +63,17 @@
 fn a_script_reads_whole() {
     let script = Script::read("good.hcl", GOOD).expect("good");
     assert_eq!((script.seconds, script.plan.groups[0].nodes.len(), script.cues.len()), (20.0, 2, 3));
-    let fault = Act::Fault { kind: FaultKind::Pause, target: Target::Primary("1".to_string()), lasts: 2.0 };
-    assert_eq!(script.cues[0].act, fault);
-    assert_eq!(script.cues[1].trigger, Trigger::After(When::Begun(1, 3), 0.020));
-    let quick = script.quick();
+    let fault = CueAction::Fault {
+        kind: FaultKind::Pause,
+        target: Target::Primary("1".to_string()),
+        duration_s: 2.0,
+    };
+    assert_eq!(script.cues[0].action, fault);
+    assert_eq!(script.cues[1].trigger, Trigger::After(TriggerEvent::Received(1, 3), 0.020));
+    let quick = script.shortened();
     assert_eq!((quick.seconds, quick.streams[0].jumps[0].at), (5.0, 2.5));
     assert_eq!(quick.cues[0].trigger, Trigger::At(1.25));
-    assert_eq!(quick.cues[1].trigger, Trigger::After(When::Begun(1, 3), 0.020));
+    assert_eq!(quick.cues[1].trigger, Trigger::After(TriggerEvent::Received(1, 3), 0.020));
 }
 
 /// Each edit of the good script is refused with the line of what is wrong, and a hint where one helps.
@@ -125,17 +129,20 @@
 #[test]
 fn cues_are_due_once_and_in_their_order() {
     let script = Script::read("good.hcl", GOOD).expect("good");
-    let mut d = Director::new(&script.cues, 100.0);
-    assert_eq!((d.due(104.9), d.next()), (None, Some(105.0)));
-    assert_eq!((d.due(105.0), d.due(110.0)), (Some(0), None));
+    let mut d = CueScheduler::new(&script.cues, 100.0);
+    assert_eq!((d.take_due(104.9), d.next_due()), (None, Some(105.0)));
+    assert_eq!((d.take_due(105.0), d.take_due(110.0)), (Some(0), None));
     for n in 0..5 {
-        d.happened(106.0 + f64::from(n), &Happening::Begun { workload: 1 });
+        d.record_event(106.0 + f64::from(n), &ScenarioEvent::Received { workload: 1 });
     }
-    assert_eq!((d.next(), d.due(108.01), d.due(108.03), d.due(120.0)), (Some(108.02), None, Some(1), None));
-    assert_eq!(d.missed().len(), 1);
-    d.happened(109.0, &Happening::Ended { cue: 1 });
-    d.happened(109.0, &Happening::Ended { cue: 0 });
-    assert_eq!((d.due(109.0), d.missed().len()), (Some(2), 0));
+    assert_eq!(
+        (d.next_due(), d.take_due(108.01), d.take_due(108.03), d.take_due(120.0)),
+        (Some(108.02), None, Some(1), None)
+    );
+    assert_eq!(d.missed_cues().len(), 1);
+    d.record_event(109.0, &ScenarioEvent::CueEnded { cue: 1 });
+    d.record_event(109.0, &ScenarioEvent::CueEnded { cue: 0 });
+    assert_eq!((d.take_due(109.0), d.missed_cues().len()), (Some(2), 0));
 }
 
 #[test]
@@ -148,8 +155,8 @@
     assert!(all.windows(2).all(|w| w[0].at <= w[1].at));
     assert_eq!(all, Traffic::new(&script, 5).collect::<Vec<_>>());
     assert_ne!(all, Traffic::new(&script, 6).collect::<Vec<_>>());
-    let ramp = [Jump { at: 10.0, lasts: 10.0, times: 3.0, ramp: 2.0 }];
-    assert_eq!([9.0, 11.0, 15.0, 19.0, 21.0].map(|t| level(&ramp, t)), [1.0, 2.0, 3.0, 2.0, 1.0]);
+    let ramp = [RateJump { at: 10.0, duration_s: 10.0, multiple: 3.0, ramp: 2.0 }];
+    assert_eq!([9.0, 11.0, 15.0, 19.0, 21.0].map(|t| rate_multiple(&ramp, t)), [1.0, 2.0, 3.0, 2.0, 1.0]);
 }
 
 const FAULTS: &str = r#"
@@ -187,15 +194,16 @@
 
 #[test]
 fn faults_between_processes_are_read_and_checked_against_those_there_are() {
-    use sandstile_faults::{Blow, End, State};
+    use sandstile_faults::{Endpoint, ProcessFault, StateAfterRestart};
     let script = Script::read("faults.hcl", &format!("{GOOD}{FAULTS}")).expect("good");
-    let host = |name: &str, zone: &str| End::Host { name: name.into(), group: "1".into(), zone: zone.into() };
-    assert!(script.relayed(&End::Router(0), &host("s-1-a", "a")));
-    assert!(script.relayed(&End::Router(1), &host("s-1-a", "a")), "another side's host");
-    assert!(!script.relayed(&End::Router(1), &End::Agent(1)), "nothing strikes that link");
-    assert!(!script.relayed(&End::Clients, &host("s-1-a", "a")), "they never talk");
+    let host =
+        |name: &str, zone: &str| Endpoint::Host { name: name.into(), group: "1".into(), zone: zone.into() };
+    assert!(script.needs_relay(&Endpoint::Router(0), &host("s-1-a", "a")));
+    assert!(script.needs_relay(&Endpoint::Router(1), &host("s-1-a", "a")), "another side's host");
+    assert!(!script.needs_relay(&Endpoint::Router(1), &Endpoint::Agent(1)), "nothing strikes that link");
+    assert!(!script.needs_relay(&Endpoint::Clients, &host("s-1-a", "a")), "they never talk");
     let older = script.cues.iter().any(|c| {
-        matches!(c.act, Act::Process { blow: Blow::Restart { kill: true, state: State::Older, .. }, spread, .. } if spread == 1.0)
+        matches!(c.action, CueAction::Process { process_fault: ProcessFault::Restart { kill: true, state: StateAfterRestart::OlderCopy, .. }, spread, .. } if spread == 1.0)
     });
     assert!(older);
     for (from, to, told) in [
--- a/crates/sandstile-simulation/tests/world.rs
+++ b/crates/sandstile-simulation/tests/world.rs
@@ -191,7 +191,7 @@
                 [n % 4]
                 .clone();
             let target = Target::Host(world.fleet.listing(host).name);
-            world.fleet.start_fault(at, Fault { kind, target, lasts: 0.8 });
+            world.fleet.start_fault(at, Fault { kind, target, duration_s: 0.8 });
         }
         world.run_until(&mut workers, EPOCH + 20.0);
         let t = &workers.tally;
