--- a/crates/sandstile-faults/src/ends.rs
+++ b/crates/sandstile-faults/src/ends.rs
@@ -1,11 +1,11 @@
-//! The ends of links, and words that pick some of them.
+//! Endpoints of links, and selectors that name a set of endpoints.
 use std::fmt;
 
-/// One process, or all clients together.
+/// One process, or all clients as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
     Router(usize),
-    /// The discovery agent of a router.
+    /// The discovery agent of the router with this number.
     Agent(usize),
     Host {
         name: String,
@@ -16,7 +16,8 @@
 }
 
 impl Endpoint {
-    /// Whether two ends ever talk: routers to all, clients to routers alone.
+    /// Whether a link exists between two endpoints: routers talk to all others, but to no
+    /// agent except their own; hosts, agents and clients talk to routers only.
     pub fn talks_to(&self, other: &Endpoint) -> bool {
         match (self, other) {
             (Endpoint::Router(a), Endpoint::Router(b)) => a != b,
@@ -38,13 +39,14 @@
     }
 }
 
-/// Some ends: `router:3`, `router:0-7`, `router:*`, `agent:…` alike, `host:NAME`, `host:*`, `group:NAME`, `zone:NAME`
-/// (database hosts of that zone), `clients`. Several are divided by blanks.
+/// A set of endpoints, parsed from terms separated by blanks: `router:3`, `router:0-7`, `router:*`, the same
+/// forms with `agent:`, `host:NAME`, `host:*`, `group:NAME`, `zone:NAME` (database hosts of that zone),
+/// `clients`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndpointSelector(Vec<One>);
+pub struct EndpointSelector(Vec<SelectorTerm>);
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum One {
+enum SelectorTerm {
     Routers(usize, usize),
     Agents(usize, usize),
     Host(String),
@@ -55,73 +57,76 @@
 }
 
 impl EndpointSelector {
-    /// The message says which word is none of ours.
+    /// The error names the term that is invalid.
     pub fn parse(text: &str) -> Result<EndpointSelector, String> {
-        let all = text.split_whitespace().map(one).collect::<Result<Vec<_>, _>>()?;
+        let all = text.split_whitespace().map(parse_term).collect::<Result<Vec<_>, _>>()?;
         match all.is_empty() {
-            true => Err("nothing is picked".to_string()),
+            true => Err("nothing is selected".to_string()),
             false => Ok(EndpointSelector(all)),
         }
     }
 
-    pub fn matches(&self, end: &Endpoint) -> bool {
-        self.0.iter().any(|one| match (one, end) {
-            (One::Routers(from, to), Endpoint::Router(n)) | (One::Agents(from, to), Endpoint::Agent(n)) => {
-                (*from..=*to).contains(n)
+    pub fn matches(&self, endpoint: &Endpoint) -> bool {
+        self.0.iter().any(|term| match (term, endpoint) {
+            (SelectorTerm::Routers(from, to), Endpoint::Router(n))
+            | (SelectorTerm::Agents(from, to), Endpoint::Agent(n)) => (*from..=*to).contains(n),
+            (SelectorTerm::Host(wanted), Endpoint::Host { name, .. }) => wanted == name,
+            (SelectorTerm::AnyHost, Endpoint::Host { .. }) | (SelectorTerm::Clients, Endpoint::Clients) => {
+                true
             }
-            (One::Host(want), Endpoint::Host { name, .. }) => want == name,
-            (One::AnyHost, Endpoint::Host { .. }) | (One::Clients, Endpoint::Clients) => true,
-            (One::Group(want), Endpoint::Host { group, .. }) => want == group,
-            (One::Zone(want), Endpoint::Host { zone, .. }) => want == zone,
+            (SelectorTerm::Group(wanted), Endpoint::Host { group, .. }) => wanted == group,
+            (SelectorTerm::Zone(wanted), Endpoint::Host { zone, .. }) => wanted == zone,
             _ => false,
         })
     }
 
-    /// Names of hosts, groups and zones, for a check against those that there are.
+    /// The names of hosts, groups and zones that the selector contains, to be checked against those that
+    /// exist.
     pub fn names(&self) -> impl Iterator<Item = (&'static str, &str)> {
-        self.0.iter().filter_map(|one| match one {
-            One::Host(name) => Some(("host", name.as_str())),
-            One::Group(name) => Some(("group", name.as_str())),
-            One::Zone(name) => Some(("zone", name.as_str())),
+        self.0.iter().filter_map(|term| match term {
+            SelectorTerm::Host(name) => Some(("host", name.as_str())),
+            SelectorTerm::Group(name) => Some(("group", name.as_str())),
+            SelectorTerm::Zone(name) => Some(("zone", name.as_str())),
             _ => None,
         })
     }
 
-    /// The last router or agent that is named by number.
+    /// The highest router or agent number that the selector contains.
     pub fn max_number(&self) -> Option<usize> {
-        let of = |one: &One| match one {
-            One::Routers(_, to) | One::Agents(_, to) if *to != usize::MAX => Some(*to),
+        let number = |term: &SelectorTerm| match term {
+            SelectorTerm::Routers(_, to) | SelectorTerm::Agents(_, to) if *to != usize::MAX => Some(*to),
             _ => None,
         };
-        self.0.iter().filter_map(of).max()
+        self.0.iter().filter_map(number).max()
     }
 }
 
-fn one(word: &str) -> Result<One, String> {
+fn parse_term(term: &str) -> Result<SelectorTerm, String> {
     let forms =
         "router:N, router:N-M, router:*, agent:N, host:NAME, host:*, group:NAME, zone:NAME or clients";
-    let wrong = || format!("'{word}' picks nothing; one of: {forms}");
-    if word == "clients" {
-        return Ok(One::Clients);
+    let invalid = || format!("'{term}' is not an endpoint; one of: {forms}");
+    if term == "clients" {
+        return Ok(SelectorTerm::Clients);
     }
-    let (kind, of) = word.split_once(':').filter(|(_, of)| !of.is_empty()).ok_or_else(wrong)?;
+    let (kind, argument) =
+        term.split_once(':').filter(|(_, argument)| !argument.is_empty()).ok_or_else(invalid)?;
     let range = || -> Result<(usize, usize), String> {
-        if of == "*" {
+        if argument == "*" {
             return Ok((0, usize::MAX));
         }
-        let (from, to) = of.split_once('-').unwrap_or((of, of));
+        let (from, to) = argument.split_once('-').unwrap_or((argument, argument));
         match (from.parse(), to.parse()) {
             (Ok(from), Ok(to)) if from <= to => Ok((from, to)),
-            _ => Err(wrong()),
+            _ => Err(invalid()),
         }
     };
     match kind {
-        "router" => range().map(|(from, to)| One::Routers(from, to)),
-        "agent" => range().map(|(from, to)| One::Agents(from, to)),
-        "host" if of == "*" => Ok(One::AnyHost),
-        "host" => Ok(One::Host(of.to_string())),
-        "group" => Ok(One::Group(of.to_string())),
-        "zone" => Ok(One::Zone(of.to_string())),
-        _ => Err(wrong()),
+        "router" => range().map(|(from, to)| SelectorTerm::Routers(from, to)),
+        "agent" => range().map(|(from, to)| SelectorTerm::Agents(from, to)),
+        "host" if argument == "*" => Ok(SelectorTerm::AnyHost),
+        "host" => Ok(SelectorTerm::Host(argument.to_string())),
+        "group" => Ok(SelectorTerm::Group(argument.to_string())),
+        "zone" => Ok(SelectorTerm::Zone(argument.to_string())),
+        _ => Err(invalid()),
     }
 }
--- a/crates/sandstile-faults/src/lib.rs
+++ b/crates/sandstile-faults/src/lib.rs
@@ -1,7 +1,8 @@
-//! Faults between and of processes, as a model: which ends a fault touches (`ends`), what stands on a link in one
-//! direction (`fault_state`), what that does to the bytes and datagrams on their way (`lane`), what is done to processes and
-//! their stored state (`process`), schedules drawn by seed (`draw`), and the least of a schedule that still fails
-//! (`shrink`). Nothing here opens a socket, starts a process or reads a clock: relays and the lab do that.
+//! A model of faults in and between processes: endpoints and the links that a fault affects (`ends`), the
+//! faults that are active on a link (`fault_state`), their effect on bytes and datagrams in flight (`lane`),
+//! faults of processes and of their stored state (`process`), schedules drawn from a seed (`draw`), and a
+//! search for the smallest schedule that still fails (`shrink`). This crate opens no socket, starts no
+//! process and reads no clock: the relays and the lab do.
 //!
 //! Times are seconds as f64 on the caller's clock.
 pub mod draw;
--- a/crates/sandstile-faults/src/process.rs
+++ b/crates/sandstile-faults/src/process.rs
@@ -1,16 +1,16 @@
-//! What is done to processes, and to what they have stored.
+//! Faults of processes and of the state that they have stored.
 use oorandom::Rand64;
 
-/// What a process finds of its stored state when it starts again.
+/// What a process finds of its stored state when it restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateAfterRestart {
     Kept,
     Lost,
-    /// A copy that was taken earlier is put back; where none was taken the state is lost.
+    /// The state is replaced by a copy that was saved earlier; without such a copy it is lost.
     OlderCopy,
-    /// The latter half is missing.
+    /// The second half of the file is missing.
     Cut,
-    /// Some bytes are others.
+    /// Some bytes are changed.
     Corrupted,
 }
 
@@ -23,7 +23,8 @@
 ];
 
 impl StateAfterRestart {
-    /// What is found of these bytes; `None` where nothing is. `copy` is what was put by earlier.
+    /// Returns what the process finds instead of `bytes`; `None` if nothing is left. `copy` is the copy that
+    /// was saved earlier.
     pub fn apply(self, bytes: Vec<u8>, copy: Option<&[u8]>, seed: u64) -> Option<Vec<u8>> {
         match self {
             StateAfterRestart::Kept => Some(bytes),
@@ -32,12 +33,12 @@
             StateAfterRestart::Cut => Some(bytes[..bytes.len() / 2].to_vec()),
             StateAfterRestart::Corrupted => {
                 let mut bytes = bytes;
-                let mut chance = Rand64::new(u128::from(seed));
-                // One in a thousand, and one at least.
+                let mut rng = Rand64::new(u128::from(seed));
+                // Changes one byte in a thousand, at least one.
                 for _ in 0..(bytes.len() / 1000).max(1) {
                     if !bytes.is_empty() {
-                        let at = chance.rand_range(0..bytes.len() as u64) as usize;
-                        bytes[at] ^= 1 + (chance.rand_u64() % 255) as u8;
+                        let index = rng.rand_range(0..bytes.len() as u64) as usize;
+                        bytes[index] ^= 1 + (rng.rand_u64() % 255) as u8;
                     }
                 }
                 Some(bytes)
@@ -46,43 +47,45 @@
     }
 }
 
-/// What strikes a process. Times in seconds.
+/// A fault of a process. Times are seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessFault {
-    /// SIGTERM or SIGKILL, then a start after so long, with this of its state.
+    /// SIGTERM or SIGKILL; `back` is the time until the process is started again, with its stored state in
+    /// this condition.
     Restart { kill: bool, back: f64, state: StateAfterRestart },
-    /// SIGSTOP, and SIGCONT after so long.
+    /// SIGSTOP, and SIGCONT after this time.
     Stop { duration_s: f64 },
-    /// It stands still for this share of the time, in short turns.
+    /// The process is stopped for this share of the time, in short intervals.
     Slow { share: f64, duration_s: f64 },
-    /// A copy of its state is put by.
+    /// Saves a copy of the stored state, for `OlderCopy`.
     SaveState,
 }
 
-/// Which processes a blow strikes.
+/// The processes that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProcessSelector {
     One(usize),
-    /// This share of all, rounded, chosen by seed.
+    /// This share of all processes, rounded, at least one unless the share is 0; chosen by seed.
     Share(f64),
 }
 
 impl ProcessSelector {
-    /// The processes and how many seconds after the cue each is struck: all at once, or one after the other over `spread`.
+    /// The numbers of the affected processes, each with the seconds between the cue and its fault: all at
+    /// once, or spaced evenly over `spread`.
     pub fn select(self, count: usize, spread: f64, seed: u64) -> Vec<(usize, f64)> {
-        let mut all: Vec<usize> = (0..count).collect();
-        let struck = match self {
+        let mut processes: Vec<usize> = (0..count).collect();
+        let selected_count = match self {
             ProcessSelector::One(n) => return if n < count { vec![(n, 0.0)] } else { Vec::new() },
             ProcessSelector::Share(share) => {
                 ((share * count as f64).round() as usize).clamp(usize::from(share > 0.0), count)
             }
         };
-        let mut chance = Rand64::new(u128::from(seed));
-        for at in (1..all.len()).rev() {
-            all.swap(at, chance.rand_range(0..at as u64 + 1) as usize);
+        let mut rng = Rand64::new(u128::from(seed));
+        for index in (1..processes.len()).rev() {
+            processes.swap(index, rng.rand_range(0..index as u64 + 1) as usize);
         }
-        let step = if struck > 1 { spread / (struck - 1) as f64 } else { 0.0 };
-        all.truncate(struck);
-        all.into_iter().enumerate().map(|(nth, n)| (n, step * nth as f64)).collect()
+        let step = if selected_count > 1 { spread / (selected_count - 1) as f64 } else { 0.0 };
+        processes.truncate(selected_count);
+        processes.into_iter().enumerate().map(|(nth, n)| (n, step * nth as f64)).collect()
     }
 }
--- a/crates/sandstile-faults/src/shrink.rs
+++ b/crates/sandstile-faults/src/shrink.rs
@@ -1,64 +1,65 @@
-//! The least of a schedule that still fails: delta debugging (Zeller and Hildebrandt, 2002), asked step by step, for each
-//! question is a run of real processes.
+//! Finds the smallest part of a schedule that still fails, by delta debugging (Zeller and Hildebrandt, 2002).
+//! The search is driven step by step, because each test of a candidate is a run of real processes.
 
-/// A search under way. `next_candidate` yields what to play, `told` takes whether it failed.
+/// A search in progress. `next_candidate` yields the schedule to test, `record_result` takes whether it
+/// failed.
 #[derive(Clone, Debug)]
 pub struct Shrinker<T> {
-    /// What is known to fail.
+    /// The smallest schedule that is known to fail.
     smallest_failing: Vec<T>,
-    parts: usize,
-    at: usize,
-    trying: Option<Vec<T>>,
+    part_count: usize,
+    part: usize,
+    candidate: Option<Vec<T>>,
     runs: usize,
 }
 
 impl<T: Clone> Shrinker<T> {
-    /// `fails` has been seen to fail.
+    /// `fails` is a schedule that was seen to fail.
     pub fn new(fails: Vec<T>) -> Self {
-        Shrinker { parts: 2, smallest_failing: fails, at: 0, trying: None, runs: 0 }
+        Shrinker { part_count: 2, smallest_failing: fails, part: 0, candidate: None, runs: 0 }
     }
 
     pub fn smallest_failing(&self) -> &[T] {
         &self.smallest_failing
     }
 
-    /// Runs asked for so far.
+    /// The number of candidates tested so far.
     pub fn runs(&self) -> usize {
         self.runs
     }
 
-    /// The next to try; `None` once no single one can be left out any more.
+    /// The next schedule to test; `None` once no single element can be left out any more.
     pub fn next_candidate(&mut self) -> Option<Vec<T>> {
         let n = self.smallest_failing.len();
         if n < 2 {
             return None;
         }
-        let parts = self.parts.min(n);
-        if self.at >= parts {
-            if parts == n {
+        let part_count = self.part_count.min(n);
+        if self.part >= part_count {
+            if part_count == n {
                 return None;
             }
-            (self.parts, self.at) = ((parts * 2).min(n), 0);
+            (self.part_count, self.part) = ((part_count * 2).min(n), 0);
             return self.next_candidate();
         }
-        // All but one part.
-        let (from, to) = (n * self.at / parts, n * (self.at + 1) / parts);
-        let rest: Vec<T> =
+        // Leaves out one part and keeps all others.
+        let (from, to) = (n * self.part / part_count, n * (self.part + 1) / part_count);
+        let remaining: Vec<T> =
             self.smallest_failing[..from].iter().chain(&self.smallest_failing[to..]).cloned().collect();
-        self.trying = Some(rest.clone());
+        self.candidate = Some(remaining.clone());
         self.runs += 1;
-        Some(rest)
+        Some(remaining)
     }
 
-    /// Whether what `next_candidate` yielded failed.
+    /// Takes whether the last candidate failed.
     pub fn record_result(&mut self, failed: bool) {
-        let Some(tried) = self.trying.take() else { return };
+        let Some(tested) = self.candidate.take() else { return };
         if failed {
-            self.smallest_failing = tried;
-            self.parts = self.parts.saturating_sub(1).max(2);
-            self.at = 0;
+            self.smallest_failing = tested;
+            self.part_count = self.part_count.saturating_sub(1).max(2);
+            self.part = 0;
         } else {
-            self.at += 1;
+            self.part += 1;
         }
     }
 }
--- a/crates/sandstile-recording/src/edit.rs
+++ b/crates/sandstile-recording/src/edit.rs
@@ -1,9 +1,9 @@
-//! Cutting, scaling and merging recordings, and what can be said of one; all of it streamed.
+//! Cuts, scales, merges and summarises recordings, all as streams.
 use crate::{Arrival, Header, RecordingError, RecordingReader, RecordingWriter};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 
-/// Keeps what lies between two times, in seconds; it begins anew at the first.
+/// Keeps the arrivals between two times, in seconds; the result starts at time 0.
 pub fn cut<R: Read, W: Write>(
     reader: &mut RecordingReader<R>,
     out: W,
@@ -12,12 +12,12 @@
 ) -> Result<u64, RecordingError> {
     let (from_us, to_us) = ((from * 1e6) as u64, (to * 1e6) as u64);
     let mut recorder = RecordingWriter::begin(out, &reader.header)?;
-    while let Some(a) = reader.next_arrival()? {
-        if a.at_us >= to_us {
+    while let Some(arrival) = reader.next_arrival()? {
+        if arrival.at_us >= to_us {
             break;
         }
-        if a.at_us >= from_us {
-            recorder.add(&Arrival { at_us: a.at_us - from_us, ..a })?;
+        if arrival.at_us >= from_us {
+            recorder.add(&Arrival { at_us: arrival.at_us - from_us, ..arrival })?;
         }
     }
     let written = recorder.written;
@@ -25,8 +25,8 @@
     Ok(written)
 }
 
-/// Plays time faster or slower, and sessions several times over: `copies` of each arrival, each with sessions of its own.
-/// Copies come `spread` seconds apart, or all of them would meet at one moment.
+/// Changes the speed, and writes `copies` of each arrival, each copy with sessions of its own. Copies of an
+/// arrival are `spread` seconds apart; without this they would all arrive at the same moment.
 pub fn scale<R: Read, W: Write>(
     reader: &mut RecordingReader<R>,
     out: W,
@@ -35,64 +35,68 @@
     spread: f64,
 ) -> Result<u64, RecordingError> {
     let mut recorder = RecordingWriter::begin(out, &reader.header)?;
-    // Copies that are still to come; no more than lie within the spread.
-    let mut coming: BTreeMap<(u64, u64), Arrival> = BTreeMap::new();
+    // Copies that are not written yet; never more than fall within the spread.
+    let mut pending: BTreeMap<(u64, u64), Arrival> = BTreeMap::new();
     let mut number = 0;
-    while let Some(a) = reader.next_arrival()? {
-        let at = (a.at_us as f64 / speed) as u64;
-        while let Some(first) = coming.first_entry().filter(|e| e.key().0 <= at) {
+    while let Some(arrival) = reader.next_arrival()? {
+        let scaled_us = (arrival.at_us as f64 / speed) as u64;
+        while let Some(first) = pending.first_entry().filter(|e| e.key().0 <= scaled_us) {
             recorder.add(&first.remove())?;
         }
         for copy in 0..u64::from(copies) {
-            let session = match a.session {
+            let session = match arrival.session {
                 0 => 0,
-                s => s.wrapping_add(copy.wrapping_mul(0x9e37_79b9_7f4a_7c15)).max(1),
+                original => original.wrapping_add(copy.wrapping_mul(0x9e37_79b9_7f4a_7c15)).max(1),
             };
-            let at_us = at + (copy as f64 * spread * 1e6) as u64;
+            let at_us = scaled_us + (copy as f64 * spread * 1e6) as u64;
             number += 1;
-            coming.insert((at_us, number), Arrival { at_us, session, ..a });
+            pending.insert((at_us, number), Arrival { at_us, session, ..arrival });
         }
     }
-    for a in coming.into_values() {
-        recorder.add(&a)?;
+    for arrival in pending.into_values() {
+        recorder.add(&arrival)?;
     }
     let written = recorder.written;
     recorder.end()?;
     Ok(written)
 }
 
-/// Plays two recordings over each other. Names are joined; sessions stay strangers, for their salts differ.
+/// Merges two recordings into one. Names that occur in both are joined; sessions stay distinct, because the
+/// two salts differ.
 pub fn merge<A: Read, B: Read, W: Write>(
     a: &mut RecordingReader<A>,
     b: &mut RecordingReader<B>,
     out: W,
 ) -> Result<u64, RecordingError> {
     let mut header = Header { salt: a.header.salt, ..Header::default() };
-    let mut join = |names: &[String], all: fn(&mut Header) -> &mut Vec<String>| -> Vec<u32> {
+    let mut merge_names = |names: &[String], all: fn(&mut Header) -> &mut Vec<String>| -> Vec<u32> {
         let all = all(&mut header);
-        let place = |name: &String| {
+        let index_of = |name: &String| {
             let found = all.iter().position(|n| n == name);
             found.unwrap_or_else(|| {
                 all.push(name.clone());
                 all.len() - 1
             }) as u32
         };
-        names.iter().map(place).collect()
+        names.iter().map(index_of).collect()
     };
-    let workloads =
-        [join(&a.header.workloads, |h| &mut h.workloads), join(&b.header.workloads, |h| &mut h.workloads)];
-    let groups = [join(&a.header.groups, |h| &mut h.groups), join(&b.header.groups, |h| &mut h.groups)];
+    let workloads = [
+        merge_names(&a.header.workloads, |h| &mut h.workloads),
+        merge_names(&b.header.workloads, |h| &mut h.workloads),
+    ];
+    let groups =
+        [merge_names(&a.header.groups, |h| &mut h.groups), merge_names(&b.header.groups, |h| &mut h.groups)];
     let mut recorder = RecordingWriter::begin(out, &header)?;
-    let (mut one, mut other) = (a.next_arrival()?, b.next_arrival()?);
+    let (mut next_of_a, mut next_of_b) = (a.next_arrival()?, b.next_arrival()?);
     loop {
-        let first = match (&one, &other) {
+        let first = match (&next_of_a, &next_of_b) {
             (None, None) => break,
             (Some(x), Some(y)) => usize::from(y.at_us < x.at_us),
             (Some(_), None) => 0,
             (None, Some(_)) => 1,
         };
         let next = if first == 0 { a.next_arrival()? } else { b.next_arrival()? };
-        let slot = if first == 0 { &mut one } else { &mut other };
+        let slot = if first == 0 { &mut next_of_a } else { &mut next_of_b };
         let Some(arrival) = std::mem::replace(slot, next) else { break };
         let workload = workloads[first][arrival.workload as usize];
         let group = groups[first][arrival.group as usize];
@@ -103,7 +107,7 @@
     Ok(written)
 }
 
-/// What a recording holds.
+/// Figures of a recording.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
     pub arrivals: u64,
@@ -111,28 +115,28 @@
     pub retries: u64,
     pub by_workload: Vec<u64>,
     pub by_group: Vec<u64>,
-    /// The most in one second, and which.
+    /// The most arrivals within one second, and the number of that second.
     pub peak: (u64, u64),
 }
 
 pub fn inspect<R: Read>(reader: &mut RecordingReader<R>) -> Result<Summary, RecordingError> {
-    let mut s = Summary {
+    let mut summary = Summary {
         by_workload: vec![0; reader.header.workloads.len()],
         by_group: vec![0; reader.header.groups.len()],
         ..Summary::default()
     };
-    let mut second = (0, 0);
-    while let Some(a) = reader.next_arrival()? {
-        s.arrivals += 1;
-        s.retries += u64::from(a.is_retry);
-        s.seconds = a.at_us as f64 / 1e6;
-        s.by_workload[a.workload as usize] += 1;
-        s.by_group[a.group as usize] += 1;
-        let now = a.at_us / 1_000_000;
-        second = if second.1 == now { (second.0 + 1, now) } else { (1, now) };
-        if second.0 > s.peak.0 {
-            s.peak = second;
+    let mut current_second = (0, 0);
+    while let Some(arrival) = reader.next_arrival()? {
+        summary.arrivals += 1;
+        summary.retries += u64::from(arrival.is_retry);
+        summary.seconds = arrival.at_us as f64 / 1e6;
+        summary.by_workload[arrival.workload as usize] += 1;
+        summary.by_group[arrival.group as usize] += 1;
+        let now = arrival.at_us / 1_000_000;
+        current_second = if current_second.1 == now { (current_second.0 + 1, now) } else { (1, now) };
+        if current_second.0 > summary.peak.0 {
+            summary.peak = current_second;
         }
     }
-    Ok(s)
+    Ok(summary)
 }
--- a/crates/sandstile-recording/tests/stream.rs
+++ b/crates/sandstile-recording/tests/stream.rs
@@ -1,5 +1,5 @@
-//! Recordings: round trips, cuts at every byte, flipped bits, other versions, and a stream that is longer than memory
-//! would like.
+//! Tests of recordings: round trips, truncation at every byte, flipped bits, unknown versions, and a
+//! recording that is larger than a reader or writer should hold in memory.
 use quickcheck::{Gen, QuickCheck};
 use sandstile_recording::edit::{cut, inspect, merge, scale};
 use sandstile_recording::{Arrival, Header, RecordingError, RecordingReader, RecordingWriter};
@@ -21,9 +21,9 @@
 }
 
 fn recorded(all: &[Arrival]) -> Vec<u8> {
-    let mut recorder = RecordingWriter::begin(Vec::new(), &header()).expect("memory");
-    all.iter().for_each(|a| recorder.add(a).expect("memory"));
-    recorder.end().expect("memory")
+    let mut recorder = RecordingWriter::begin(Vec::new(), &header()).expect("written to memory");
+    all.iter().for_each(|a| recorder.add(a).expect("written to memory"));
+    recorder.end().expect("written to memory")
 }
 
 fn read(bytes: &[u8]) -> Result<Vec<Arrival>, (usize, RecordingError)> {
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn what_is_recorded_is_played() {
-    fn holds(steps: Vec<(u32, u8, bool, u64, u32)>) -> bool {
+fn recorded_arrivals_are_read_back_unchanged() {
+    fn reads_back_equal(steps: Vec<(u32, u8, bool, u64, u32)>) -> bool {
         let mut at = 0;
         let all: Vec<Arrival> = steps
             .into_iter()
@@ -53,12 +53,13 @@
         read(&recorded(&all)).is_ok_and(|played| played == all)
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(80, 6)).tests(300);
-    check.quickcheck(holds as fn(Vec<(u32, u8, bool, u64, u32)>) -> bool);
+    check.quickcheck(reads_back_equal as fn(Vec<(u32, u8, bool, u64, u32)>) -> bool);
 }
 
-/// Cut anywhere: told as cut, and nothing made up. Any bit changed: told.
+/// Truncation at any byte is reported as such and yields no invented arrivals; a change of any bit is
+/// detected.
 #[test]
-fn a_recording_cut_or_changed_anywhere_is_told() {
+fn a_truncated_or_changed_recording_is_detected() {
     let all: Vec<Arrival> = (0..40).map(arrival).collect();
     let bytes = recorded(&all);
     for end in 0..bytes.len() {
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn names_of_sessions_are_not_in_it_and_two_recordings_cannot_be_matched() {
+fn session_names_are_not_stored_and_recordings_with_other_salts_do_not_match() {
     let bytes = recorded(&(0..100).map(arrival).collect::<Vec<_>>());
     assert!(!bytes.windows(2).any(|w| w == b"u3"));
     let other = Header { salt: [4; 16], ..header() };
@@ -88,52 +89,54 @@
 }
 
 #[test]
-fn cut_scaled_and_merged_they_hold_what_they_should() {
+fn cut_scaled_and_merged_recordings_hold_the_expected_arrivals() {
     let bytes = recorded(&(0..1000).map(arrival).collect::<Vec<_>>());
-    let open = || RecordingReader::open(&bytes[..]).expect("ours");
+    let open = || RecordingReader::open(&bytes[..]).expect("a valid recording");
     let mut out = Vec::new();
-    assert_eq!(cut(&mut open(), &mut out, 2.0, 5.0).expect("ours"), 300);
-    let part = read(&out).expect("ours");
+    assert_eq!(cut(&mut open(), &mut out, 2.0, 5.0).expect("a valid recording"), 300);
+    let part = read(&out).expect("a valid recording");
     assert_eq!((part[0].at_us, part[299].at_us), (0, 2_990_000));
     let mut out = Vec::new();
-    assert_eq!(scale(&mut open(), &mut out, 2.0, 3, 0.5).expect("ours"), 3000);
-    let summary = inspect(&mut RecordingReader::open(&out[..]).expect("ours")).expect("ours");
+    assert_eq!(scale(&mut open(), &mut out, 2.0, 3, 0.5).expect("a valid recording"), 3000);
+    let summary =
+        inspect(&mut RecordingReader::open(&out[..]).expect("a valid recording")).expect("a valid recording");
     assert_eq!((summary.arrivals, summary.by_workload.iter().sum::<u64>()), (3000, 3000));
     assert!((summary.seconds - (4.995 + 1.0)).abs() < 1e-6, "{}", summary.seconds);
-    let scaled = read(&out).expect("ours");
+    let scaled = read(&out).expect("a valid recording");
     assert!(scaled.windows(2).all(|w| w[0].at_us <= w[1].at_us));
     let sessions: std::collections::BTreeSet<u64> = scaled.iter().map(|a| a.session).collect();
     assert_eq!(sessions.len(), 21);
-    // Another with names of its own.
+    // A second recording with other names of workloads and groups.
     let names = Header {
         salt: [9; 16],
         workloads: vec!["save".to_string(), "new".to_string()],
         groups: vec!["9".to_string()],
     };
-    let mut other = RecordingWriter::begin(Vec::new(), &names).expect("memory");
+    let mut other = RecordingWriter::begin(Vec::new(), &names).expect("written to memory");
     (0..10).for_each(|n| {
         other
             .add(&Arrival { at_us: n * 777, workload: (n % 2) as u32, group: 0, ..arrival(n) })
-            .expect("memory")
+            .expect("written to memory")
     });
-    let other = other.end().expect("memory");
+    let other = other.end().expect("written to memory");
     let mut out = Vec::new();
     let written =
-        merge(&mut open(), &mut RecordingReader::open(&other[..]).expect("ours"), &mut out).expect("ours");
+        merge(&mut open(), &mut RecordingReader::open(&other[..]).expect("a valid recording"), &mut out)
+            .expect("a valid recording");
     assert_eq!(written, 1010);
-    let mut reader = RecordingReader::open(&out[..]).expect("ours");
+    let mut reader = RecordingReader::open(&out[..]).expect("a valid recording");
     assert_eq!(reader.header.workloads, ["look", "save", "own", "new"]);
-    let summary = inspect(&mut reader).expect("ours");
+    let summary = inspect(&mut reader).expect("a valid recording");
     assert_eq!((summary.by_workload[3], summary.by_group[2]), (5, 10));
 }
 
-/// Written to nowhere and read from a stream: what is held is a block, however long it is.
+/// Guards against a writer that collects the whole recording in memory: each write is smaller than 1 MiB.
 #[test]
-fn a_long_recording_needs_no_more_memory_than_a_block() {
-    struct Count(u64);
-    impl std::io::Write for Count {
+fn a_long_recording_is_written_in_pieces_of_one_block() {
+    struct CountingSink(u64);
+    impl std::io::Write for CountingSink {
         fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-            assert!(bytes.len() < 1 << 20, "a piece at a time");
+            assert!(bytes.len() < 1 << 20, "a write larger than a block");
             self.0 += bytes.len() as u64;
             Ok(bytes.len())
         }
@@ -141,12 +144,13 @@
             Ok(())
         }
     }
-    let mut recorder = RecordingWriter::begin(Count(0), &header()).expect("nowhere");
+    let mut recorder =
+        RecordingWriter::begin(CountingSink(0), &header()).expect("the sink accepts all writes");
     let session = header().session("u1");
     for n in 0..2_000_000u64 {
         let a = Arrival { at_us: n * 500, workload: 0, group: 1, session, wait_ms: 1000, is_retry: false };
-        recorder.add(&a).expect("nowhere");
+        recorder.add(&a).expect("the sink accepts all writes");
     }
-    let bytes = recorder.end().expect("nowhere").0;
+    let bytes = recorder.end().expect("the sink accepts all writes").0;
     assert!(bytes < 2_000_000 * 15, "{bytes}");
 }
--- a/crates/sandstile-relay/examples/cost.rs
+++ b/crates/sandstile-relay/examples/cost.rs
@@ -1,5 +1,5 @@
-//! What a relay costs where no fault stands: round trips of a small statement and its answer with and without one, one
-//! at a time, in microseconds. `cargo run --release -p sandstile-relay --example cost`
+//! Measures the cost of a relay without faults: round trips of a small statement and its answer, direct and
+//! through a relay, one at a time, in microseconds. `cargo run --release -p sandstile-relay --example cost`
 use sandstile_faults::Endpoint;
 use sandstile_relay::Relay;
 use std::io::{Read, Write};
@@ -7,21 +7,21 @@
 use std::thread;
 use std::time::Instant;
 
-const ROUNDS: usize = 20_000;
+const ROUND_TRIPS: usize = 20_000;
 
-fn measure(at: SocketAddr) -> (f64, f64) {
-    let mut stream = TcpStream::connect(at).expect("it listens");
+fn measure(address: SocketAddr) -> (f64, f64) {
+    let mut stream = TcpStream::connect(address).expect("it listens");
     stream.set_nodelay(true).expect("a socket");
-    let mut took: Vec<f64> = Vec::with_capacity(ROUNDS);
-    let (ask, mut answer) = ([1; 200], [0; 200]);
-    for _ in 0..ROUNDS {
+    let mut latencies_us: Vec<f64> = Vec::with_capacity(ROUND_TRIPS);
+    let (request, mut answer) = ([1; 200], [0; 200]);
+    for _ in 0..ROUND_TRIPS {
         let start = Instant::now();
-        stream.write_all(&ask).expect("it reads");
+        stream.write_all(&request).expect("it reads");
         stream.read_exact(&mut answer).expect("it answers");
-        took.push(start.elapsed().as_secs_f64() * 1e6);
+        latencies_us.push(start.elapsed().as_secs_f64() * 1e6);
     }
-    took.sort_by(f64::total_cmp);
-    (took[ROUNDS / 2], took[ROUNDS * 99 / 100])
+    latencies_us.sort_by(f64::total_cmp);
+    (latencies_us[ROUND_TRIPS / 2], latencies_us[ROUND_TRIPS * 99 / 100])
 }
 
 fn main() {
@@ -38,11 +38,11 @@
         }
     });
     let relay = Relay::start(1).expect("a loop");
-    let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a socket");
-    relay.stream(Endpoint::Router(0), Endpoint::Clients, free, target).expect("it listens");
+    let relay_address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a socket");
+    relay.stream(Endpoint::Router(0), Endpoint::Clients, relay_address, target).expect("it listens");
     println!("| | p50 us | p99 us |\n| --- | --- | --- |");
-    for (name, at) in [("direct", target), ("over a relay", free)] {
-        let (p50, p99) = measure(at);
+    for (name, address) in [("direct", target), ("over a relay", relay_address)] {
+        let (p50, p99) = measure(address);
         println!("| {name} | {p50:.0} | {p99:.0} |");
     }
 }
--- a/crates/sandstile-relay/src/forward.rs
+++ b/crates/sandstile-relay/src/forward.rs
@@ -1,4 +1,4 @@
-//! The loop that holds all relays.
+//! The event loop that runs all relays.
 use crate::{DatagramPeer, HubMember, Summary};
 use crossbeam_channel::Receiver;
 use hdrhistogram::Histogram;
@@ -16,7 +16,7 @@
 pub(crate) enum Command {
     Stream { from: Endpoint, to: Endpoint, listener: std::net::TcpListener, target: SocketAddr },
     DatagramPair { sides: Box<[DatagramPeer; 2]>, sockets: [std::net::UdpSocket; 2] },
-    Hub { spots: Vec<HubMember>, sockets: Vec<std::net::UdpSocket> },
+    Hub { members: Vec<HubMember>, sockets: Vec<std::net::UdpSocket> },
     Begin(usize, FaultScope, LinkFault),
     Heal(usize),
     Stop,
@@ -29,94 +29,97 @@
     target: SocketAddr,
 }
 
-/// One socket of a stream's two, and what goes on over it.
-struct Half {
+/// One of the two connections of a stream.
+struct Connection {
     socket: Option<TcpStream>,
-    up: bool,
-    /// What comes from the other half on its way to this socket.
+    connected: bool,
+    /// Bytes in flight from the other connection to this socket.
     channel: StreamChannel,
-    /// Bytes that the platform has not taken yet.
-    out: Vec<u8>,
-    sent: usize,
-    /// The other half has ended: so does this one, once all is written.
-    ends: Option<Ends>,
-    /// It has no more to say; how it ended.
-    heard_end: bool,
-    /// It may hold bytes that were not read yet, for its turn was over or the lane full. The loop tells of news only, never again of
-    /// what it told: without a turn of its own such a rest would lie there for ever.
-    rest: bool,
+    /// Bytes that arrived but were not accepted by the socket yet.
+    output: Vec<u8>,
+    written: usize,
+    /// The other connection was closed; this one closes in the same way once everything in flight is written.
+    pending_close: Option<CloseKind>,
+    /// Nothing more will be read from the socket.
+    read_closed: bool,
+    /// The socket may hold unread bytes, because the turn ended or the channel was full. Readiness events are
+    /// edge-triggered and are not repeated, so without a turn scheduled for this flag these bytes would never
+    /// be read.
+    may_have_unread: bool,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Ends {
-    Whole,
+enum CloseKind {
+    Orderly,
     Reset,
 }
 
 struct Stream {
     route: usize,
-    /// The one that dialled, and the one that is dialled: 0 and 1.
-    halves: [Half; 2],
-    /// What holds on the way to each half.
-    condition: [LinkCondition; 2],
+    /// 0 is the accepted connection, 1 the dialled one.
+    connections: [Connection; 2],
+    /// The condition of the direction towards each connection.
+    conditions: [LinkCondition; 2],
 }
 
-struct Pair {
+struct DatagramPair {
     sides: [DatagramPeer; 2],
     sockets: [UdpSocket; 2],
-    /// On their way to each side.
-    ways: [DatagramChannel; 2],
-    condition: [LinkCondition; 2],
+    /// Datagrams in flight to each side.
+    channels: [DatagramChannel; 2],
+    conditions: [LinkCondition; 2],
 }
 
-/// Many that send datagrams to each other.
+/// A group of members that send datagrams to each other.
 struct Hub {
-    spots: Vec<HubMember>,
+    members: Vec<HubMember>,
     sockets: Vec<UdpSocket>,
-    /// Who sends from there.
-    senders: BTreeMap<SocketAddr, usize>,
-    /// From one to another, once something was sent.
-    ways: BTreeMap<(usize, usize), (DatagramChannel, LinkCondition)>,
+    /// The member that sends from an address.
+    members_by_address: BTreeMap<SocketAddr, usize>,
+    /// The channel from one member to another, created with the first datagram.
+    channels: BTreeMap<(usize, usize), (DatagramChannel, LinkCondition)>,
 }
 
 #[derive(Clone, Copy)]
-enum Place {
+enum EventSource {
     Hub(usize, usize),
     Route(usize),
-    Half(usize, usize),
-    Pair(usize, usize),
+    Connection(usize, usize),
+    DatagramPair(usize, usize),
 }
 
-pub(crate) struct Carry {
+pub(crate) struct RelayLoop {
     poll: Poll,
     seed: u64,
     start: Instant,
     active_faults: ActiveFaults,
     routes: Vec<Route>,
     streams: BTreeMap<usize, Stream>,
-    pairs: Vec<Pair>,
+    pairs: Vec<DatagramPair>,
     hubs: Vec<Hub>,
-    places: BTreeMap<usize, Place>,
-    next: usize,
-    /// When a stream, a pair (behind `PAIRS`) or a hub (behind `HUBS`), has something that arrives; in nanoseconds, some long past.
-    due: BinaryHeap<Reverse<(u64, usize)>>,
-    /// The one look that is planned for each of them. Every look plans the next: without this each piece of news would start a row of
-    /// looks of its own, and the loop would be busy with looks for as long as something is on its way.
-    planned: BTreeMap<usize, u64>,
+    event_sources: BTreeMap<usize, EventSource>,
+    next_token: usize,
+    /// When a stream, a pair (key plus `PAIR_KEY_BASE`) or a hub (key plus `HUB_KEY_BASE`) has something that
+    /// arrives, in nanoseconds. Entries that don't match `scheduled` are stale.
+    timers: BinaryHeap<Reverse<(u64, usize)>>,
+    /// The one valid timer of each key. Each run of a timer schedules the next; without this map every
+    /// readiness event would start a further chain of timers, and the loop would stay busy as long as
+    /// anything is in flight.
+    scheduled: BTreeMap<usize, u64>,
     summary: Summary,
 }
 
-const PAIRS: usize = usize::MAX / 2;
-const HUBS: usize = usize::MAX / 4 * 3;
-const PIECE: usize = 16 * 1024;
-/// Pieces of one socket before the others have their turn.
-const TURN: usize = 8;
+const PAIR_KEY_BASE: usize = usize::MAX / 2;
+const HUB_KEY_BASE: usize = usize::MAX / 4 * 3;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Reads from one socket before the others get their turn.
+const MAX_READS_PER_TURN: usize = 8;
 
-impl Carry {
-    pub fn new(poll: Poll, seed: u64) -> Carry {
+impl RelayLoop {
+    pub fn new(poll: Poll, seed: u64) -> RelayLoop {
         let late_us = Histogram::new_with_bounds(1, 60_000_000, 3).expect("usable bounds");
         let summary = Summary { streams: 0, bytes: 0, datagrams: 0, lost: 0, reset: 0, late_us };
-        Carry {
+        RelayLoop {
             poll,
             seed,
             start: Instant::now(),
@@ -125,10 +128,10 @@
             streams: BTreeMap::new(),
             pairs: Vec::new(),
             hubs: Vec::new(),
-            places: BTreeMap::new(),
-            next: 1,
-            due: BinaryHeap::new(),
-            planned: BTreeMap::new(),
+            event_sources: BTreeMap::new(),
+            next_token: 1,
+            timers: BinaryHeap::new(),
+            scheduled: BTreeMap::new(),
             summary,
         }
     }
@@ -137,23 +140,23 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    fn token(&mut self, place: Place) -> Token {
-        let token = self.next;
-        self.next += 1;
-        self.places.insert(token, place);
-        Token(token)
+    fn allocate_token(&mut self, source: EventSource) -> Token {
+        let number = self.next_token;
+        self.next_token += 1;
+        self.event_sources.insert(number, source);
+        Token(number)
     }
 
-    /// A look at one of them at that time (seconds), unless one is planned before.
-    fn plan(&mut self, key: usize, at: f64) {
-        let at = (at * 1e9) as u64 + 1;
-        if self.planned.get(&key).is_none_or(|planned| at < *planned) {
-            self.planned.insert(key, at);
-            self.due.push(Reverse((at, key)));
+    /// Sets the timer of a key to this time, unless an earlier one is set.
+    fn schedule(&mut self, key: usize, seconds: f64) {
+        let at = (seconds * 1e9) as u64 + 1;
+        if self.scheduled.get(&key).is_none_or(|scheduled| at < *scheduled) {
+            self.scheduled.insert(key, at);
+            self.timers.push(Reverse((at, key)));
         }
     }
 
-    fn chance(&mut self) -> u64 {
+    fn next_seed(&mut self) -> u64 {
         self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         self.seed
     }
@@ -163,16 +166,16 @@
         loop {
             while let Ok(command) = commands.try_recv() {
                 if let Command::Stop = command {
-                    let pairs = self.pairs.iter().flat_map(|p| &p.ways);
-                    let hubs = self.hubs.iter().flat_map(|h| h.ways.values().map(|(way, _)| way));
-                    self.summary.lost = pairs.chain(hubs).map(|w| w.lost).sum();
+                    let pairs = self.pairs.iter().flat_map(|pair| &pair.channels);
+                    let hubs = self.hubs.iter().flat_map(|h| h.channels.values().map(|(channel, _)| channel));
+                    self.summary.lost = pairs.chain(hubs).map(|c| c.lost).sum();
                     return Ok(self.summary);
                 }
-                self.obey(command)?;
+                self.execute(command)?;
             }
-            self.arrivals();
+            self.run_due_timers();
             let sleep = self
-                .due
+                .timers
                 .peek()
                 .map(|Reverse((at, _))| Duration::from_nanos(*at).saturating_sub(self.start.elapsed()));
             match self.poll.poll(&mut events, sleep) {
@@ -180,30 +183,30 @@
                 _ => {}
             }
             for event in &events {
-                match self.places.get(&event.token().0).copied() {
-                    Some(Place::Route(route)) => self.accept(route)?,
-                    Some(Place::Half(stream, half)) => {
-                        if let Some(s) = self.streams.get_mut(&stream) {
-                            if event.is_writable() && !s.halves[half].up {
-                                s.halves[half].rise();
+                match self.event_sources.get(&event.token().0).copied() {
+                    Some(EventSource::Route(route)) => self.accept(route)?,
+                    Some(EventSource::Connection(key, index)) => {
+                        if let Some(stream) = self.streams.get_mut(&key) {
+                            if event.is_writable() && !stream.connections[index].connected {
+                                stream.connections[index].check_connected();
                             }
                         }
-                        self.turn(stream);
+                        self.service_stream(key);
                     }
-                    Some(Place::Pair(pair, side)) => self.datagrams(pair, side),
-                    Some(Place::Hub(hub, spot)) => self.letters(hub, spot),
+                    Some(EventSource::DatagramPair(pair, side)) => self.receive_pair_datagrams(pair, side),
+                    Some(EventSource::Hub(hub, member)) => self.receive_hub_datagrams(hub, member),
                     None => {}
                 }
             }
         }
     }
 
-    fn obey(&mut self, command: Command) -> io::Result<()> {
+    fn execute(&mut self, command: Command) -> io::Result<()> {
         match command {
             Command::Stream { from, to, listener, target } => {
                 let mut listener = TcpListener::from_std(listener);
-                let token = self.token(Place::Route(self.routes.len()));
-                self.poll.registry().register(&mut listener, token, Interest::READABLE)?;
+                let new_token = self.allocate_token(EventSource::Route(self.routes.len()));
+                self.poll.registry().register(&mut listener, new_token, Interest::READABLE)?;
                 self.routes.push(Route { from, to, listener, target });
                 self.accept(self.routes.len() - 1)?;
             }
@@ -211,27 +214,29 @@
                 let pair = self.pairs.len();
                 let mut sockets = sockets.map(UdpSocket::from_std);
                 for (side, socket) in sockets.iter_mut().enumerate() {
-                    let token = self.token(Place::Pair(pair, side));
-                    self.poll.registry().register(socket, token, Interest::READABLE)?;
+                    let new_token = self.allocate_token(EventSource::DatagramPair(pair, side));
+                    self.poll.registry().register(socket, new_token, Interest::READABLE)?;
                 }
-                let ways = [DatagramChannel::new(self.chance()), DatagramChannel::new(self.chance())];
-                let condition = self.of_pair(&sides);
-                self.pairs.push(Pair { sides: *sides, sockets, ways, condition });
-                (0..2).for_each(|side| self.datagrams(pair, side));
+                let channels =
+                    [DatagramChannel::new(self.next_seed()), DatagramChannel::new(self.next_seed())];
+                let conditions = self.pair_conditions(&sides);
+                self.pairs.push(DatagramPair { sides: *sides, sockets, channels, conditions });
+                (0..2).for_each(|side| self.receive_pair_datagrams(pair, side));
             }
-            Command::Hub { spots, sockets } => {
+            Command::Hub { members, sockets } => {
                 let hub = self.hubs.len();
                 let mut sockets: Vec<UdpSocket> = sockets.into_iter().map(UdpSocket::from_std).collect();
-                for (spot, socket) in sockets.iter_mut().enumerate() {
-                    let token = self.token(Place::Hub(hub, spot));
-                    self.poll.registry().register(socket, token, Interest::READABLE)?;
+                for (member, socket) in sockets.iter_mut().enumerate() {
+                    let new_token = self.allocate_token(EventSource::Hub(hub, member));
+                    self.poll.registry().register(socket, new_token, Interest::READABLE)?;
                 }
-                let senders = spots.iter().enumerate().map(|(n, s)| (s.address, n)).collect();
-                self.hubs.push(Hub { spots, sockets, senders, ways: BTreeMap::new() });
-                (0..self.hubs[hub].spots.len()).for_each(|spot| self.letters(hub, spot));
+                let members_by_address =
+                    members.iter().enumerate().map(|(n, member)| (member.address, n)).collect();
+                self.hubs.push(Hub { members, sockets, members_by_address, channels: BTreeMap::new() });
+                (0..self.hubs[hub].members.len()).for_each(|member| self.receive_hub_datagrams(hub, member));
             }
-            Command::Begin(number, at, link_fault) => {
-                self.active_faults.begin(number, at, link_fault);
+            Command::Begin(number, scope, link_fault) => {
+                self.active_faults.begin(number, scope, link_fault);
                 self.on_condition_change();
             }
             Command::Heal(number) => {
@@ -243,72 +248,77 @@
         Ok(())
     }
 
-    fn of_pair(&self, sides: &[DatagramPeer; 2]) -> [LinkCondition; 2] {
+    fn pair_conditions(&self, sides: &[DatagramPeer; 2]) -> [LinkCondition; 2] {
         [
             self.active_faults.condition(&sides[1].endpoint, &sides[0].endpoint),
             self.active_faults.condition(&sides[0].endpoint, &sides[1].endpoint),
         ]
     }
 
-    fn of_route(&self, route: usize) -> [LinkCondition; 2] {
+    fn route_conditions(&self, route: usize) -> [LinkCondition; 2] {
         let Route { from, to, .. } = &self.routes[route];
         [self.active_faults.condition(to, from), self.active_faults.condition(from, to)]
     }
 
-    /// The weather is another: each link takes note.
+    /// Applies the new link conditions to all streams, pairs and hubs.
     fn on_condition_change(&mut self) {
         let now = self.now();
         let keys: Vec<usize> = self.streams.keys().copied().collect();
         for key in keys {
-            let Some(s) = self.streams.get(&key) else { continue };
-            let condition = self.of_route(s.route);
-            let Some(s) = self.streams.get_mut(&key) else { continue };
-            for (half, condition) in s.halves.iter_mut().zip(&condition) {
-                half.channel.on_condition_change(now, condition);
+            let Some(stream) = self.streams.get(&key) else { continue };
+            let conditions = self.route_conditions(stream.route);
+            let Some(stream) = self.streams.get_mut(&key) else { continue };
+            for (connection, condition) in stream.connections.iter_mut().zip(&conditions) {
+                connection.channel.on_condition_change(now, condition);
             }
-            s.condition = condition;
-            if condition.iter().any(|w| w.reset) {
+            stream.conditions = conditions;
+            if conditions.iter().any(|c| c.reset) {
                 self.summary.reset += 1;
                 self.drop_stream(key, true);
             } else {
-                self.turn(key);
+                self.service_stream(key);
             }
         }
         for pair in 0..self.pairs.len() {
-            let condition = self.of_pair(&self.pairs[pair].sides);
-            let p = &mut self.pairs[pair];
-            p.condition = condition;
-            p.ways.iter_mut().zip(&condition).for_each(|(way, condition)| way.on_condition_change(condition));
+            let conditions = self.pair_conditions(&self.pairs[pair].sides);
+            let pair_state = &mut self.pairs[pair];
+            pair_state.conditions = conditions;
+            pair_state
+                .channels
+                .iter_mut()
+                .zip(&conditions)
+                .for_each(|(channel, condition)| channel.on_condition_change(condition));
         }
         for hub in &mut self.hubs {
-            for ((from, to), (way, condition)) in &mut hub.ways {
+            for ((from, to), (channel, condition)) in &mut hub.channels {
                 *condition =
-                    self.active_faults.condition(&hub.spots[*from].endpoint, &hub.spots[*to].endpoint);
-                way.on_condition_change(condition);
+                    self.active_faults.condition(&hub.members[*from].endpoint, &hub.members[*to].endpoint);
+                channel.on_condition_change(condition);
             }
         }
     }
 
-    /// What has come for one of a hub.
-    fn letters(&mut self, hub: usize, to: usize) {
+    /// Reads the datagrams that were sent to one member of a hub.
+    fn receive_hub_datagrams(&mut self, hub: usize, to: usize) {
         let now = self.now();
         let mut bytes = [0; 65_536];
         loop {
             match self.hubs[hub].sockets[to].recv_from(&mut bytes) {
                 Ok((n, source)) => {
-                    // A stranger's go nowhere: nobody could say which link they came over.
-                    let Some(&from) = self.hubs[hub].senders.get(&source) else { continue };
+                    // Datagrams from unknown addresses are dropped, because the link they belong to is
+                    // unknown.
+                    let Some(&from) = self.hubs[hub].members_by_address.get(&source) else { continue };
                     self.summary.datagrams += 1;
                     self.summary.bytes += n as u64;
-                    if !self.hubs[hub].ways.contains_key(&(from, to)) {
-                        let spots = &self.hubs[hub].spots;
+                    if !self.hubs[hub].channels.contains_key(&(from, to)) {
+                        let members = &self.hubs[hub].members;
                         let condition =
-                            self.active_faults.condition(&spots[from].endpoint, &spots[to].endpoint);
-                        let way = DatagramChannel::new(self.chance());
-                        self.hubs[hub].ways.insert((from, to), (way, condition));
+                            self.active_faults.condition(&members[from].endpoint, &members[to].endpoint);
+                        let channel = DatagramChannel::new(self.next_seed());
+                        self.hubs[hub].channels.insert((from, to), (channel, condition));
                     }
-                    if let Some((way, condition)) = self.hubs[hub].ways.get_mut(&(from, to)) {
-                        way.push(now, &bytes[..n], condition);
+                    if let Some((channel, condition)) = self.hubs[hub].channels.get_mut(&(from, to)) {
+                        channel.push(now, &bytes[..n], condition);
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -316,281 +326,301 @@
                 Err(_) => break,
             }
         }
-        self.hand_out(hub);
+        self.deliver_hub_datagrams(hub);
     }
 
-    fn hand_out(&mut self, hub: usize) {
+    fn deliver_hub_datagrams(&mut self, hub: usize) {
         let now = self.now();
-        let h = &mut self.hubs[hub];
+        let hub_state = &mut self.hubs[hub];
         let mut next = f64::INFINITY;
-        for ((from, to), (way, _)) in &mut h.ways {
-            while let Some(bytes) = way.pop(now) {
-                let _ = h.sockets[*from].send_to(&bytes, h.spots[*to].address);
+        for ((from, to), (channel, _)) in &mut hub_state.channels {
+            while let Some(bytes) = channel.pop(now) {
+                let _ = hub_state.sockets[*from].send_to(&bytes, hub_state.members[*to].address);
             }
-            next = way.next_arrival().map_or(next, |at| at.min(next));
+            next = channel.next_arrival().map_or(next, |at| at.min(next));
         }
         if next.is_finite() {
-            self.plan(HUBS + hub, next);
+            self.schedule(HUB_KEY_BASE + hub, next);
         }
     }
 
     fn accept(&mut self, route: usize) -> io::Result<()> {
         loop {
-            let mut near = match self.routes[route].listener.accept() {
-                Ok((near, _)) => near,
+            let mut accepted = match self.routes[route].listener.accept() {
+                Ok((accepted, _)) => accepted,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
-                // One that left again, or no descriptor just now.
+                // The peer closed the connection before it was accepted; other errors mean that no file
+                // descriptor is free.
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => continue,
                 Err(_) => return Ok(()),
             };
-            let condition = self.of_route(route);
-            if condition.iter().any(|w| w.reset) {
+            let conditions = self.route_conditions(route);
+            if conditions.iter().any(|c| c.reset) {
                 self.summary.reset += 1;
-                let _ = SockRef::from(&near).set_linger(Some(Duration::ZERO));
+                let _ = SockRef::from(&accepted).set_linger(Some(Duration::ZERO));
                 continue;
             }
-            let _ = near.set_nodelay(true);
-            let key = self.next;
-            self.next += 1;
-            let token = self.token(Place::Half(key, 0));
-            self.poll.registry().register(&mut near, token, Interest::READABLE | Interest::WRITABLE)?;
-            let mut halves = [Half::new(self.chance()), Half::new(self.chance())];
-            (halves[0].socket, halves[0].up) = (Some(near), true);
-            halves.iter_mut().zip(&condition).for_each(|(h, w)| h.channel.on_condition_change(0.0, w));
-            self.streams.insert(key, Stream { route, halves, condition });
+            let _ = accepted.set_nodelay(true);
+            let key = self.next_token;
+            self.next_token += 1;
+            let new_token = self.allocate_token(EventSource::Connection(key, 0));
+            self.poll.registry().register(
+                &mut accepted,
+                new_token,
+                Interest::READABLE | Interest::WRITABLE,
+            )?;
+            let mut connections = [Connection::new(self.next_seed()), Connection::new(self.next_seed())];
+            (connections[0].socket, connections[0].connected) = (Some(accepted), true);
+            connections
+                .iter_mut()
+                .zip(&conditions)
+                .for_each(|(connection, condition)| connection.channel.on_condition_change(0.0, condition));
+            self.streams.insert(key, Stream { route, connections, conditions });
             self.summary.streams += 1;
-            self.turn(key);
+            self.service_stream(key);
         }
     }
 
-    /// The far side is dialled once nothing keeps a first packet from it.
+    /// Dials the target, unless a cut would keep the first packet from it.
     fn dial(&mut self, key: usize) -> io::Result<()> {
-        let Some(s) = self.streams.get(&key) else { return Ok(()) };
-        if s.halves[1].socket.is_some() || s.condition.iter().any(|w| w.cut) {
+        let Some(stream) = self.streams.get(&key) else { return Ok(()) };
+        if stream.connections[1].socket.is_some() || stream.conditions.iter().any(|c| c.cut) {
             return Ok(());
         }
-        let mut far = TcpStream::connect(self.routes[s.route].target)?;
-        let token = self.token(Place::Half(key, 1));
-        self.poll.registry().register(&mut far, token, Interest::READABLE | Interest::WRITABLE)?;
-        if let Some(s) = self.streams.get_mut(&key) {
-            s.halves[1].socket = Some(far);
+        let mut dialled = TcpStream::connect(self.routes[stream.route].target)?;
+        let new_token = self.allocate_token(EventSource::Connection(key, 1));
+        self.poll.registry().register(&mut dialled, new_token, Interest::READABLE | Interest::WRITABLE)?;
+        if let Some(stream) = self.streams.get_mut(&key) {
+            stream.connections[1].socket = Some(dialled);
         }
         Ok(())
     }
 
-    /// All that one stream can do now.
-    fn turn(&mut self, key: usize) {
+    /// Reads, writes and dials as far as the stream can proceed now.
+    fn service_stream(&mut self, key: usize) {
         let now = self.now();
         if self.dial(key).is_err() {
             return self.drop_stream(key, true);
         }
-        let Some(s) = self.streams.get_mut(&key) else { return };
-        let mut over = false;
+        let Some(stream) = self.streams.get_mut(&key) else { return };
+        let mut finished = false;
         for from in 0..2 {
             let to = 1 - from;
-            let condition = s.condition[to];
-            let [near, far] = &mut s.halves;
-            let (one, other) = if from == 0 { (near, far) } else { (far, near) };
-            self.summary.bytes += one.read(now, other, &condition);
-            over |= !other.write(now, condition.cut, &mut self.summary.late_us);
+            let condition = stream.conditions[to];
+            let [accepted, dialled] = &mut stream.connections;
+            let (sender, receiver) = if from == 0 { (accepted, dialled) } else { (dialled, accepted) };
+            self.summary.bytes += sender.read(now, receiver, &condition);
+            finished |= !receiver.write(now, condition.cut, &mut self.summary.late_us);
         }
-        let due =
-            s.halves.iter().filter(|h| h.out.is_empty() && h.up).filter_map(|h| h.channel.next_arrival());
-        let due = due.reduce(f64::min);
-        let [near, far] = &s.halves;
-        let goes_on = near.unread(far) || far.unread(near);
-        let due = if goes_on { Some(now) } else { due };
-        let done = |h: &Half| h.socket.is_none() || (h.heard_end && h.ends.is_none());
-        over |= s.halves[1].socket.is_some() && s.halves.iter().all(done);
-        if over {
+        let next_due = stream
+            .connections
+            .iter()
+            .filter(|c| c.output.is_empty() && c.connected)
+            .filter_map(|c| c.channel.next_arrival());
+        let next_due = next_due.reduce(f64::min);
+        let [accepted, dialled] = &stream.connections;
+        let has_unread = accepted.can_read_more(dialled) || dialled.can_read_more(accepted);
+        let next_due = if has_unread { Some(now) } else { next_due };
+        let done = |c: &Connection| c.socket.is_none() || (c.read_closed && c.pending_close.is_none());
+        finished |= stream.connections[1].socket.is_some() && stream.connections.iter().all(done);
+        if finished {
             return self.drop_stream(key, true);
         }
-        if let Some(at) = due {
-            self.plan(key, at.max(now));
+        if let Some(at) = next_due {
+            self.schedule(key, at.max(now));
         }
     }
 
-    fn drop_stream(&mut self, key: usize, resets: bool) {
-        let Some(s) = self.streams.remove(&key) else { return };
-        self.planned.remove(&key);
-        self.places.retain(|_, place| !matches!(place, Place::Half(of, _) if *of == key));
-        for half in s.halves {
-            // One that both have ended in order leaves nothing to reset.
-            if let Some(socket) = half.socket.filter(|_| resets && !half.heard_end) {
+    fn drop_stream(&mut self, key: usize, with_reset: bool) {
+        let Some(stream) = self.streams.remove(&key) else { return };
+        self.scheduled.remove(&key);
+        self.event_sources
+            .retain(|_, source| !matches!(source, EventSource::Connection(stream, _) if *stream == key));
+        for connection in stream.connections {
+            // If both ends have closed in order, there is nothing to reset.
+            if let Some(socket) = connection.socket.filter(|_| with_reset && !connection.read_closed) {
                 let _ = SockRef::from(&socket).set_linger(Some(Duration::ZERO));
             }
         }
     }
 
-    fn arrivals(&mut self) {
+    fn run_due_timers(&mut self) {
         let now = self.start.elapsed().as_nanos() as u64;
-        while let Some(Reverse((at, key))) = self.due.peek().copied() {
+        while let Some(Reverse((at, key))) = self.timers.peek().copied() {
             if at > now {
                 return;
             }
-            self.due.pop();
-            if self.planned.get(&key) != Some(&at) {
+            self.timers.pop();
+            if self.scheduled.get(&key) != Some(&at) {
                 continue;
             }
-            self.planned.remove(&key);
-            if key >= HUBS {
-                self.hand_out(key - HUBS);
-            } else if key >= PAIRS {
-                self.deliver(key - PAIRS);
+            self.scheduled.remove(&key);
+            if key >= HUB_KEY_BASE {
+                self.deliver_hub_datagrams(key - HUB_KEY_BASE);
+            } else if key >= PAIR_KEY_BASE {
+                self.deliver_pair_datagrams(key - PAIR_KEY_BASE);
             } else {
-                self.turn(key);
+                self.service_stream(key);
             }
         }
     }
 
-    fn datagrams(&mut self, pair: usize, side: usize) {
+    fn receive_pair_datagrams(&mut self, pair: usize, side: usize) {
         let now = self.now();
         let mut bytes = [0; 65_536];
-        let p = &mut self.pairs[pair];
+        let pair_state = &mut self.pairs[pair];
         loop {
-            match p.sockets[side].recv_from(&mut bytes) {
+            match pair_state.sockets[side].recv_from(&mut bytes) {
                 Ok((n, _)) => {
                     let to = 1 - side;
                     self.summary.datagrams += 1;
                     self.summary.bytes += n as u64;
-                    p.ways[to].push(now, &bytes[..n], &p.condition[to]);
+                    pair_state.channels[to].push(now, &bytes[..n], &pair_state.conditions[to]);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // What could not be delivered earlier is told here, too.
+                // Reports that an earlier datagram could not be delivered.
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
                 Err(_) => break,
             }
         }
-        self.deliver(pair);
+        self.deliver_pair_datagrams(pair);
     }
 
-    fn deliver(&mut self, pair: usize) {
+    fn deliver_pair_datagrams(&mut self, pair: usize) {
         let now = self.now();
-        let p = &mut self.pairs[pair];
+        let pair_state = &mut self.pairs[pair];
         for to in 0..2 {
-            while let Some(bytes) = p.ways[to].pop(now) {
-                // From the address that this side sends to itself, so that it takes it for the other's.
-                let _ = p.sockets[to].send_to(&bytes, p.sides[to].address);
+            while let Some(bytes) = pair_state.channels[to].pop(now) {
+                // Sent from the address that this side uses for its peer, so the datagram appears to come
+                // from the peer.
+                let _ = pair_state.sockets[to].send_to(&bytes, pair_state.sides[to].address);
             }
         }
-        if let Some(at) = p.ways.iter().filter_map(DatagramChannel::next_arrival).reduce(f64::min) {
-            self.plan(PAIRS + pair, at);
+        if let Some(at) =
+            pair_state.channels.iter().filter_map(DatagramChannel::next_arrival).reduce(f64::min)
+        {
+            self.schedule(PAIR_KEY_BASE + pair, at);
         }
     }
 }
 
-impl Half {
-    fn new(seed: u64) -> Half {
-        Half {
+impl Connection {
+    fn new(seed: u64) -> Connection {
+        Connection {
             socket: None,
-            up: false,
+            connected: false,
             channel: StreamChannel::new(seed),
-            out: Vec::new(),
-            sent: 0,
-            ends: None,
-            heard_end: false,
-            rest: false,
+            output: Vec::new(),
+            written: 0,
+            pending_close: None,
+            read_closed: false,
+            may_have_unread: false,
         }
     }
 
-    /// A dial is up, or it failed: the platform tells by the socket's error.
-    fn rise(&mut self) {
+    /// Checks whether a dial has succeeded or failed, by the socket's error.
+    fn check_connected(&mut self) {
         let Some(socket) = &self.socket else { return };
         match socket.take_error() {
             Ok(None) if socket.peer_addr().is_ok() => {
                 let _ = socket.set_nodelay(true);
-                self.up = true;
+                self.connected = true;
             }
             Ok(None) => {}
             _ => {
-                self.up = true;
-                self.heard_end = true;
+                self.connected = true;
+                self.read_closed = true;
                 self.socket = None;
             }
         }
     }
 
-    /// Bytes may wait in its socket, and the way to the other has room for them.
-    fn unread(&self, other: &Half) -> bool {
-        self.rest && self.up && self.socket.is_some() && !self.heard_end && other.channel.free_bytes() > 0
+    /// Whether the socket may hold unread bytes and the channel to the other connection has room for them.
+    fn can_read_more(&self, other: &Connection) -> bool {
+        self.may_have_unread
+            && self.connected
+            && self.socket.is_some()
+            && !self.read_closed
+            && other.channel.free_bytes() > 0
     }
 
-    /// Takes what has come and puts it on the way to the other half; yields how much.
-    fn read(&mut self, now: f64, other: &mut Half, condition: &LinkCondition) -> u64 {
-        let mut bytes = [0; PIECE];
-        let mut all = 0;
-        self.rest = true;
-        for _ in 0..TURN {
-            let free_bytes = other.channel.free_bytes().min(PIECE);
-            let Some(socket) = self.socket.as_mut().filter(|_| self.up && !self.heard_end && free_bytes > 0)
+    /// Reads what the socket holds and queues it for the other connection; returns the number of bytes.
+    fn read(&mut self, now: f64, other: &mut Connection, condition: &LinkCondition) -> u64 {
+        let mut bytes = [0; READ_BUFFER_BYTES];
+        let mut total = 0;
+        self.may_have_unread = true;
+        for _ in 0..MAX_READS_PER_TURN {
+            let free_bytes = other.channel.free_bytes().min(READ_BUFFER_BYTES);
+            let Some(socket) =
+                self.socket.as_mut().filter(|_| self.connected && !self.read_closed && free_bytes > 0)
             else {
                 break;
             };
             match socket.read(&mut bytes[..free_bytes]) {
                 Ok(0) => {
-                    self.heard_end = true;
-                    other.ends = Some(Ends::Whole);
+                    self.read_closed = true;
+                    other.pending_close = Some(CloseKind::Orderly);
                 }
                 Ok(n) => {
-                    all += n as u64;
+                    total += n as u64;
                     other.channel.push(now, &bytes[..n], condition);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.rest = false;
+                    self.may_have_unread = false;
                     break;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
-                    self.heard_end = true;
-                    other.ends = Some(Ends::Reset);
+                    self.read_closed = true;
+                    other.pending_close = Some(CloseKind::Reset);
                 }
             }
         }
-        if self.socket.is_none() && self.up && other.ends.is_none() {
-            other.ends = Some(Ends::Reset);
+        if self.socket.is_none() && self.connected && other.pending_close.is_none() {
+            other.pending_close = Some(CloseKind::Reset);
         }
-        all
+        total
     }
 
-    /// Writes what has arrived; `false` where the stream is over.
+    /// Writes the bytes that have arrived; returns `false` if the stream is finished.
     fn write(&mut self, now: f64, cut: bool, late_us: &mut Histogram<u64>) -> bool {
-        if !self.up {
+        if !self.connected {
             return true;
         }
         loop {
-            if self.out.is_empty() {
-                let due = self.channel.next_arrival();
+            if self.output.is_empty() {
+                let arrival = self.channel.next_arrival();
                 match self.channel.pop(now) {
                     Some(bytes) => {
-                        late_us.saturating_record(((now - due.unwrap_or(now)) * 1e6) as u64);
-                        self.out = bytes;
+                        late_us.saturating_record(((now - arrival.unwrap_or(now)) * 1e6) as u64);
+                        self.output = bytes;
                     }
                     None => break,
                 }
             }
             let Some(socket) = &mut self.socket else { return true };
-            match socket.write(&self.out[self.sent..]) {
-                Ok(n) if self.sent + n == self.out.len() => {
-                    self.out.clear();
-                    self.sent = 0;
+            match socket.write(&self.output[self.written..]) {
+                Ok(n) if self.written + n == self.output.len() => {
+                    self.output.clear();
+                    self.written = 0;
                 }
-                Ok(n) => self.sent += n,
+                Ok(n) => self.written += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Its own end is told by what is read from it.
-                Err(_) => return self.ends.is_none(),
+                // The peer's close is detected by a read from this socket.
+                Err(_) => return self.pending_close.is_none(),
             }
         }
-        // An end is news as well, and a cut keeps it.
-        match self.ends.filter(|_| self.channel.is_empty() && !cut) {
-            Some(Ends::Whole) => {
+        // A close is delivered like bytes, after those in flight, and is held back by a cut.
+        match self.pending_close.filter(|_| self.channel.is_empty() && !cut) {
+            Some(CloseKind::Orderly) => {
                 if let Some(socket) = &self.socket {
                     let _ = socket.shutdown(Shutdown::Write);
                 }
-                self.ends = None;
+                self.pending_close = None;
                 true
             }
-            Some(Ends::Reset) => false,
+            Some(CloseKind::Reset) => false,
             None => true,
         }
     }
--- a/crates/sandstile-relay/src/lib.rs
+++ b/crates/sandstile-relay/src/lib.rs
@@ -1,10 +1,11 @@
-//! Links between processes that can fail. Whoever is to be told another's address is told a relay's instead; what comes
-//! there goes on as the weather of that link has it. One thread with a readiness loop carries all relays of a rehearsal;
-//! nothing privileged is needed. What the weather does to bytes is decided in `sandstile-faults`; here are only sockets.
+//! Relays that simulate faulty links between processes. A process is given the address of a relay instead of
+//! its peer's address, and the relay forwards the traffic under the condition of that link. One thread with
+//! an event loop runs all relays of a rehearsal; it needs no privileges. `sandstile-faults` decides what a
+//! condition does to bytes; this crate only handles sockets.
 mod forward;
 
 use crossbeam_channel::{unbounded, Sender};
-use forward::{Carry, Command};
+use forward::{Command, RelayLoop};
 use hdrhistogram::Histogram;
 use mio::{Poll, Token, Waker};
 use sandstile_faults::fault_state::FaultScope;
@@ -15,37 +16,38 @@
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 
-/// How the relays did.
+/// Statistics of all relays.
 #[derive(Clone, Debug)]
 pub struct Summary {
     pub streams: u64,
     pub bytes: u64,
     pub datagrams: u64,
-    /// Datagrams that a fault or a full queue took.
+    /// Datagrams dropped by a fault or a full queue.
     pub lost: u64,
-    /// Connections that a reset ended.
+    /// Connections closed by a reset.
     pub reset: u64,
-    /// Microseconds by which what was held back came later than it should.
+    /// How late delayed segments were written, in microseconds after their arrival time.
     pub late_us: Histogram<u64>,
 }
 
-/// One side of a pair that sends datagrams.
+/// One side of a pair that exchanges datagrams.
 #[derive(Clone, Debug)]
 pub struct DatagramPeer {
     pub endpoint: Endpoint,
-    /// Where it sends what is for the other.
+    /// The relay's address to which it sends datagrams for its peer.
     pub sends_to: SocketAddr,
-    /// Where it listens itself.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
-/// One of many that send datagrams to each other.
+/// One member of a group that exchanges datagrams.
 #[derive(Clone, Debug)]
 pub struct HubMember {
     pub endpoint: Endpoint,
-    /// Where the others send what is for it, and where what it sends seems to come from.
+    /// The relay's address to which the others send datagrams for it, and from which its own datagrams appear
+    /// to come.
     pub relay_address: SocketAddr,
-    /// Where it listens, and sends from.
+    /// The address on which it listens and from which it sends.
     pub address: SocketAddr,
 }
 
@@ -55,7 +57,7 @@
     thread: JoinHandle<io::Result<Summary>>,
 }
 
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 
 fn bind(address: SocketAddr, kind: Type, protocol: Protocol) -> io::Result<Socket> {
     let socket = Socket::new(Domain::for_address(address), kind, Some(protocol))?;
@@ -68,22 +70,24 @@
 }
 
 impl Relay {
-    /// A loop without any link yet. Chances follow the seed.
+    /// Starts the event loop without any relay. Random decisions follow the seed.
     pub fn start(seed: u64) -> io::Result<Relay> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), Token(0))?);
-        let (commands, told) = unbounded();
-        let carry = Carry::new(poll, seed);
-        let thread = thread::Builder::new().name("relay".to_string()).spawn(move || carry.run(&told))?;
+        let (commands, command_receiver) = unbounded();
+        let relay_loop = RelayLoop::new(poll, seed);
+        let thread = thread::Builder::new()
+            .name("relay".to_string())
+            .spawn(move || relay_loop.run(&command_receiver))?;
         Ok(Relay { commands, waker, thread })
     }
 
-    fn tell(&self, command: Command) {
+    fn send(&self, command: Command) {
         let _ = self.commands.send(command);
         let _ = self.waker.wake();
     }
 
-    /// Connections that come at `listen` go on to `target`. It listens once this returns.
+    /// Forwards connections from `listen` to `target`. The relay accepts connections as soon as this returns.
     pub fn stream(
         &self,
         from: Endpoint,
@@ -92,41 +96,43 @@
         target: SocketAddr,
     ) -> io::Result<()> {
         let socket = bind(listen, Type::STREAM, Protocol::TCP)?;
-        socket.listen(BACKLOG)?;
-        self.tell(Command::Stream { from, to, listener: socket.into(), target });
+        socket.listen(LISTEN_BACKLOG)?;
+        self.send(Command::Stream { from, to, listener: socket.into(), target });
         Ok(())
     }
 
-    /// Datagrams between two: each hears the other from the address that it sends to itself.
+    /// Forwards datagrams between two peers. Each receives its peer's datagrams from the address to which it
+    /// sends its own.
     pub fn datagrams(&self, one: DatagramPeer, other: DatagramPeer) -> io::Result<()> {
         let first = bind(one.sends_to, Type::DGRAM, Protocol::UDP)?;
         let second = bind(other.sends_to, Type::DGRAM, Protocol::UDP)?;
-        self.tell(Command::DatagramPair {
+        self.send(Command::DatagramPair {
             sides: Box::new([one, other]),
             sockets: [first.into(), second.into()],
         });
         Ok(())
     }
 
-    /// Datagrams among many, each of whom is found at one address by all: whom one is from is told by where it was sent from.
-    pub fn hub(&self, spots: Vec<HubMember>) -> io::Result<()> {
-        let sockets = spots.iter().map(|s| Ok(bind(s.relay_address, Type::DGRAM, Protocol::UDP)?.into()));
+    /// Forwards datagrams among many members, each of which has the same address for all others. The sender
+    /// is recognised by its source address.
+    pub fn hub(&self, members: Vec<HubMember>) -> io::Result<()> {
+        let sockets = members.iter().map(|s| Ok(bind(s.relay_address, Type::DGRAM, Protocol::UDP)?.into()));
         let sockets = sockets.collect::<io::Result<Vec<std::net::UdpSocket>>>()?;
-        self.tell(Command::Hub { spots, sockets });
+        self.send(Command::Hub { members, sockets });
         Ok(())
     }
 
-    /// A strike begins, under a number of the caller's, and stands until it is healed.
+    /// Activates a fault under a number that the caller chooses; it stays active until it is healed.
     pub fn begin(&self, number: usize, scope: FaultScope, link_fault: LinkFault) {
-        self.tell(Command::Begin(number, scope, link_fault));
+        self.send(Command::Begin(number, scope, link_fault));
     }
 
     pub fn heal(&self, number: usize) {
-        self.tell(Command::Heal(number));
+        self.send(Command::Heal(number));
     }
 
     pub fn stop(self) -> io::Result<Summary> {
-        self.tell(Command::Stop);
+        self.send(Command::Stop);
         self.thread.join().expect("the relays' thread does not panic")
     }
 }
--- a/crates/sandstile-scenario/src/director.rs
+++ b/crates/sandstile-scenario/src/director.rs
@@ -1,8 +1,8 @@
-//! Says which cues are due: it is told the time and what happens, and holds no clock of its own. Each cue is due
-//! once.
+//! Schedules the cues of a script. The caller passes in the time and the events that occur, so the scheduler
+//! has no clock of its own. Each cue becomes due once.
 use crate::script::{Cue, CueAction, Trigger, TriggerEvent};
 
-/// What a cue can wait for, as the emulator sees it.
+/// Events that a cue can wait for, as the emulator observes them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScenarioEvent {
     /// A cue was carried out.
@@ -12,7 +12,7 @@
     CueEnded {
         cue: usize,
     },
-    /// The list's change that this cue brought has been written to a router.
+    /// The change of the host list that this cue caused has been written to a router.
     CueAnnounced {
         cue: usize,
     },
@@ -33,44 +33,44 @@
     },
 }
 
-/// How often each thing that has a number was seen.
+/// How often each event has occurred, for triggers that wait for the n-th occurrence.
 #[derive(Default)]
-struct Seen {
-    arriving: Vec<u64>,
-    begun: Vec<u64>,
-    ran: Vec<u64>,
-    half_said: Vec<u64>,
-    primaries: std::collections::BTreeMap<String, u64>,
+struct EventCounts {
+    partly_received: Vec<u64>,
+    received: Vec<u64>,
+    executed: Vec<u64>,
+    partly_answered: Vec<u64>,
+    primaries_elected: std::collections::BTreeMap<String, u64>,
 }
 
-fn one_more(counts: &mut Vec<u64>, at: usize) -> u64 {
-    if counts.len() <= at {
-        counts.resize(at + 1, 0);
+fn increment(counts: &mut Vec<u64>, workload: usize) -> u64 {
+    if counts.len() <= workload {
+        counts.resize(workload + 1, 0);
     }
-    counts[at] += 1;
-    counts[at]
+    counts[workload] += 1;
+    counts[workload]
 }
 
-enum Standing {
-    Waits,
+enum CueState {
+    Waiting,
     Due(f64),
     Done,
 }
 
 pub struct CueScheduler {
     cues: Vec<Cue>,
-    standing: Vec<Standing>,
-    seen: Seen,
+    states: Vec<CueState>,
+    event_counts: EventCounts,
 }
 
 impl CueScheduler {
-    /// The script began at `start`.
+    /// `start` is the time at which the script began.
     pub fn new(cues: &[Cue], start: f64) -> Self {
-        let standing = cues.iter().map(|c| match &c.trigger {
-            Trigger::At(at) => Standing::Due(start + at),
-            Trigger::After(..) => Standing::Waits,
+        let states = cues.iter().map(|c| match &c.trigger {
+            Trigger::At(at) => CueState::Due(start + at),
+            Trigger::After(..) => CueState::Waiting,
         });
-        CueScheduler { standing: standing.collect(), cues: cues.to_vec(), seen: Seen::default() }
+        CueScheduler { states: states.collect(), cues: cues.to_vec(), event_counts: EventCounts::default() }
     }
 
     pub fn cue(&self, cue: usize) -> &Cue {
@@ -81,45 +81,51 @@
         &self.cues[cue].action
     }
 
-    /// Whether some cue still waits for statements to arrive in part; the emulator reads in small pieces then.
+    /// Whether a cue still waits for a partly received statement; if so, the emulator reads in small pieces.
     pub fn awaits_partial_statement(&self) -> bool {
-        self.waits_for(|w| matches!(w, TriggerEvent::PartlyReceived(..)))
+        self.any_waiting_for(|e| matches!(e, TriggerEvent::PartlyReceived(..)))
     }
 
-    /// Whether some cue still waits for the first bytes of an answer; it is then said in two pieces.
+    /// Whether a cue still waits for a partly sent answer of this workload; if so, the emulator sends the
+    /// answer in two pieces.
     pub fn awaits_partial_answer(&self, workload: usize) -> bool {
-        self.waits_for(|w| matches!(w, TriggerEvent::PartlyAnswered(of, _) if *of == workload))
+        self.any_waiting_for(|e| matches!(e, TriggerEvent::PartlyAnswered(w, _) if *w == workload))
     }
 
-    fn waits_for(&self, which: impl Fn(&TriggerEvent) -> bool) -> bool {
-        let waits = |(cue, standing): (&Cue, &Standing)| match (&cue.trigger, standing) {
-            (Trigger::After(when, _), Standing::Waits) => which(when),
+    fn any_waiting_for(&self, predicate: impl Fn(&TriggerEvent) -> bool) -> bool {
+        let is_waiting_for = |(cue, state): (&Cue, &CueState)| match (&cue.trigger, state) {
+            (Trigger::After(trigger_event, _), CueState::Waiting) => predicate(trigger_event),
             _ => false,
         };
-        self.cues.iter().zip(&self.standing).any(waits)
+        self.cues.iter().zip(&self.states).any(is_waiting_for)
     }
 
-    /// Something has happened.
-    pub fn record_event(&mut self, now: f64, what: &ScenarioEvent) {
-        let nth = match what {
-            ScenarioEvent::PartlyReceived { workload } => one_more(&mut self.seen.arriving, *workload),
-            ScenarioEvent::Received { workload } => one_more(&mut self.seen.begun, *workload),
-            ScenarioEvent::Executed { workload } => one_more(&mut self.seen.ran, *workload),
-            ScenarioEvent::PartlyAnswered { workload } => one_more(&mut self.seen.half_said, *workload),
+    /// Records an event and makes the cues due that waited for it.
+    pub fn record_event(&mut self, now: f64, event: &ScenarioEvent) {
+        let nth = match event {
+            ScenarioEvent::PartlyReceived { workload } => {
+                increment(&mut self.event_counts.partly_received, *workload)
+            }
+            ScenarioEvent::Received { workload } => increment(&mut self.event_counts.received, *workload),
+            ScenarioEvent::Executed { workload } => increment(&mut self.event_counts.executed, *workload),
+            ScenarioEvent::PartlyAnswered { workload } => {
+                increment(&mut self.event_counts.partly_answered, *workload)
+            }
             ScenarioEvent::PrimaryElected { group } => {
-                let count = self.seen.primaries.entry(group.clone()).or_default();
+                let count = self.event_counts.primaries_elected.entry(group.clone()).or_default();
                 *count += 1;
                 *count
             }
             _ => 0,
         };
         let name = |cue: &usize| self.cues[*cue].name.clone();
-        for at in 0..self.cues.len() {
-            let (Trigger::After(when, plus), Standing::Waits) = (&self.cues[at].trigger, &self.standing[at])
+        for index in 0..self.cues.len() {
+            let (Trigger::After(trigger_event, delay_s), CueState::Waiting) =
+                (&self.cues[index].trigger, &self.states[index])
             else {
                 continue;
             };
-            let met = match (when, what) {
+            let met = match (trigger_event, event) {
                 (TriggerEvent::CueBegins(n), ScenarioEvent::CueBegan { cue }) => *n == name(cue),
                 (TriggerEvent::CueEnds(n), ScenarioEvent::CueEnded { cue }) => *n == name(cue),
                 (TriggerEvent::CueAnnounced(n), ScenarioEvent::CueAnnounced { cue }) => *n == name(cue),
@@ -141,35 +147,35 @@
                 _ => false,
             };
             if met {
-                self.standing[at] = Standing::Due(now + plus);
+                self.states[index] = CueState::Due(now + delay_s);
             }
         }
     }
 
-    /// When the next cue is due, as far as is known.
+    /// The time of the next due cue, as far as it is known.
     pub fn next_due(&self) -> Option<f64> {
-        let due = |s: &Standing| match s {
-            Standing::Due(at) => Some(*at),
+        let due = |s: &CueState| match s {
+            CueState::Due(at) => Some(*at),
             _ => None,
         };
-        self.standing.iter().filter_map(due).reduce(f64::min)
+        self.states.iter().filter_map(due).reduce(f64::min)
     }
 
-    /// The cue that is due longest, each once.
+    /// Takes the cue that has been due for the longest time. Each cue is returned once.
     pub fn take_due(&mut self, now: f64) -> Option<usize> {
-        let due = |(n, s): (usize, &Standing)| match s {
-            Standing::Due(at) if *at <= now => Some((*at, n)),
+        let due = |(n, s): (usize, &CueState)| match s {
+            CueState::Due(at) if *at <= now => Some((*at, n)),
             _ => None,
         };
-        let first = self.standing.iter().enumerate().filter_map(due).min_by(|a, b| a.partial_cmp(b).unwrap());
+        let first = self.states.iter().enumerate().filter_map(due).min_by(|a, b| a.partial_cmp(b).unwrap());
         let (_, cue) = first?;
-        self.standing[cue] = Standing::Done;
+        self.states[cue] = CueState::Done;
         Some(cue)
     }
 
-    /// Cues whose event never came.
+    /// The cues whose trigger never occurred.
     pub fn missed_cues(&self) -> Vec<&Cue> {
-        let waits = self.cues.iter().zip(&self.standing);
-        waits.filter(|(_, s)| !matches!(s, Standing::Done)).map(|(c, _)| c).collect()
+        let cues_with_state = self.cues.iter().zip(&self.states);
+        cues_with_state.filter(|(_, s)| !matches!(s, CueState::Done)).map(|(c, _)| c).collect()
     }
 }
--- a/crates/sandstile-scenario/src/lib.rs
+++ b/crates/sandstile-scenario/src/lib.rs
@@ -1,6 +1,6 @@
-//! Rehearsal scripts. `script` turns HCL into a whole script or a list of problems
-//! with their places, `director` says which of its cues are due as things happen, `traffic` what clients ask when.
-//! Nothing here opens a file or reads a clock.
+//! Rehearsal scripts. `script` parses HCL into a checked script or a list of problems with their positions,
+//! `director` schedules the script's cues as events occur, and `traffic` generates the arrivals of client
+//! statements. This crate opens no file and reads no clock.
 pub mod director;
 pub mod script;
 pub mod traffic;
--- a/crates/sandstile-scenario/src/script.rs
+++ b/crates/sandstile-scenario/src/script.rs
@@ -1,5 +1,5 @@
-//! A rehearsal as a whole: fleet, workloads, traffic, routers and cues, each checked against the others before
-//! anything starts.
+//! A rehearsal script: fleet, workloads, traffic, routers and cues. References between them are checked
+//! before anything starts.
 use sandstile_faults::fault_state::FaultScope;
 use sandstile_faults::process::{ProcessSelector, STATE_NAMES};
 use sandstile_faults::{Endpoint, EndpointSelector, LinkFault, ProcessFault, StateAfterRestart};
@@ -7,24 +7,24 @@
 use sandstile_fleet::{FaultKind, Plan, Target};
 use sandstile_hcl::{Problem, Section, Source};
 
-/// What clients and routers are told of a workload, beside what hosts do for it.
+/// What clients and routers know of a workload, in addition to its cost on the hosts.
 #[derive(Clone, Debug)]
 pub struct WorkloadTerms {
     /// Seconds.
     pub slo: f64,
-    /// Seconds that a client waits over all its tries.
+    /// Seconds that a client waits for a statement, over all its attempts.
     pub timeout: f64,
     pub importance: f64,
     pub late_share: f64,
 }
 
-/// A rise of the rate for a while.
+/// A temporary rise of the arrival rate.
 #[derive(Clone, Debug)]
 pub struct RateJump {
     pub at: f64,
     pub duration_s: f64,
     pub multiple: f64,
-    /// Seconds in which it rises, and falls again.
+    /// Seconds over which the rate rises at the start, and falls at the end.
     pub ramp: f64,
 }
 
@@ -32,32 +32,33 @@
 pub struct TrafficStream {
     pub name: String,
     pub workload: usize,
-    /// Indices of groups, drawn from evenly.
+    /// Indices of groups, drawn with equal probability.
     pub groups: Vec<usize>,
-    /// Statements a second.
+    /// Statements per second.
     pub rate: f64,
-    /// Names that statements draw from; a workload with sessions takes them as sessions.
+    /// The number of names that statements draw from; workloads with session consistency use them as sessions.
     pub sessions: usize,
     pub jumps: Vec<RateJump>,
-    /// After each completed statement, one of this workload by the same session after so many seconds.
+    /// After each completed statement, the same session sends one of this workload after this many seconds.
     pub follow_up: Option<(usize, f64)>,
-    /// The share of sessions that ask the next router for what follows.
+    /// The share of sessions that send the follow-up to the next router.
     pub roaming_share: f64,
 }
 
 #[derive(Clone, Debug)]
 pub struct Clients {
-    /// Further tries of a statement that was rejected, and of an idempotent one that failed.
+    /// Max retries of a statement that was rejected, or of an idempotent one that failed.
     pub retries: usize,
-    /// Seconds before a try where the rejection named no time.
+    /// Seconds before a retry when the rejection stated no delay.
     pub retry_pause: f64,
-    /// Connections to each router at the most.
+    /// Max connections to each router.
     pub connections: usize,
-    /// Clients that come to a router in the instant in which it is back, each with a wish.
+    /// Number of clients that connect to a router at the moment it is back after a restart, each with a
+    /// statement.
     pub returning_clients: usize,
-    /// They come again after `retry_pause`, whatever time they were told.
+    /// Clients retry after `retry_pause`, whatever delay the rejection stated.
     pub ignore_retry_after: bool,
-    /// Their front sends each session to its own router, or to none while that is away.
+    /// A load balancer sends each session to its own router, or to none while that router is down.
     pub pinned: bool,
 }
 
@@ -66,13 +67,13 @@
     pub count: usize,
     pub memory_mb: usize,
     pub sockets: usize,
-    /// Seconds between the starts of one and the next before the script begins.
+    /// Seconds between the starts of two routers before the script begins.
     pub start_interval: f64,
-    /// How those that start come back, in the words of our own file; `None` where that is off.
+    /// How restarted routers pace their return, in the syntax of the local configuration file; `None` turns this off.
     pub pace: Option<String>,
-    /// Storms are watched and later tries held to a budget, by our own file.
+    /// The local configuration file enables storm detection and the retry budget.
     pub limits: bool,
-    /// They know each other, and shares at hosts follow how many are there.
+    /// Routers are members of one cluster, and their shares of host capacity follow the number of members.
     pub members: bool,
     pub share: bool,
 }
@@ -82,23 +83,23 @@
     pub max_executions: usize,
     pub may_cancel: bool,
     pub probes: bool,
-    /// 0 where a rejection names no time.
+    /// 0 if rejections state no delay.
     pub max_retry_after_s: f64,
     pub dial_timeout_s: f64,
 }
 
-/// How routers keep what sessions have written.
+/// How routers keep track of what sessions have written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionTracking {
     /// Clients carry marks that routers hand out.
     pub tokens: bool,
-    /// Routers put marks down in a journal, and sessions stay with their router.
+    /// Routers store marks in a journal, and sessions stay with their router.
     pub journal: bool,
-    /// Routers tell each other what sessions have seen, and sessions stay with their router.
+    /// Routers exchange what sessions have seen, and sessions stay with their router.
     pub exchange: bool,
-    /// They keep state together besides, on disks of their own.
+    /// In addition, routers replicate state among each other and store it on their own disks.
     pub state: bool,
-    /// And share probes and refusals.
+    /// In addition, routers share the results of probes and refusals.
     pub share_probes: bool,
 }
 
@@ -107,38 +108,38 @@
         SessionTracking { tokens: false, journal: false, exchange: false, state: false, share_probes: false };
 }
 
-/// What the audit holds the run against.
+/// The limits by which the audit judges the run.
 #[derive(Clone, Debug)]
 pub struct AuditRules {
-    /// Seconds after a drain was told in which statements may still come.
+    /// Seconds after a drain was announced during which statements may still reach the host.
     pub grace: f64,
-    /// Seconds by which each limit of time is extended.
+    /// Seconds by which each time limit is extended.
     pub slack: f64,
 }
 
-/// When a cue is due.
+/// When a cue becomes due.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trigger {
     /// Seconds after the start.
     At(f64),
-    /// So many seconds after something has happened.
+    /// A number of seconds after an event.
     After(TriggerEvent, f64),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum TriggerEvent {
-    /// The fault of this name begins, or ends.
+    /// The cue of this name begins, or ends.
     CueBegins(String),
     CueEnds(String),
-    /// The change that the fault of this name brings to the list is written to a router.
+    /// The change of the host list that the cue of this name causes is written to a router.
     CueAnnounced(String),
-    /// Part of the n-th statement of a workload has been read by a host.
+    /// A host has read part of the n-th statement of a workload.
     PartlyReceived(usize, u64),
-    /// The n-th statement of a workload has been read whole.
+    /// A host has read the n-th statement of a workload completely.
     Received(usize, u64),
-    /// It has run, and nothing was said yet.
+    /// The n-th statement of a workload was executed, and no byte of its answer was sent yet.
     Executed(usize, u64),
-    /// The first bytes of its answer are out.
+    /// The first bytes of the n-th answer of a workload were sent.
     PartlyAnswered(usize, u64),
     /// A group has a new primary, for the n-th time.
     PrimaryElected(String, u64),
@@ -160,7 +161,7 @@
         link_fault: LinkFault,
         duration_s: f64,
     },
-    /// What is done to router processes, at once or one after the other over `spread` seconds.
+    /// A fault of router processes, all at once or spaced evenly over `spread` seconds.
     Process {
         selector: ProcessSelector,
         process_fault: ProcessFault,
@@ -170,11 +171,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AgentFault {
-    /// The agent says nothing; watches stay open.
+    /// The agent sends nothing; its watches stay open.
     Silent,
-    /// News come so many seconds late.
+    /// Changes of the host list are sent this many seconds late.
     Delay(f64),
-    /// It answers at another address, which routers learn by SIGHUP.
+    /// The agent moves to another address, which routers learn by SIGHUP.
     Move,
 }
 
@@ -191,7 +192,7 @@
 pub struct Script {
     pub title: String,
     pub seconds: f64,
-    /// What `--quick_seconds` plays it in.
+    /// The duration in seconds that `--quick` shortens the script to.
     pub quick_seconds: f64,
     /// Seconds after the start that reports leave out.
     pub settle: f64,
@@ -204,21 +205,21 @@
     pub rules: AuditRules,
     pub sessions: SessionTracking,
     pub discovery_delay: f64,
-    /// A flaw of the hosts' own that a hunt is to find: the next write after a connection ended under a statement runs,
-    /// and is said never to have run.
+    /// Plants a defect in the hosts that a hunt has to find: after a connection ended during a statement, the
+    /// next write is executed but reported as not executed.
     pub planted_defect: bool,
     pub cues: Vec<Cue>,
 }
 
-const LONG: f64 = 86_400.0;
+const MAX_SECONDS: f64 = 86_400.0;
 
 impl Script {
-    /// Reads a whole script that names no shared file, or says all that is wrong with it.
+    /// Parses a script that uses no shared file, or returns all its problems.
     pub fn read(file: &str, text: &str) -> Result<Script, Vec<Problem>> {
-        Script::read_with(file, text, &|_| Err("no shared file can be read here".to_string()))
+        Script::read_with(file, text, &|_| Err("no shared file is available here".to_string()))
     }
 
-    /// `shared` yields the text of the file that `fleet` names, or why it can't be had.
+    /// `shared` returns the text of the file that `fleet` names, or the reason why it can't be read.
     pub fn read_with(
         file: &str,
         text: &str,
@@ -226,34 +227,37 @@
     ) -> Result<Script, Vec<Problem>> {
         let source = Source::new(file, text);
         let Some(body) = source.parse() else { return Err(source.problems()) };
-        let whole = Section::root(&source, &body);
-        let named = whole.text("fleet").map(|name| (shared(&name), name));
-        let (named, fetched) = match named {
+        let root = Section::root(&source, &body);
+        let shared_name = root.text("fleet").map(|name| (shared(&name), name));
+        let (shared_name, shared_text) = match shared_name {
             Some((Ok(text), name)) => (name, Some(text)),
-            Some((Err(why), name)) => {
-                whole.problem("fleet", format!("fleet = \"{name}\": {why}"), None);
+            Some((Err(reason), name)) => {
+                root.problem("fleet", format!("fleet = \"{name}\": {reason}"), None);
                 return Err(source.problems());
             }
             None => (String::new(), None),
         };
-        let other = fetched.as_ref().map(|text| Source::new(&named, text));
-        let other_body = other.as_ref().and_then(Source::parse);
-        let other = other.as_ref().zip(other_body.as_ref()).map(|(s, b)| (s, Section::root(s, b)));
-        let script = script(&whole, other.as_ref().map(|(_, section)| section));
+        let shared_source = shared_text.as_ref().map(|text| Source::new(&shared_name, text));
+        let shared_body = shared_source.as_ref().and_then(Source::parse);
+        let shared_source = shared_source
+            .as_ref()
+            .zip(shared_body.as_ref())
+            .map(|(source, body)| (source, Section::root(source, body)));
+        let script = parse_script(&root, shared_source.as_ref().map(|(_, section)| section));
         let mut problems = source.problems();
-        problems.extend(other.iter().flat_map(|(source, _)| source.problems()));
-        match (problems.is_empty(), fetched.is_some() == other.is_some()) {
+        problems.extend(shared_source.iter().flat_map(|(source, _)| source.problems()));
+        match (problems.is_empty(), shared_text.is_some() == shared_source.is_some()) {
             (true, true) => Ok(script),
-            (_, false) => Err(fetched.map_or(problems, |text| {
-                let broken = Source::new(&named, &text);
-                broken.parse();
-                broken.problems()
+            (_, false) => Err(shared_text.map_or(problems, |text| {
+                let invalid = Source::new(&shared_name, &text);
+                invalid.parse();
+                invalid.problems()
             })),
             _ => Err(problems),
         }
     }
 
-    /// Whether the link between two ends has to go over a relay, for some cue strikes it.
+    /// Whether the link between two endpoints has to go through a relay, because a cue affects it.
     pub fn needs_relay(&self, one: &Endpoint, other: &Endpoint) -> bool {
         one.talks_to(other)
             && self.cues.iter().any(|c| match &c.action {
@@ -262,27 +266,27 @@
             })
     }
 
-    /// The same evening in less time: the script's own times shrink, those of hosts, statements and what follows
-    /// an event stay.
+    /// Shortens the script to `quick_seconds`. Times of the script itself are scaled; delays of hosts,
+    /// statements and triggers after events stay.
     pub fn shortened(mut self) -> Script {
-        let part = (self.quick_seconds / self.seconds).min(1.0);
-        self.seconds *= part;
-        self.settle *= part;
+        let factor = (self.quick_seconds / self.seconds).min(1.0);
+        self.seconds *= factor;
+        self.settle *= factor;
         for stream in &mut self.streams {
             for jump in &mut stream.jumps {
-                jump.at *= part;
-                jump.duration_s *= part;
-                jump.ramp *= part;
+                jump.at *= factor;
+                jump.duration_s *= factor;
+                jump.ramp *= factor;
             }
         }
         for cue in &mut self.cues {
             if let Trigger::At(at) = &mut cue.trigger {
-                *at *= part;
+                *at *= factor;
             }
             match &mut cue.action {
                 CueAction::Fault { duration_s, .. }
                 | CueAction::Agent { duration_s, .. }
-                | CueAction::Link { duration_s, .. } => *duration_s *= part,
+                | CueAction::Link { duration_s, .. } => *duration_s *= factor,
                 CueAction::Process { .. } => {}
             }
         }
@@ -294,22 +298,22 @@
     }
 }
 
-/// `shared` holds blocks that several scripts have in common; what the file itself says of clients, routers and the like
-/// goes before it.
-fn script<'a>(file: &Section<'a>, shared: Option<&Section<'a>>) -> Script {
+/// `shared` holds blocks that several scripts have in common; blocks of the file itself take precedence for
+/// clients, routers and the like.
+fn parse_script<'a>(file: &Section<'a>, shared: Option<&Section<'a>>) -> Script {
     let blocks = |kind: &str| {
-        let mut all = shared.map_or_else(Vec::new, |s| s.blocks(kind, true));
+        let mut all = shared.map_or_else(Vec::new, |section| section.blocks(kind, true));
         all.extend(file.blocks(kind, true));
         all
     };
     let optional_block = |kind: &str| {
-        let other = shared.and_then(|s| s.optional_block(kind));
-        file.optional_block(kind).or(other)
+        let from_shared = shared.and_then(|section| section.optional_block(kind));
+        file.optional_block(kind).or(from_shared)
     };
     let title = file.required_text("title");
-    let seconds = file.required_number("seconds", 1.0..LONG);
-    let quick_seconds = file.number("quick", 1.0..LONG, seconds.min(30.0));
-    let settle = file.number("settle", 0.0..LONG, seconds * 0.05);
+    let seconds = file.required_number("seconds", 1.0..MAX_SECONDS);
+    let quick_seconds = file.number("quick", 1.0..MAX_SECONDS, seconds.min(30.0));
+    let settle = file.number("settle", 0.0..MAX_SECONDS, seconds * 0.05);
     let seed = file.number("seed", 0.0..9e15, 1.0) as u64;
     let discovery_delay = file.ms("discovery_delay_ms", 0.0..60_000.0, 0.02);
     let hosts_check_reads = file.boolean("guards", true);
@@ -319,21 +323,21 @@
         Some(Tokens::Remembered),
     );
     let kinds: Vec<MachineKind> = blocks("machine").iter().map(machine).collect();
-    let kind_names: Vec<String> = kinds.iter().map(|k| k.name.clone()).collect();
+    let machine_names: Vec<String> = kinds.iter().map(|k| k.name.clone()).collect();
     let mut nodes = Vec::new();
     for section in blocks("node") {
-        let kind = section.reference("machine", "machine", &kind_names);
+        let kind = section.reference("machine", "machine", &machine_names);
         let zone = section.text("zone").unwrap_or_else(|| "a".to_string());
         section.finish();
         nodes.push(Node { name: section.name.clone(), zone, kind: kind.unwrap_or(0) });
     }
     let node_names: Vec<String> = nodes.iter().map(|n| n.name.clone()).collect();
-    let groups: Vec<Group> = blocks("group").iter().map(|s| group(s, &node_names)).collect();
+    let groups: Vec<Group> = blocks("group").iter().map(|section| group(section, &node_names)).collect();
     let group_names: Vec<String> = groups.iter().map(|g| g.name.clone()).collect();
     let (workloads, terms): (Vec<Workload>, Vec<WorkloadTerms>) =
         blocks("workload").iter().map(workload).unzip();
     let workload_names: Vec<String> = workloads.iter().map(|w| w.name.clone()).collect();
-    for (what, empty) in [
+    for (block, empty) in [
         ("machine", kinds.is_empty()),
         ("node", nodes.is_empty()),
         ("group", groups.is_empty()),
@@ -342,64 +346,64 @@
         if empty {
             file.source().problem(
                 0,
-                format!("the file has no {what}"),
-                Some(format!("{what} \"NAME\" {{ … }}")),
+                format!("the file has no {block}"),
+                Some(format!("{block} \"NAME\" {{ … }}")),
             );
         }
     }
     let streams = blocks("traffic");
-    let streams = streams.iter().map(|s| stream(s, &workload_names, &group_names)).collect();
+    let streams = streams.iter().map(|section| stream(section, &workload_names, &group_names)).collect();
     let plan = Plan { seed, kinds, nodes, groups, workloads, tokens, hosts_check_reads };
     let clients = optional_block("clients");
-    let clients = clients.map_or(Clients::usual(), |s| {
+    let clients = clients.map_or(Clients::defaults(), |section| {
         let clients = Clients {
-            retries: s.count("retries", 0.0..10.0, 2),
-            retry_pause: s.ms("pause_ms", 0.0..60_000.0, 0.1),
-            connections: s.count("connections", 1.0..2000.0, 128),
-            returning_clients: s.count("crowd", 0.0..2000.0, 0),
-            ignore_retry_after: s.boolean("ignore_return", false),
-            pinned: s.boolean("pinned", false),
+            retries: section.count("retries", 0.0..10.0, 2),
+            retry_pause: section.ms("pause_ms", 0.0..60_000.0, 0.1),
+            connections: section.count("connections", 1.0..2000.0, 128),
+            returning_clients: section.count("crowd", 0.0..2000.0, 0),
+            ignore_retry_after: section.boolean("ignore_return", false),
+            pinned: section.boolean("pinned", false),
         };
-        s.finish();
+        section.finish();
         clients
     });
-    let routers = optional_block("routers").map_or(Routers::usual(), |s| {
+    let routers = optional_block("routers").map_or(Routers::defaults(), |section| {
         let routers = Routers {
-            count: s.count("count", 1.0..64.0, 2),
-            memory_mb: s.count("memory_mb", 16.0..65_536.0, 192),
-            sockets: s.count("sockets", 64.0..65_536.0, 1024),
-            start_interval: s.ms("apart_ms", 0.0..60_000.0, 0.0),
-            pace: s.text("pace"),
-            limits: s.boolean("limits", false),
-            members: s.boolean("members", false),
-            share: s.boolean("share", false),
+            count: section.count("count", 1.0..64.0, 2),
+            memory_mb: section.count("memory_mb", 16.0..65_536.0, 192),
+            sockets: section.count("sockets", 64.0..65_536.0, 1024),
+            start_interval: section.ms("apart_ms", 0.0..60_000.0, 0.0),
+            pace: section.text("pace"),
+            limits: section.boolean("limits", false),
+            members: section.boolean("members", false),
+            share: section.boolean("share", false),
         };
-        s.finish();
+        section.finish();
         routers
     });
-    let allowed = optional_block("allowed").map_or_else(Allowed::usual, |s| {
-        let usual = Allowed::usual();
+    let allowed = optional_block("allowed").map_or_else(Allowed::defaults, |section| {
+        let defaults = Allowed::defaults();
         let allowed = Allowed {
-            max_executions: s.count("executions", 1.0..16.0, usual.max_executions),
-            may_cancel: s.boolean("recall", usual.may_cancel),
-            probes: s.boolean("probes", usual.probes),
-            max_retry_after_s: s.ms("return_ms", 0.0..60_000.0, usual.max_retry_after_s),
-            dial_timeout_s: s.ms("dial_ms", 10.0..10_000.0, usual.dial_timeout_s),
+            max_executions: section.count("executions", 1.0..16.0, defaults.max_executions),
+            may_cancel: section.boolean("recall", defaults.may_cancel),
+            probes: section.boolean("probes", defaults.probes),
+            max_retry_after_s: section.ms("return_ms", 0.0..60_000.0, defaults.max_retry_after_s),
+            dial_timeout_s: section.ms("dial_ms", 10.0..10_000.0, defaults.dial_timeout_s),
         };
-        s.finish();
+        section.finish();
         allowed
     });
-    let rules = optional_block("rules").map_or(AuditRules { grace: 1.0, slack: 0.05 }, |s| {
+    let rules = optional_block("rules").map_or(AuditRules { grace: 1.0, slack: 0.05 }, |section| {
         let rules = AuditRules {
-            grace: s.ms("grace_ms", 0.0..60_000.0, 1.0),
-            slack: s.ms("slack_ms", 0.0..1000.0, 0.05),
+            grace: section.ms("grace_ms", 0.0..60_000.0, 1.0),
+            slack: section.ms("slack_ms", 0.0..1000.0, 0.05),
         };
-        s.finish();
+        section.finish();
         rules
     });
     let off = SessionTracking::OFF;
     let exchange = SessionTracking { exchange: true, ..off };
-    let words = [
+    let modes = [
         ("off", off),
         ("tokens", SessionTracking { tokens: true, ..off }),
         ("journal", SessionTracking { journal: true, ..off }),
@@ -408,7 +412,7 @@
         ("state", SessionTracking { state: true, ..exchange }),
         ("together", SessionTracking { state: true, share_probes: true, ..exchange }),
     ];
-    let sessions = file.choice("sessions", &words, Some(off));
+    let sessions = file.choice("sessions", &modes, Some(off));
     let planted_defect = file.boolean("planted", false);
     let cues = cues(file, &plan, &group_names, &workload_names, &node_names, routers.count, seconds);
     file.finish();
@@ -435,7 +439,7 @@
 }
 
 impl Clients {
-    fn usual() -> Self {
+    fn defaults() -> Self {
         Clients {
             retries: 2,
             retry_pause: 0.1,
@@ -448,7 +452,7 @@
 }
 
 impl Routers {
-    fn usual() -> Self {
+    fn defaults() -> Self {
         Routers {
             count: 2,
             memory_mb: 192,
@@ -463,7 +467,7 @@
 }
 
 impl Allowed {
-    fn usual() -> Self {
+    fn defaults() -> Self {
         Allowed {
             max_executions: 4,
             may_cancel: true,
@@ -474,62 +478,68 @@
     }
 }
 
-fn machine(s: &Section) -> MachineKind {
-    let usual = MachineKind::standard(&s.name);
+fn machine(section: &Section) -> MachineKind {
+    let defaults = MachineKind::standard(&section.name);
     let kind = MachineKind {
-        cores: s.numbers("cores", 0.01..100.0).unwrap_or(usual.cores),
-        discipline: s.choice(
+        cores: section.numbers("cores", 0.01..100.0).unwrap_or(defaults.cores),
+        discipline: section.choice(
             "discipline",
             &[("sharing", Discipline::Sharing), ("queue", Discipline::Queue)],
-            Some(usual.discipline),
+            Some(defaults.discipline),
         ),
-        queue: s.count("queue", 1.0..100_000.0, usual.queue),
-        cold_share: s.number("cold_share", 0.01..1.0, usual.cold_share),
-        warm_s: s.number("warm_s", 0.0..3600.0, usual.warm_s),
-        cold_overload_multiple: s.number("tip_multiple", 1.0..1000.0, usual.cold_overload_multiple),
-        cold_overload_window_s: s.number("tip_s", 0.01..60.0, usual.cold_overload_window_s),
-        restart_s: s.number("restart_s", 0.01..3600.0, usual.restart_s),
-        stops_on_disconnect: s.boolean("stops_when_left", usual.stops_on_disconnect),
-        connections: s.count("connections", 1.0..10_000.0, usual.connections),
-        idle_timeout_s: s.number("idle_s", 0.05..86_400.0, usual.idle_timeout_s),
-        setup_work: s.ms("setup_work_ms", 0.0..1000.0, usual.setup_work),
-        first_statements_factor: s.number("fresh_times", 1.0..100.0, usual.first_statements_factor),
-        first_statements: s.count("fresh_statements", 0.0..1000.0, usual.first_statements as usize) as u32,
-        name: usual.name,
+        queue: section.count("queue", 1.0..100_000.0, defaults.queue),
+        cold_share: section.number("cold_share", 0.01..1.0, defaults.cold_share),
+        warm_s: section.number("warm_s", 0.0..3600.0, defaults.warm_s),
+        cold_overload_multiple: section.number("tip_multiple", 1.0..1000.0, defaults.cold_overload_multiple),
+        cold_overload_window_s: section.number("tip_s", 0.01..60.0, defaults.cold_overload_window_s),
+        restart_s: section.number("restart_s", 0.01..3600.0, defaults.restart_s),
+        stops_on_disconnect: section.boolean("stops_when_left", defaults.stops_on_disconnect),
+        connections: section.count("connections", 1.0..10_000.0, defaults.connections),
+        idle_timeout_s: section.number("idle_s", 0.05..86_400.0, defaults.idle_timeout_s),
+        setup_work: section.ms("setup_work_ms", 0.0..1000.0, defaults.setup_work),
+        first_statements_factor: section.number("fresh_times", 1.0..100.0, defaults.first_statements_factor),
+        first_statements: section.count("fresh_statements", 0.0..1000.0, defaults.first_statements as usize)
+            as u32,
+        name: defaults.name,
     };
-    s.finish();
+    section.finish();
     kind
 }
 
-fn group(s: &Section, nodes: &[String]) -> Group {
-    let names = s.texts("nodes").unwrap_or_default();
-    if !s.has("nodes") {
-        s.problem("nodes", format!("{} lacks nodes", s.title), Some("the first primary first".to_string()));
-    }
-    let found: Vec<usize> = names.iter().filter_map(|n| s.find("nodes", "node", n, nodes)).collect();
-    let mut once = found.clone();
-    once.sort_unstable();
-    once.dedup();
-    if once.len() < found.len() {
-        s.problem("nodes", "one node stands twice in a group", None);
-    }
-    let apply = s.ms("apply_ms", 0.0..10_000.0, 0.0005);
+fn group(section: &Section, nodes: &[String]) -> Group {
+    let node_names = section.texts("nodes").unwrap_or_default();
+    if !section.has("nodes") {
+        section.problem(
+            "nodes",
+            format!("{} lacks nodes", section.title),
+            Some("the initial primary comes first".to_string()),
+        );
+    }
+    let node_indices: Vec<usize> =
+        node_names.iter().filter_map(|n| section.find("nodes", "node", n, nodes)).collect();
+    let mut unique = node_indices.clone();
+    unique.sort_unstable();
+    unique.dedup();
+    if unique.len() < node_indices.len() {
+        section.problem("nodes", "a node is listed twice in a group", None);
+    }
+    let apply = section.ms("apply_ms", 0.0..10_000.0, 0.0005);
     let group = Group {
-        name: s.name.clone(),
-        nodes: found,
-        replication_delay_s: s.ms("ship_ms", 0.0..60_000.0, 0.010),
+        name: section.name.clone(),
+        nodes: node_indices,
+        replication_delay_s: section.ms("ship_ms", 0.0..60_000.0, 0.010),
         apply: Work::Exponential(apply),
-        detect_s: s.number("detect_s", 0.05..600.0, 2.0),
-        elect_s: s.number("elect_s", 0.0..600.0, 0.5),
-        hold_s: s.ms("hold_ms", 0.0..10_000.0, 0.020),
-        dedup_window_s: s.number("dedup_s", 0.0..3600.0, 60.0),
+        detect_s: section.number("detect_s", 0.05..600.0, 2.0),
+        elect_s: section.number("elect_s", 0.0..600.0, 0.5),
+        hold_s: section.ms("hold_ms", 0.0..10_000.0, 0.020),
+        dedup_window_s: section.number("dedup_s", 0.0..3600.0, 60.0),
     };
-    s.finish();
+    section.finish();
     group
 }
 
-fn workload(s: &Section) -> (Workload, WorkloadTerms) {
-    let consistency = s.choice(
+fn workload(section: &Section) -> (Workload, WorkloadTerms) {
+    let consistency = section.choice(
         "consistency",
         &[
             ("write", Consistency::Write),
@@ -540,91 +550,93 @@
         ],
         None,
     );
-    let usual = match consistency {
+    let default_effect = match consistency {
         Consistency::Write => Effect::NonIdempotent,
         _ => Effect::Idempotent,
     };
-    let effect = s.choice(
+    let effect = section.choice(
         "effect",
         &[
             ("idempotent", Effect::Idempotent),
             ("deduplicated", Effect::Deduplicated),
             ("non-idempotent", Effect::NonIdempotent),
         ],
-        Some(usual),
+        Some(default_effect),
     );
-    if consistency == Consistency::Bounded && !s.has("bound_ms") {
-        s.problem("consistency", "a bounded read lacks bound_ms", None);
+    if consistency == Consistency::Bounded && !section.has("bound_ms") {
+        section.problem("consistency", "a bounded read needs bound_ms", None);
     }
-    let max_age_s = s.ms("bound_ms", 0.0..3_600_000.0, 1.0);
-    let mean = s.required_number("work_ms", 0.0..60_000.0) / 1000.0;
-    let sigma = s.optional_number("sigma", 0.0..3.0);
-    let spread = s.text("spread").unwrap_or_else(|| "exponential".to_string());
+    let max_age_s = section.ms("bound_ms", 0.0..3_600_000.0, 1.0);
+    let mean = section.required_number("work_ms", 0.0..60_000.0) / 1000.0;
+    let sigma = section.optional_number("sigma", 0.0..3.0);
+    let spread = section.text("spread").unwrap_or_else(|| "exponential".to_string());
     let work = match spread.as_str() {
         "fixed" => Work::Fixed(mean),
         "exponential" => Work::Exponential(mean),
         "lognormal" => Work::LogNormal { mean, sigma: sigma.unwrap_or(1.0) },
         other => {
-            let all = Some("one of: fixed, exponential, lognormal".to_string());
-            s.problem("spread", format!("spread = \"{other}\""), all);
+            let choices = Some("one of: fixed, exponential, lognormal".to_string());
+            section.problem("spread", format!("spread = \"{other}\""), choices);
             Work::Fixed(mean)
         }
     };
     if sigma.is_some() && spread != "lognormal" {
-        s.problem("sigma", "sigma goes with spread = \"lognormal\"", None);
+        section.problem("sigma", "sigma needs spread = \"lognormal\"", None);
     }
-    let slo = s.required_number("slo_ms", 1.0..86_400_000.0) / 1000.0;
-    let timeout = s.required_number("timeout_ms", 1.0..86_400_000.0) / 1000.0;
+    let slo = section.required_number("slo_ms", 1.0..86_400_000.0) / 1000.0;
+    let timeout = section.required_number("timeout_ms", 1.0..86_400_000.0) / 1000.0;
     if slo > timeout {
-        s.problem("slo_ms", "slo_ms is beyond timeout_ms", None);
+        section.problem("slo_ms", "slo_ms is beyond timeout_ms", None);
     }
     let terms = WorkloadTerms {
         slo,
         timeout,
-        importance: s.number("importance", 0.0..1000.0, 1.0),
-        late_share: s.number("late_share", 0.0..1.0, 0.3),
+        importance: section.number("importance", 0.0..1000.0, 1.0),
+        late_share: section.number("late_share", 0.0..1.0, 0.3),
     };
-    let value_bytes = s.count("value_bytes", 0.0..60_000.0, 100);
-    s.finish();
-    let name = s.name.clone();
+    let value_bytes = section.count("value_bytes", 0.0..60_000.0, 100);
+    section.finish();
+    let name = section.name.clone();
     if name.is_empty() || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_') {
         let hint = Some("letters, digits, - and _".to_string());
-        s.source().problem(s.offset, format!("\"{name}\" is no name for a workload"), hint);
+        section.source().problem(section.offset, format!("\"{name}\" is not a valid workload name"), hint);
     }
     (Workload { name, effect, consistency, max_age_s, work, value_bytes }, terms)
 }
 
-fn stream(s: &Section, workloads: &[String], groups: &[String]) -> TrafficStream {
-    let workload = s.reference("workload", "workload", workloads).unwrap_or(0);
-    let chosen = match s.texts("groups") {
-        Some(names) => names.iter().filter_map(|n| s.find("groups", "group", n, groups)).collect(),
+fn stream(section: &Section, workloads: &[String], groups: &[String]) -> TrafficStream {
+    let workload = section.reference("workload", "workload", workloads).unwrap_or(0);
+    let chosen = match section.texts("groups") {
+        Some(known_names) => {
+            known_names.iter().filter_map(|n| section.find("groups", "group", n, groups)).collect()
+        }
         None => (0..groups.len()).collect(),
     };
     let mut jumps = Vec::new();
-    for j in s.blocks("jump", false) {
-        let at = j.required_number("at", 0.0..LONG);
-        let duration_s = j.number("for", 0.0..LONG, LONG);
-        let multiple = j.required_number("times", 0.0..1000.0);
-        jumps.push(RateJump { at, duration_s, multiple, ramp: j.number("ramp", 0.0..LONG, 0.0) });
-        j.finish();
-    }
-    let then = s.has("then").then(|| s.reference("then", "workload", workloads)).flatten();
-    let think = s.ms("think_ms", 0.0..600_000.0, 0.05);
+    for jump in section.blocks("jump", false) {
+        let at = jump.required_number("at", 0.0..MAX_SECONDS);
+        let duration_s = jump.number("for", 0.0..MAX_SECONDS, MAX_SECONDS);
+        let multiple = jump.required_number("times", 0.0..1000.0);
+        jumps.push(RateJump { at, duration_s, multiple, ramp: jump.number("ramp", 0.0..MAX_SECONDS, 0.0) });
+        jump.finish();
+    }
+    let then = section.has("then").then(|| section.reference("then", "workload", workloads)).flatten();
+    let think = section.ms("think_ms", 0.0..600_000.0, 0.05);
     let stream = TrafficStream {
-        name: s.name.clone(),
+        name: section.name.clone(),
         workload,
         groups: chosen,
-        rate: s.required_number("rate", 0.001..1_000_000.0),
-        sessions: s.count("sessions", 1.0..1e9, 1000),
+        rate: section.required_number("rate", 0.001..1_000_000.0),
+        sessions: section.count("sessions", 1.0..1e9, 1000),
         jumps,
         follow_up: then.map(|w| (w, think)),
-        roaming_share: s.number("roams", 0.0..1.0, 0.0),
+        roaming_share: section.number("roams", 0.0..1.0, 0.0),
     };
-    s.finish();
+    section.finish();
     stream
 }
 
-struct Names<'a> {
+struct KnownNames<'a> {
     plan: &'a Plan,
     groups: &'a [String],
     workloads: &'a [String],
@@ -648,83 +660,101 @@
     let (links, partitions) = (file.blocks("link", true), file.blocks("partition", true));
     let all = faults.iter().chain(&agents).chain(&restarts).chain(&stops).chain(&states);
     let all = all.chain(&links).chain(&partitions);
-    let names =
-        Names { plan, groups, workloads, nodes, faults: all.map(|s| s.name.clone()).collect(), seconds };
+    let known_names = KnownNames {
+        plan,
+        groups,
+        workloads,
+        nodes,
+        faults: all.map(|section| section.name.clone()).collect(),
+        seconds,
+    };
     let mut cues = Vec::new();
-    let mut push = |s: &Section, action: CueAction| {
-        let trigger = trigger(s, &names);
-        s.finish();
-        cues.push(Cue { name: s.name.clone(), trigger, action, line: s.source().line(s.offset) });
+    let mut push = |section: &Section, action: CueAction| {
+        let trigger = trigger(section, &known_names);
+        section.finish();
+        cues.push(Cue {
+            name: section.name.clone(),
+            trigger,
+            action,
+            line: section.source().line(section.offset),
+        });
     };
-    for s in &faults {
-        let (kind, target, duration_s) = (fault(s), target(s, &names), duration_s(s));
-        push(s, CueAction::Fault { kind, target, duration_s });
+    for section in &faults {
+        let (kind, target, duration_s) =
+            (fault(section), target(section, &known_names), fault_duration_s(section));
+        push(section, CueAction::Fault { kind, target, duration_s });
     }
-    for s in &agents {
-        let kind = s.required_text("kind");
+    for section in &agents {
+        let kind = section.required_text("kind");
         let kind = match kind.as_str() {
             "silent" => AgentFault::Silent,
             "move" => AgentFault::Move,
-            "delay" => AgentFault::Delay(s.required_number("delay_ms", 0.0..60_000.0) / 1000.0),
+            "delay" => AgentFault::Delay(section.required_number("delay_ms", 0.0..60_000.0) / 1000.0),
             other => {
-                let all = Some("one of: silent, delay, move".to_string());
-                s.problem("kind", format!("kind = \"{other}\""), all);
+                let choices = Some("one of: silent, delay, move".to_string());
+                section.problem("kind", format!("kind = \"{other}\""), choices);
                 AgentFault::Silent
             }
         };
-        let duration_s = duration_s(s);
-        push(s, CueAction::Agent { kind, duration_s });
+        let duration_s = fault_duration_s(section);
+        push(section, CueAction::Agent { kind, duration_s });
     }
-    for s in &restarts {
-        let selector = selector(s, routers);
+    for section in &restarts {
+        let selector = process_selector(section, routers);
         let process_fault = ProcessFault::Restart {
-            kill: s.choice("kind", &[("term", false), ("kill", true)], None),
-            back: s.number("back", 0.0..3600.0, 1.0),
-            state: s.choice("state", &STATE_NAMES, Some(StateAfterRestart::Kept)),
+            kill: section.choice("kind", &[("term", false), ("kill", true)], None),
+            back: section.number("back", 0.0..3600.0, 1.0),
+            state: section.choice("state", &STATE_NAMES, Some(StateAfterRestart::Kept)),
         };
-        let spread = s.number("spread", 0.0..3600.0, 0.0);
-        push(s, CueAction::Process { selector, process_fault, spread });
-    }
-    for s in &stops {
-        let (selector, duration_s) = (selector(s, routers), s.required_number("for", 0.01..3600.0));
-        let process_fault = match s.has("of_the_time") {
-            true => ProcessFault::Slow { share: s.required_number("of_the_time", 0.01..0.99), duration_s },
+        let spread = section.number("spread", 0.0..3600.0, 0.0);
+        push(section, CueAction::Process { selector, process_fault, spread });
+    }
+    for section in &stops {
+        let (selector, duration_s) =
+            (process_selector(section, routers), section.required_number("for", 0.01..3600.0));
+        let process_fault = match section.has("of_the_time") {
+            true => {
+                ProcessFault::Slow { share: section.required_number("of_the_time", 0.01..0.99), duration_s }
+            }
             false => ProcessFault::Stop { duration_s },
         };
-        let spread = s.number("spread", 0.0..3600.0, 0.0);
-        push(s, CueAction::Process { selector, process_fault, spread });
-    }
-    for s in &states {
-        let selector = selector(s, routers);
-        push(s, CueAction::Process { selector, process_fault: ProcessFault::SaveState, spread: 0.0 });
-    }
-    let field = KnownEndpoints { plan, groups, routers };
-    for s in &links {
-        let ends = |key: &str| field.pick(s, key, &s.required_text(key));
-        let (from, to, one_way) = (ends("from"), ends("to"), s.boolean("one_way", false));
-        let (link_fault, duration_s) = (link_fault(s), duration_s(s));
+        let spread = section.number("spread", 0.0..3600.0, 0.0);
+        push(section, CueAction::Process { selector, process_fault, spread });
+    }
+    for section in &states {
+        let selector = process_selector(section, routers);
+        push(section, CueAction::Process { selector, process_fault: ProcessFault::SaveState, spread: 0.0 });
+    }
+    let known_endpoints = KnownEndpoints { plan, groups, routers };
+    for section in &links {
+        let endpoints = |key: &str| known_endpoints.select(section, key, &section.required_text(key));
+        let (from, to, one_way) = (endpoints("from"), endpoints("to"), section.boolean("one_way", false));
+        let (link_fault, duration_s) = (parse_link_fault(section), fault_duration_s(section));
         if let (Some(from), Some(to)) = (from, to) {
             push(
-                s,
+                section,
                 CueAction::Link { scope: FaultScope::Between { from, to, one_way }, link_fault, duration_s },
             );
         }
     }
-    for s in &partitions {
-        let sides = s.texts("sides").unwrap_or_default();
+    for section in &partitions {
+        let sides = section.texts("sides").unwrap_or_default();
         if sides.len() < 2 {
             let hint = "sides = [\"router:0-3 zone:a\", \"router:4-7 zone:b\"]";
-            s.problem("sides", "a partition has two sides or more", Some(hint.to_string()));
+            section.problem("sides", "a partition needs two or more sides", Some(hint.to_string()));
         }
         let sides: Vec<EndpointSelector> =
-            sides.iter().filter_map(|text| field.pick(s, "sides", text)).collect();
-        let duration_s = duration_s(s);
-        push(s, CueAction::Link { scope: FaultScope::Sides(sides), link_fault: LinkFault::Cut, duration_s });
+            sides.iter().filter_map(|text| known_endpoints.select(section, "sides", text)).collect();
+        let duration_s = fault_duration_s(section);
+        push(
+            section,
+            CueAction::Link { scope: FaultScope::Sides(sides), link_fault: LinkFault::Cut, duration_s },
+        );
     }
     cues
 }
 
-/// What the ends of links are picked from.
+/// The names and numbers that selectors of link endpoints may refer to.
 struct KnownEndpoints<'a> {
     plan: &'a Plan,
     groups: &'a [String],
@@ -732,48 +762,48 @@
 }
 
 impl KnownEndpoints<'_> {
-    fn pick(&self, s: &Section, key: &str, text: &str) -> Option<EndpointSelector> {
-        let pick = match EndpointSelector::parse(text) {
-            Ok(pick) => pick,
-            Err(why) => {
-                s.problem(key, why, None);
+    fn select(&self, section: &Section, key: &str, text: &str) -> Option<EndpointSelector> {
+        let selector = match EndpointSelector::parse(text) {
+            Ok(selector) => selector,
+            Err(reason) => {
+                section.problem(key, reason, None);
                 return None;
             }
         };
         let zones: Vec<String> = self.plan.nodes.iter().map(|n| n.zone.clone()).collect();
-        let known = pick.names().all(|(what, name)| match what {
-            "group" => s.find(key, what, name, self.groups).is_some(),
-            "zone" => s.find(key, what, name, &zones).is_some(),
-            // A host that comes by a replacement has no name before that.
+        let all_known = selector.names().all(|(kind_name, name)| match kind_name {
+            "group" => section.find(key, kind_name, name, self.groups).is_some(),
+            "zone" => section.find(key, kind_name, name, &zones).is_some(),
+            // A replacement host gets its name during the run, so host names can't be checked here.
             _ => true,
         });
-        if pick.max_number().is_some_and(|n| n >= self.routers) {
+        if selector.max_number().is_some_and(|n| n >= self.routers) {
             let hint = Some(format!("there are {}, counted from 0", self.routers));
-            s.problem(key, format!("\"{text}\": no such router"), hint);
+            section.problem(key, format!("\"{text}\": no such router"), hint);
         }
-        known.then_some(pick)
+        all_known.then_some(selector)
     }
 }
 
-/// `router = N`, `share = 0.7`, or all.
-fn selector(s: &Section, routers: usize) -> ProcessSelector {
-    if s.has("share") {
-        if s.has("router") {
-            s.problem("share", format!("{} has both router and share", s.title), None);
+/// Parses `router = N` or `share = 0.7`.
+fn process_selector(section: &Section, routers: usize) -> ProcessSelector {
+    if section.has("share") {
+        if section.has("router") {
+            section.problem("share", format!("{} has both router and share", section.title), None);
         }
-        return ProcessSelector::Share(s.required_number("share", 0.0..1.0));
+        return ProcessSelector::Share(section.required_number("share", 0.0..1.0));
     }
-    let number = s.required_number("router", 0.0..63.0) as usize;
+    let number = section.required_number("router", 0.0..63.0) as usize;
     if number >= routers {
         let hint = Some(format!("there are {routers}, counted from 0"));
-        s.problem("router", format!("no router {number}"), hint);
+        section.problem("router", format!("no router {number}"), hint);
     }
     ProcessSelector::One(number)
 }
 
-fn link_fault(s: &Section) -> LinkFault {
-    let share = || s.required_number("share", 0.0..1.0);
-    let kind = s.required_text("kind");
+fn parse_link_fault(section: &Section) -> LinkFault {
+    let share = || section.required_number("share", 0.0..1.0);
+    let kind = section.required_text("kind");
     match kind.as_str() {
         "cut" => LinkFault::Cut,
         "reset" => LinkFault::Reset,
@@ -781,29 +811,29 @@
         "reorder" => LinkFault::Reorder(share()),
         "duplicate" => LinkFault::Duplicate(share()),
         "spoil" => LinkFault::Corrupt(share()),
-        "rate" => LinkFault::Rate(s.required_number("bytes_s", 1.0..1e12)),
+        "rate" => LinkFault::Rate(section.required_number("bytes_s", 1.0..1e12)),
         "delay" => LinkFault::Delay {
-            by: s.required_number("delay_ms", 0.0..60_000.0) / 1000.0,
-            jitter: s.ms("jitter_ms", 0.0..60_000.0, 0.0),
+            delay: section.required_number("delay_ms", 0.0..60_000.0) / 1000.0,
+            jitter: section.ms("jitter_ms", 0.0..60_000.0, 0.0),
         },
         other => {
-            let all = "cut, reset, loss, delay, rate, spoil, reorder, duplicate";
-            s.problem("kind", format!("kind = \"{other}\""), Some(format!("one of: {all}")));
+            let choices = "cut, reset, loss, delay, rate, spoil, reorder, duplicate";
+            section.problem("kind", format!("kind = \"{other}\""), Some(format!("one of: {choices}")));
             LinkFault::Cut
         }
     }
 }
 
-fn duration_s(s: &Section) -> f64 {
-    match s.has("for") {
-        true => s.required_number("for", 0.001..LONG),
+fn fault_duration_s(section: &Section) -> f64 {
+    match section.has("for") {
+        true => section.required_number("for", 0.001..MAX_SECONDS),
         false => f64::INFINITY,
     }
 }
 
-fn fault(s: &Section) -> FaultKind {
-    let kind = s.required_text("kind");
-    let share = || s.required_number("share", 0.0..1.0);
+fn fault(section: &Section) -> FaultKind {
+    let kind = section.required_text("kind");
+    let share = || section.required_number("share", 0.0..1.0);
     match kind.as_str() {
         "pause" => FaultKind::Pause,
         "hang" => FaultKind::Hang,
@@ -818,37 +848,40 @@
         "neighbour" => FaultKind::Neighbour(share()),
         "refuse_connections" => FaultKind::RefuseConnections,
         "slow_connections" => {
-            FaultKind::SlowConnections(s.required_number("delay_ms", 0.0..60_000.0) / 1000.0)
+            FaultKind::SlowConnections(section.required_number("delay_ms", 0.0..60_000.0) / 1000.0)
         }
-        "early_close" => FaultKind::EarlyClose(s.required_number("idle_ms", 1.0..600_000.0) / 1000.0),
+        "early_close" => FaultKind::EarlyClose(section.required_number("idle_ms", 1.0..600_000.0) / 1000.0),
         other => {
-            let all = "pause, hang, slow, slow_replay, crash, lost, drain, replace, fast_errors, spoilt, \
+            let choices =
+                "pause, hang, slow, slow_replay, crash, lost, drain, replace, fast_errors, spoilt, \
                        neighbour, refuse_connections, slow_connections, early_close";
-            s.problem("kind", format!("kind = \"{other}\""), Some(format!("one of: {all}")));
+            section.problem("kind", format!("kind = \"{other}\""), Some(format!("one of: {choices}")));
             FaultKind::Pause
         }
     }
 }
 
-/// `host:NAME`, `node:NAME`, `primary:GROUP`, `replica:GROUP:N` or `group:GROUP`.
-fn target(s: &Section, names: &Names) -> Target {
-    let text = s.required_text("on");
-    let mut words = text.split(':');
-    let (kind, name) = (words.next().unwrap_or(""), words.next().unwrap_or("").to_string());
-    let number = words.next();
-    let group = |name: &str| s.find("on", "group", name, names.groups).is_some();
-    let fits = match (kind, number) {
+/// Parses `host:NAME`, `node:NAME`, `primary:GROUP`, `replica:GROUP:N` or `group:GROUP`.
+fn target(section: &Section, known_names: &KnownNames) -> Target {
+    let text = section.required_text("on");
+    let mut parts = text.split(':');
+    let (kind, name) = (parts.next().unwrap_or(""), parts.next().unwrap_or("").to_string());
+    let number = parts.next();
+    let group = |name: &str| section.find("on", "group", name, known_names.groups).is_some();
+    let parsed = match (kind, number) {
         ("host", None) => {
-            // A host that comes by a replacement has no name before that.
-            let plan = names.plan;
+            // A replacement host gets its name during the run and can't be named here.
+            let plan = known_names.plan;
             let all = plan.groups.iter().enumerate().flat_map(|(g, group)| {
                 group.nodes.iter().map(move |n| plan.host_name(g, *n)).collect::<Vec<_>>()
             });
             let all: Vec<String> = all.collect();
-            s.find("on", "host", &name, &all);
+            section.find("on", "host", &name, &all);
             return Target::Host(name);
         }
-        ("node", None) => s.find("on", "node", &name, names.nodes).map(|_| Target::Node(name.clone())),
+        ("node", None) => {
+            section.find("on", "node", &name, known_names.nodes).map(|_| Target::Node(name.clone()))
+        }
         ("primary", None) => group(&name).then(|| Target::Primary(name.clone())),
         ("group", None) => group(&name).then(|| Target::Group(name.clone())),
         ("replica", Some(n)) if n.parse::<usize>().is_ok() => {
@@ -856,55 +889,56 @@
         }
         _ => {
             let forms = "host:NAME, node:NAME, primary:GROUP, replica:GROUP:N or group:GROUP";
-            s.problem("on", format!("on = \"{text}\""), Some(forms.to_string()));
+            section.problem("on", format!("on = \"{text}\""), Some(forms.to_string()));
             None
         }
     };
-    fits.unwrap_or(Target::Host(name))
+    parsed.unwrap_or(Target::Host(name))
 }
 
-/// `at` in seconds, or `when` with `plus_ms`.
-fn trigger(s: &Section, names: &Names) -> Trigger {
-    let (at, when) = (s.optional_number("at", 0.0..LONG), s.text("when"));
-    let plus = s.ms("plus_ms", 0.0..600_000.0, 0.0);
-    if at.is_some_and(|at| at > names.seconds) {
-        s.problem("at", "at lies behind the end", Some(format!("seconds = {}", names.seconds)));
+/// Parses `at` in seconds, or `when` with an optional `plus_ms`.
+fn trigger(section: &Section, known_names: &KnownNames) -> Trigger {
+    let (at, when) = (section.optional_number("at", 0.0..MAX_SECONDS), section.text("when"));
+    let delay_s = section.ms("plus_ms", 0.0..600_000.0, 0.0);
+    if at.is_some_and(|at| at > known_names.seconds) {
+        section.problem("at", "at is past the end", Some(format!("seconds = {}", known_names.seconds)));
     }
     match (at, when) {
-        (Some(at), None) if !s.has("plus_ms") => Trigger::At(at),
-        (None, Some(text)) => Trigger::After(when_of(s, &text, names), plus),
+        (Some(at), None) if !section.has("plus_ms") => Trigger::At(at),
+        (None, Some(text)) => Trigger::After(trigger_event(section, &text, known_names), delay_s),
         (Some(_), None) => {
-            s.problem("plus_ms", "plus_ms goes with when", None);
+            section.problem("plus_ms", "plus_ms needs when", None);
             Trigger::At(0.0)
         }
         (Some(_), Some(_)) => {
-            s.problem("when", format!("{} has both at and when", s.title), None);
+            section.problem("when", format!("{} has both at and when", section.title), None);
             Trigger::At(0.0)
         }
         (None, None) => {
-            if !s.has("at") {
+            if !section.has("at") {
                 let hint = Some("at = SECONDS, or when = \"EVENT\"".to_string());
-                s.source().problem(s.offset, format!("{} lacks at or when", s.title), hint);
+                section.source().problem(section.offset, format!("{} lacks at or when", section.title), hint);
             }
             Trigger::At(0.0)
         }
     }
 }
 
-fn when_of(s: &Section, text: &str, names: &Names) -> TriggerEvent {
-    let words: Vec<&str> = text.split(':').collect();
-    let name = words.get(1).map_or(String::new(), |w| w.to_string());
-    let nth = words.get(2).and_then(|n| n.parse::<u64>().ok()).filter(|n| *n > 0);
-    let known = |what: &str, of: &[String]| s.find("when", what, &name, of);
-    let itself = || {
-        if name == s.name {
-            s.problem("when", format!("{} waits for itself", s.title), None);
+fn trigger_event(section: &Section, text: &str, known_names: &KnownNames) -> TriggerEvent {
+    let parts: Vec<&str> = text.split(':').collect();
+    let name = parts.get(1).map_or(String::new(), |w| w.to_string());
+    let nth = parts.get(2).and_then(|n| n.parse::<u64>().ok()).filter(|n| *n > 0);
+    let find_known =
+        |kind_name: &str, candidates: &[String]| section.find("when", kind_name, &name, candidates);
+    let check_not_itself = || {
+        if name == section.name {
+            section.problem("when", format!("{} waits for itself", section.title), None);
         }
     };
-    match (words.first().copied().unwrap_or(""), words.len(), nth) {
+    match (parts.first().copied().unwrap_or(""), parts.len(), nth) {
         (choice @ ("begins" | "ends" | "announced"), 2, _) => {
-            known("fault, agent or restart", &names.faults);
-            itself();
+            find_known("fault, agent or restart", &known_names.faults);
+            check_not_itself();
             match choice {
                 "begins" => TriggerEvent::CueBegins(name),
                 "ends" => TriggerEvent::CueEnds(name),
@@ -912,7 +946,7 @@
             }
         }
         (choice @ ("arriving" | "begun" | "ran" | "half_said"), 3, Some(nth)) => {
-            let workload = known("workload", names.workloads).unwrap_or(0);
+            let workload = find_known("workload", known_names.workloads).unwrap_or(0);
             match choice {
                 "arriving" => TriggerEvent::PartlyReceived(workload, nth),
                 "begun" => TriggerEvent::Received(workload, nth),
@@ -921,13 +955,13 @@
             }
         }
         ("primary", 3, Some(nth)) => {
-            known("group", names.groups);
+            find_known("group", known_names.groups);
             TriggerEvent::PrimaryElected(name, nth)
         }
         _ => {
             let forms = "begins:NAME, ends:NAME, announced:NAME, arriving:WORKLOAD:N, begun:WORKLOAD:N, \
                          ran:WORKLOAD:N, half_said:WORKLOAD:N or primary:GROUP:N";
-            s.problem("when", format!("when = \"{text}\""), Some(forms.to_string()));
+            section.problem("when", format!("when = \"{text}\""), Some(forms.to_string()));
             TriggerEvent::CueBegins(name)
         }
     }
--- a/crates/sandstile-scenario/tests/scripts.rs
+++ b/crates/sandstile-scenario/tests/scripts.rs
@@ -1,10 +1,10 @@
-//! Scripts that read, scripts that do not and say where, cues and traffic.
+//! Tests of valid and invalid scripts, of cues and of traffic.
 use sandstile_fleet::{FaultKind, Target};
 use sandstile_scenario::script::*;
 use sandstile_scenario::traffic::{rate_multiple, Traffic};
 use sandstile_scenario::{CueScheduler, ScenarioEvent, Script};
 
-const GOOD: &str = r#"title = "A small evening"
+const VALID_SCRIPT: &str = r#"title = "A small evening"
 seconds = 20
 quick = 5
 machine "std" {
@@ -60,8 +60,8 @@
 "#;
 
 #[test]
-fn a_script_reads_whole() {
-    let script = Script::read("good.hcl", GOOD).expect("good");
+fn a_valid_script_is_parsed() {
+    let script = Script::read("good.hcl", VALID_SCRIPT).expect("a valid script");
     assert_eq!((script.seconds, script.plan.groups[0].nodes.len(), script.cues.len()), (20.0, 2, 3));
     let fault = CueAction::Fault {
         kind: FaultKind::Pause,
@@ -76,11 +76,12 @@
     assert_eq!(quick.cues[1].trigger, Trigger::After(TriggerEvent::Received(1, 3), 0.020));
 }
 
-/// Each edit of the good script is refused with the line of what is wrong, and a hint where one helps.
+/// Each faulty edit of the valid script is refused with the line of the error, and with a hint where one
+/// helps.
 #[test]
-fn what_is_wrong_is_named_with_its_place() {
-    let line = |needle: &str| GOOD[..GOOD.find(needle).expect(needle)].matches('\n').count() + 1;
-    for (from, to, at, says) in [
+fn each_error_names_its_line_and_a_hint() {
+    let line = |text: &str| VALID_SCRIPT[..VALID_SCRIPT.find(text).expect(text)].matches('\n').count() + 1;
+    for (from, to, expected_line, expected) in [
         ("queue = 32", "quue = 32", line("queue = 32"), "did you mean queue"),
         ("queue = 32", "queue = \"32\"", line("queue = 32"), "no number"),
         ("queue = 32", "queue = 0", line("queue = 32"), "wanted: 1 to"),
@@ -96,7 +97,7 @@
         ("kind = \"pause\"", "kind = \"pose\"", line("kind = \"pause\""), "one of"),
         ("on = \"primary:1\"", "on = \"primary:2\"", line("on = \"primary"), "no group"),
         ("on = \"primary:1\"", "on = \"1\"", line("on = \"primary"), "host:NAME"),
-        ("at = 5", "at = 25", line("at = 5"), "behind the end"),
+        ("at = 5", "at = 25", line("at = 5"), "past the end"),
         ("at = 5", "at = 5\nwhen = \"begins:c\"", line("at = 5") + 1, "both"),
         ("at = 5", "", line("fault \"p\""), "at or when"),
         ("begun:save:3", "begun:svae:3", line("begun"), "did you mean save"),
@@ -107,19 +108,19 @@
         ("title = ", "tilte = ", 1, "did you mean title"),
         ("seconds = 20", "seconds = ", 2, ""),
     ] {
-        let text = GOOD.replacen(from, to, 1);
+        let text = VALID_SCRIPT.replacen(from, to, 1);
         let problems = Script::read("bad.hcl", &text).expect_err(to);
-        let told = problems.iter().any(|p| p.line == at && p.to_string().contains(says));
-        assert!(told, "{from} -> {to}: {problems:?}");
+        let reported = problems.iter().any(|p| p.line == expected_line && p.to_string().contains(expected));
+        assert!(reported, "{from} -> {to}: {problems:?}");
         assert!(problems[0].to_string().starts_with("bad.hcl:"), "{}", problems[0]);
     }
 }
 
-/// No text makes the reader panic.
+/// No input text makes the parser panic.
 #[test]
-fn a_script_cut_anywhere_is_refused_or_read() {
-    for cut in (0..GOOD.len()).step_by(7) {
-        let _ = Script::read("cut.hcl", &GOOD[..cut]);
+fn truncated_and_malformed_scripts_do_not_panic() {
+    for cut in (0..VALID_SCRIPT.len()).step_by(7) {
+        let _ = Script::read("cut.hcl", &VALID_SCRIPT[..cut]);
     }
     for junk in ["", "{", "a = ", "fault {}", "group \"1\" \"2\" {}", "machine \"x\" { cores = [-1] }"] {
         assert!(Script::read("junk.hcl", junk).is_err(), "{junk}");
@@ -127,31 +128,36 @@
 }
 
 #[test]
-fn cues_are_due_once_and_in_their_order() {
-    let script = Script::read("good.hcl", GOOD).expect("good");
-    let mut d = CueScheduler::new(&script.cues, 100.0);
-    assert_eq!((d.take_due(104.9), d.next_due()), (None, Some(105.0)));
-    assert_eq!((d.take_due(105.0), d.take_due(110.0)), (Some(0), None));
+fn cues_are_due_once_and_in_order() {
+    let script = Script::read("good.hcl", VALID_SCRIPT).expect("a valid script");
+    let mut scheduler = CueScheduler::new(&script.cues, 100.0);
+    assert_eq!((scheduler.take_due(104.9), scheduler.next_due()), (None, Some(105.0)));
+    assert_eq!((scheduler.take_due(105.0), scheduler.take_due(110.0)), (Some(0), None));
     for n in 0..5 {
-        d.record_event(106.0 + f64::from(n), &ScenarioEvent::Received { workload: 1 });
+        scheduler.record_event(106.0 + f64::from(n), &ScenarioEvent::Received { workload: 1 });
     }
     assert_eq!(
-        (d.next_due(), d.take_due(108.01), d.take_due(108.03), d.take_due(120.0)),
+        (
+            scheduler.next_due(),
+            scheduler.take_due(108.01),
+            scheduler.take_due(108.03),
+            scheduler.take_due(120.0)
+        ),
         (Some(108.02), None, Some(1), None)
     );
-    assert_eq!(d.missed_cues().len(), 1);
-    d.record_event(109.0, &ScenarioEvent::CueEnded { cue: 1 });
-    d.record_event(109.0, &ScenarioEvent::CueEnded { cue: 0 });
-    assert_eq!((d.take_due(109.0), d.missed_cues().len()), (Some(2), 0));
+    assert_eq!(scheduler.missed_cues().len(), 1);
+    scheduler.record_event(109.0, &ScenarioEvent::CueEnded { cue: 1 });
+    scheduler.record_event(109.0, &ScenarioEvent::CueEnded { cue: 0 });
+    assert_eq!((scheduler.take_due(109.0), scheduler.missed_cues().len()), (Some(2), 0));
 }
 
 #[test]
 fn arrivals_follow_the_rate_and_the_seed() {
-    let script = Script::read("good.hcl", GOOD).expect("good");
+    let script = Script::read("good.hcl", VALID_SCRIPT).expect("a valid script");
     let all: Vec<_> = Traffic::new(&script, 5).collect();
-    let within = |a: f64, b: f64| all.iter().filter(|x| x.at >= a && x.at < b).count() as f64;
-    assert!((within(0.0, 10.0) / 1000.0 - 1.0).abs() < 0.1, "{}", within(0.0, 10.0));
-    assert!((within(10.0, 14.0) / 1200.0 - 1.0).abs() < 0.1, "{}", within(10.0, 14.0));
+    let arrivals_between = |a: f64, b: f64| all.iter().filter(|x| x.at >= a && x.at < b).count() as f64;
+    assert!((arrivals_between(0.0, 10.0) / 1000.0 - 1.0).abs() < 0.1, "{}", arrivals_between(0.0, 10.0));
+    assert!((arrivals_between(10.0, 14.0) / 1200.0 - 1.0).abs() < 0.1, "{}", arrivals_between(10.0, 14.0));
     assert!(all.windows(2).all(|w| w[0].at <= w[1].at));
     assert_eq!(all, Traffic::new(&script, 5).collect::<Vec<_>>());
     assert_ne!(all, Traffic::new(&script, 6).collect::<Vec<_>>());
@@ -193,20 +199,20 @@
 "#;
 
 #[test]
-fn faults_between_processes_are_read_and_checked_against_those_there_are() {
+fn link_and_process_faults_are_parsed_and_checked_against_known_names() {
     use sandstile_faults::{Endpoint, ProcessFault, StateAfterRestart};
-    let script = Script::read("faults.hcl", &format!("{GOOD}{FAULTS}")).expect("good");
+    let script = Script::read("faults.hcl", &format!("{VALID_SCRIPT}{FAULTS}")).expect("a valid script");
     let host =
         |name: &str, zone: &str| Endpoint::Host { name: name.into(), group: "1".into(), zone: zone.into() };
     assert!(script.needs_relay(&Endpoint::Router(0), &host("s-1-a", "a")));
-    assert!(script.needs_relay(&Endpoint::Router(1), &host("s-1-a", "a")), "another side's host");
-    assert!(!script.needs_relay(&Endpoint::Router(1), &Endpoint::Agent(1)), "nothing strikes that link");
-    assert!(!script.needs_relay(&Endpoint::Clients, &host("s-1-a", "a")), "they never talk");
-    let older = script.cues.iter().any(|c| {
+    assert!(script.needs_relay(&Endpoint::Router(1), &host("s-1-a", "a")), "a host on another side");
+    assert!(!script.needs_relay(&Endpoint::Router(1), &Endpoint::Agent(1)), "no fault affects that link");
+    assert!(!script.needs_relay(&Endpoint::Clients, &host("s-1-a", "a")), "no link exists between them");
+    let restarts_with_older_copy = script.cues.iter().any(|c| {
         matches!(c.action, CueAction::Process { process_fault: ProcessFault::Restart { kill: true, state: StateAfterRestart::OlderCopy, .. }, spread, .. } if spread == 1.0)
     });
-    assert!(older);
-    for (from, to, told) in [
+    assert!(restarts_with_older_copy);
+    for (from, to, expected) in [
         ("group:1", "group:7", "7"),
         ("zone:a", "zone:q", "q"),
         ("router:0 clients", "router:9", "router"),
@@ -215,16 +221,19 @@
         ("for = 1", "for = 1\n  one_way = true", "one_way"),
         ("state = \"older\"", "state = \"odd\"", "odd"),
     ] {
-        let text = format!("{GOOD}{}", FAULTS.replacen(from, to, 1));
+        let text = format!("{VALID_SCRIPT}{}", FAULTS.replacen(from, to, 1));
         let problems = Script::read("bad.hcl", &text).expect_err(to);
-        assert!(problems.iter().any(|p| p.to_string().contains(told)), "{to}: {problems:?}");
+        assert!(problems.iter().any(|p| p.to_string().contains(expected)), "{to}: {problems:?}");
     }
 }
 
 #[test]
-fn a_fleet_can_stand_in_a_file_that_scripts_share() {
-    let split = GOOD.find("traffic").expect("traffic");
-    let (fleet, own) = (GOOD[GOOD.find("machine").expect("a machine")..split].to_string(), &GOOD[split..]);
+fn a_script_can_take_its_fleet_from_a_shared_file() {
+    let split = VALID_SCRIPT.find("traffic").expect("traffic");
+    let (fleet, own) = (
+        VALID_SCRIPT[VALID_SCRIPT.find("machine").expect("a machine")..split].to_string(),
+        &VALID_SCRIPT[split..],
+    );
     let text = format!("title = \"Shared\"\nseconds = 20\nfleet = \"f.hcl\"\n{own}");
     let read = |fleet: String| {
         Script::read_with("own.hcl", &text, &move |name| match name {
@@ -232,13 +241,13 @@
             other => Err(format!("no {other}")),
         })
     };
-    let script = read(fleet.clone()).expect("good");
+    let script = read(fleet.clone()).expect("a valid script");
     assert_eq!((script.plan.nodes.len(), script.cues.len()), (2, 3));
-    // What is wrong in the shared file is told with its name and line.
+    // A problem in the shared file is reported with that file's name and line.
     let wrong = read(fleet.replace("queue = 32", "queues = 32")).expect_err("a typo");
     assert!(wrong.iter().any(|p| p.to_string().contains("f.hcl:")), "{wrong:?}");
     let gone = Script::read("own.hcl", &text).expect_err("no file");
     assert!(gone.iter().any(|p| p.to_string().contains("f.hcl")), "{gone:?}");
-    let broken = read("machine \"std\" {".to_string()).expect_err("no HCL");
+    let broken = read("machine \"std\" {".to_string()).expect_err("invalid HCL");
     assert!(!broken.is_empty());
 }
