--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' connections: their sockets beside their state machines of `sandstile-connections`.
+//! The clients' connections: their sockets, each with its state machine of `sandstile-connections`.
 use crate::budget::{Holder, IdleKey};
 use crate::client_connection::{ClientAction, ClientConnection, ClientContext, ClientEvent};
 use crate::close_reason::CloseReason;
@@ -17,30 +17,30 @@
 use std::sync::Arc;
 
 struct Seat {
-    /// Counts the connections of this process: the name of this one in the log.
+    /// Sequence number of the connection in this process, which identifies it in the log.
     number: u64,
     accepted_at: f64,
-    /// Reads that brought bytes.
+    /// Reads that returned bytes.
     reads: u64,
-    /// Why the router closes it, where it is not the line's own doing.
+    /// Why the router closes the connection, where the state machine did not decide it.
     close_reason: Option<CloseReason>,
     /// The error number that a read or a write failed with.
     error: Option<i32>,
     client_connection: ClientConnection,
     wire: Wire,
     queued: bool,
-    /// The time of the timer that stands for it.
+    /// When its timer is due.
     armed: f64,
-    /// Its record in the budget, and the spell of waiting that this stands for.
+    /// Its key in the budget's idle list, and the idle period that the key was made for.
     idle: Option<(IdleKey, u64)>,
-    /// The spell of waiting that it is in, and since when.
+    /// The current idle period, and when it began.
     resting: Option<((Holder, u64), f64)>,
-    /// Told to go: it does so as soon as it waits, and a last look found nothing more.
+    /// Asked to close: it does so as soon as it is idle and a final read has found nothing more.
     leaves: bool,
     looked: bool,
-    /// The last read failed for want of memory: bytes may lie in the socket.
+    /// The last read failed for lack of memory: the socket may hold unread bytes.
     unread: bool,
-    /// It is held beyond all room: its statement is refused, and it goes.
+    /// There is no descriptor to serve it: its statement is refused and it is closed.
     refused: bool,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Seconds for which a connection waits before it may be closed to make room for another.
+/// Seconds for which a connection has to be idle before it may be closed to make room for another.
 const SETTLED: f64 = 0.1;
 
 pub struct Clients {
@@ -58,19 +58,19 @@
     workloads: Vec<Workload>,
     dispatcher: MailboxSender<DispatcherMessage>,
     client_events: Vec<ClientEvent>,
-    /// Connections that rest and have asked nothing yet.
+    /// Idle connections that have not sent a statement yet.
     resting_strangers: usize,
-    /// Statements taken so far, which names the next.
+    /// Statements read so far; the next statement's id follows from it.
     submitted: u64,
-    /// From now on each that rests is to go.
+    /// Shutting down: every connection is closed as soon as it is idle.
     dismissed: bool,
-    /// Connections accepted so far, which names the next.
+    /// Connections accepted so far; the next connection's number follows from it.
     accepted: u64,
     unusual: Limiter<CloseReason>,
     unread: Limiter<()>,
 }
 
-/// Tokens of clients are even, those of links odd; the first few are the loop's own.
+/// Tokens of clients are even, those of upstream connections odd; the first few belong to the event loop.
 pub fn token(key: usize) -> Token {
     Token(2 * key + 2)
 }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether a connection rests that has asked nothing yet: it makes room soon, if it goes on so.
+    /// Whether an idle connection exists that has not sent a statement: it will make room soon if it stays idle.
     pub fn has_resting_strangers(&self) -> bool {
         self.resting_strangers > 0
     }
@@ -100,8 +100,8 @@
         self.seats.is_empty()
     }
 
-    /// Takes a connection that is counted in the budget and may have waited since then; one that can't be set up now
-    /// is handed back. One that is `refused` gets no more than a refusal.
+    /// Adds a connection that is already counted in the budget and may have waited since `waited_since`. A
+    /// connection that can't be set up now is returned with the error. One that is `refused` only gets a refusal.
     pub fn accept(
         &mut self,
         stream: TcpStream,
@@ -109,14 +109,14 @@
         refused: bool,
         context: &mut LoopContext,
     ) -> Result<(), (TcpStream, io::Error)> {
-        // Without it answers may come a little later, which is better than none.
+        // Without TCP_NODELAY answers may be delayed a little, which is better than no answers.
         if let Err(e) = stream.set_nodelay(true) {
             debug!(context.log, "client without TCP_NODELAY: {e}");
         }
         let entry = self.seats.vacant_entry();
         let key = entry.key();
         let mut wire = Wire::new(&context.registry, stream, token(key), true)?;
-        // Most bring their first statement along.
+        // Most clients send their first statement right after connecting.
         wire.look();
         wire.moved(context.clock.now());
         self.accepted += 1;
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Its turn in the loop's queue.
+    /// Runs a connection that was taken from the loop's queue.
     pub fn called(&mut self, key: usize, context: &mut LoopContext) {
         if let Some(seat) = self.seats.get_mut(key) {
             seat.queued = false;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// A timer that may be this line's. What has come meanwhile is taken first.
+    /// Handles a timer that may belong to this connection. Input that has arrived meanwhile is read first.
     pub fn timer(&mut self, key: usize, at: f64, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.armed == at) else { return };
         seat.armed = f64::INFINITY;
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Tells one that waits to go. What has come from it by now is still read and answered.
+    /// Asks an idle connection to close. What the client has sent by now is still read and answered.
     pub fn leave(&mut self, key: usize, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key) else { return };
         let why = if self.dismissed { CloseReason::ClientDismissed } else { CloseReason::ClientEvicted };
@@ -207,7 +207,7 @@
         }
     }
 
-    /// All that wait go, and from now on each as soon as it waits.
+    /// Closes all idle connections, and from now on each connection as soon as it is idle.
     pub fn dismiss(&mut self, context: &mut LoopContext) {
         self.dismissed = true;
         let all: Vec<usize> = self.seats.iter().map(|(key, _)| key).collect();
@@ -216,7 +216,7 @@
         }
     }
 
-    /// As much as one line may do before the others have their turn.
+    /// Does a bounded amount of work before the other connections get their turn.
     fn run(&mut self, key: usize, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key) else { return };
         let mut more = true;
@@ -224,7 +224,7 @@
             let now = context.clock.now();
             let mut moved = false;
             if seat.wire.ending() && seat.client_connection.awaits_answer() {
-                // Gone, though commands before its end may still be unread for want of room.
+                // The client is gone, though commands from before its end may still be unread for lack of room.
                 gone(seat.client_connection.closed(), &self.dispatcher);
                 break;
             }
@@ -278,7 +278,7 @@
                 Moved::Nothing => {}
             }
             if seat.unread && seat.client_connection.due() <= now {
-                // Its time is over only once what came in it has been read.
+                // A deadline only expires once everything that arrived before it has been read.
                 more = false;
                 break;
             }
@@ -287,7 +287,8 @@
                 ClientContext { budget: &mut context.budget, workloads: &self.workloads, client_events };
             match seat.client_connection.advance(now, &mut client_context) {
                 Some(ClientAction::Submit { statement, deadline }) if seat.wire.ending() => {
-                    // Asked before its client left: nobody reads an answer, so nothing is to begin for it.
+                    // The client closed its sending side before the statement was read: nobody reads an answer, so
+                    // nothing is started.
                     context.counters.read_too_late.add();
                     if self.unread.admits(now, ()) {
                         info!(context.log, "a statement was read only with its client's end";
@@ -359,14 +360,15 @@
         self.settle(key, more, context);
     }
 
-    /// Puts on record what the line is now: gone, idle, armed, or with more to do.
+    /// Updates the connection's state after a turn: closed, idle, waiting for a timer, or with more work queued.
     fn settle(&mut self, key: usize, more: bool, context: &mut LoopContext) {
         let seat = &mut self.seats[key];
         let idle_period = seat.client_connection.idle_period();
-        // As the router ends, a command that has begun is waited for, its time allowing: it may be whole by the close.
+        // During shutdown, a command that has been read in part is waited for, until its deadline: the rest may
+        // still arrive.
         let begun = self.dismissed && seat.client_connection.unanswered_bytes() > 0;
         let leaves = (seat.leaves || self.dismissed) && idle_period.is_some() && !more && !begun;
-        // A last look that failed proves nothing: its socket is looked at again in its own time.
+        // A final read that failed proves nothing: the socket is rechecked at its regular interval.
         let looks = leaves && !seat.unread;
         if seat.client_connection.ended() || (looks && seat.looked) {
             return self.close(key, context);
@@ -386,7 +388,8 @@
         let own = if seat.unread { f64::INFINITY } else { seat.client_connection.due() };
         let mut due = own.min(seat.wire.look_due());
         if let (Some(((holder, spell), since)), None) = (seat.resting, seat.idle) {
-            // One that has only just come to wait may be about to ask: it is not closed for another's sake.
+            // A connection that has just become idle may be about to send a statement: it is not closed in favour
+            // of another.
             if context.clock.now() >= since + SETTLED {
                 seat.idle = Some((context.budget.mark_idle(holder, key), spell));
             } else {
@@ -402,8 +405,8 @@
         }
     }
 
-    /// Counts why a connection ends, and logs it: each where all is logged, else the unusual ones, at most one of a
-    /// kind in a second.
+    /// Counts why a connection ends and logs it: at debug level each of them, otherwise the unusual ones, at most
+    /// one of a kind per second.
     fn log_closing(&mut self, seat: &Seat, context: &LoopContext) {
         let broken = seat.close_reason == Some(CloseReason::ClientBroken);
         let own_end = seat.client_connection.ended() && !broken;
--- a/crates/sandstile-router/src/clock.rs
+++ b/crates/sandstile-router/src/clock.rs
@@ -1,5 +1,5 @@
-//! Unix seconds, anchored once and advanced by the monotonic clock, so that no step of the system's time
-//! moves a deadline. All machines read one clock, so positions and start times need no base.
+//! Unix time in seconds. It is read once and then advanced by the monotonic clock, so that a step of the system
+//! time moves no deadline. All machines use the same epoch, so positions and start times need no offset.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 #[derive(Clone, Copy)]
@@ -18,7 +18,7 @@
         self.unix + self.instant.elapsed().as_secs_f64()
     }
 
-    /// How long until `at`; zero once it has passed.
+    /// Time until `deadline`; zero once it has passed.
     pub fn until(&self, at: f64) -> Duration {
         Duration::try_from_secs_f64(at - self.now()).unwrap_or(Duration::ZERO)
     }
--- a/crates/sandstile-router/src/control.rs
+++ b/crates/sandstile-router/src/control.rs
@@ -1,5 +1,6 @@
-//! Operators ask a running router over a UNIX socket: whoever connects is told all at once, and the connection ends. Beside the
-//! carrier's loop; one that reads slowly waits alone, and not for ever.
+//! The control socket: a UNIX socket by which operators query a running router. Each client gets the whole report,
+//! and the connection is closed. It is served on the event loop; a client that reads slowly delays nobody else, and
+//! is dropped after a timeout.
 use crate::errno::retry_interrupted;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
@@ -7,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 pub const DOOR: Token = Token(usize::MAX - 3);
-/// Those behind the door, the first of so many.
+/// The most clients served at a time, and the first of their tokens.
 const ASKERS: usize = 8;
 const FIRST: usize = usize::MAX - 3 - ASKERS;
 /// Seconds for which an answer may wait to be read.
@@ -19,7 +20,7 @@
     until: f64,
 }
 
-/// Whether nobody listens at this socket: only a refused connection proves that.
+/// Whether no process listens on this socket: only a refused connection proves that.
 pub fn is_abandoned(path: &Path) -> bool {
     let tried = retry_interrupted(|| std::os::unix::net::UnixStream::connect(path));
     matches!(tried, Err(e) if e.kind() == io::ErrorKind::ConnectionRefused)
@@ -33,7 +34,7 @@
 }
 
 impl ControlSocket {
-    /// A socket that a former process left is taken away; one that somebody listens at is not.
+    /// Opens the socket. A socket file left by a previous process is removed; one that a process listens on is not.
     pub fn open(path: &Path) -> Result<ControlSocket, String> {
         let told = |e: io::Error| format!("members: {}: {e}", path.display());
         if let Ok(found) = std::fs::symlink_metadata(path) {
@@ -46,7 +47,7 @@
             std::fs::remove_file(path).map_err(told)?;
         }
         let listener = UnixListener::bind(path).map_err(told)?;
-        // Whoever may read our own file may ask; nobody else.
+        // Only users that may read the local configuration file may query.
         let mode = std::os::unix::fs::PermissionsExt::from_mode(0o600);
         std::fs::set_permissions(path, mode).map_err(told)?;
         Ok(ControlSocket { path: path.to_path_buf(), listener, askers: Default::default(), ready: true })
@@ -56,7 +57,7 @@
         registry.register(&mut self.listener, DOOR, Interest::READABLE)
     }
 
-    /// Whether this is one of its tokens.
+    /// Whether this is one of the control socket's tokens.
     pub fn is_its(token: Token) -> bool {
         (FIRST..=DOOR.0).contains(&token.0)
     }
@@ -69,7 +70,7 @@
         self.askers.iter().flatten().map(|a| a.until).fold(f64::INFINITY, f64::min)
     }
 
-    /// Takes in who asks, and writes on to those that read slowly.
+    /// Accepts new clients and continues writing to those that read slowly.
     pub fn serve(&mut self, registry: &Registry, now: f64, report: impl Fn() -> String) {
         for _ in 0..ASKERS {
             if !self.ready {
@@ -82,7 +83,7 @@
                     self.ready = false;
                     break;
                 }
-                // Somebody may still wait there.
+                // More clients may be waiting.
                 Err(_) => continue,
             };
             if registry.register(&mut stream, Token(FIRST + place), Interest::WRITABLE).is_ok() {
@@ -108,7 +109,7 @@
                 freed = true;
             }
         }
-        // Who found no place may have one now.
+        // Clients that found no free slot may have one now.
         self.ready |= freed;
     }
 
--- a/crates/sandstile-router/src/control_client.rs
+++ b/crates/sandstile-router/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Asks a running router over its control socket, and lays out what it says.
+//! Queries a running router over its control socket and formats the answer.
 use sandstile_replicated_state::stored::{self, Found};
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 const PATIENCE: Duration = Duration::from_secs(3);
-/// A thousand members take a quarter of this.
+/// A report on a thousand members takes a quarter of this.
 const MOST: u64 = 4 << 20;
 
-/// What the router behind this socket says. The message is one line.
+/// The report of the router behind this socket. The error message is one line.
 pub fn members(socket: &Path) -> Result<Value, String> {
     let told = |e: std::io::Error| format!("{}: {e}", socket.display());
     let stream = UnixStream::connect(socket).map_err(told)?;
@@ -22,7 +22,7 @@
     serde_json::from_str(&text).map_err(|e| format!("{}: {e}", socket.display()))
 }
 
-/// `now` in Unix seconds.
+/// Formats the report as a table; `now` is in Unix seconds.
 pub fn table(said: &Value, now: f64) -> String {
     let text = |v: &Value| v.as_str().unwrap_or("-").to_string();
     let number = |v: &Value| v.as_f64().map_or("-".to_string(), |n| format!("{n:.0}"));
@@ -67,7 +67,7 @@
     out
 }
 
-/// Copies are no longer than this.
+/// The maximum length of a copy of the replicated state.
 const MOST_STATE: u64 = 1 << 30;
 
 fn asked(socket: &Path, what: &str) -> Result<Vec<u8>, String> {
@@ -88,7 +88,7 @@
     Ok(found.file_type().is_socket())
 }
 
-/// The facts of a running router, by its socket, or of a file. The message is one line.
+/// The facts of a running router, by its socket, or of a file. The error message is one line.
 pub fn facts(path: &Path) -> Result<Found, String> {
     let bytes = match is_socket(path)? {
         true => asked(path, "facts")?,
@@ -101,10 +101,10 @@
     }
 }
 
-/// How a router's kept state stands at `now`, as it says itself, or what a file holds.
+/// The status of a router's replicated state at `now`, as it reports it, or a summary of a file.
 pub fn state(path: &Path, now: f64) -> Result<String, String> {
     if is_socket(path)? {
-        // What is two seconds old has come to all by now, or something is wrong.
+        // A fact that is two seconds old has reached all routers by now, unless something is wrong.
         let bytes = asked(path, &format!("summary {:.3}", now - 2.0))?;
         return Ok(String::from_utf8_lossy(&bytes).into_owned());
     }
--- a/crates/sandstile-router/src/counters.rs
+++ b/crates/sandstile-router/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the router took in, sent and answered; printed on SIGUSR1 and at the end.
+//! The router's counters, printed on SIGUSR1 and at exit.
 use crate::close_reason::{self, CloseReason};
 use crate::outcome::{self, Ending};
 use sandstile_dispatcher::{Counter, DispatcherCounters};
@@ -19,33 +19,34 @@
     pub lists: Counter,
     pub bad_lists: Counter,
     pub watches: Counter,
-    /// Dials that waited for their turn.
+    /// Dials that the dial pacing delayed.
     pub dials_held: Counter,
-    /// Arrivals that a recording has not kept.
+    /// Arrivals that could not be written to the recording.
     pub unrecorded: Counter,
-    /// Routers that are there, this one among them; and of their letters, where our own file turns members on.
+    /// Routers that are alive, this one included, and the counters of membership messages, where the local
+    /// configuration file turns membership on.
     pub members: Counter,
-    /// 0 agreed, 1 settling, 2 cut off from some, 3 alone.
+    /// 0 agreed, 1 settling, 2 cut off from some members, 3 alone.
     pub view: Counter,
     pub view_changes: Counter,
     pub member_deaths: Counter,
     pub names_taken: Counter,
     pub letters: Counter,
     pub letters_refused: Counter,
-    /// Database hosts that are known now.
+    /// Database hosts known at present.
     pub hosts: Counter,
-    /// Statements that were read only once their client had ended its sending.
+    /// Statements that were read only after their client had closed its sending side.
     pub read_too_late: Counter,
-    /// Reads that found bytes of which no readiness had told.
+    /// Reads that returned bytes although no readiness event had been reported.
     pub found_by_look: Counter,
-    /// Dials begun again after this machine's own trouble.
+    /// Dials retried after a local error of this machine.
     pub dials_repeated: Counter,
-    /// Calls of `accept` that failed, but for an empty queue.
+    /// Failed calls of `accept`, other than on an empty queue.
     pub accept_errors: Counter,
-    /// Statements refused on connections that there was no room to serve.
+    /// Statements refused on connections for which no descriptor was left.
     pub refused_for_room: Counter,
-    /// The longest turn of the loop, the longest wait of a connection to be accepted as far as can be told, and the
-    /// longest wait of a link for a descriptor, in milliseconds.
+    /// The longest iteration of the event loop, the longest time that a connection waited to be accepted (an upper
+    /// bound), and the longest time that an upstream connection waited for a descriptor, in milliseconds.
     pub longest_turn_ms: Counter,
     pub longest_accept_wait_ms: Counter,
     pub longest_dial_wait_ms: Counter,
@@ -63,7 +64,7 @@
     }
 }
 
-/// One line of `name=value`, the same names in the same order each time.
+/// One line of `name=value` pairs, with the same names in the same order each time.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let plain = [
--- a/crates/sandstile-router/src/dialling.rs
+++ b/crates/sandstile-router/src/dialling.rs
@@ -1,10 +1,11 @@
-//! What comes of a dial: whether a connection is up, and what an error of it says of the host.
+//! The result of a dial: whether the connection is established, and what an error says about the host.
 use crate::errno::{is_local, is_unreachable};
 use crate::outcome::Ending;
 use mio::net::TcpStream;
 use std::io::ErrorKind;
 
-/// Whether a dial is up; the platform says so by letting it be written to, and then whether it came to anything.
+/// Whether a dial has succeeded. The platform reports the end of a dial by making the socket writable; only then is
+/// it known whether it succeeded.
 pub fn is_up(stream: &TcpStream) -> Result<bool, Ending> {
     if let Some(e) = stream.take_error().map_err(|e| dial_ending(&e))? {
         return Err(dial_ending(&e));
@@ -16,7 +17,7 @@
     }
 }
 
-/// How a dial ended that failed with this error.
+/// The outcome of a dial that failed with this error.
 pub fn dial_ending(e: &std::io::Error) -> Ending {
     match e.kind() {
         ErrorKind::TimedOut => Ending::DialTimedOut,
--- a/crates/sandstile-router/src/discovery.rs
+++ b/crates/sandstile-router/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The list's actor: follows discovery by a watch and hands each change to the desk. Whatever breaks, the
-//! list stands and the watch is opened again from where it was.
+//! Follows the host list by a watch on discovery and sends each change to the dispatcher. After any error the list
+//! is kept and the watch is reopened from the last index.
 use crate::counters::Counters;
 use crate::known_hosts::KnownList;
 use crate::list_stream::{Heard, ListStream};
@@ -17,7 +17,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Where discovery answers, and the watch that is open there. A new configuration can name another address.
+/// The address of discovery's agent and the watch that is open there. A new configuration can name another address.
 pub struct DiscoveryAgent(Mutex<(SocketAddr, Option<TcpStream>)>);
 
 impl DiscoveryAgent {
@@ -33,7 +33,7 @@
         self.held().0
     }
 
-    /// Ends a watch of the former address, which would stay open and tell nothing new for a while yet.
+    /// Sets a new address and ends a watch of the previous one, which would stay open without news for a while.
     pub fn moved(&self, address: SocketAddr) {
         let mut held = self.held();
         if held.0 != address {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// `false` where the address has changed since `stream` was dialled.
+    /// Records the open watch; `false` where the address has changed since `stream` was dialled.
     fn watched(&self, address: SocketAddr, stream: &TcpStream) -> bool {
         let mut held = self.held();
         held.1 = stream.try_clone().ok();
@@ -60,32 +60,35 @@
     pub counters: Arc<Counters>,
     pub log: Logger,
     pub told: BTreeSet<String>,
-    /// The spread of pauses between watches, where our own file turns that on.
+    /// Random pauses between watches, where the local configuration file turns them on.
     pub returning: Option<ListBackoff>,
-    /// Seconds between calls that are refused, at the most.
+    /// The longest pause after refused requests.
     pub longest_pause: Duration,
     pub chance: Rand32,
-    /// Dropped once discovery has told a list, or the first call to it has come to nothing.
+    /// Dropped once the first list has arrived or the first request has failed.
     pub first: Option<MailboxSender<()>>,
 }
 
-/// How the ending of a call begins that discovery answered with a status of its own.
+/// Prefix of the error message of a request that discovery answered with a status other than 200.
 const REFUSED: &str = "refused with status ";
 
-/// Discovery says something, if only an empty line, every 2 s, and what it has to tell counts as told after 6
-/// s: one line that is late by half is no delay any more, and leaves time to ask again.
+/// Discovery sends something, if only an empty line, every 2 s, and a change counts as received 6 s after it was
+/// announced: a line that is late by half a period is no longer a delay, and this leaves time to reconnect.
 const SILENCE: Duration = Duration::from_secs(3);
-/// The agent is on this machine, where a connection comes up at once or not at all; what a new one has to tell
-/// counts as told 4 s after the new configuration.
+/// Connect timeout. The agent is on this machine, where a connection is established at once or not at all; the list
+/// of a new agent counts as received 4 s after the new configuration.
 const DIAL: Duration = Duration::from_secs(1);
-/// A new address is seen by then, though the watch of the former one goes on.
+/// How soon a new address is noticed while the watch of the previous one goes on.
 const MOVED_LOOK: Duration = Duration::from_millis(500);
-/// About so long between calls: the agent is on this machine and answers for free, but a loop must not spin.
+/// Approximate pause between requests: the agent is on this machine and requests are cheap, but a loop must not
+/// spin.
 pub const PAUSE: Duration = Duration::from_millis(200);
-/// Bytes of one list that count as a word from discovery: a long one may take longer to come than a silence.
+/// Bytes of an incomplete list that count as a sign of life from discovery: a long list may take longer to arrive
+/// than the silence limit.
 const PROGRESS: usize = 64 * 1024;
 const MOST_CAUSES: usize = 256;
-/// A list of thousands of hosts, indented; what is longer is no list, and read it would take ten times as much memory.
+/// Enough for an indented list of thousands of hosts. Longer input is not a list, and parsing it would take ten
+/// times as much memory.
 const MOST_LIST: usize = 4 * 1024 * 1024;
 
 impl Watcher {
@@ -97,7 +100,8 @@
                 Ok(()) => "the watch ended".to_string(),
                 Err(why) => why,
             };
-            // What refuses one call refuses the next ones the more: pauses grow, as far as asking may wait.
+            // Pauses grow with each refusal, as a discovery that refuses is overloaded, up to the longest time that
+            // a request may wait.
             refused = if why.starts_with(REFUSED) { refused + 1 } else { 0 };
             self.first = None;
             if self.agent.address() == address {
@@ -107,8 +111,8 @@
         }
     }
 
-    /// Waits for about so long: hundreds of routers are refused alike, and would come back alike. A new address
-    /// ends it.
+    /// Waits for about `pause`, randomised: hundreds of routers are refused at the same time, and would return at
+    /// the same time. A new address ends the wait.
     fn pause(&mut self, address: SocketAddr, pause: Duration) {
         let spread = pause.mul_f64(0.5 + f64::from(self.chance.rand_float()));
         let again = self.returning.as_mut().map_or(spread, |l| Duration::from_secs_f64(l.next_delay()));
@@ -118,8 +122,8 @@
         }
     }
 
-    /// Once per cause, or an agent that stays away would fill the log; and not for ever, or causes would the
-    /// memory.
+    /// Warns once per cause, or an agent that stays away would fill the log. The set of causes is cleared when it
+    /// is full, to bound its memory.
     fn complain(&mut self, why: String, so: &str) {
         debug!(self.log, "discovery: {why}");
         if self.told.len() >= MOST_CAUSES {
@@ -147,11 +151,12 @@
         let mut chunks = None;
         let mut lists = ListStream::default();
         let mut bytes = [0; 16 * 1024];
-        // Only what is whole counts as heard, and what is long: bytes that drip would hide a silence.
+        // Only complete items and long stretches of bytes count as a sign of life: a trickle of bytes would hide a
+        // silence.
         let (mut heard, mut long_from) = (Instant::now(), PROGRESS);
         loop {
             if self.agent.address() != address {
-                // The watch could not be ended from outside: its copy may not have been to be had.
+                // The stream could not be cloned, so the change of address could not end the watch.
                 return Ok(());
             }
             let left = SILENCE.saturating_sub(heard.elapsed());
@@ -189,7 +194,7 @@
         }
     }
 
-    /// Takes each whole list and each empty line of what has come; `false` where there was neither.
+    /// Takes all complete lists and empty lines that have arrived; `false` where there was neither.
     fn take_lists(&mut self, lists: &mut ListStream) -> Result<bool, String> {
         let mut any = false;
         loop {
@@ -227,13 +232,13 @@
             }
             self.dispatcher.send(piece);
         }
-        // Told: whoever waits for a first word from discovery need not wait on.
+        // Whoever waits for the first list need not wait any longer.
         self.first = None;
         Ok(())
     }
 }
 
-/// The length of an answer's head and whether chunks follow; `None` until it is whole.
+/// The length of a response's head and whether its body is chunked; `None` until the head is complete.
 fn head(buf: &[u8]) -> Result<Option<(usize, bool)>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
@@ -250,7 +255,7 @@
     }
 }
 
-/// The body's coding: bytes that are left of the present chunk, its closing line among them.
+/// Decodes the body: tracks the bytes left of the current chunk, its closing line included.
 pub struct Chunks {
     chunked: bool,
     left: usize,
@@ -262,7 +267,7 @@
         Chunks { chunked, left: 0, end: false }
     }
 
-    /// Moves what `buf` holds of the content to `content`, and keeps the rest for later.
+    /// Moves the content in `buf` to `content`, and keeps incomplete framing for later.
     pub fn take(&mut self, buf: &mut Vec<u8>, content: &mut Vec<u8>) -> Result<(), String> {
         if !self.chunked {
             content.append(buf);
--- a/crates/sandstile-router/src/errno.rs
+++ b/crates/sandstile-router/src/errno.rs
@@ -1,5 +1,5 @@
-//! What an error of a system call proves, and what it does not. Linux's numbers stand here, so that nobody else has to
-//! read a meaning into them.
+//! Classifies the errors of system calls. The Linux error numbers are kept in this module, so that no other module
+//! interprets them.
 use std::io::{self, ErrorKind};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -16,18 +16,18 @@
 const ENOBUFS: i32 = 105;
 const EHOSTUNREACH: i32 = 113;
 
-/// What a failed `accept` leaves behind. None of these proves that no connection waits: only `WouldBlock` does.
+/// What a failed `accept` means. None of these proves that the listen queue is empty: only `WouldBlock` does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AcceptFailure {
-    /// The call was interrupted, or one connection failed in the queue: the next call may do better at once.
+    /// The call was interrupted, or one queued connection failed: an immediate retry may succeed.
     Transient,
-    /// This process has as many descriptors as it may: one that is idle can make room.
+    /// The process has reached its descriptor limit: closing an idle connection can make room.
     DescriptorsSpent,
-    /// The machine is short of something, which nothing that is closed here may change.
+    /// The machine lacks a resource; closing connections of this process may not help.
     MachineShort,
 }
 
-/// What this failure of `accept` means; not for `WouldBlock`.
+/// Classifies an error of `accept`. Not for `WouldBlock`.
 pub fn accept_failure(error: &io::Error) -> AcceptFailure {
     match error.raw_os_error() {
         Some(EMFILE) => AcceptFailure::DescriptorsSpent,
@@ -36,35 +36,36 @@
     }
 }
 
-/// Whether a failed `socket` or `connect`, or the registration of a socket, is this machine's own trouble: it says
-/// nothing of the host that was dialled, and may pass in a moment.
+/// Whether an error of `socket`, `connect` or a registration is a problem of this machine: it says nothing about
+/// the host that was dialled, and may pass in a moment.
 pub fn is_local(error: &io::Error) -> bool {
     const LOCAL: [i32; 9] =
         [EAGAIN, ENOMEM, ENFILE, EMFILE, ENOSPC, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ENOBUFS];
     error.kind() == ErrorKind::Interrupted || error.raw_os_error().is_some_and(|n| LOCAL.contains(&n))
 }
 
-/// Whether a call on a connection failed for want of memory, which says nothing of the connection.
+/// Whether a call on a connection failed for lack of memory, which says nothing about the connection.
 pub fn is_short_of_memory(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(ENOMEM | ENOBUFS))
 }
 
-/// Whether the way to the host is gone, as the network tells it later than the call.
+/// Whether the host is unreachable, as the network reports it after the call.
 pub fn is_unreachable(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(ENETUNREACH | EHOSTUNREACH | ENETDOWN))
 }
 
-/// Whether a start that failed with this may do better in a moment: a former process may still hold the address.
+/// Whether a start that failed with this error may succeed in a moment: a previous process may still hold the
+/// address.
 pub fn may_pass(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(EADDRINUSE | EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC))
         || error.kind() == ErrorKind::Interrupted
 }
 
-/// For so long a start waits for what may pass, and between two tries.
+/// How long a start retries calls that failed with a transient error, and the pause between two tries.
 const START_PATIENCE: Duration = Duration::from_secs(5);
 const START_PAUSE: Duration = Duration::from_millis(20);
 
-/// Makes a call of a start again for as long as its failure may pass.
+/// Retries a call of the start while its error is transient, up to `START_RETRY_TIMEOUT`.
 pub fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let give_up_at = Instant::now() + START_PATIENCE;
     loop {
@@ -75,7 +76,7 @@
     }
 }
 
-/// Repeats a call for as long as signals interrupt it.
+/// Repeats a call while signals interrupt it.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
--- a/crates/sandstile-router/src/event_loop.rs
+++ b/crates/sandstile-router/src/event_loop.rs
@@ -1,6 +1,7 @@
-//! The one thread that carries all actors of a router: it sleeps until a socket is ready, a time has come or mail
-//! rings, lets each line that is concerned do a bounded piece of work, and lets the desk decide on what came of it.
-//! `docs/design/readiness.md` says why one, and not one for each connection.
+//! The event loop: the one thread that runs all actors of a router. It sleeps until a socket is ready, a timer is
+//! due or a message arrives, lets each connection concerned do a bounded piece of work, and has the dispatcher
+//! decide on the results. `docs/design/readiness.md` explains why there is one thread and not one for each
+//! connection.
 use crate::budget::{Admission, Budget, Claim, Holder};
 use crate::clients::Clients;
 use crate::clock::Clock;
@@ -28,24 +29,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The most that one read takes.
+/// Bytes per read at the most.
 const MOST_READ: usize = 64 * 1024;
-/// Events of one look.
+/// Events per poll at the most.
 const MOST_EVENTS: usize = 256;
-/// Connections taken in one after another before those that are in have their turn.
+/// Connections accepted in a row before the existing ones get their turn.
 const MOST_ACCEPTS: usize = 128;
-/// Rounds between desk and hosts before the sockets have their turn.
+/// Rounds between dispatcher and hosts before the sockets get their turn.
 const ROUNDS: usize = 8;
-/// Failures of `accept` in a row after which something idle is closed for it.
+/// Consecutive failures of `accept` after which an idle connection is closed to free a descriptor.
 const FAILURES_TO_EVICT: u32 = 4;
-/// Seconds for which a connection that could not be set up is tried again.
+/// Seconds for which the setup of an accepted connection is retried.
 const SETUP_PATIENCE: f64 = 2.0;
-/// Seconds after SIGTERM in which it serves on: new connections come for 0.4 s at most, and clients learn of the end
-/// only by their connections.
+/// Seconds after SIGTERM for which the router serves on: new connections arrive for 0.4 s at most, and clients
+/// learn of the end only through their connections.
 const WINDOW: f64 = 0.5;
-/// Seconds of a turn that is worth a line of log: a tenth of what clients wait at the least.
+/// Seconds of an iteration that is worth a line of log: a tenth of the shortest time that clients wait.
 const LONG_TURN: f64 = 0.05;
-/// Seconds for the last word on sessions to be put down.
+/// How long the end waits until the state of the sessions has been stored.
 const LAST_WORD: Duration = Duration::from_millis(500);
 const BELL: Token = Token(0);
 const DOOR: Token = Token(1);
@@ -55,14 +56,14 @@
     stream: TcpStream,
     waited_since: f64,
     give_up_at: f64,
-    /// There is no room to serve it: its statement is to be refused.
+    /// There is no room to serve it: its statement will be refused.
     refused: bool,
 }
 
-/// What the main thread has the carrier do.
+/// Messages from the main thread to the event loop.
 pub enum Charge {
     End,
-    /// What members seal their letters with has changed.
+    /// The members' message keys have changed.
     Keys(Vec<[u8; 32]>),
 }
 
@@ -70,12 +71,12 @@
     poll: Poll,
     bell: Arc<Bell>,
     context: LoopContext,
-    /// What is beyond the budget waits in its queue.
+    /// Connections beyond the budget wait in its listen queue.
     listener: Listener,
     unserved: Option<Unserved>,
-    /// When readiness was last asked for.
+    /// When readiness was last polled.
     polled_at: f64,
-    /// Takes in what has connected by now, then ends.
+    /// The serving window after SIGTERM has closed: the loop ends once all that had connected by then is answered.
     closing: bool,
     accept_failures: Limiter<AcceptFailure>,
     long_turns: Limiter<()>,
@@ -83,22 +84,22 @@
     hosts: Hosts,
     dispatcher: Dispatcher,
     mail: Mailbox<DispatcherMessage>,
-    /// Answers that waited for a disk.
+    /// Answers that waited for a disk write.
     answers: Mailbox<FinalAnswer>,
     charges: Mailbox<Charge>,
-    /// Where our own file turns them on.
+    /// Present where the local configuration file turns membership on.
     members: Option<Box<Members>>,
-    /// When the window after SIGTERM closes.
+    /// End of the serving window after SIGTERM.
     ends_at: f64,
-    /// Where sessions are kept, which have a last word to put down.
+    /// To the session store, which has to write its state at the end.
     last_word: Option<MailboxSender<SessionMessage>>,
 }
 
-/// The mailboxes of what is carried, made before the actors that write to them.
+/// The mailboxes of the event loop, created before the actors that send to them.
 pub struct Posts {
     poll: Poll,
     bell: Arc<Bell>,
-    /// For answers that waited for a disk.
+    /// For answers that waited for a disk write.
     pub answers: MailboxSender<FinalAnswer>,
     answer_box: Mailbox<FinalAnswer>,
     pub charges: MailboxSender<Charge>,
@@ -114,13 +115,13 @@
         Ok(Posts { poll, bell, answers, answer_box, charges, charge_box })
     }
 
-    /// A mailbox of one of the desk's sources, which whoever writes to it wakes the carrier for.
+    /// A mailbox of a dispatcher source; sending to it wakes the event loop.
     pub fn inlet<T>(&self) -> (MailboxSender<T>, Mailbox<T>) {
         carried(&self.bell)
     }
 }
 
-/// What one router is made of.
+/// The components that make up one router.
 pub struct Parts {
     pub clock: Clock,
     pub budget: Budget,
@@ -128,10 +129,10 @@
     pub log: Logger,
     pub dispatcher: Dispatcher,
     pub workloads: Vec<Workload>,
-    /// Seconds, as `Hosts` has them.
+    /// In seconds, as in `Hosts`.
     pub dial_limit: f64,
     pub idle_close: f64,
-    /// How dials are paced, where our own file turns that on.
+    /// Dial pacing, where the local configuration file turns it on.
     pub dials: Option<DialPacer>,
     pub members: Option<Members>,
     pub last_word: Option<MailboxSender<SessionMessage>>,
@@ -197,10 +198,10 @@
         })
     }
 
-    /// Carries until told to end, and until all that was taken is answered.
+    /// Runs until an end is requested and all accepted statements are answered.
     pub fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(MOST_EVENTS);
-        // What is known of the start is to be known before the first client is heard.
+        // The initial state has to be processed before the first client is read.
         while self.dispatcher.pending() {
             self.settle();
         }
@@ -227,7 +228,7 @@
             if let Some(members) = &mut self.members {
                 members.turn(&self.context);
             }
-            // Those that have more to do have their next turn behind the others.
+            // A connection with more work to do goes to the back of the queue.
             for _ in 0..self.context.queue.len() {
                 match self.context.queue.pop_front() {
                     Some(Token(n)) if n % 2 == 0 => self.clients.called((n - 2) / 2, &mut self.context),
@@ -245,7 +246,7 @@
         Ok(())
     }
 
-    /// Keeps the longest turn, and says of one that was long enough to be felt by clients.
+    /// Records the longest iteration, and logs one that was long enough for clients to notice.
     fn note_turn(&mut self, woke_at: f64, events: usize) {
         let now = self.context.clock.now();
         self.context.counters.longest_turn_ms.record_max_ms(now - woke_at);
@@ -266,7 +267,8 @@
         let limit = if self.busy() {
             Some(Duration::ZERO)
         } else {
-            // Once the window has closed there is nothing left to wake for: a time that has passed would spin.
+            // Once the window has closed there is nothing left to wake up for: a deadline in the past would make
+            // the loop spin.
             let window = if self.closing { f64::INFINITY } else { self.ends_at };
             let mut due = self.dispatcher.due(self.context.clock.now()).min(window).min(self.hosts.due());
             due = due.min(self.members.as_ref().map_or(f64::INFINITY, |m| m.due()));
@@ -279,7 +281,8 @@
         self.bell.wakes();
         self.polled_at = self.context.clock.now();
         if told_all {
-            // A loop that slept was woken by what came; one that did not finds all that came since it last looked.
+            // If the loop slept, the first event woke it; otherwise the events may have occurred at any time since
+            // the previous poll.
             let slept = limit != Some(Duration::ZERO);
             self.context.events_since = if slept { self.polled_at } else { polled_at };
         }
@@ -292,8 +295,8 @@
         }
     }
 
-    /// The desk takes all that waits, and what its sources have to tell where `asks` says so, and lets the decisions say
-    /// what follows; `false` where there was nothing to do.
+    /// The dispatcher takes all waiting messages, polls its sources where `poll_sources` is set, and lets the
+    /// policy decide; `false` where there was nothing to do.
     fn decide(&mut self, asks: bool) -> bool {
         let mut took = asks && self.dispatcher.poll_sources(self.context.clock.now());
         while let Some(mail) = self.mail.try_recv() {
@@ -311,8 +314,8 @@
         worked
     }
 
-    /// Desk, hosts and clients in turn, until nothing follows any more. Orders go before answers, or a dial that
-    /// comes up just then could still write a statement that has been answered.
+    /// Runs dispatcher, hosts and clients in turn until nothing is left to do. Commands are handled before answers,
+    /// or a dial that succeeds just then could still write a statement that has been answered.
     fn settle(&mut self) {
         for round in 0..ROUNDS {
             let mut worked = self.decide(round == 0);
@@ -349,7 +352,7 @@
             }
         }
         if self.ends_at <= now && !self.closing {
-            // All that has connected by now is taken in, as far as there is room.
+            // Everything that has connected by now is accepted, as far as there is room.
             self.closing = true;
             self.listener.look();
             self.accept();
@@ -366,7 +369,8 @@
         }
     }
 
-    /// A descriptor, in place of idle ones if need be. Each goes at once, unless something has just come for it.
+    /// Claims a descriptor, closing idle connections if necessary. An idle connection is closed at once, unless
+    /// something has just arrived on it.
     fn claim(&mut self, holder: Holder) -> bool {
         loop {
             match self.context.budget.claim(holder) {
@@ -380,7 +384,7 @@
         }
     }
 
-    /// What becomes of a connection that no room is made for.
+    /// What happens to a waiting connection for which no idle one can be closed.
     fn admission(&self, now: f64) -> Admission {
         if now < self.listener.overdue_at() {
             return Admission::Wait;
@@ -389,31 +393,31 @@
         self.context.budget.admission(serves, now >= self.listener.refused_at())
     }
 
-    /// Whether one more client can be taken in now, be it to refuse its statement.
+    /// Whether one more client can be accepted now, if only to refuse its statement.
     fn has_room(&self, now: f64) -> bool {
         let fits = self.unserved.is_some() || self.context.budget.can_claim(Holder::ClientConnection);
         fits || self.admission(now) != Admission::Wait
     }
 
-    /// When a connection is to be looked for though nothing is told.
+    /// When to try `accept` without an event.
     fn accept_due(&self) -> f64 {
         let now = self.context.clock.now();
         if self.has_room(now) {
             return self.listener.due();
         }
-        // Whoever ends or rests sooner wakes the loop.
+        // A connection that ends or becomes idle before that wakes the loop.
         let next = [self.listener.overdue_at(), self.listener.refused_at()];
         next.into_iter().filter(|at| *at > now).fold(f64::INFINITY, f64::min)
     }
 
-    /// Whether the next descriptor that comes free is for what waits in the queue, and not for a link.
+    /// Whether the next free descriptor is reserved for the listen queue rather than for an upstream connection.
     fn yields_to_queue(&self) -> bool {
         let overdue = self.context.clock.now() >= self.listener.overdue_at();
         let serves = !self.clients.has_resting_strangers() && self.context.budget.clients_below_limit();
         overdue && serves && self.listener.is_open()
     }
 
-    /// Whether a connection could be taken in now, should one wait.
+    /// Whether a connection could be accepted now, if one is waiting.
     fn accepts(&self) -> bool {
         let now = self.context.clock.now();
         self.listener.wants(now) && self.has_room(now)
@@ -433,7 +437,7 @@
         }
     }
 
-    /// The next connection of the queue, counted in the budget.
+    /// The next connection of the listen queue, counted in the budget.
     fn accept_next(&mut self) -> Option<Unserved> {
         let now = self.context.clock.now();
         match self.listener.accept(&self.context.registry, now) {
@@ -460,14 +464,15 @@
         }
     }
 
-    /// Counts a connection that has come and that nobody makes room for: it is served beyond the clients' share, or
+    /// Counts a connection that was accepted without room for it: it is served beyond the clients' share, or
     /// refused.
     fn claim_beyond_share(&mut self, now: f64) -> Admission {
         let admission = self.admission(now);
         match admission {
             Admission::Refuse => self.context.budget.take_refused(),
             Admission::Serve => self.claim_in_place_of_links(),
-            // Those that were to go had just asked something: it is one more for a moment.
+            // The idle connections chosen for closing had just sent a statement: the limit is exceeded by one for a
+            // moment.
             Admission::Wait => self.context.budget.take(Holder::ClientConnection),
         }
         admission
@@ -488,13 +493,13 @@
         if self.accept_failures.admits(now, failure) {
             warn!(self.context.log, "accept: {error}"; "failure" => ?failure);
         }
-        // Once may be a moment's trouble; the budget keeps this process well below its limit.
+        // A single failure may be transient; the budget keeps this process well below its limit.
         if failure == AcceptFailure::DescriptorsSpent && self.listener.failures() >= FAILURES_TO_EVICT {
             self.make_room();
         }
     }
 
-    /// The oldest idle connection goes: the platform gives fewer descriptors than were promised.
+    /// Closes the oldest idle connection: the platform grants fewer descriptors than the configuration promises.
     fn make_room(&mut self) {
         match self.context.budget.take_oldest_idle() {
             Some((Holder::UpstreamConnection, key)) => {
@@ -505,7 +510,7 @@
         }
     }
 
-    /// Hands a connection over to the clients, or keeps it for another try.
+    /// Hands a connection to the clients, or keeps it for another try.
     fn serve(&mut self, next: Unserved) {
         let now = self.context.clock.now();
         let Unserved { stream, waited_since, give_up_at, refused } = next;
@@ -531,7 +536,7 @@
         self.closing && !self.listener.is_open() && self.unserved.is_none() && self.clients.is_empty()
     }
 
-    /// All is answered: what is remembered of sessions is whole, and is put down as that.
+    /// Everything is answered, so the state of the sessions is complete and is stored as such.
     fn end(&mut self) {
         let (done, last) = single_slot_mailbox::<()>();
         if self.last_word.as_ref().is_some_and(|words| words.send(SessionMessage::End(done))) {
--- a/crates/sandstile-router/src/hosts.rs
+++ b/crates/sandstile-router/src/hosts.rs
@@ -1,4 +1,5 @@
-//! The database hosts: for each the pool of its links, and for each link its socket beside its state machine.
+//! The database hosts: a pool of upstream connections for each host, and for each connection its socket and state
+//! machine.
 use crate::budget::{Holder, IdleKey};
 use crate::counters::Counters;
 use crate::dialling::{dial_ending, is_up};
@@ -23,9 +24,9 @@
 struct Host {
     pool: Pool,
     log: Logger,
-    /// When its endings of each kind were logged last, and how many were not since.
+    /// For each kind of outcome, when it was last logged and how many were not logged since.
     causes: BTreeMap<Ending, (f64, u64)>,
-    /// The time of the timer that stands for its idle links.
+    /// When the timer for its idle connections is due.
     armed: f64,
 }
 
@@ -36,17 +37,17 @@
     queued: bool,
     armed: f64,
     idle: Option<IdleKey>,
-    /// When its dial began, while that is under way and somebody counts.
+    /// When its dial began, while the dial is under way and dials are paced.
     began: Option<f64>,
     wanted_at: f64,
-    /// It has waited for its turn, and was counted for that.
+    /// It has been delayed by the dial pacing and counted for that.
     held: bool,
-    /// Until when its dial is begun again, once one has failed for this machine's own trouble.
+    /// Until when its dial is retried, once a dial has failed with a local error of this machine.
     local_until: Option<f64>,
 }
 
 impl Seat {
-    /// When its socket is to be looked at though nothing was told: not one that rests, which is looked at before use.
+    /// When the socket is rechecked without an event. Idle connections are not: they are checked before use.
     fn look_due(&self) -> f64 {
         match &self.wire {
             Some(wire) if !self.line.idle() => wire.look_due(),
@@ -61,39 +62,39 @@
     dispatcher: MailboxSender<DispatcherMessage>,
     counters: Arc<Counters>,
     log: Logger,
-    /// Links that wait for a descriptor, with where they go.
+    /// Connections that wait for a descriptor, with the address to dial.
     wanted: VecDeque<(usize, SocketAddr)>,
-    /// What has happened to links and is still to be acted on.
+    /// Events of upstream connections that have not been handled yet.
     events: VecDeque<(usize, Event)>,
-    /// When a dial may begin, where our own file turns that on.
+    /// Paces dials, where the local configuration file turns that on.
     pub dials: Option<DialPacer>,
-    /// When the next that waits for its turn may; infinite where none does.
+    /// When the next delayed dial may begin; infinite where there is none.
     turn_at: f64,
-    /// No dial begins before: the last one failed for this machine's own trouble.
+    /// No dial begins before this time: the last one failed with a local error of this machine.
     paused_until: f64,
-    /// Seconds for a connection to come up, or for an answer that has begun to go on: what the network of this
-    /// deployment needs at most.
+    /// Seconds for a connection to be established, or between parts of an answer: the maximum that the network of
+    /// this deployment needs.
     dial_limit: f64,
-    /// Seconds for which a link may rest: well before the host would close it, for a statement written across its
-    /// closing may have run.
+    /// Seconds for which a connection may be idle: well below the host's own idle timeout, for a statement that is
+    /// written while the host closes the connection may have run.
     rest_limit: f64,
 }
 
-/// Seconds for which a dial that failed for this machine's own trouble is begun again before its statement is told, and
-/// seconds between those tries.
+/// Seconds for which a dial that failed with a local error is retried before its statement fails, and seconds
+/// between the tries.
 const LOCAL_PATIENCE: f64 = 0.05;
 const LOCAL_PAUSE: f64 = 0.005;
 
-/// What one dial came to here.
+/// Result of starting one dial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dialled {
     Begun,
     Failed,
-    /// This process may have no more descriptors: something idle is to go.
+    /// This process has reached its descriptor limit: an idle connection has to be closed.
     DescriptorsSpent,
 }
 
-/// Tokens of links are odd; those of hosts, for timers alone, lie above all others.
+/// Tokens of upstream connections are odd. Those of hosts, used for timers only, lie above all others.
 pub fn token(key: usize) -> Token {
     Token(2 * key + 3)
 }
@@ -125,7 +126,7 @@
     }
 
     fn host(&mut self, host: usize) -> &mut Host {
-        // The decisions name no host that no list has named, and none that was forgotten.
+        // The policy only names hosts that a list has named and that have not been forgotten.
         self.hosts.get_mut(host).and_then(Option::as_mut).expect("a pool for each host")
     }
 
@@ -188,7 +189,7 @@
         }
     }
 
-    /// One more link is to be dialled.
+    /// Adds one more connection to be dialled.
     fn want(&mut self, host: usize, address: SocketAddr, context: &LoopContext) {
         self.counters.dialled.add();
         let line = UpstreamConnection::new(context.clock.now() + self.dial_limit, self.dial_limit);
@@ -201,7 +202,7 @@
         self.wanted.push_back((key, address));
     }
 
-    /// A job takes an idle link, if that is still of use, or waits for a dial.
+    /// A task takes an idle connection if one is still usable, or waits for a dial.
     fn begin(&mut self, host: usize, mut task: HostTask, context: &mut LoopContext) {
         loop {
             match self.host(host).pool.begin(task) {
@@ -228,7 +229,7 @@
         self.seats[key].wire.as_ref().is_some_and(Wire::quiet)
     }
 
-    /// Strikes an idle link's record out.
+    /// Removes an idle connection from the budget's idle list.
     fn wake(&mut self, key: usize, context: &mut LoopContext) {
         if let Some(rest) = self.seats[key].idle.take() {
             context.budget.remove_idle(rest);
@@ -245,12 +246,12 @@
         self.run(key, context);
     }
 
-    /// Ends an execution that waits for a link, and, where `sent` says so, one that is under way.
+    /// Cancels an execution that waits for a connection, and, if `sent` is set, also one that is in progress.
     fn recall(&mut self, host: usize, execution_id: (u64, usize), sent: bool, context: &mut LoopContext) {
         match self.host(host).pool.find(execution_id) {
             Lookup::Waiting(task) => self.report(host, task, Ending::WithdrawnUnsent.into(), context),
             Lookup::Running(key) if sent => {
-                // An answer that has come by now counts: nobody has to wonder then whether it ran.
+                // An answer that has arrived by now counts: otherwise nobody would know whether the statement ran.
                 if let Some(wire) = &mut self.seats[key].wire {
                     wire.look();
                 }
@@ -264,9 +265,9 @@
         }
     }
 
-    /// The next link that waits for a descriptor, brought to the front.
+    /// Brings the next connection that may be dialled to the front of the queue; `false` where there is none.
     pub fn wanting(&mut self, now: f64) -> bool {
-        // Its time may be over by now, and its name another's.
+        // The connection may have timed out, and its key may belong to another one by now.
         let stands = |seat: &Seat| seat.wire.is_none() && !seat.line.dialling();
         self.turn_at = f64::INFINITY;
         if now < self.paused_until {
@@ -302,12 +303,12 @@
         false
     }
 
-    /// When a dial that waits for its turn may begin.
+    /// When a delayed dial may begin.
     pub fn due(&self) -> f64 {
         self.turn_at
     }
 
-    /// A dial is no longer under way: up, or come to nothing.
+    /// Tells the dial pacing that a dial has succeeded or failed.
     fn dialled(&mut self, key: usize, failed: Option<Ending>, now: f64) {
         let Some(seat) = self.seats.get_mut(key) else { return };
         if let (Some(dials), Some(began)) = (&mut self.dials, seat.began.take()) {
@@ -320,11 +321,11 @@
         }
     }
 
-    /// Dials it; a descriptor has been counted for it.
+    /// Starts the next dial; its descriptor is already counted in the budget.
     pub fn dial(&mut self, context: &mut LoopContext) -> Dialled {
         let Some((key, address)) = self.wanted.pop_front() else { return Dialled::Failed };
         let dialled = TcpStream::connect(address).and_then(|stream| {
-            // Without it statements may go out a little later.
+            // Without TCP_NODELAY statements may be sent a little later.
             let _ = stream.set_nodelay(true);
             Wire::new(&context.registry, stream, token(key), false).map_err(|(_, e)| e)
         });
@@ -360,7 +361,8 @@
         }
     }
 
-    /// This machine's own trouble says nothing of the host, and no statement is given up for its first moment.
+    /// Queues a dial again. A local error of this machine says nothing about the host, and no statement is given up
+    /// on the first one.
     fn dial_again(
         &mut self,
         key: usize,
@@ -402,7 +404,7 @@
         }
     }
 
-    /// A timer that may be this link's. What has come meanwhile is taken first.
+    /// Handles a timer that may belong to this connection. Input that has arrived meanwhile is read first.
     pub fn timer(&mut self, key: usize, at: f64, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.armed == at) else { return };
         seat.armed = f64::INFINITY;
@@ -426,7 +428,7 @@
         }
     }
 
-    /// A timer that may be this host's: closes what has rested too long.
+    /// Handles a timer that may belong to this host: closes connections that have been idle for too long.
     pub fn host_timer(&mut self, host: usize, at: f64, context: &mut LoopContext) {
         let before = context.clock.now() - self.rest_limit;
         let Some(h) = self.hosts.get_mut(host).and_then(Option::as_mut).filter(|h| h.armed == at) else {
@@ -458,7 +460,7 @@
         }
     }
 
-    /// An idle link goes, for whatever reason of this machine.
+    /// Closes an idle connection, for a reason of this machine.
     pub fn leave(&mut self, key: usize, ending: Ending, context: &mut LoopContext) {
         let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.line.idle()) else { return };
         seat.line.leave();
@@ -480,7 +482,7 @@
         }
     }
 
-    /// As much as one link may do before the others have their turn.
+    /// Does a bounded amount of work on one connection before the others get their turn.
     fn run(&mut self, key: usize, context: &mut LoopContext) {
         for turn in 0.. {
             let Some(seat) = self.seats.get_mut(key) else { return };
@@ -547,7 +549,7 @@
         }
     }
 
-    /// Acts on what has happened to links until nothing more follows from it.
+    /// Handles the events of upstream connections until no more follow.
     fn act(&mut self, context: &mut LoopContext) {
         while let Some((key, event)) = self.events.pop_front() {
             let Some(seat) = self.seats.get(key) else { continue };
@@ -569,7 +571,8 @@
                     self.close(key, context);
                 }
                 Event::Done { task, outcome, reusable } => {
-                    // With more behind the answer than belongs to it, it is of no use to what waits.
+                    // With more bytes behind the answer than belong to it, the connection can't be reused for a
+                    // waiting statement.
                     let spoilt = reusable && self.host(host).pool.waiting() > 0 && !self.quiet(key);
                     if spoilt {
                         self.counters.ended(Ending::IdleEnded);
@@ -578,7 +581,8 @@
                     if !reusable {
                         self.close(key, context);
                     }
-                    // The pool first: a further execution for this host is to find the link free.
+                    // The pool is updated first, so that a further execution for this host finds the connection
+                    // free.
                     let free = self.host(host).pool.task_done(key, reusable, context.clock.now());
                     self.report(host, task, outcome, context);
                     self.freed(host, key, free, false, context);
@@ -587,7 +591,7 @@
         }
     }
 
-    /// A link with nothing to do has been given something, rests, or is of no use any more.
+    /// Handles a connection that has become free: it gets a new task, becomes idle, or is no longer usable.
     fn freed(&mut self, host: usize, key: usize, free: NextUse, fresh: bool, context: &mut LoopContext) {
         match free {
             NextUse::Assign(task) => self.hand(key, task, context),
@@ -605,7 +609,7 @@
         }
     }
 
-    /// A dial less.
+    /// Handles a failed dial.
     fn dial_failed(&mut self, host: usize, key: usize, ending: Ending, context: &mut LoopContext) {
         self.dialled(key, Some(ending), context.clock.now());
         self.close(key, context);
@@ -625,8 +629,8 @@
         });
     }
 
-    /// Counts an ending, and logs it where it is out of the ordinary: each cause once a second and host, for
-    /// a host that is down ends statements by the hundred.
+    /// Counts an outcome, and logs it where it is unusual: each kind at most once per second and host, for a host
+    /// that is down ends statements by the hundred.
     fn ended(&mut self, host: usize, ending: Ending, context: &LoopContext) {
         self.counters.ended(ending);
         if ending.ordinary() {
--- a/crates/sandstile-router/src/known_hosts.rs
+++ b/crates/sandstile-router/src/known_hosts.rs
@@ -1,12 +1,13 @@
-//! The list as discovery has told it so far. What it tells anew becomes the entries that differ, in pieces that the
-//! carrier takes one by one between its clients: a whole list of thousands of hosts is no work of one turn.
+//! The host list as discovery has reported it so far. A new list is reduced to the entries that differ, in chunks
+//! that the dispatcher takes one by one between its clients: a whole list of thousands of hosts would take too long
+//! for one iteration of the event loop.
 use sandstile_deployment::host_list::HostEntry;
 use sandstile_dispatcher::HostListUpdate;
 use sandstile_policy::terms::Readiness;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Entries of one piece.
+/// Entries per chunk.
 const PIECE: usize = 32;
 
 #[derive(Clone, PartialEq)]
@@ -15,14 +16,14 @@
     address: Option<SocketAddr>,
 }
 
-/// What discovery has told, by the names of the hosts.
+/// The hosts that discovery has listed, by name.
 #[derive(Default)]
 pub struct KnownList {
     hosts: BTreeMap<String, Told>,
 }
 
 impl KnownList {
-    /// What this list changes, in pieces; one without entries where it changes nothing.
+    /// The changes of this list, in chunks; one chunk without entries where nothing has changed.
     pub fn changes(&mut self, update: HostListUpdate) -> Vec<HostListUpdate> {
         let index = update.index;
         let mut told: BTreeMap<String, Told> = BTreeMap::new();
--- a/crates/sandstile-router/src/launch.rs
+++ b/crates/sandstile-router/src/launch.rs
@@ -1,4 +1,4 @@
-//! What a router is told at its start: `LB_CONFIG`, and the variables beside it.
+//! The launch configuration of a router: the file named by `LB_CONFIG`, and the environment variables beside it.
 use crate::lists;
 use crate::statement::Workload;
 use sandstile_deployment::settings;
@@ -17,18 +17,18 @@
     pub known: HostListUpdate,
     pub workloads: Vec<Workload>,
     pub terms: Terms,
-    /// Seconds for a connection to a database host to come up.
+    /// Seconds for a connection to a database host to be established.
     pub dial_limit: f64,
 }
 
 impl Launch {
-    /// From the file that `LB_CONFIG` names. The message is one line that names what is wrong.
+    /// Reads the file that `LB_CONFIG` names. The error message is one line that names the problem.
     pub fn from_environment(variable: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
         Launch::load(&variable, &variable)
     }
 
-    /// The file once more, for a router that serves already: the variables beside it are of the start, and
-    /// what a new file says goes before them.
+    /// Reads the file again, for a router that is already serving. A new file takes precedence over `LB_DISCOVERY`,
+    /// which applies to the start only.
     pub fn again(variable: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
         Launch::load(&variable, |name| Some(name).filter(|n| *n != "LB_DISCOVERY").and_then(&variable))
     }
--- a/crates/sandstile-router/src/lib.rs
+++ b/crates/sandstile-router/src/lib.rs
@@ -1,6 +1,7 @@
-//! The sandstile router: the decisions of `sandstile-policy` behind real sockets. One thread, the `event_loop`, carries
-//! the clients' connections (`clients`), the desk of the decisions (`sandstile-dispatcher`) and the database hosts (`hosts`); what
-//! happens on a connection is decided by the machines of `sandstile-connections`, which know neither socket nor clock.
+//! The sandstile router: the decisions of `sandstile-policy` behind real sockets. One thread, the `event_loop`,
+//! runs the clients' connections (`clients`), the dispatcher of the decisions (`sandstile-dispatcher`) and the
+//! database hosts (`hosts`). The protocol logic of each connection is in the state machines of
+//! `sandstile-connections`, which use neither sockets nor clocks.
 pub mod clients;
 pub mod clock;
 pub mod control;
--- a/crates/sandstile-router/src/list_stream.rs
+++ b/crates/sandstile-router/src/list_stream.rs
@@ -1,18 +1,20 @@
-//! The lists of a watch, out of bytes that come in any pieces. Lists may come indented, so their own braces end them and
-//! not the line; each byte is looked at once for that, however many pieces a long list comes in.
+//! Extracts the lists of a discovery watch from a byte stream. Lists may be indented, so a list ends with its
+//! closing brace and not with its line. Each byte is scanned once for that, however many pieces a long list arrives
+//! in.
 use serde_json::Value;
 
-/// Bytes of a list that is not whole yet from which on it is read for faults, each time it has grown to twice as many.
+/// Bytes of an incomplete list from which on it is checked for syntax errors, again each time its length has
+/// doubled.
 const FIRST_TRIAL: usize = 4 * 1024;
 
-/// What a watch says.
+/// An item of a watch.
 pub enum Heard {
-    /// Nothing has changed.
+    /// A keep-alive: nothing has changed.
     EmptyLine,
     List(Value),
 }
 
-/// Where the first object of some text ends.
+/// Finds the end of the first JSON object of a text.
 #[derive(Default)]
 struct ObjectEnd {
     looked_at: usize,
@@ -22,7 +24,7 @@
 }
 
 impl ObjectEnd {
-    /// The length of the object, once all of it is there. The text only ever grows at its end.
+    /// The length of the object, once it is complete. Between calls the text may only grow at its end.
     fn find(&mut self, text: &[u8]) -> Option<usize> {
         while let Some(&byte) = text.get(self.looked_at) {
             self.looked_at += 1;
@@ -53,7 +55,7 @@
     }
 }
 
-/// What has come of a watch and is not taken yet.
+/// The received bytes of a watch that have not been taken yet.
 pub struct ListStream {
     content: Vec<u8>,
     end: ObjectEnd,
@@ -67,17 +69,17 @@
 }
 
 impl ListStream {
-    /// Where what comes next is put.
+    /// The buffer to which received bytes are appended.
     pub fn content(&mut self) -> &mut Vec<u8> {
         &mut self.content
     }
 
-    /// Bytes that are held.
+    /// Bytes in the buffer.
     pub fn held(&self) -> usize {
         self.content.len()
     }
 
-    /// The next whole thing that has come; an error where it can't be read.
+    /// The next complete item; an error where it is not valid JSON.
     pub fn take(&mut self) -> Result<Option<Heard>, serde_json::Error> {
         if self.end.looked_at == 0 {
             let blank = self.content.iter().take_while(|b| b.is_ascii_whitespace()).count();
@@ -98,7 +100,7 @@
         Ok(Some(Heard::List(list)))
     }
 
-    /// What can't become a list is told before its end, which may never come.
+    /// Reports a syntax error before the end of the list, which may never come.
     fn try_in_part(&mut self, first: u8) -> Result<(), serde_json::Error> {
         if first == b'{' && self.content.len() < self.trial_at {
             return Ok(());
--- a/crates/sandstile-router/src/listener.rs
+++ b/crates/sandstile-router/src/listener.rs
@@ -1,6 +1,6 @@
-//! The clients' listening socket. A connection that waits in its queue counts as taken, so nothing but an empty queue
-//! ends the looking: no error of `accept` does, and an empty queue is looked at again in bounded time, for readiness is
-//! told once and a failed call may have used that up.
+//! The clients' listening socket. A connection in the listen queue counts as accepted by the router, so accepting
+//! goes on until the queue is empty: no error of `accept` ends it. An empty queue is checked again after a bounded
+//! time, as readiness is edge-triggered and a failed call may have consumed the event.
 use crate::errno::{accept_failure, retry_transient, AcceptFailure};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
@@ -8,65 +8,66 @@
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
 
-/// Seconds between looks that nothing but the time calls for.
+/// Seconds between checks of the queue without an event.
 const LOOK_EVERY: f64 = 0.05;
-/// Seconds from a failure of the machine to the next try: the first, and the longest, each twice the one before.
+/// Seconds to pause after a failure caused by the machine: the first pause, and the longest. Each is twice the
+/// previous one.
 const FIRST_PAUSE: f64 = 0.001;
 const LONGEST_PAUSE: f64 = 0.02;
-/// Transient failures in a row after which there is a pause as well, or a lasting one would spin.
+/// Consecutive transient failures after which the listener pauses as well, or a persistent one would make it spin.
 const MOST_TRANSIENT: u32 = 8;
-/// Connections that may wait in the queue. What finds none was not taken, and its client tries again.
+/// Connections that may wait in the queue. A client that finds it full is not accepted and tries again.
 const BACKLOG: u16 = 128;
-/// The platform lets in one more than it is told, and what is let in while a call is under way.
+/// The platform admits one more than the backlog, and another one while a call is in progress.
 const MOST_QUEUED: u64 = BACKLOG as u64 + 2;
-/// Accepts between the times that are kept.
+/// Accepts between two recorded timestamps.
 const MARK_EVERY: u64 = 16;
-/// Seconds for which the queue may wait for room before it is taken in beyond the clients' share, and before what
-/// waits longest is refused.
+/// Seconds for which the queue may wait for room before connections are accepted beyond the clients' share, and
+/// seconds after which the oldest waiting one is refused.
 const LONGEST_HOLD: f64 = 0.05;
 const LONGEST_WAIT: f64 = 0.2;
 
-/// Takes a connection without asking who is at its other end: where the platform can't tell that any more, it would
-/// throw the connection away and say ECONNABORTED.
+/// Accepts a connection without asking for its peer address: the standard call drops a connection whose peer
+/// address can no longer be determined, and returns ECONNABORTED.
 fn accept_unnamed(socket: &TcpListener) -> io::Result<TcpStream> {
     let descriptor = accept_with(socket, SocketFlags::CLOEXEC | SocketFlags::NONBLOCK)?;
     Ok(TcpStream::from_std(descriptor.into()))
 }
 
-/// What one try came to.
+/// Result of one call of `accept`.
 #[derive(Debug)]
 pub enum Accepted {
-    /// A connection, and since when at the latest it may have waited, in seconds.
+    /// A connection, and the earliest time, in seconds, since which it may have waited.
     Connection(TcpStream, f64),
-    /// Nothing waits now.
+    /// The queue is empty.
     Empty,
     Failed(AcceptFailure, io::Error),
 }
 
-/// The listening socket and what is known of its queue.
+/// The listening socket and the state of its queue.
 #[derive(Debug)]
 pub struct Listener {
     /// `None` once it is closed.
     socket: Option<TcpListener>,
     token: Token,
-    /// The queue may hold something.
+    /// The queue may contain connections.
     ready: bool,
     paused_until: f64,
     pause: f64,
     failures: u32,
     /// When the queue was last found empty.
     empty_at: f64,
-    /// The earliest time at which what waits may have come, while the queue may hold something.
+    /// While the queue may contain connections: the earliest time at which one of them may have arrived.
     waiting_since: f64,
-    /// Connections taken, and when there had been so many of them; `None` where the queue's length has no known bound.
+    /// Connections accepted, and timestamps of some of these counts; `None` where the queue has no known limit.
     taken: u64,
     marks: Option<VecDeque<(u64, f64)>>,
-    /// Since when there has been no room for what may wait.
+    /// Since when there has been no room for the connections that may be waiting.
     held_since: Option<f64>,
 }
 
 impl Listener {
-    /// Registers the socket; what waits there is looked at first thing.
+    /// Registers the socket. The queue is checked right away for connections that are already waiting.
     pub fn new(
         registry: &Registry,
         token: Token,
@@ -76,7 +77,7 @@
         socket.set_nonblocking(true)?;
         let bounded = listen(&socket, i32::from(BACKLOG)).is_ok();
         let socket = retry_transient(|| {
-            // Made anew each time: the library takes one whose registration failed for registered.
+            // Wrapped anew for each try: mio treats a socket whose registration failed as registered.
             let mut socket = TcpListener::from_std(socket.try_clone()?);
             registry.register(&mut socket, token, Interest::READABLE)?;
             Ok(socket)
@@ -96,30 +97,30 @@
         })
     }
 
-    /// Readiness was told of connections that came no earlier than at `since`.
+    /// Handles a readiness event for connections that arrived no earlier than `since`.
     pub fn told(&mut self, since: f64) {
         if !self.ready {
             (self.ready, self.waiting_since) = (true, since.max(self.empty_at));
         }
     }
 
-    /// Something may wait that nothing was told of since the queue was last empty.
+    /// Connections may have arrived without an event since the queue was last empty.
     fn suspect(&mut self) {
         let empty_at = self.empty_at;
         self.told(empty_at);
     }
 
-    /// Has the next try look, whatever was told.
+    /// Has the next turn call `accept` without an event.
     pub fn look(&mut self) {
         self.suspect();
     }
 
-    /// Whether a try is due at `now`.
+    /// Whether `accept` is to be called at `now`.
     pub fn wants(&self, now: f64) -> bool {
         self.socket.is_some() && now >= self.paused_until && (self.ready || now >= self.empty_at + LOOK_EVERY)
     }
 
-    /// When a try is due that no readiness calls for; infinite where never.
+    /// When `accept` is due without an event; infinite for never.
     pub fn due(&self) -> f64 {
         match (&self.socket, self.ready) {
             (None, _) => f64::INFINITY,
@@ -128,25 +129,25 @@
         }
     }
 
-    /// There is no room for what may wait: it waits on, and its time runs.
+    /// Records that there is no room for the connections that may be waiting; their waiting time counts from now.
     pub fn hold_up(&mut self, now: f64) {
         if self.ready {
             self.held_since.get_or_insert(now);
         }
     }
 
-    /// When what waits for room has waited for too long; infinite where nothing does.
+    /// When the queue has waited too long for room; infinite where nothing waits.
     pub fn overdue_at(&self) -> f64 {
         self.held_since.map_or(f64::INFINITY, |since| since + LONGEST_HOLD)
     }
 
-    /// When what waits longest can no longer be served in time; infinite where nothing waits for room.
+    /// When the oldest waiting connection can no longer be served in time; infinite where nothing waits for room.
     pub fn refused_at(&self) -> f64 {
         self.held_since.map_or(f64::INFINITY, |_| self.waiting_since + LONGEST_WAIT)
     }
 
-    /// One more was taken. They come out as they came in, and the queue holds no more than its bound: what comes out now
-    /// came in after that many before it had come out.
+    /// Counts an accepted connection. The queue is first in, first out and bounded: this connection entered it
+    /// after the one that was accepted a queue's length earlier had left it.
     fn count(&mut self, now: f64) {
         self.taken += 1;
         let Some(marks) = &mut self.marks else { return };
@@ -159,13 +160,13 @@
         }
     }
 
-    /// Takes the next connection of the queue.
+    /// Accepts the next connection of the queue.
     pub fn accept(&mut self, registry: &Registry, now: f64) -> Accepted {
         let Some(socket) = &mut self.socket else { return Accepted::Empty };
         match accept_unnamed(socket) {
             Ok(stream) => {
                 self.recover();
-                // Found though nothing was told, it may have come at any time since the queue was empty.
+                // Without an event, it may have arrived at any time since the queue was last empty.
                 self.suspect();
                 self.count(now);
                 Accepted::Connection(stream, self.waiting_since)
@@ -176,7 +177,7 @@
                 Accepted::Empty
             }
             Err(e) => {
-                // The failed call may have used up what was told: whatever waits is to be told anew.
+                // The failed call may have consumed the event: registering again reports waiting connections anew.
                 let _ = registry.reregister(socket, self.token, Interest::READABLE);
                 let failure = accept_failure(&e);
                 self.fail(now, failure);
@@ -189,7 +190,7 @@
         (self.pause, self.failures) = (FIRST_PAUSE, 0);
     }
 
-    /// After a failure the queue counts as holding something, whatever was told.
+    /// After a failure the queue is assumed to contain connections, whether or not there was an event.
     fn fail(&mut self, now: f64, failure: AcceptFailure) {
         self.suspect();
         self.failures += 1;
@@ -199,12 +200,12 @@
         }
     }
 
-    /// Waits before the next try: what came last could not be set up.
+    /// Pauses before the next try: the last connection could not be set up.
     pub fn pause(&mut self, now: f64) {
         self.fail(now, AcceptFailure::MachineShort);
     }
 
-    /// Failures since the last try that went well.
+    /// Failures since the last successful call.
     pub fn failures(&self) -> u32 {
         self.failures
     }
@@ -213,7 +214,7 @@
         self.socket.is_some()
     }
 
-    /// Nobody is let in any more.
+    /// Stops accepting connections.
     pub fn close(&mut self) {
         self.socket = None;
     }
--- a/crates/sandstile-router/src/lists.rs
+++ b/crates/sandstile-router/src/lists.rs
@@ -1,4 +1,4 @@
-//! Reads the lists of discovery and of the configuration.
+//! Parses host lists: those of discovery and the one in the configuration.
 use crate::pg;
 use sandstile_deployment::host_list::{readiness, HostEntry};
 use sandstile_dispatcher::HostListUpdate;
@@ -6,7 +6,8 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Reads discovery's form. What can't be read is left out; the message then names the first such thing.
+/// Parses a list in discovery's format. Entries that can't be read are left out; the message then names the first
+/// of them.
 pub fn read(json: &Value) -> Result<(HostListUpdate, Option<String>), String> {
     let index = json["index"].as_u64().ok_or("a list without an index")?;
     let is_snapshot = json["snapshot"].as_bool().ok_or("a list without snapshot")?;
--- a/crates/sandstile-router/src/loop_context.rs
+++ b/crates/sandstile-router/src/loop_context.rs
@@ -1,4 +1,4 @@
-//! What all that the carrier's thread carries works with.
+//! What the event loop shares with everything that runs on its thread.
 use crate::budget::Budget;
 use crate::clock::Clock;
 use crate::counters::Counters;
@@ -8,20 +8,20 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Reads or commands for which one line may go on before the others have their turn.
+/// Reads or commands that one connection may handle before the other connections get their turn.
 pub const TURN: usize = 8;
 
-/// What all lines work with.
+/// State shared by all connections of the event loop.
 pub struct LoopContext {
     pub registry: Registry,
     pub clock: Clock,
-    /// What is told in this turn of the loop came no earlier than then.
+    /// The events of this iteration occurred no earlier than this time.
     pub events_since: f64,
     pub budget: Budget,
     pub counters: Arc<Counters>,
     pub log: Logger,
     pub timers: TimerWheel<Token>,
-    /// Lines with something to do, in the order of their turns.
+    /// Connections with work to do, in the order in which they are served.
     pub queue: VecDeque<Token>,
     pub scratch: Vec<u8>,
 }
--- a/crates/sandstile-router/src/mailbox.rs
+++ b/crates/sandstile-router/src/mailbox.rs
@@ -1,9 +1,9 @@
-//! Mailboxes of actors: crossbeam's channels, whose reader sleeps at once. On its own, a blocking receive first
-//! spins and yields for a while, which pays where the writer runs on another core; a router has one core, or
-//! part of it, and the spinning took a third of that.
+//! Message queues of the actors: crossbeam channels whose reader goes to sleep at once. Crossbeam's own blocking
+//! receive spins and yields for a while first, which pays where the writer runs on another core; a router has one
+//! core or a part of one, and spinning took a third of that.
 //!
-//! A reader is a thread of its own, which is parked while there is nothing, or an actor that the carrier's thread
-//! carries, which is woken by a bell; within that thread mail is a push and a pop, and no bell is rung.
+//! A reader is either a thread of its own, which is parked while its queue is empty, or an actor on the event loop,
+//! which is woken by a waker. Within the event loop's thread a message is a push and a pop, and nothing is woken.
 use crate::errno::retry_interrupted;
 use crossbeam_channel::{bounded, unbounded, Receiver, RecvTimeoutError, Sender, TryRecvError};
 use mio::Waker;
@@ -12,7 +12,7 @@
 use std::thread::{self, Thread};
 use std::time::{Duration, Instant};
 
-/// Wakes the carrier's thread where it sleeps.
+/// Wakes the event loop while it sleeps.
 pub struct Bell {
     waker: Waker,
     asleep: AtomicBool,
@@ -23,7 +23,8 @@
         Arc::new(Bell { waker, asleep: AtomicBool::new(false) })
     }
 
-    /// From now on mail rings. What came before is to be looked for once more behind this.
+    /// From now on a new message wakes the loop. The caller has to check the queues once more after this call, for
+    /// messages that were sent before it.
     pub fn sleeps(&self) {
         self.asleep.store(true, SeqCst);
         fence(SeqCst);
@@ -36,7 +37,7 @@
     fn ring(&self) {
         fence(SeqCst);
         if self.asleep.swap(false, SeqCst) && retry_interrupted(|| self.waker.wake()).is_err() {
-            // Not woken: whoever rings next tries again, and the carrier's own times wake it meanwhile.
+            // The wake-up failed: the next sender tries again, and the loop's own timers wake it meanwhile.
             self.asleep.store(true, SeqCst);
         }
     }
@@ -48,13 +49,13 @@
     Carried(Arc<Bell>),
 }
 
-/// The writing end; any number of them.
+/// The sending end; it can be cloned.
 pub struct MailboxSender<T> {
     sender: Option<Sender<T>>,
     reader: Reader,
 }
 
-/// The reading end, for one thread.
+/// The receiving end, for one thread.
 pub struct Mailbox<T> {
     receiver: Receiver<T>,
     reader: Reader,
@@ -64,17 +65,17 @@
     with(unbounded(), Reader::Thread(Arc::default()))
 }
 
-/// For an actor that the carrier's thread carries.
+/// A mailbox whose reader runs on the event loop.
 pub fn carried<T>(bell: &Arc<Bell>) -> (MailboxSender<T>, Mailbox<T>) {
     with(unbounded(), Reader::Carried(bell.clone()))
 }
 
-/// For one piece of mail at a time.
+/// A mailbox for one message at a time.
 pub fn single_slot_mailbox<T>() -> (MailboxSender<T>, Mailbox<T>) {
     bounded_mailbox(1)
 }
 
-/// For so many pieces of mail at the most.
+/// A mailbox for at most `capacity` messages.
 pub fn bounded_mailbox<T>(most: usize) -> (MailboxSender<T>, Mailbox<T>) {
     with(bounded(most), Reader::Thread(Arc::default()))
 }
@@ -84,14 +85,15 @@
 }
 
 impl<T> MailboxSender<T> {
-    /// Never waits. `false` where nobody will read it: the reader has gone, or a slot is taken.
+    /// Never blocks. Returns `false` where nobody will read the message: the reader is gone, or the mailbox is
+    /// full.
     pub fn send(&self, mail: T) -> bool {
         let sent = self.sender.as_ref().is_some_and(|sender| sender.try_send(mail).is_ok());
         self.wake();
         sent
     }
 
-    /// Mail that nobody has read yet.
+    /// Messages that have not been read yet.
     pub fn queued(&self) -> usize {
         self.sender.as_ref().map_or(0, Sender::len)
     }
@@ -116,7 +118,8 @@
 
 impl<T> Drop for MailboxSender<T> {
     fn drop(&mut self) {
-        // The last one gone ends a reader's wait, so the channel has to know first.
+        // Dropping the last sender ends the reader's wait, so the channel has to be closed before the reader is
+        // woken.
         self.sender = None;
         if matches!(self.reader, Reader::Thread(_)) {
             self.wake();
@@ -133,9 +136,9 @@
         self.receiver.is_empty()
     }
 
-    /// Waits without end where there is no limit. Not for an actor that is carried.
+    /// Waits without limit where `timeout` is `None`. Not for a reader on the event loop.
     pub fn recv(&self, limit: Option<Duration>) -> Result<T, RecvTimeoutError> {
-        // Who writes before this is known wakes nobody, and is found by the look below.
+        // A sender that runs before the thread is known wakes nobody; the loop below finds its message.
         if let Reader::Thread(reader) = &self.reader {
             reader.get_or_init(thread::current);
         }
--- a/crates/sandstile-router/src/mailbox_source.rs
+++ b/crates/sandstile-router/src/mailbox_source.rs
@@ -1,8 +1,9 @@
-//! A source of the desk whose facts come by mail: what another thread or another actor of the carrier's has learnt.
+//! A dispatcher source that is fed by a mailbox: what another thread, or another actor of the event loop, has
+//! learnt.
 use crate::mailbox::Mailbox;
 use sandstile_dispatcher::{DispatcherInput, Source};
 
-/// Mail taken at one look: the desk has its clients in between.
+/// Messages taken per poll: the dispatcher serves its clients in between.
 const MOST: usize = 2;
 
 pub struct Inlet<T> {
--- a/crates/sandstile-router/src/main.rs
+++ b/crates/sandstile-router/src/main.rs
@@ -30,7 +30,7 @@
 signals: SIGUSR1 prints the counters; SIGHUP reads the configuration again and follows the discovery that it
 names; SIGTERM answers what was taken, then exits with 0";
 
-/// Lines of log that may wait to be written: a start logs two for each database host.
+/// Log lines that may wait to be written: a start logs two for each database host.
 const LOG_LINES_WAITING: usize = 4096;
 
 fn main() -> ExitCode {
@@ -88,7 +88,7 @@
     Launch::from_environment(|name| std::env::var(name).ok())
 }
 
-/// What a journal holds.
+/// Prints what a journal of sessions holds.
 fn inspect(words: &[String]) -> Result<(), String> {
     let [verb, path] = words else { return Err("usage: sandstile sessions inspect FILE".to_string()) };
     if verb != "inspect" {
@@ -108,7 +108,7 @@
     Ok(())
 }
 
-/// Who is there, as a running router sees it.
+/// Prints the members as a running router sees them.
 fn members(socket: Option<&Path>, json: bool) -> Result<(), String> {
     let said = control_client::members(socket.ok_or("no --socket PATH")?)?;
     match json {
@@ -118,7 +118,7 @@
     Ok(())
 }
 
-/// What is kept together with other routers: by one, or where two differ.
+/// Prints the replicated state of one router, or the differences between two.
 fn kept_state(words: &[String]) -> Result<(), String> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words[..] {
@@ -143,7 +143,7 @@
     }
 }
 
-/// What a mark says, for operators who have the keys.
+/// Prints the content of a session's mark, for operators who have the keys.
 fn decode(words: &[String], keys: Option<&Path>) -> Result<(), String> {
     let [verb, text] = words else {
         return Err("usage: sandstile token decode TOKEN --keys FILE".to_string());
@@ -162,7 +162,7 @@
 fn serve(verbose: bool, file: Option<&Path>) -> Result<(), String> {
     let launch = launch()?;
     let charter = LocalConfig::load(file)?;
-    // A router without one of its actors would look alive and answer nothing.
+    // A router that has lost one of its actors would look alive and answer nothing, so a panic aborts the process.
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         report(panic);
@@ -171,7 +171,7 @@
     let decorator = slog_term::PlainDecorator::new(std::io::stderr());
     // A full disk or a closed pipe behind the log must not end a router.
     let lines = slog_term::FullFormat::new(decorator).build().ignore_res();
-    // A log that nobody reads must hold up no actor.
+    // A log that nobody reads must not block any actor.
     let (drain, guard) = slog_async::Async::new(lines).chan_size(LOG_LINES_WAITING).build_with_guard();
     let level = if verbose { Level::Debug } else { Level::Info };
     let log = Logger::root(drain.filter_level(level).fuse(), o!("router" => launch.name.clone()));
--- a/crates/sandstile-router/src/rate.rs
+++ b/crates/sandstile-router/src/rate.rs
@@ -1,10 +1,10 @@
-//! Holds lines of the log to one of a kind in a second, and counts what was left out.
+//! Rate limit for log lines: at most one of a kind per second.
 use std::collections::BTreeMap;
 
-/// Seconds between two lines of one kind.
+/// Seconds between two lines of the same kind.
 const APART: f64 = 1.0;
 
-/// When each kind was logged last.
+/// Records when each kind was last logged.
 #[derive(Debug)]
 pub struct Limiter<Kind> {
     last: BTreeMap<Kind, f64>,
@@ -17,7 +17,7 @@
 }
 
 impl<Kind: Ord> Limiter<Kind> {
-    /// Whether a line of this kind may be written at `now`, in seconds.
+    /// Whether a line of this kind may be logged at `now`, in seconds.
     pub fn admits(&mut self, now: f64, kind: Kind) -> bool {
         let last = self.last.entry(kind).or_insert(f64::NEG_INFINITY);
         let admits = now >= *last + APART;
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -1,4 +1,4 @@
-//! Builds the actors of one router, and takes them down in order.
+//! Creates the actors of one router and shuts them down in order.
 use crate::budget::{Budget, MAX_REFUSED_CONNECTIONS};
 use crate::clock::Clock;
 use crate::counters::Counters;
@@ -31,21 +31,23 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Standard streams, the listener, discovery, the signals' pipe, and what the runtime opens for itself.
+/// Standard streams, the listener, discovery, the signal pipe, and what the runtime opens for itself.
 const OWN_DESCRIPTORS: usize = 16;
-/// What the carrier's thread may need: lines are heap, and the decisions call few deep.
+/// Stack bytes of the event loop's thread: connections are on the heap, and the policy's call depth is small.
 const CARRIER_STACK: usize = 512 * 1024;
 
-/// The agent is on this machine and answers at once with what it has, or is silent for as long as discovery is down.
+/// How long the start waits for discovery's first list. The agent is on this machine: it answers at once with what
+/// it has, or is silent for as long as discovery is down.
 const FIRST_WORD: Duration = Duration::from_millis(500);
 
-/// The number that a name ends with: routers of one deployment are named alike.
+/// The number at the end of a router's name: the routers of a deployment are named alike.
 fn numbered(name: &str) -> Option<u64> {
     let digits = name.len() - name.trim_end_matches(|c: char| c.is_ascii_digit()).len();
     name[name.len() - digits..].parse().ok()
 }
 
-/// Serves until told to end, and until all that was taken is answered. `again` reads the configuration anew.
+/// Serves until an end is requested and all accepted statements are answered. `reload_config` rereads the launch
+/// configuration.
 pub fn serve(
     launch: Launch,
     charter: LocalConfig,
@@ -56,8 +58,8 @@
 ) -> Result<(), String> {
     let clock = Clock::anchor();
     let most = launch.sockets.saturating_sub(OWN_DESCRIPTORS + MAX_REFUSED_CONNECTIONS).max(4);
-    // Clients hold at most a third of the descriptors for statements, each with a link beside it. Some more may
-    // come and go. Half of the memory is for long frames.
+    // Clients use at most a third of the descriptors for statements, each with an upstream connection beside it;
+    // some more may connect and disconnect. Half of the memory is for long frames.
     let most_clients = (launch.sockets / 3 + OWN_DESCRIPTORS).min(most / 2).max(2);
     let budget = Budget::new(most, most_clients, (launch.memory / 2).max(4 * pg::MAX_FRAME_BYTES));
     let posts = errno::retry_transient(Posts::open).map_err(|e| format!("readiness: {e}"))?;
@@ -77,7 +79,8 @@
         log: log.clone(),
         told: BTreeSet::new(),
         returning: charter.restart_pacing.as_ref().map(|_| ListBackoff::new(launch.seed)),
-        // Where lists are asked for, what has not been asked for in 6 s counts as told.
+        // In deployments where lists are delivered on request, a change counts as received after 6 s even if it has
+        // not been requested: the longest pause stays well below that.
         longest_pause: match launch.terms.list_on_request {
             true => Duration::from_secs_f64(launch.terms.subscribe_within.clamp(0.3, 6.0) / 3.0),
             false => discovery::PAUSE,
@@ -85,7 +88,8 @@
         chance: Rand32::new(launch.seed),
         first: Some(first),
     };
-    // Each life of an instance has a number of its own, higher than that of the former one as far as its clock goes.
+    // Each process start of an instance has its own generation, higher than the previous one as far as its clock is
+    // right.
     let generation = (clock.now() * 1e6) as u64;
     let policy = Instance::new(&launch.terms, launch.seed, clock.now());
     let mut dispatcher = Dispatcher::new(policy, counters.dispatcher.clone());
@@ -176,8 +180,9 @@
         members = Some(Members::open(plan, beside, clock.now(), &log)?);
     }
     threads::spawn_joinable("discovery", CARRIER_STACK, move || watcher.run())?;
-    // What the agent has counts as told from the first moment, and the list of the start may be old: nobody is let in
-    // before the list is, but for an agent that is silent. Nor may they wait in the listening socket: their time runs.
+    // Statements are judged by the agent's list from the first moment, and the list of the launch configuration may
+    // be old: no client is accepted before the first list, unless the agent is silent. Clients must not wait in the
+    // listen queue either, as their statements' time runs there.
     let _ = first_told.recv(Some(FIRST_WORD));
     let listener = errno::retry_transient(|| TcpListener::bind(launch.listen))
         .map_err(|e| format!("listen on {}: {e}", launch.listen))?;
@@ -235,7 +240,7 @@
         read_keys();
         read_member_keys();
     };
-    // A reload that comes beside the end still counts: for a while, statements are taken.
+    // A reload that arrives close to the end still takes effect: statements are accepted for a short while longer.
     while let Some(wish) = wishes.await_one() {
         match wish {
             Wish::Reload => reload(),
@@ -246,7 +251,7 @@
         }
     }
     let ended = carried.join();
-    // The desk has gone, and its tape with it: what was recorded is whole.
+    // The dispatcher is gone, and its recording source with it: the recording is complete.
     recording.map(JoinHandle::join);
     match ended {
         Ok(carried) => carried.map_err(|e| format!("readiness: {e}")),
--- a/crates/sandstile-router/src/signals.rs
+++ b/crates/sandstile-router/src/signals.rs
@@ -1,5 +1,5 @@
-//! SIGUSR1 prints the counters; SIGHUP has the configuration read again; SIGTERM or SIGINT ends the router, once
-//! all that it took is answered. The main thread waits for them, and does nothing else.
+//! SIGUSR1 prints the counters; SIGHUP reloads the configuration; SIGTERM and SIGINT end the router once all
+//! accepted statements are answered. The main thread only waits for these signals.
 use crate::counters::Counters;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::iterator::{Handle, Signals};
@@ -12,18 +12,18 @@
     End,
 }
 
-/// Writes the counters to standard error; one that can't be written to loses them, and nothing else.
+/// Writes the counters to standard error; a failed write is ignored.
 pub fn print_counters(counters: &Counters) {
     let _ = writeln!(io::stderr(), "{counters}");
 }
 
-/// Yields each wish that operators have for the router.
+/// Yields the requests that operators make by signals.
 pub struct Wishes {
     signals: Signals,
     counters: Arc<Counters>,
 }
 
-/// Ends the waiting for wishes.
+/// Ends the wait for signals when dropped.
 pub struct Enough(Handle);
 
 impl Drop for Enough {
@@ -41,7 +41,7 @@
         Enough(self.signals.handle())
     }
 
-    /// The next one; `None` once there are to be no more.
+    /// The next request; `None` once the wait has been ended.
     pub fn await_one(&mut self) -> Option<Wish> {
         loop {
             match self.signals.forever().next()? {
--- a/crates/sandstile-router/src/socket.rs
+++ b/crates/sandstile-router/src/socket.rs
@@ -1,6 +1,6 @@
-//! A socket on the readiness loop, and what is known of it between events. Readiness is told once, at its edge: it
-//! stands until the platform says that there is nothing more. Nothing rests on that word alone: a socket that waits is
-//! looked at again, each time after twice as long, so that news that was never told costs no more than the wait before.
+//! A socket registered with the event loop, and its readiness. Readiness events are edge-triggered: readiness holds
+//! until a call returns `WouldBlock`. The router doesn't depend on events alone: a waiting socket is also rechecked
+//! at intervals that double each time, so that a missed event costs no more than the wait before it.
 use crate::errno::is_short_of_memory;
 use mio::event::Event;
 use mio::net::TcpStream;
@@ -8,37 +8,37 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-/// Seconds from the last bytes to the first look that no readiness calls for.
+/// Seconds from the last transfer to the first recheck without an event.
 const FIRST_LOOK: f64 = 0.025;
 
 pub struct Wire {
     stream: TcpStream,
     readable: bool,
     writable: bool,
-    /// The other side has ended its sending: reads go on until they have met that end.
+    /// The peer has closed its sending side, or the connection broke: reads go on until they reach that end.
     ending: bool,
-    /// Readiness that was told has not been used up.
+    /// A readiness event was reported since a read last returned `WouldBlock`.
     announced: bool,
-    /// When it is looked at next, and after how many seconds that is.
+    /// When the socket is rechecked next, and the current interval in seconds.
     look_at: f64,
     look_gap: f64,
 }
 
-/// What a read or a write came to.
+/// Result of a read or a write.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Moved {
     Bytes(usize),
     Nothing,
-    /// The machine was short of memory for the call, and nothing was moved: the connection stands.
+    /// The call failed for lack of memory and transferred nothing; the connection is intact.
     Later,
-    /// The other side has ended its sending, and all that it sent was read.
+    /// The peer has closed its sending side, and everything it sent has been read.
     Ended,
     /// The connection broke, with this error number where the platform gave one.
     Broken(Option<i32>),
 }
 
 impl Wire {
-    /// Registers the socket; one that can't be registered now is handed back.
+    /// Registers the socket. A socket that can't be registered now is returned with the error.
     pub fn new(
         registry: &Registry,
         mut stream: TcpStream,
@@ -55,7 +55,7 @@
                 look_at: f64::INFINITY,
                 look_gap: FIRST_LOOK,
             }),
-            // Made anew: the library takes one whose registration failed for registered.
+            // Wrapped anew: mio treats a socket whose registration failed as registered.
             Err(e) => Err((TcpStream::from_std(stream.into()), e)),
         }
     }
@@ -65,7 +65,7 @@
     }
 
     pub fn told(&mut self, event: &Event) {
-        // A connection that broke is found out by whichever comes first.
+        // A broken connection is reported by the next read or write, so both are allowed.
         let broken = event.is_error();
         self.announced = true;
         self.ending |= event.is_read_closed() || broken;
@@ -73,23 +73,24 @@
         self.writable |= event.is_writable() || event.is_write_closed() || broken;
     }
 
-    /// Has the next read look, whatever was told: at the end of a time, or before something is said.
+    /// Has the next read try the socket without an event: when a deadline has passed, or before an action that
+    /// depends on what has been received.
     pub fn look(&mut self) {
         self.readable = true;
     }
 
-    /// Bytes went one way or the other at `now`: the next look is soon.
+    /// Bytes were transferred at `now`: the recheck interval starts over.
     pub fn moved(&mut self, now: f64) {
         self.look_gap = FIRST_LOOK;
         self.look_at = now + self.look_gap;
     }
 
-    /// When it is to be looked at though nothing was told.
+    /// When the socket is rechecked without an event.
     pub fn look_due(&self) -> f64 {
         self.look_at
     }
 
-    /// Has the next read and write try, where a look is due at `now`.
+    /// Lets the next read and write try the socket, if a recheck is due at `now`.
     pub fn look_again(&mut self, now: f64) {
         if now >= self.look_at {
             (self.readable, self.writable) = (true, true);
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Whether the bytes that were read just now came without a word of readiness.
+    /// Whether the bytes just read came without a readiness event.
     pub fn unannounced(&self) -> bool {
         !self.announced
     }
@@ -107,8 +108,8 @@
         self.readable
     }
 
-    /// Whether the other side has ended its sending, or the connection broke: known even while there was no room
-    /// to read what came before that.
+    /// Whether the peer has closed its sending side or the connection broke. Known even while there is no room to
+    /// read what was sent before that.
     pub fn ending(&self) -> bool {
         self.ending
     }
@@ -128,7 +129,8 @@
         loop {
             match self.stream.read(bytes) {
                 Ok(0) => return Moved::Ended,
-                // However little came, it proves nothing of what is left: readiness stands until a read would block.
+                // A short read doesn't prove that nothing is left: readiness holds until a read returns
+                // `WouldBlock`.
                 Ok(got) => return Moved::Bytes(got),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Whether nothing has come: bytes or an end on an idle connection mean that it is of no use any more.
+    /// Whether nothing can be read: bytes or an end of stream on an idle connection make it unusable.
     pub fn quiet(&self) -> bool {
         loop {
             match self.stream.peek(&mut [0]) {
--- a/crates/sandstile-router/src/threads.rs
+++ b/crates/sandstile-router/src/threads.rs
@@ -1,10 +1,10 @@
-//! Threads beside the carrier's: small stacks, and a name for whoever looks.
+//! Named threads with small stacks, beside the event loop's thread.
 use std::thread::{self, JoinHandle};
 
-/// What a thread that parses a line or two and writes a line of log needs, with room to spare.
+/// Stack bytes for a thread that parses a few lines and writes a line of log, with room to spare.
 pub const STACK: usize = 128 * 1024;
 
-/// Begins one that nobody waits for.
+/// Starts a thread that nobody joins.
 pub fn spawn_detached(name: &str, body: impl FnOnce() + Send + 'static) -> Result<(), String> {
     spawn_joinable(name, STACK, body).map(drop)
 }
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Random bytes and pieces through the codecs and the mapping of endings, each from a fixed seed.
+//! Property tests of the codecs and of the mapping of outcomes: random bytes and splits, each from a fixed seed.
 use crossbeam_channel::RecvTimeoutError;
 use quickcheck::{Gen, QuickCheck, Testable};
 use sandstile_deployment::{host_list, interner::Interner, settings};
@@ -124,7 +124,7 @@
     assert!(short.take(b'T', frames[0].1).is_ok() && short.take(b'D', b"\0\x01\0\0\0\x03ab").is_err());
 }
 
-/// Only what proves that nothing ran may lead to another execution of a non-idempotent statement.
+/// A non-idempotent statement may only be executed again after an outcome that proves that it never ran.
 #[test]
 fn endings_after_the_last_written_byte_never_pass_for_never_ran() {
     use Ending::*;
@@ -216,8 +216,9 @@
     assert_eq!(facts, ["a.b=1.5,x", "a.c=", "classes.0.name=n o", "classes.count=1", "n=", "t=true"]);
 }
 
-/// Where more than a quarter of what clients may hold rests, the oldest goes for each that comes, strangers first; for
-/// want of descriptors idle links go first, unless it is the clients' share that is full.
+/// When more than a quarter of the clients' share is idle, the oldest idle client is closed for each new one, those
+/// that have not sent a statement first. For lack of descriptors, idle upstream connections are closed first,
+/// unless the clients' share is full.
 #[test]
 fn a_crowd_that_rests_leaves_room_for_those_who_ask() {
     let mut budget = Budget::new(20, 8, 0);
@@ -257,7 +258,8 @@
     assert!(!budget.reserve_bytes(1));
 }
 
-/// Mail that came before its reader first looked, while it sleeps, and the end of the last that could write.
+/// Covers messages sent before the reader first looks, messages that arrive while it sleeps, and the drop of the
+/// last sender.
 #[test]
 fn mailboxes_wake_their_reader_for_mail_and_for_the_end() {
     let (post, mailbox) = mailbox::mailbox();
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Pairs of events that cross: each order is forced by a barrier or by what a stand-in waits for, never by luck.
-//! `docs/design/crossings.md` lists them.
+//! Races between pairs of events; each order is forced by a barrier or by what a stand-in waits for. They are
+//! listed in `docs/design/crossings.md`.
 #[allow(dead_code)]
 mod stand_ins;
 
@@ -7,7 +7,8 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-/// A pipelined statement's client counts its time from the sending, whatever stood before it on the connection.
+/// Guards against the time limit of a pipelined statement being counted from the answer before it: the client
+/// counts from its sending.
 #[test]
 fn a_pipelined_statement_is_told_within_the_time_from_its_own_sending() {
     let primary = Host::scripted(true, &[HostReply::Slow(300, b"first"), HostReply::Silent]);
@@ -22,7 +23,8 @@
     assert!(took < Duration::from_millis(950), "{took:?}");
 }
 
-/// A client that fills its connection with commands and leaves is gone at once: what it left unread hides no end.
+/// Guards against unread commands hiding the end of a connection: a client that fills its connection with commands
+/// and disconnects is noticed at once.
 #[test]
 fn a_client_that_leaves_behind_unread_commands_is_gone() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
@@ -35,7 +37,7 @@
     drop(leaver);
     wait_for("the withdrawal", || primary.ended.load(SeqCst) == 1);
     assert!(left.elapsed() < Duration::from_millis(1500), "{:?}", left.elapsed());
-    // Nothing of what it left behind is begun: the next at the host is another client's.
+    // None of the unread commands was started: the next query at the host is another client's.
     let mut other = router.client();
     assert_eq!(value(&other.ask(&write(800))), b"primary");
     assert_eq!(primary.count(), 2);
@@ -43,7 +45,8 @@
     assert!(ok && (count(&log, "taken"), count(&log, "clients_gone")) == (2, 1), "{log}");
 }
 
-/// A statement that is wrong in itself, or has no time left, stands before good ones on a connection.
+/// Guards against good statements being lost behind a malformed one, or behind one without time left, on the same
+/// connection.
 #[test]
 fn statements_behind_an_unreadable_one_are_answered() {
     let primary = Host::start(true);
@@ -59,14 +62,15 @@
     assert_eq!(primary.count(), 1, "nothing begins for one whose time is up");
 }
 
-/// What the agent has counts as told from a process's first moment: nobody is let in before that is in. Nor does anyone
-/// wait in the listening socket meanwhile, for a client's time runs there unseen.
+/// Guards against statements routed by the old list of the launch configuration: no client is accepted before
+/// discovery's first list. Clients must not wait in the listen queue meanwhile either, as their statements' time
+/// runs there.
 #[test]
 fn a_new_process_lets_nobody_in_before_the_agent_has_told_its_list() {
     let (primary, replica) = (Host::start(true), Host::start(false));
     let agent = DiscoveryAgent::start();
     let text = config(agent.address, &known(&primary, &[&replica]));
-    // On a machine that holds this test up the half second may be over as it looks: then once more.
+    // On a machine that delays this test, the half second may be over at the check: then it is repeated.
     let (router, mut watch) = loop {
         let begun = Instant::now();
         let (router, watch) = (Router::begin(&text), agent.watch());
@@ -83,7 +87,7 @@
     assert_eq!(replica.count(), 0);
 }
 
-/// An agent that is silent, for discovery is down, keeps no process from serving.
+/// Guards against a router that waits for discovery without end: a silent agent must not keep it from serving.
 #[test]
 fn a_new_process_serves_by_the_list_of_the_start_where_the_agent_is_silent() {
     let primary = Host::start(true);
@@ -95,7 +99,8 @@
     assert_eq!(value(&client.ask(&write(800))), b"primary");
 }
 
-/// Lists may come indented, over several lines and in any pieces.
+/// Guards against lists being split at line ends: a list may be indented over several lines and arrive in any
+/// pieces.
 #[test]
 fn a_list_over_many_lines_is_one_list() {
     let (old, new) = (Host::start(true), Host::scripted(true, &[HostReply::Row(b"new")]));
@@ -117,7 +122,7 @@
     assert!(ok && count(&log, "bad_lists") == 0 && count(&log, "watches") == 1, "{log}");
 }
 
-/// Bytes that drip are no word from discovery: a watch that says nothing whole is opened anew in time.
+/// Guards against single bytes counting as a sign of life: a watch that sends nothing complete is reopened in time.
 #[test]
 fn a_watch_that_drips_is_a_silent_one() {
     let primary = Host::start(true);
@@ -140,7 +145,8 @@
     drop(router);
 }
 
-/// Its client left while it waited for a connection: it is not begun, though executions may not be withdrawn here.
+/// Guards against a statement being started after its client has disconnected while it waited for a connection,
+/// even where executions may not be cancelled.
 #[test]
 fn a_statement_that_waits_for_a_connection_goes_with_its_client() {
     let primary = Host::scripted(true, &[HostReply::Slow(340, b"first")]);
@@ -163,8 +169,8 @@
     assert!(ok && (count(&log, "clients_gone"), count(&log, "WithdrawnUnsent")) == (1, 1), "{log}");
 }
 
-/// A discovery that refuses is asked less and less often, or hundreds of routers would keep it refusing; never so
-/// seldom that what it has counts as told unheard.
+/// Guards against an overloaded discovery being kept overloaded by hundreds of routers: refused requests are
+/// repeated at growing intervals, but often enough that no change counts as received unread.
 #[test]
 fn a_discovery_that_refuses_is_not_hammered() {
     let primary = Host::start(true);
@@ -182,7 +188,8 @@
     drop(router);
 }
 
-/// The window after SIGTERM closes while half of a command has come: its rest is taken and answered.
+/// Guards against a command being lost that is half received when the window after SIGTERM closes: the rest is read
+/// and answered.
 #[test]
 fn a_command_that_is_half_there_as_the_door_closes_is_answered() {
     let primary = Host::start(true);
@@ -193,7 +200,7 @@
     let command = query(&write(800));
     half.send(&command[..30]);
     router.signal("TERM");
-    // The one that rests is closed, and by then the other would have been.
+    // The idle one is closed, and by then the other one would have been closed too.
     assert_eq!(idle.answer(), Got::default());
     half.send(&command[30..]);
     assert_eq!(value(&half.answer()), b"primary");
@@ -202,7 +209,8 @@
     assert!(ok && (count(&log, "taken"), count(&log, "completed")) == (3, 3), "{log}");
 }
 
-/// Told to end before the first list is in: nobody has been let in, and it ends well.
+/// Guards against a failed exit where SIGTERM arrives before the first list: no client has been accepted, and the
+/// router exits with success.
 #[test]
 fn an_end_before_the_first_list_is_an_end() {
     let primary = Host::start(true);
@@ -214,8 +222,8 @@
     assert_eq!(primary.met.load(SeqCst), 0);
 }
 
-/// Killed under a statement and started again: the host is asked nothing on behalf of the dead, and the first statement
-/// of the new life is served.
+/// Guards against effects of a killed process on its successor: the host gets no query on behalf of the dead
+/// process, and the first statement of the new one is served.
 #[test]
 fn a_process_that_is_killed_under_a_statement_leaves_nothing_to_its_next_life() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
@@ -232,7 +240,8 @@
     assert_eq!(primary.count(), 2);
 }
 
-/// The answer stands in the socket as the withdrawal is ordered: it counts, or nobody would know whether it ran.
+/// Guards against an answer being dropped that is already in the socket when its execution is cancelled: nobody
+/// would know whether the statement ran.
 #[test]
 fn an_answer_that_has_come_as_its_execution_is_withdrawn_counts() {
     use sandstile_dispatcher::{Command, DispatcherMessage, HostTask, Outcome, TaskKind};
@@ -269,7 +278,7 @@
     let kind = TaskKind::Statement { statement_id: 7, execution: 0, payload: std::sync::Arc::new(Text) };
     hosts.order(Command::Start(0, HostTask { kind, deadline: clock.now() + 5.0 }), &mut context);
     let mut events = mio::Events::with_capacity(16);
-    // Until the statement is written: from then on nothing is told of the socket any more.
+    // Polls until the statement is written; from then on no event of the socket is delivered.
     wait_for("the statement at its host", || {
         if context.budget.claim(sandstile_router::budget::Holder::UpstreamConnection)
             == sandstile_router::budget::Claim::Granted
--- a/crates/sandstile-router/tests/many_hosts.rs
+++ b/crates/sandstile-router/tests/many_hosts.rs
@@ -1,4 +1,5 @@
-//! Routers before thousands of database hosts, as processes of their own on loopback, judged by what clients saw.
+//! Routers with thousands of database hosts, run as separate processes on loopback and judged by the answers that
+//! clients got.
 use sandstile_soak::plan::{Event, Plan};
 use sandstile_soak::process::Programs;
 use sandstile_soak::record::{Effect, End};
@@ -12,7 +13,7 @@
 const GROUPS: usize = 457;
 
 static NEXT_BLOCK: AtomicU16 = AtomicU16::new(0);
-/// One run after the other: each holds thousands of descriptors.
+/// One run at a time: each holds thousands of descriptors.
 static RUNNING: Mutex<()> = Mutex::new(());
 
 fn outcome(plan: &Plan) -> Outcome {
@@ -43,13 +44,15 @@
     Plan { hosts: HOSTS, groups: GROUPS, sockets, work_ms: 0, ..Plan::calm(42, length) }
 }
 
-/// Guards against writes held for all their time, though their primary is up and their group's reads are served.
+/// Guards against writes that wait until their deadline although their primary is up and the group's reads are
+/// served.
 #[test]
 fn writes_to_a_group_met_seldom_are_sent_to_its_primary() {
     assert_clean(&outcome(&large(Duration::from_secs(8))));
 }
 
-/// Guards against requests refused as over right after their arrival, as the listen queue is never found empty.
+/// Guards against requests refused as expired right after their arrival, because the listen queue is never found
+/// empty.
 #[test]
 fn a_request_is_as_old_as_itself_and_not_as_the_listen_queue() {
     let clients = 100;
@@ -71,7 +74,8 @@
     assert_clean(&outcome);
 }
 
-/// Guards against turns that grow with all hosts and groups: a stream of changes holds up all requests.
+/// Guards against iterations whose length grows with the number of hosts and groups: a stream of list changes would
+/// then delay all requests.
 #[test]
 fn changes_of_a_long_list_hold_up_no_request_on_a_tenth_of_a_core() {
     let length = Duration::from_secs(8);
@@ -86,7 +90,8 @@
     assert_clean(&outcome);
 }
 
-/// Guards against hosts taken for silent, and their writes held for all their time, as the router itself stood still.
+/// Guards against hosts taken for unresponsive, and their writes delayed until the deadline, because the router
+/// itself was stopped.
 #[test]
 fn a_router_that_is_held_up_again_and_again_holds_no_request() {
     let hold_up = |n: u64| (Duration::from_millis(1_000 + 400 * n), Event::HoldUp { router: 0, ms: 150 });
@@ -95,7 +100,8 @@
     assert_clean(&outcome(&plan));
 }
 
-/// Guards against requests that wait behind a whole list, a watch that ends, a crowd or a restart of their router.
+/// Guards against requests that wait behind a whole list, a watch that ends, a rush of clients or a signal to their
+/// router.
 #[test]
 fn whole_lists_crowds_and_signals_hold_up_no_request() {
     let at = |ms: u64, event: Event| (Duration::from_millis(ms), event);
--- a/crates/sandstile-router/tests/no_ring.rs
+++ b/crates/sandstile-router/tests/no_ring.rs
@@ -1,13 +1,14 @@
-//! The router's files lean on one another one way: a ring makes every change a change of all of them.
+//! The modules of the router must not depend on one another in a cycle: a cycle would make each change a change of
+//! all its modules.
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 
-/// Modules of the crate that a file names behind `crate::`.
+/// Modules of the crate that a file refers to by `crate::`.
 fn leans_on(text: &str, all: &BTreeSet<String>) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     for (at, _) in text.match_indices("crate::") {
         let rest = &text[at + 7..];
-        // `use crate::{a, b};` and `crate::a::…` alike.
+        // Handles `use crate::{a, b};` and `crate::a::…` alike.
         let until = if rest.starts_with('{') { rest.find('}').unwrap_or(0) } else { 40.min(rest.len()) };
         let group = rest.starts_with('{');
         let words =
@@ -18,7 +19,8 @@
     found
 }
 
-/// What is left once everything that leans on nothing left has been taken away: rings, and what leans on them.
+/// Removes all modules that depend on none of those left, again and again; what remains are cycles and their
+/// dependents.
 fn ringed(mut graph: BTreeMap<String, BTreeSet<String>>) -> BTreeSet<String> {
     loop {
         let left: BTreeSet<String> = graph.keys().cloned().collect();
--- a/crates/sandstile-router/tests/program.rs
+++ b/crates/sandstile-router/tests/program.rs
@@ -21,7 +21,7 @@
     let mut byte = [0];
     std::io::Read::read_exact(&mut client.stream, &mut byte).expect("a byte");
     assert_eq!(byte[0], b'N');
-    // The startup with the first query right behind it, split in an odd place.
+    // The startup message with the first query right behind it, split at an arbitrary byte.
     let mut bytes = pg::startup_message();
     let asked = read(800);
     bytes.extend_from_slice(&query(&asked));
@@ -38,7 +38,7 @@
     assert!(client.ask(" ; ").empty);
     assert_eq!(value(&client.ask(&write(800))), b"primary");
     assert_eq!(value(&client.ask(&read(800))), b"replica");
-    // Two at once are answered in their order.
+    // Two pipelined statements are answered in their order.
     client.send(&[query(&write(800)), query(&read(800))].concat());
     assert_eq!(value(&client.answer()), b"primary");
     assert_eq!(value(&client.answer()), b"replica");
@@ -65,7 +65,8 @@
     let mut client = router.client();
     assert_eq!(value(&client.ask(&read(1500))), long);
     assert_eq!((replicas[0].count(), replicas[1].count(), primary.count()), (1, 1, 1));
-    // The protocol's page says 64 KiB; hosts in service send longer ones. What no memory here could hold is cut.
+    // The protocol's page says 64 KiB, but hosts in service send longer values. A value that exceeds this router's
+    // memory is cut off.
     let longer: &'static [u8] = vec![8; 700_000].leak();
     primary.script.lock().expect("script").acts.push_back(HostReply::Row(longer));
     assert_eq!(value(&client.ask(&write(1500))), longer);
@@ -80,7 +81,7 @@
         .any(|w| w == &literal.as_bytes()[..100]));
 }
 
-/// A write that was written whole may have run: whatever broke then, it is aborted, and sent once.
+/// A write that was sent completely may have run: whatever fails then, it is aborted, and sent only once.
 #[test]
 fn a_write_that_may_have_run_is_aborted_and_never_sent_again() {
     for act in [
@@ -99,7 +100,7 @@
     }
 }
 
-/// Spoilt answers end their link at once, cost a read one more execution, and rest no host.
+/// A malformed answer ends its connection at once, costs a read one more execution, and doesn't eject the host.
 #[test]
 fn spoilt_answers_are_told_early_teach_nothing_and_are_never_passed_on() {
     let row = |value: &[u8], length: u32| {
@@ -112,11 +113,11 @@
     let spoilt: [&'static [u8]; 6] = [
         b"no frame at all",
         b"G\0\0\x10\0",
-        // A value said to have 3 GB, a row longer than its value, and one that stops in the middle.
+        // A value with a declared length of 3 GB, a row longer than its value, and a row that stops in the middle.
         b"D\xb2\xd0\x5e\x0a\0\x01\xb2\xd0\x5e\0value",
         row(b"value", 500).leak(),
         &row(b"value", 15).leak()[..40],
-        // What it tells of its host stands in a spoilt answer: nobody is to believe it.
+        // A malformed answer that reports its host as primary: the report must be ignored.
         [row(b"value", 15), b"S\0\0\0\x14mode\0read-write\0Z\0\0\0\xffI".to_vec()].concat().leak(),
     ];
     let acts: Vec<HostReply> = spoilt.iter().map(|bytes| HostReply::Raw(bytes)).collect();
@@ -126,7 +127,7 @@
     let started = Instant::now();
     for n in 1..=spoilt.len() {
         assert_eq!(value(&client.ask(&read(1800))), b"primary");
-        // The replica has its next turn all the same.
+        // The replica stays in the rotation.
         assert_eq!(replica.count(), n);
     }
     assert!(started.elapsed() < Duration::from_millis(900), "{:?}", started.elapsed());
@@ -136,7 +137,7 @@
     assert!(ok && count(&log, "Garbled") == 6 && !log.contains("primary is now host 1"), "{log}");
 }
 
-/// What stands behind a good answer ends the link, and is never taken for the next statement's answer.
+/// Bytes behind a good answer end the connection, and are never taken for the next statement's answer.
 #[test]
 fn more_than_the_answer_ends_the_link_and_not_the_answer() {
     let primary = Host::scripted(
@@ -153,7 +154,7 @@
     assert!(ok && count(&log, "dialled") == 3 && count(&log, "Completed") == 4, "{log}");
 }
 
-/// Nothing was written where a dial fails: the client may try again, and is told when.
+/// Where a dial fails nothing was sent: the client may try again, and is told when.
 #[test]
 fn a_write_that_never_ran_is_rejected_with_a_time_to_return() {
     let refusing = Host::start(true);
@@ -174,7 +175,7 @@
     }
 }
 
-/// A connection that the host has closed is noticed before a write goes onto it.
+/// A connection that the host has closed is detected before a write is sent on it.
 #[test]
 fn an_idle_connection_is_looked_at_before_it_is_used_again() {
     let primary = Host::scripted(true, &[HostReply::RowThenEnd(b"one"), HostReply::Row(b"two")]);
@@ -233,7 +234,7 @@
     let primary = Host::start(true);
     let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
     let q = |text: &str| query(text);
-    // Where commands end is sure: the statement alone is turned away, and the client is served on.
+    // The end of the command is known: only the statement is rejected, and the client is served on.
     let unreadable: Vec<Vec<u8>> = vec![
         q("SELECT 1"),
         q("/* c=look,d=500,cluster=3"),
@@ -247,7 +248,7 @@
         q("/* id=,c=look,d=500,cluster=3 */ SELECT 'k'"),
         q(&format!("/* id={},c=look,d=500,cluster=3 */ SELECT 'k'", "9".repeat(65))),
     ];
-    // Nothing behind these can be trusted: the connection ends.
+    // After these the framing can't be trusted: the connection is closed.
     let bad: Vec<Vec<u8>> = vec![
         q(&(read(500) + "\0 more")),
         b"Q\xff\xff\xff\xff".to_vec(),
@@ -276,7 +277,7 @@
     let mut no_startup = Client::connect(router.address);
     no_startup.send(b"GET / HTTP/1.1\r\n\r\n");
     assert_eq!(no_startup.answer().code.as_deref(), Some("08P01"));
-    // The id of another client's open statement: that one is answered, the copy never goes on.
+    // A statement with the id of another client's open statement: that one is answered, the copy is not executed.
     primary.script.lock().expect("script").acts.push_back(HostReply::Slow(200, b"first"));
     let (mut first, asked) = (router.client(), write(800));
     first.send(&query(&asked));
@@ -284,7 +285,7 @@
     let got = router.client().ask(&asked);
     assert!(got.code.as_deref() == Some("42710") && got.ready, "{got:?}");
     assert_eq!(value(&first.answer()), b"first");
-    // A cluster that no list names can't be served, now; trying again is harmless.
+    // A cluster that no list names can't be served now; a retry is harmless.
     let unknown = read(60).replace("cluster=3", "cluster=99");
     assert_eq!(router.client().ask(&unknown).code.as_deref(), Some("53300"));
     assert_eq!(value(&router.client().ask(&write(800))), b"primary");
@@ -294,7 +295,8 @@
     assert!(ok && count(&log, "bad_input") == turned_away, "{log}");
 }
 
-/// Who says nothing, stops in the middle or drips is turned away in the page's time; who asked may rest as long.
+/// A client that sends nothing, stops in the middle or trickles bytes is rejected after the time that the
+/// protocol's page states; one that has sent a statement may be idle as long.
 #[test]
 fn connections_without_an_open_statement_end_in_the_pages_time() {
     let router = Router::start_with_hosts(&Host::start(true), &[]);
@@ -310,7 +312,7 @@
         }
         started.elapsed()
     });
-    // Served for as long as any stranger is, and no longer.
+    // Empty queries don't extend the time of a client that has sent no statement.
     let mut flood = router.client();
     let flooding = thread::spawn(move || {
         while started.elapsed().as_secs() < 8 && flood.ask(";").empty {}
@@ -346,7 +348,7 @@
     let moved = list(43, false, &[entry("s-0", new.address, true, "active")]) + "\n";
     watch.chunk(&moved[..moved.len() / 2]);
     watch.raw(format!("{:x}\r\n{}", moved.len() - moved.len() / 2, &moved[moved.len() / 2..]).as_bytes());
-    // The other address drops the idle connection to the old one.
+    // The new address closes the idle connection to the old one.
     wait_for("the move", || old.ended.load(SeqCst) == 1);
     assert_eq!(value(&client.ask(&write(800))), b"new");
     watch.raw(b"\r\n");
@@ -357,7 +359,7 @@
     watch.begin();
     let left = list(44, false, &[entry("s-1", replica.address, false, "leaving")]);
     watch.chunk(&(left + "\nnot a list\n"));
-    // That line ends the watch; what came before it stands.
+    // That line ends the watch; the list before it takes effect.
     let mut watch = agent.watch();
     assert!(watch.request.contains("&since=44 "), "{}", watch.request);
     assert_eq!(value(&client.ask(&read(800))), b"primary");
@@ -367,7 +369,7 @@
     let writes = new.count();
     assert_eq!(client.ask(&write(300)).code.as_deref(), Some("53300"));
     drop(watch);
-    // Neither nonsense nor a refusal in place of a watch costs the list.
+    // The list survives both nonsense and a refusal in place of a watch.
     for answer in ["not HTTP at all\r\n\r\n", "HTTP/1.1 503 Sorry\r\nContent-Length: 0\r\n\r\n"] {
         let mut watch = agent.watch();
         assert!(watch.request.contains("&since=50 "), "{}", watch.request);
@@ -397,8 +399,8 @@
     assert_eq!((count(&log, "taken"), count(&log, "completed"), count(&log, "aborted")), (2, 1, 1), "{log}");
 }
 
-/// The process stands still over the end of a statement's time, as one does that is kept to its share of a core: the
-/// answer that it then has is late, and not withheld.
+/// The process is stopped beyond a statement's deadline, as happens under a CPU quota: the answer is then sent late
+/// rather than withheld.
 #[test]
 fn an_answer_that_has_become_late_is_given_all_the_same() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
@@ -416,7 +418,8 @@
     assert!(ok && count(&log, "forsaken") == 0, "{log}");
 }
 
-/// A new configuration names another agent: the old watch is left, the list stands, what is out is answered.
+/// A new configuration names another agent: the old watch is closed, the list is kept, and open statements are
+/// answered.
 #[test]
 fn a_reload_follows_the_new_discovery_and_a_bad_file_changes_nothing() {
     let primary = Host::scripted(true, &[HostReply::Slow(300, b"slow")]);
@@ -443,7 +446,8 @@
     assert!(ok && log.contains("the former configuration stays"), "{log}");
 }
 
-/// Hosts replaced under new ids, as releases do for ever: what has left takes its links and its records along.
+/// Hosts are replaced under new names, as releases do all the time: a host that has left is removed with its
+/// connections and records.
 #[test]
 fn hosts_that_have_left_for_good_are_forgotten() {
     let (primary, replica, agent) = (Host::start(true), Host::start(false), DiscoveryAgent::start());
@@ -471,7 +475,7 @@
     assert_eq!(count(&log, "hosts"), 2);
 }
 
-/// A statement that crosses the host's close of a link that rested: the host is well, and keeps its turn.
+/// A statement that is sent while the host closes the idle connection: the host is healthy and is not ejected.
 #[test]
 fn a_link_that_ends_under_its_next_statement_rests_no_host() {
     let acts = [
@@ -491,7 +495,8 @@
     assert!(ok && (count(&log, "Crossed"), count(&log, "CutShort")) == (1, 1), "{log}");
 }
 
-/// The list names who was primary once; answers say who is. Probes look for it where nobody answers as one.
+/// The list may name a former primary; answers show the current one. Where no host answers as primary, probes look
+/// for it.
 #[test]
 fn a_write_finds_the_primary_that_the_list_does_not_name() {
     let (old, new) = (Host::scripted(false, &[HostReply::Fail("25006")]), Host::start(true));
@@ -515,7 +520,7 @@
     assert!(hosts.iter().all(asked));
 }
 
-/// Database hosts turn away what they can't read: that is the client's doing, and rests no host.
+/// A statement that the database host can't parse is the client's fault and doesn't eject the host.
 #[test]
 fn a_statement_that_a_host_cannot_read_is_no_fault_of_the_host() {
     let primary = Host::scripted(true, &[HostReply::Fail("08P01")]);
@@ -527,7 +532,7 @@
     assert!(started.elapsed() < Duration::from_millis(200), "{:?}", started.elapsed());
 }
 
-/// A statement that waits for a dial goes by whichever link is free first.
+/// A statement that waits for a dial uses whichever connection becomes free first.
 #[test]
 fn a_dial_that_never_comes_up_costs_nothing_where_another_link_comes_free() {
     let primary = Host::scripted(true, &[HostReply::Slow(120, b"one"), HostReply::Row(b"two")]);
@@ -542,7 +547,8 @@
     assert!(ok && count(&log, "Completed") == 2 && count(&log, "sent") == 2, "{log}");
 }
 
-/// Where the platform gives fewer descriptors than were promised, the router makes room and goes on.
+/// Where the platform grants fewer descriptors than the configuration promises, the router closes idle connections
+/// and continues.
 #[test]
 fn a_router_that_runs_out_of_descriptors_neither_dies_nor_blames_its_hosts() {
     let primary = Host::start(true);
@@ -559,7 +565,7 @@
     assert!(ok && log.contains("accept: ") && count(&log, "DialRefused") == 0, "{log}");
 }
 
-/// Half a frame of the longest from each of more clients than the router takes in at once.
+/// Half of a frame of maximum length from each of more clients than the router accepts at once.
 #[test]
 fn clients_that_stop_in_the_middle_of_a_frame_stay_within_the_memory() {
     let primary = Host::start(true);
@@ -571,7 +577,7 @@
     half.truncate(pg::MAX_FRAME_BYTES - 9);
     let mut flood: Vec<Client> = (0..560).map(|_| Client::connect(router.address)).collect();
     for client in &mut flood {
-        // The oldest may have had to go by then.
+        // The oldest clients may have been closed by then.
         let _ =
             std::io::Write::write_all(&mut client.stream, &[pg::startup_message(), half.clone()].concat());
     }
@@ -583,14 +589,14 @@
     assert!(kib < 192 * 1024, "{kib} KiB");
 }
 
-/// Connections beyond the budget wait or take the place of idle ones; the process neither dies nor spins.
+/// Connections beyond the budget wait or replace idle ones; the process neither dies nor spins.
 #[test]
 fn a_flood_of_connections_stays_within_the_descriptors() {
     let long: &'static [u8] = vec![7; 64 * 1024].leak();
     let (primary, replica) = (Host::start(true), Host::start(false));
     let router = Router::start_with_hosts(&primary, &[&replica]);
     let mut flood: Vec<Client> = (0..90).map(|_| Client::connect(router.address)).collect();
-    // All are in, and nobody is told to go for want of room any more.
+    // All are accepted, and none is closed any more for lack of room.
     flood.iter().for_each(|c| c.stream.set_nonblocking(true).expect("a socket"));
     let gone =
         |c: &&Client| c.stream.peek(&mut [0]).map_or_else(|e| e.kind() != ErrorKind::WouldBlock, |n| n == 0);
@@ -604,7 +610,7 @@
     assert_eq!(answers, 20);
     let held = std::fs::read_dir(format!("/proc/{}/fd", router.child.id())).expect("a process").count();
     assert!(held <= 64, "{held}");
-    // With more to give out, no more rest than statements could need: each has a thread.
+    // With more descriptors, no more connections stay idle than statements could need.
     let known = known(&primary, &[&replica]);
     let roomy = config(DiscoveryAgent::start().address, &known).replace("\"sockets\":64", "\"sockets\":256");
     let roomy = Router::start(&roomy);
@@ -613,7 +619,7 @@
     let held = std::fs::read_dir(format!("/proc/{}/fd", roomy.child.id())).expect("a process").count();
     assert!((20..=256 / 3 + 32).contains(&held), "{held}");
     drop((crowd, roomy));
-    // A client that never reads and one that sends a byte at a time hold up nobody.
+    // A client that never reads and one that sends a byte at a time delay nobody.
     let mut stuck = router.client();
     replica.script.lock().expect("script").acts.extend(vec![HostReply::Row(long); 200]);
     stuck.send(&query(&read(1500)).repeat(200));
--- a/crates/sandstile-router/tests/readiness.rs
+++ b/crates/sandstile-router/tests/readiness.rs
@@ -1,4 +1,5 @@
-//! What one thread for all connections must not do: starve one for another, stand still, or cost anything at rest.
+//! What a single thread for all connections must not do: starve one connection for another, stall, or use CPU time
+//! while idle.
 #[allow(dead_code)]
 mod stand_ins;
 
@@ -11,7 +12,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients that never stop asking for nothing, and a host that answers at length, have their turns and no more.
+/// Clients that send empty queries without end, and a host that sends long answers, get their share of turns and no
+/// more.
 #[test]
 fn lines_with_endless_work_hold_up_nobody() {
     let long: &'static [u8] = vec![7; 60_000].leak();
@@ -21,7 +23,7 @@
     let (over, floods) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let mut threads = Vec::new();
     for _ in 0..2 {
-        // One that has asked is no stranger, and may go on for as long as it likes.
+        // A client that has sent a statement may go on for as long as it likes.
         let mut client = router.client();
         assert!(client.ask(&write(1500)).value.is_some());
         let mut reads = client.stream.try_clone().expect("a socket");
@@ -58,7 +60,8 @@
     assert!(router.end().0);
 }
 
-/// Stopped for 80 ms and let go for 20, as a fifth of a core is: nothing is lost, doubled or withheld.
+/// Stopped for 80 ms and run for 20 ms repeatedly, like a process with a fifth of a core: no answer is lost,
+/// duplicated or withheld.
 #[test]
 fn a_process_that_is_stopped_again_and_again_answers_all() {
     let (primary, replica) = (Host::start(true), Host::start(false));
@@ -96,8 +99,8 @@
     assert_eq!((of("completed") + of("rejected") + of("aborted"), of("forsaken")), (asked, 0), "{log}");
 }
 
-/// Told to end and to read its configuration again while a dial, a half-read answer and a half-written command are
-/// under way: what was taken is answered, once.
+/// SIGTERM and a reload while a dial, a half-read answer and a half-written command are in progress: every accepted
+/// statement is answered, once.
 #[test]
 fn an_end_and_a_reload_in_the_midst_of_everything_lose_nothing() {
     let mut half = Vec::new();
@@ -114,7 +117,7 @@
         (router.client(), router.client(), router.client(), router.client());
     first.send(&query(&write(1500)));
     wait_for("the first write", || primary.count() == 1);
-    // Waits for a dial that is never greeted.
+    // Waits for a dial whose startup is never answered.
     second.send(&query(&write(1500)));
     third.send(&query(&read(1500)));
     wait_for("the read", || replica.count() == 1);
@@ -124,7 +127,7 @@
     router.signal("TERM");
     begun.send(&command[20..]);
     assert_eq!(first.answer().value.as_deref(), Some(&b"first"[..]));
-    // By the link that the first had, once that was free.
+    // Over the connection of the first statement, once that was free.
     assert_eq!(second.answer().value.as_deref(), Some(&b"primary"[..]));
     assert_eq!(third.answer().value.as_deref(), Some(&b"primary"[..]));
     assert_eq!(begun.answer().value.as_deref(), Some(&b"primary"[..]));
@@ -140,8 +143,8 @@
     assert_eq!(asked.iter().filter(|q| q.contains("INSERT")).count(), 3, "no write twice: {asked:#?}");
 }
 
-/// Told to end, it waits for what is out as it always does, and costs nothing meanwhile. On the fleet's days routers that
-/// spun here heard no answer any more, and were killed with what they had taken.
+/// Guards against a router that spins after SIGTERM while a statement is open. In the fleet, routers that spun here
+/// read no answers any more, and were killed with open statements.
 #[test]
 fn a_router_that_ends_sleeps_while_a_statement_is_out() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
@@ -159,7 +162,7 @@
     assert!(router.end().0);
 }
 
-/// An agent for many routers, which only ever says that it is there.
+/// A discovery agent for many routers that only sends empty lines.
 fn quiet_agent() -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -178,7 +181,7 @@
     address
 }
 
-/// Threads of a process, and the seconds of processor time that they have had.
+/// Number of threads of a process, and the seconds of CPU time that they have used.
 fn threads_and_time(pid: u32) -> (usize, f64) {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).expect("a process");
     let times: Vec<f64> = tasks
@@ -191,7 +194,7 @@
     (times.len(), times.iter().sum())
 }
 
-/// A machine of the fleet carries hundreds of routers, each with every host of the deployment on its list.
+/// A machine of the fleet runs hundreds of routers, each with every host of the deployment on its list.
 #[test]
 fn forty_routers_before_sixty_hosts_cost_few_threads_and_nothing_at_rest() {
     let hosts: Vec<Host> = (0..60).map(|n| Host::start(n % 6 == 0)).collect();
@@ -212,7 +215,7 @@
             assert_eq!(client.ask(&asked).value.as_deref(), Some(&b"replica"[..]));
         }
     }
-    // Connections that rest go within 2 s; from then on nothing is to be done.
+    // Idle clients are closed within 2 s; from then on there is nothing to do.
     thread::sleep(Duration::from_millis(2500));
     let before: Vec<f64> = routers.iter().map(|r| threads_and_time(r.child.id()).1).collect();
     let begun = Instant::now();
@@ -226,7 +229,7 @@
     }
     println!("at rest {:.1} ms of processor time a minute at most", 1e3 * most);
     assert!(most < 0.2, "{most} s a minute");
-    // With a crowd of connections in and many links out, still no more.
+    // With many client and upstream connections open, still no more threads.
     let crowd: Vec<Client> = (0..30).map(|_| routers[0].client()).collect();
     let (threads, _) = threads_and_time(routers[0].child.id());
     assert!(threads <= 6, "{threads} threads");
--- a/crates/sandstile-router/tests/returns.rs
+++ b/crates/sandstile-router/tests/returns.rs
@@ -1,11 +1,11 @@
-//! Several processes of this program, and faults between them: short forms of the rehearsals of returns.
+//! Several router processes with faults between them: short forms of the rehearsals of restarts.
 use sandstile_audit::returning::Returning;
 use sandstile_audit::{judge, returning, Trace};
 use sandstile_lab::rehearse::{rehearse, Wanted};
 use sandstile_scenario::Script;
 use std::path::{Path, PathBuf};
 
-/// Four routers before one group whose hosts pay for each connection, cues behind it.
+/// Four routers in front of one group whose hosts pay for each connection; the cues are appended.
 const FLEET: &str = r#"
 title = "Returns, in little"
 seconds = 12
@@ -79,7 +79,7 @@
     let summary = rehearse(wanted).expect("a rehearsal");
     let trace =
         Trace::read(&std::fs::read_to_string(out.join("trace.jsonl")).expect("a trace")).expect("lines");
-    // On a machine that stands still for a while answers are seen late; nothing else may be found, ever.
+    // On a machine that stalls for a while answers are seen late; no other finding is allowed.
     let found = judge(&trace).expect("a whole trace");
     let broken: Vec<_> =
         found.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
@@ -88,7 +88,8 @@
     Played { trace, back, text: summary.text, out }
 }
 
-/// All die in one instant and come back with their clients; service is whole again, and no host was trampled.
+/// All routers are killed at once and return with their clients: service recovers, and no host gets too many dials
+/// at once.
 #[test]
 fn all_restart_at_once_and_service_comes_back() {
     let cues = r#"
@@ -110,8 +111,8 @@
     assert!(dials <= 16.0, "{dials} dials at a host in 100 ms\n{}", played.text);
 }
 
-/// Four dials at once are one too many for a cold host's dial limit; a plain return keeps it busy with work that nobody waits
-/// for. The pace finds what it can greet.
+/// Four simultaneous dials are one too many for the dial limit of a cold host: a plain restart keeps it busy with
+/// work that nobody waits for, while the paced one adapts to what the host can accept.
 #[test]
 fn hosts_that_greet_no_crowd_in_time_are_reached_all_the_same() {
     let cues = r#"
@@ -146,7 +147,8 @@
     assert!(served(&plain) < 0.5, "the baseline no longer falls over: {}", served(&plain));
 }
 
-/// A router stands still for some seconds, its agent's link is cut meanwhile, and it goes on with yesterday's statements.
+/// A router is stopped for some seconds while its agent's connection is cut, and then continues with old
+/// statements.
 #[test]
 fn a_router_that_stood_still_decides_nothing_on_yesterday() {
     let cues = r#"
@@ -174,13 +176,14 @@
     assert!(played.trace.stood_still(2, 0.0, f64::INFINITY) && !played.trace.links.is_empty());
     assert!(played.back.stale.is_empty(), "{:?}\n{}", played.back.stale, played.text);
     let log = std::fs::read_to_string(played.out.join("router-2.log")).expect("its log");
-    // Once at least: a machine that stands still itself is seen too.
+    // At least once: a stall of the machine itself is detected too.
     assert!(log.contains("stood still for") && !log.contains(" stalls=0 "), "{log}");
     let agent = std::fs::read_to_string(played.out.join("router-1.log")).expect("its log");
     assert!(agent.contains("discovery:"), "its agent's link was cut: {agent}");
 }
 
-/// What our own file says wrong of a return is told with its place, and nothing starts.
+/// Errors in the `return` block of the local configuration file are reported with their position, and nothing
+/// starts.
 #[test]
 fn a_wrong_pace_is_told_with_its_place() {
     let file = std::env::temp_dir().join(format!("sandstile-pace-{}.hcl", std::process::id()));
@@ -208,7 +211,7 @@
 
 const OUT: &str = "SANDSTILE_TEST_OUT";
 
-/// Not a test of its own: a rehearsal in a process that the next one kills.
+/// Not a test of its own: a rehearsal in a process that the next test kills.
 #[test]
 #[ignore = "played by a_lab_that_is_killed_leaves_no_router_behind"]
 fn plays_until_it_is_killed() {
@@ -220,7 +223,7 @@
     let _ = rehearse(Wanted { script, quick: false, router, out: out.into() });
 }
 
-/// Whoever kills the lab leaves no router behind, and none that stands still either.
+/// A lab that is killed leaves no router process behind, not even a stopped one.
 #[test]
 fn a_lab_that_is_killed_leaves_no_router_behind() {
     let out = std::env::temp_dir().join(format!("sandstile-killed-{}", std::process::id()));
@@ -232,7 +235,7 @@
         .stderr(std::process::Stdio::null())
         .spawn()
         .expect("a process");
-    // Routers know their configuration by its path, which lies in that folder alone.
+    // Routers are identified by the path of their configuration, which lies in this directory only.
     let routers = || -> Vec<u32> {
         let folder = format!("LB_CONFIG={}/router-", out.display());
         let of = |pid: &u32| {
--- a/crates/sandstile-router/tests/stand_ins/mod.rs
+++ b/crates/sandstile-router/tests/stand_ins/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins on loopback for all that a router meets: clients, database hosts, discovery; and the program itself.
+//! Stand-ins on loopback for everything that a router talks to (clients, database hosts, discovery), and the
+//! program itself.
 use sandstile_router::pg;
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -12,7 +13,7 @@
 
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Looks again and again until it is so.
+/// Polls until the condition holds.
 pub fn wait_for(what: &str, mut seen: impl FnMut() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
     while !seen() {
@@ -25,18 +26,18 @@
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
-/// What a database host does with a statement.
+/// How a database host answers a statement.
 #[derive(Clone)]
 pub enum HostReply {
     Row(&'static [u8]),
-    /// A row after so many milliseconds.
+    /// A row after a delay in milliseconds.
     Slow(u64, &'static [u8]),
     Fail(&'static str),
-    /// So many bytes of a row, then the end.
+    /// The first bytes of a row, this many, then the end of the connection.
     Cut(usize),
     /// A row, then the end of the connection.
     RowThenEnd(&'static [u8]),
-    /// A row, and the same once more behind it.
+    /// A row, and the same row again behind it.
     Twice(&'static [u8]),
     Raw(&'static [u8]),
     Silent,
@@ -46,14 +47,14 @@
 pub struct Script {
     pub acts: VecDeque<HostReply>,
     pub greeting_code: Option<&'static str>,
-    /// Connections beyond so many are never greeted.
+    /// Number of connections whose startup is answered; later ones get no answer to it.
     pub greet: Option<usize>,
 }
 
 pub struct Host {
     pub address: SocketAddr,
     pub queries: Arc<Mutex<Vec<Vec<u8>>>>,
-    /// Connections that were accepted, and that have ended, as seen here.
+    /// Connections that were accepted, and that have ended, as the host sees them.
     pub met: Arc<AtomicUsize>,
     pub ended: Arc<AtomicUsize>,
     /// Rounds of statements whose answers have been written.
@@ -76,7 +77,7 @@
 }
 
 impl Host {
-    /// Answers with a row of its role's name wherever the script has run out.
+    /// Answers each statement without a scripted reply with a row that names its role.
     pub fn start(primary: bool) -> Host {
         let listener = listener();
         let host = Host {
@@ -188,7 +189,7 @@
     }
 }
 
-/// Discovery's agent: each watch is handed to the test, which says what goes over it.
+/// Discovery's agent: each watch is handed to the test, which writes its content.
 pub struct DiscoveryAgent {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -226,7 +227,7 @@
         self.stream.write_all(bytes).expect("a watch that is read");
     }
 
-    /// One byte that says nothing; `false` once nobody reads it.
+    /// Sends a single space; `false` once nobody reads the watch.
     #[allow(dead_code)]
     pub fn drips(&mut self) -> bool {
         self.stream.write_all(b"1\r\n \r\n").is_ok()
@@ -248,7 +249,7 @@
     format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, entries.join(","))
 }
 
-/// A configuration for one primary and the given replicas of group 3.
+/// A configuration with this discovery agent and this list of known hosts, which are in group 3.
 pub fn config(agent: SocketAddr, known: &str) -> String {
     let class = |name: &str, effect: &str| {
         format!(
@@ -283,7 +284,7 @@
         let (pid, n) = (std::process::id(), fresh());
         let path = std::env::temp_dir().join(format!("sandstile-{pid}-{n}.json"));
         fs::write(&path, config).expect("a place for files");
-        // An address of its own: a port that was free a moment ago may be some connection's own by now.
+        // Each router gets its own address: a port that was free a moment ago may be in use by a connection by now.
         let at = (pid as usize * 128 + n) as u32;
         let [_, b, c, d] = at.to_be_bytes();
         let address = SocketAddr::from(([127, 1 + b % 200, c, d], 6432));
@@ -299,7 +300,7 @@
         Router::up(command, address, file)
     }
 
-    // Not all tests that have these stand-ins give arguments.
+    // Not all tests that use these stand-ins pass arguments.
     #[allow(dead_code)]
     pub fn start_with_arguments(config: &str, arguments: &[&str]) -> Router {
         let (mut command, address, file) = Router::command(config);
@@ -307,7 +308,7 @@
         Router::up(command, address, file)
     }
 
-    /// One that need not be up yet.
+    /// Starts a router without waiting until it accepts connections.
     #[allow(dead_code)]
     pub fn begin(config: &str) -> Router {
         let (mut command, address, file) = Router::command(config);
@@ -320,7 +321,7 @@
         router
     }
 
-    /// The program under a shell's line, in which `$0` is its path.
+    /// Runs the program by a shell command in which `$0` is its path.
     pub fn start_in_shell(line: &str, config: &str) -> Router {
         let (command, address, file) = Router::command(config);
         let mut shell = Command::new("/bin/sh");
@@ -330,12 +331,12 @@
         Router::up(shell, address, file)
     }
 
-    /// A router before one primary and so many replicas, with discovery silent.
+    /// A router with one primary and the given replicas, with discovery silent.
     pub fn start_with_hosts(primary: &Host, replicas: &[&Host]) -> Router {
         Router::start(&config(DiscoveryAgent::start().address, &known(primary, replicas)))
     }
 
-    /// Has the program read this in place of its configuration.
+    /// Replaces the configuration file and has the router read it.
     pub fn reload(&self, config: &str) {
         fs::write(&self.file, config).expect("a place for files");
         self.signal("HUP");
@@ -352,7 +353,7 @@
         client
     }
 
-    /// Ends it as operators do, and yields what it printed.
+    /// Ends the router as operators do, and yields whether it succeeded and what it printed.
     pub fn end(mut self) -> (bool, String) {
         self.signal("TERM");
         let out = self.child.stderr.take().expect("a pipe");
@@ -381,7 +382,7 @@
     Router::command(config).0.args(arguments).output().expect("the program")
 }
 
-/// What came back for one query, up to ReadyForQuery or the end of the connection.
+/// The response to one query, up to ReadyForQuery or the end of the connection.
 #[derive(Debug, Default, PartialEq)]
 pub struct Got {
     pub value: Option<Vec<u8>>,
@@ -397,7 +398,7 @@
     got.value.as_deref().unwrap_or(b"-")
 }
 
-/// A counter of the last line of counters in a log.
+/// A counter from the last line of counters in a log.
 #[allow(dead_code)]
 pub fn count(text: &str, name: &str) -> u64 {
     let line = text.lines().rev().find(|l| l.starts_with("counters")).expect("counters");
@@ -474,7 +475,7 @@
     out
 }
 
-/// Each statement has an id of its own, as clients give.
+/// Each statement has its own id, as clients assign them.
 fn fresh() -> usize {
     NEXT.fetch_add(1, SeqCst)
 }
--- a/crates/sandstile-router/tests/system_calls.rs
+++ b/crates/sandstile-router/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! What the router takes the result of a system call to prove, each put to the test: the program runs with a shim that
-//! makes calls fall short or fail as Linux documents, and has to keep its promises all the same.
+//! Tests what the router concludes from the results of system calls: the program runs with a shim that makes calls
+//! return short or fail as Linux documents, and has to keep its guarantees.
 #[allow(dead_code)]
 mod stand_ins;
 
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A router whose system calls go by these rules, before one primary and one replica.
+/// A router whose system calls follow these rules, with one primary and the given replicas.
 fn router_under(rules: &[Rule], primary: &Host, replicas: &[&Host]) -> Router {
     let (mut command, address, file) =
         Router::command(&config(DiscoveryAgent::start().address, &known(primary, replicas)));
@@ -20,8 +20,8 @@
     Router::up(command, address, file)
 }
 
-/// Asks with the startup and the statement in one write, as most clients begin; the answer to the statement, and how
-/// long it took.
+/// Sends the startup message and the statement in one write, as most clients do. Yields the answer to the statement
+/// and how long it took.
 fn first_statement(router: &Router, text: &str) -> (Got, Duration) {
     let mut client = Client::connect(router.address);
     client.stream.set_read_timeout(Some(Duration::from_secs(4))).expect("a limit");
@@ -32,7 +32,7 @@
     (got, began.elapsed())
 }
 
-/// Incident 39: fewer bytes than there was room for do not prove that nothing more has come.
+/// Guards against incident 39: a short read doesn't prove that nothing more has arrived.
 #[test]
 fn a_request_read_in_parts_is_answered_in_its_time() {
     let (primary, replica) = (Host::start(true), Host::start(false));
@@ -43,7 +43,7 @@
     assert!(took < Duration::from_millis(800), "{took:?}");
 }
 
-/// Statements that are asked on new connections under these rules are answered in their time; yields the log.
+/// Checks that statements on new connections under these rules are answered in time; yields the log.
 fn answered_under(name: &str, rules: &[Rule]) -> String {
     let (primary, replica) = (Host::start(true), Host::start(false));
     let router = router_under(rules, &primary, &[&replica]);
@@ -57,7 +57,7 @@
     log
 }
 
-/// Drained: no error of a read, and no short one, proves that nothing more has come.
+/// Neither an error nor a short read proves that everything has been read.
 #[test]
 fn interrupted_and_one_byte_reads_and_writes_cost_no_answer() {
     answered_under(
@@ -76,7 +76,7 @@
     );
 }
 
-/// Drained: a read that would block, against what is there, is looked at again in bounded time.
+/// A read that returns EAGAIN although bytes are there is repeated within a bounded time.
 #[test]
 fn readiness_that_is_used_up_for_nothing_is_looked_for_again() {
     answered_under("reads", &[Rule::fails(Call::Recv, EAGAIN).chance(0.4)]);
@@ -84,14 +84,14 @@
     answered_under("accepts", &[Rule::fails(Call::Accept, EAGAIN).chance(0.6)]);
 }
 
-/// Closed: a call that fails for want of memory ends no connection.
+/// A call that fails for lack of memory closes no connection.
 #[test]
 fn a_machine_short_of_memory_for_a_read_or_a_write_costs_no_connection() {
     let reads = Rule::fails(Call::Recv, ENOMEM).chance(0.3);
     answered_under("short", &[reads, Rule::fails(Call::Send, ENOBUFS).chance(0.3)]);
 }
 
-/// Drained: no error of `accept` proves that nobody waits in the listen queue.
+/// No error of `accept` proves that the listen queue is empty.
 #[test]
 fn a_connection_whose_accept_failed_is_taken_in_with_the_next_try() {
     let transient =
@@ -104,7 +104,7 @@
     }
 }
 
-/// Refused, out of descriptors: what this machine lacks says nothing of the host that is dialled.
+/// A resource that this machine lacks says nothing about the host that is dialled.
 #[test]
 fn trouble_of_this_machine_in_a_dial_costs_neither_the_statement_nor_the_host() {
     let statement_survives = |name: String, rule: Rule, primary: &Host| {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Refused: a machine that lacks sockets for seconds tells each statement in its time.
+/// On a machine that has no sockets for seconds, each statement is refused before its deadline.
 #[test]
 fn a_machine_without_sockets_refuses_in_time() {
     let (primary, replica) = (Host::start(true), Host::start(false));
@@ -138,19 +138,19 @@
     assert_eq!(primary.count(), 0);
 }
 
-/// Accepted: a connection that can't be set up now is set up a moment later.
+/// A connection that can't be set up now is set up a moment later.
 #[test]
 fn a_connection_that_cannot_be_set_up_at_once_is_not_dropped() {
     answered_under("registration", &[Rule::fails(Call::EpollAdd, ENOMEM).after(3).times(4)]);
     answered_under("options", &[Rule::fails(Call::SetSockOpt, ENOBUFS).chance(0.8)]);
 }
 
-/// Sent: a write that breaks before its last byte never ran; one whose last byte was taken may have.
+/// A write that breaks before its last byte never ran; one whose last byte was accepted may have run.
 #[test]
 fn a_broken_write_repeats_a_non_idempotent_statement_only_where_it_never_ran() {
     for errno in [ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH] {
         let (primary, replica) = (Host::start(true), Host::start(false));
-        // The host is greeted by one send; the statement is the next.
+        // The first send to the host is the startup message; the statement is the second.
         let broken = Rule::fails(Call::Send, errno).port(primary.address.port()).after(1).times(1);
         let router = router_under(&[broken], &primary, &[&replica]);
         let (got, _) = first_statement(&router, &write(900));
@@ -161,7 +161,8 @@
     }
 }
 
-/// Closed: an error of a read on a link ends that link alone; what was written whole is not repeated.
+/// A read error on an upstream connection ends only that connection; a statement that was sent completely is not
+/// repeated.
 #[test]
 fn a_broken_read_aborts_a_non_idempotent_statement_and_never_repeats_it() {
     for errno in [ECONNRESET, ETIMEDOUT, EHOSTUNREACH] {
@@ -175,7 +176,7 @@
     }
 }
 
-/// Written: a log that takes nothing ends no router.
+/// Log writes that fail end no router.
 #[test]
 fn a_log_that_takes_nothing_ends_no_router() {
     for errno in [ENOSPC, EIO, EPIPE, EAGAIN] {
@@ -188,14 +189,14 @@
     }
 }
 
-/// Woken: a wake-up between threads that fails is made again.
+/// A failed wake-up between threads is repeated.
 #[test]
 fn a_failed_wake_up_ends_no_router() {
     answered_under("interrupted", &[Rule::fails(Call::WakeWrite, EINTR).chance(0.7)]);
     answered_under("short of memory", &[Rule::fails(Call::WakeWrite, ENOMEM).chance(0.3)]);
 }
 
-/// Started: an address that is still held, or a machine that is short of sockets, delays a start and fails none.
+/// An address that is still in use, or a machine that is short of sockets, delays a start but doesn't fail it.
 #[test]
 fn a_start_waits_for_its_address_and_for_sockets() {
     answered_under("sockets", &[Rule::fails(Call::Socket, ENOBUFS).between(0, 800)]);
@@ -207,7 +208,7 @@
     assert!(router.end().0);
 }
 
-/// A step of the wall clock moves no deadline, window or grace.
+/// A step of the wall clock moves no deadline, window or grace period.
 #[test]
 fn a_stepped_wall_clock_moves_no_deadline() {
     for ms in [-3_600_000, -5_000, 5_000, 3_600_000] {
@@ -228,7 +229,7 @@
     }
 }
 
-/// The time that a statement is passed on with has no more than its client has left, though its connection waited.
+/// The time limit passed on with a statement doesn't exceed what its client has left, though its connection waited.
 #[test]
 fn a_statement_that_waited_in_the_listen_queue_is_told_the_time_that_is_left() {
     let (primary, replica) = (Host::start(true), Host::start(false));
@@ -251,8 +252,8 @@
     );
 }
 
-/// Guards against a connection closed for another's sake with its request unread, as the last look at it failed for
-/// want of memory.
+/// Guards against a connection being closed in favour of another with its request unread, because the final read
+/// failed for lack of memory.
 #[test]
 fn a_last_look_that_fails_closes_no_connection_unread() {
     let (primary, replica) = (Host::start(true), Host::start(false));
@@ -272,8 +273,8 @@
     }
 }
 
-/// Guards against a resting connection closed with its request unread, as the read at the end of its rest fails for want
-/// of memory.
+/// Guards against an idle connection being closed with its request unread, because the read at its idle timeout
+/// failed for lack of memory.
 #[test]
 fn a_rest_ends_no_connection_whose_request_could_not_be_read() {
     let (primary, replica) = (Host::start(true), Host::start(false));
--- a/crates/sandstile-router/tests/waiting.rs
+++ b/crates/sandstile-router/tests/waiting.rs
@@ -1,4 +1,5 @@
-//! No connection and no request waits for all of its time unseen: in the listen queue, behind others, or for a list.
+//! No connection and no request may wait unnoticed until its deadline: in the listen queue, behind others, or for a
+//! list.
 #[allow(dead_code)]
 mod stand_ins;
 
@@ -13,10 +14,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Seconds after its time in which a request may still get its final answer.
+/// Time after its deadline in which a request may still get its final answer.
 const GRACE: Duration = Duration::from_millis(500);
 
-/// Guards against requests that wait unread in the listen queue while all connections that are in are busy.
+/// Guards against requests that stay unread in the listen queue while all accepted connections are busy.
 #[test]
 fn a_request_behind_a_full_house_gets_its_answer_in_its_time() {
     let (primary, replica) = (Host::start(true), Host::scripted(false, &vec![HostReply::Silent; 200]));
@@ -50,7 +51,8 @@
     drop(busy);
 }
 
-/// Guards against connections taken to be as old as the queue's last empty moment, however many came out since.
+/// Guards against connections being dated back to the last moment at which the queue was empty, however many have
+/// been accepted since.
 #[test]
 fn what_comes_out_of_a_queue_that_is_never_empty_is_as_old_as_its_place_there() {
     let poll = Poll::new().expect("readiness");
@@ -70,7 +72,7 @@
         age = now - since;
         assert!(age >= 2.9 * apart || n < 3, "{n}: three came before it, and it may have come no later");
     }
-    // The queue's bound, and the times that are kept.
+    // Allows for the length of the queue and for the interval between recorded timestamps.
     assert!(age <= 150.0 * apart, "taken to be {age:.2} s old");
 }
 
@@ -89,7 +91,7 @@
     serde_json::to_string_pretty(&json).expect("text") + "\n\n"
 }
 
-/// Guards against a list of thousands of hosts that is never taken, as its indented form is longer than was allowed for.
+/// Guards against a list of thousands of hosts being rejected because its indented form exceeds the length limit.
 #[test]
 fn an_indented_list_of_thousands_of_hosts_is_taken() {
     let primary = Host::start(true);
@@ -108,7 +110,8 @@
     assert!(count(&log, "hosts") >= 3_200, "{} hosts", count(&log, "hosts"));
 }
 
-/// Guards against a long list asked for again and again, as it takes longer to come than a watch may be silent.
+/// Guards against a long list being requested again and again because it takes longer to arrive than the silence
+/// limit of a watch.
 #[test]
 fn a_long_list_that_comes_slowly_is_taken() {
     let primary = Host::start(true);
@@ -126,7 +129,8 @@
     assert_eq!(count(&log, "watches"), 1);
 }
 
-/// Guards against lists read anew with each piece that comes: what is not whole costs no more than its bytes.
+/// Guards against an incomplete list being parsed again with each piece that arrives: it must cost no more than its
+/// bytes.
 #[test]
 fn lists_come_out_of_pieces_as_they_went_in_and_nonsense_is_told_early() {
     let text = indented(&long_list(40)) + &long_list(3) + "\n\n" + &indented(&list(44, false, &[]));
@@ -153,7 +157,7 @@
     assert!(stream.take().is_err(), "though its braces never close");
 }
 
-/// Guards against a whole list that is worked through anew though next to nothing in it has changed.
+/// Guards against a whole list being processed anew although next to nothing in it has changed.
 #[test]
 fn a_whole_list_is_told_on_as_what_has_changed_in_pieces() {
     let read = |text: &str| lists::read(&serde_json::from_str(text).expect("json")).expect("a list").0;
