--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -2,10 +2,10 @@
 use crate::budget::{Holder, IdleKey};
 use crate::client_connection::{ClientAction, ClientConnection, ClientContext, ClientEvent};
 use crate::close_reason::CloseReason;
-use crate::loop_context::{LoopContext, TURN};
+use crate::loop_context::{LoopContext, MAX_STEPS_PER_TURN};
 use crate::mailbox::MailboxSender;
-use crate::rate::Limiter;
-use crate::socket::{Moved, Wire};
+use crate::rate::LogLimiter;
+use crate::socket::{Socket, Transfer};
 use crate::statement::Workload;
 use mio::event::Event;
 use mio::net::TcpStream;
@@ -16,7 +16,7 @@
 use std::io;
 use std::sync::Arc;
 
-struct Seat {
+struct ClientSlot {
     /// Sequence number of the connection in this process, which identifies it in the log.
     number: u64,
     accepted_at: f64,
@@ -27,47 +27,47 @@
     /// The error number that a read or a write failed with.
     error: Option<i32>,
     client_connection: ClientConnection,
-    wire: Wire,
+    socket: Socket,
     queued: bool,
     /// When its timer is due.
-    armed: f64,
+    timer_due: f64,
     /// Its key in the budget's idle list, and the idle period that the key was made for.
-    idle: Option<(IdleKey, u64)>,
+    idle_key: Option<(IdleKey, u64)>,
     /// The current idle period, and when it began.
-    resting: Option<((Holder, u64), f64)>,
+    idle_state: Option<((Holder, u64), f64)>,
     /// Asked to close: it does so as soon as it is idle and a final read has found nothing more.
-    leaves: bool,
-    looked: bool,
+    close_requested: bool,
+    final_read_done: bool,
     /// The last read failed for lack of memory: the socket may hold unread bytes.
-    unread: bool,
+    read_failed: bool,
     /// There is no descriptor to serve it: its statement is refused and it is closed.
     refused: bool,
 }
 
-impl Seat {
-    fn rests_as_stranger(&self) -> bool {
-        self.resting.is_some_and(|((holder, _), _)| holder == Holder::NewClientConnection)
+impl ClientSlot {
+    fn is_idle_new_client(&self) -> bool {
+        self.idle_state.is_some_and(|((holder, _), _)| holder == Holder::NewClientConnection)
     }
 }
 
 /// Seconds for which a connection has to be idle before it may be closed to make room for another.
-const SETTLED: f64 = 0.1;
+const MIN_IDLE_BEFORE_EVICTION_S: f64 = 0.1;
 
 pub struct Clients {
-    seats: Slab<Seat>,
+    slots: Slab<ClientSlot>,
     workloads: Vec<Workload>,
     dispatcher: MailboxSender<DispatcherMessage>,
     client_events: Vec<ClientEvent>,
     /// Idle connections that have not sent a statement yet.
-    resting_strangers: usize,
+    idle_new_clients: usize,
     /// Statements read so far; the next statement's id follows from it.
-    submitted: u64,
+    statements: u64,
     /// Shutting down: every connection is closed as soon as it is idle.
-    dismissed: bool,
+    shutting_down: bool,
     /// Connections accepted so far; the next connection's number follows from it.
     accepted: u64,
-    unusual: Limiter<CloseReason>,
-    unread: Limiter<()>,
+    unusual_close_log: LogLimiter<CloseReason>,
+    late_statement_log: LogLimiter<()>,
 }
 
 /// Tokens of clients are even, those of upstream connections odd; the first few belong to the event loop.
@@ -78,26 +78,26 @@
 impl Clients {
     pub fn new(workloads: Vec<Workload>, dispatcher: MailboxSender<DispatcherMessage>) -> Self {
         Clients {
-            seats: Slab::new(),
+            slots: Slab::new(),
             workloads,
             dispatcher,
             client_events: Vec::new(),
-            resting_strangers: 0,
-            submitted: 0,
-            dismissed: false,
+            idle_new_clients: 0,
+            statements: 0,
+            shutting_down: false,
             accepted: 0,
-            unusual: Limiter::default(),
-            unread: Limiter::default(),
+            unusual_close_log: LogLimiter::default(),
+            late_statement_log: LogLimiter::default(),
         }
     }
 
     /// Whether an idle connection exists that has not sent a statement: it will make room soon if it stays idle.
-    pub fn has_resting_strangers(&self) -> bool {
-        self.resting_strangers > 0
+    pub fn has_idle_new_clients(&self) -> bool {
+        self.idle_new_clients > 0
     }
 
     pub fn is_empty(&self) -> bool {
-        self.seats.is_empty()
+        self.slots.is_empty()
     }
 
     /// Adds a connection that is already counted in the budget and may have waited since `waited_since`. A
@@ -113,217 +113,218 @@
         if let Err(e) = stream.set_nodelay(true) {
             debug!(context.log, "client without TCP_NODELAY: {e}");
         }
-        let entry = self.seats.vacant_entry();
+        let entry = self.slots.vacant_entry();
         let key = entry.key();
-        let mut wire = Wire::new(&context.registry, stream, token(key), true)?;
+        let mut socket = Socket::new(&context.registry, stream, token(key), true)?;
         // Most clients send their first statement right after connecting.
-        wire.look();
-        wire.moved(context.clock.now());
+        socket.force_read();
+        socket.record_progress(context.clock.now());
         self.accepted += 1;
         let (now, number) = (context.clock.now(), self.accepted);
-        debug!(context.log, "client accepted"; "client" => number, "peer" => ?wire.stream().peer_addr().ok());
+        debug!(context.log, "client accepted"; "client" => number, "peer" => ?socket.stream().peer_addr().ok());
         if number == 1 {
             info!(context.log, "first client accepted");
         }
-        entry.insert(Seat {
+        entry.insert(ClientSlot {
             number,
             accepted_at: now,
             reads: 0,
             close_reason: None,
             error: None,
             client_connection: ClientConnection::waiting_since(waited_since, now),
-            wire,
+            socket,
             queued: false,
-            armed: f64::INFINITY,
-            idle: None,
-            resting: None,
-            leaves: false,
-            looked: false,
-            unread: false,
+            timer_due: f64::INFINITY,
+            idle_key: None,
+            idle_state: None,
+            close_requested: false,
+            final_read_done: false,
+            read_failed: false,
             refused,
         });
         self.queue(key, context);
         Ok(())
     }
 
-    pub fn told(&mut self, key: usize, event: &Event, context: &mut LoopContext) {
-        if let Some(seat) = self.seats.get_mut(key) {
-            seat.wire.told(event);
+    pub fn on_event(&mut self, key: usize, event: &Event, context: &mut LoopContext) {
+        if let Some(slot) = self.slots.get_mut(key) {
+            slot.socket.on_event(event);
             self.queue(key, context);
         }
     }
 
     fn queue(&mut self, key: usize, context: &mut LoopContext) {
-        let seat = &mut self.seats[key];
-        if !std::mem::replace(&mut seat.queued, true) {
+        let slot = &mut self.slots[key];
+        if !std::mem::replace(&mut slot.queued, true) {
             context.queue.push_back(token(key));
         }
     }
 
     /// Runs a connection that was taken from the loop's queue.
-    pub fn called(&mut self, key: usize, context: &mut LoopContext) {
-        if let Some(seat) = self.seats.get_mut(key) {
-            seat.queued = false;
+    pub fn run_queued(&mut self, key: usize, context: &mut LoopContext) {
+        if let Some(slot) = self.slots.get_mut(key) {
+            slot.queued = false;
             self.run(key, context);
         }
     }
 
     /// Handles a timer that may belong to this connection. Input that has arrived meanwhile is read first.
-    pub fn timer(&mut self, key: usize, at: f64, context: &mut LoopContext) {
-        let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.armed == at) else { return };
-        seat.armed = f64::INFINITY;
-        seat.wire.look_again(context.clock.now());
-        if seat.client_connection.due() <= context.clock.now() {
-            seat.wire.look();
+    pub fn handle_timer(&mut self, key: usize, at: f64, context: &mut LoopContext) {
+        let Some(slot) = self.slots.get_mut(key).filter(|slot| slot.timer_due == at) else { return };
+        slot.timer_due = f64::INFINITY;
+        slot.socket.recheck(context.clock.now());
+        if slot.client_connection.due() <= context.clock.now() {
+            slot.socket.force_read();
         }
         self.run(key, context);
     }
 
-    pub fn answer(&mut self, given: FinalAnswer, context: &mut LoopContext) {
-        if let Some(seat) = self.seats.get_mut(given.client_connection) {
-            debug!(context.log, "answered"; "client" => seat.number, "statement" => given.statement_id,
-                "with" => given.answer.name());
-            seat.client_connection.answer(
+    pub fn answer(&mut self, final_answer: FinalAnswer, context: &mut LoopContext) {
+        if let Some(slot) = self.slots.get_mut(final_answer.client_connection) {
+            debug!(context.log, "answered"; "client" => slot.number, "statement" => final_answer.statement_id,
+                "with" => final_answer.answer.name());
+            slot.client_connection.answer(
                 context.clock.now(),
-                given.statement_id,
-                given.answer,
+                final_answer.statement_id,
+                final_answer.answer,
                 &mut self.client_events,
             );
-            self.run(given.client_connection, context);
+            self.run(final_answer.client_connection, context);
         }
     }
 
     /// Asks an idle connection to close. What the client has sent by now is still read and answered.
-    pub fn leave(&mut self, key: usize, context: &mut LoopContext) {
-        let Some(seat) = self.seats.get_mut(key) else { return };
-        let why = if self.dismissed { CloseReason::ClientDismissed } else { CloseReason::ClientEvicted };
-        (seat.leaves, seat.looked, seat.close_reason) = (true, true, Some(why));
-        seat.wire.look();
+    pub fn request_close(&mut self, key: usize, context: &mut LoopContext) {
+        let Some(slot) = self.slots.get_mut(key) else { return };
+        let reason =
+            if self.shutting_down { CloseReason::ClientDismissed } else { CloseReason::ClientEvicted };
+        (slot.close_requested, slot.final_read_done, slot.close_reason) = (true, true, Some(reason));
+        slot.socket.force_read();
         self.run(key, context);
-        let Some(seat) = self.seats.get_mut(key).filter(|_| !self.dismissed) else { return };
-        if seat.client_connection.unanswered_bytes() > 0 {
-            seat.client_connection.refuse_command(context.clock.now());
+        let Some(slot) = self.slots.get_mut(key).filter(|_| !self.shutting_down) else { return };
+        if slot.client_connection.unanswered_bytes() > 0 {
+            slot.client_connection.refuse_command(context.clock.now());
             self.run(key, context);
         }
     }
 
     /// Closes all idle connections, and from now on each connection as soon as it is idle.
-    pub fn dismiss(&mut self, context: &mut LoopContext) {
-        self.dismissed = true;
-        let all: Vec<usize> = self.seats.iter().map(|(key, _)| key).collect();
-        for key in all {
-            self.leave(key, context);
+    pub fn shut_down(&mut self, context: &mut LoopContext) {
+        self.shutting_down = true;
+        let keys: Vec<usize> = self.slots.iter().map(|(key, _)| key).collect();
+        for key in keys {
+            self.request_close(key, context);
         }
     }
 
     /// Does a bounded amount of work before the other connections get their turn.
     fn run(&mut self, key: usize, context: &mut LoopContext) {
-        let Some(seat) = self.seats.get_mut(key) else { return };
-        let mut more = true;
-        for _ in 0..TURN {
+        let Some(slot) = self.slots.get_mut(key) else { return };
+        let mut more_work = true;
+        for _ in 0..MAX_STEPS_PER_TURN {
             let now = context.clock.now();
-            let mut moved = false;
-            if seat.wire.ending() && seat.client_connection.awaits_answer() {
+            let mut progressed = false;
+            if slot.socket.read_closed() && slot.client_connection.awaits_answer() {
                 // The client is gone, though commands from before its end may still be unread for lack of room.
-                gone(seat.client_connection.closed(), &self.dispatcher);
+                report_abandoned(slot.client_connection.closed(), &self.dispatcher);
                 break;
             }
-            match seat.wire.write(seat.client_connection.pending_output()) {
-                Moved::Bytes(put) => {
-                    seat.client_connection.wrote(put);
-                    seat.wire.moved(now);
-                    moved = true;
+            match slot.socket.write(slot.client_connection.pending_output()) {
+                Transfer::Bytes(written) => {
+                    slot.client_connection.wrote(written);
+                    slot.socket.record_progress(now);
+                    progressed = true;
                 }
-                Moved::Later => seat.wire.moved(now),
-                Moved::Ended => {}
-                Moved::Broken(error) => {
-                    (seat.error, seat.close_reason) = (error, Some(CloseReason::ClientBroken));
-                    gone(seat.client_connection.closed(), &self.dispatcher);
+                Transfer::OutOfMemory => slot.socket.record_progress(now),
+                Transfer::Ended => {}
+                Transfer::Broken(error) => {
+                    (slot.error, slot.close_reason) = (error, Some(CloseReason::ClientBroken));
+                    report_abandoned(slot.client_connection.closed(), &self.dispatcher);
                     break;
                 }
-                Moved::Nothing => {}
+                Transfer::NotReady => {}
             }
-            let wanted_bytes = seat.client_connection.wanted_bytes().min(context.scratch.len());
-            if seat.wire.readable() && wanted_bytes > 0 {
-                seat.unread = false;
+            let wanted_bytes = slot.client_connection.wanted_bytes().min(context.scratch.len());
+            if slot.socket.readable() && wanted_bytes > 0 {
+                slot.read_failed = false;
             }
-            match seat.wire.read(&mut context.scratch[..wanted_bytes]) {
-                Moved::Bytes(got) => {
-                    seat.reads += 1;
-                    if seat.wire.unannounced() {
+            match slot.socket.read(&mut context.scratch[..wanted_bytes]) {
+                Transfer::Bytes(received) => {
+                    slot.reads += 1;
+                    if slot.socket.is_unannounced() {
                         context.counters.found_by_look.add();
                     }
-                    seat.wire.moved(now);
-                    seat.client_connection.receive_since(
+                    slot.socket.record_progress(now);
+                    slot.client_connection.receive_since(
                         context.events_since.min(now),
                         now,
-                        &context.scratch[..got],
+                        &context.scratch[..received],
                     );
-                    moved = true;
+                    progressed = true;
                 }
-                Moved::Ended => {
-                    gone(seat.client_connection.closed(), &self.dispatcher);
+                Transfer::Ended => {
+                    report_abandoned(slot.client_connection.closed(), &self.dispatcher);
                     break;
                 }
-                Moved::Broken(error) => {
-                    (seat.error, seat.close_reason) = (error, Some(CloseReason::ClientBroken));
-                    gone(seat.client_connection.closed(), &self.dispatcher);
+                Transfer::Broken(error) => {
+                    (slot.error, slot.close_reason) = (error, Some(CloseReason::ClientBroken));
+                    report_abandoned(slot.client_connection.closed(), &self.dispatcher);
                     break;
                 }
-                Moved::Later => {
-                    seat.unread = true;
-                    seat.wire.moved(now);
+                Transfer::OutOfMemory => {
+                    slot.read_failed = true;
+                    slot.socket.record_progress(now);
                 }
-                Moved::Nothing if wanted_bytes > 0 => seat.client_connection.read_would_block(),
-                Moved::Nothing => {}
+                Transfer::NotReady if wanted_bytes > 0 => slot.client_connection.read_would_block(),
+                Transfer::NotReady => {}
             }
-            if seat.unread && seat.client_connection.due() <= now {
+            if slot.read_failed && slot.client_connection.due() <= now {
                 // A deadline only expires once everything that arrived before it has been read.
-                more = false;
+                more_work = false;
                 break;
             }
             let client_events = &mut self.client_events;
             let mut client_context =
                 ClientContext { budget: &mut context.budget, workloads: &self.workloads, client_events };
-            match seat.client_connection.advance(now, &mut client_context) {
-                Some(ClientAction::Submit { statement, deadline }) if seat.wire.ending() => {
+            match slot.client_connection.advance(now, &mut client_context) {
+                Some(ClientAction::Submit { statement, deadline }) if slot.socket.read_closed() => {
                     // The client closed its sending side before the statement was read: nobody reads an answer, so
                     // nothing is started.
                     context.counters.read_too_late.add();
-                    if self.unread.admits(now, ()) {
-                        info!(context.log, "a statement was read only with its client's end";
-                            "client" => seat.number, "id" => &statement.id, "reads" => seat.reads,
+                    if self.late_statement_log.admits(now, ()) {
+                        info!(context.log, "a statement was read only after its client had closed the connection";
+                            "client" => slot.number, "id" => &statement.id, "reads" => slot.reads,
                             "time_left_s" => format!("{:.3}", deadline - now),
-                            "connected_s" => format!("{:.3}", now - seat.accepted_at));
+                            "connected_s" => format!("{:.3}", now - slot.accepted_at));
                     }
-                    seat.client_connection.closed();
+                    slot.client_connection.closed();
                     break;
                 }
-                Some(ClientAction::Submit { statement, .. }) if seat.refused => {
-                    self.submitted += 1;
-                    seat.client_connection.submitted(self.submitted);
+                Some(ClientAction::Submit { statement, .. }) if slot.refused => {
+                    self.statements += 1;
+                    slot.client_connection.submitted(self.statements);
                     context.counters.refused_for_room.add();
-                    debug!(context.log, "refused for want of descriptors"; "client" => seat.number, "id" => &statement.id);
-                    seat.client_connection.answer(
+                    debug!(context.log, "refused for lack of descriptors"; "client" => slot.number, "id" => &statement.id);
+                    slot.client_connection.answer(
                         now,
-                        self.submitted,
+                        self.statements,
                         Answer::Rejected(0.0),
                         &mut self.client_events,
                     );
-                    (seat.leaves, seat.close_reason) = (true, Some(CloseReason::ClientEvicted));
-                    moved = true;
+                    (slot.close_requested, slot.close_reason) = (true, Some(CloseReason::ClientEvicted));
+                    progressed = true;
                 }
                 Some(ClientAction::Submit { statement, deadline }) => {
-                    self.submitted += 1;
-                    seat.client_connection.submitted(self.submitted);
-                    if self.submitted == 1 {
-                        info!(context.log, "first statement read"; "client" => seat.number, "id" => &statement.id,
-                            "reads" => seat.reads, "connected_s" => format!("{:.3}", now - seat.accepted_at));
+                    self.statements += 1;
+                    slot.client_connection.submitted(self.statements);
+                    if self.statements == 1 {
+                        info!(context.log, "first statement read"; "client" => slot.number, "id" => &statement.id,
+                            "reads" => slot.reads, "connected_s" => format!("{:.3}", now - slot.accepted_at));
                     }
-                    debug!(context.log, "asked"; "client" => seat.number, "statement" => self.submitted, "id" => &statement.id,
-                        "reads" => seat.reads, "time_left_s" => format!("{:.3}", deadline - now));
+                    debug!(context.log, "asked"; "client" => slot.number, "statement" => self.statements, "id" => &statement.id,
+                        "reads" => slot.reads, "time_left_s" => format!("{:.3}", deadline - now));
                     self.dispatcher.send(DispatcherMessage::StatementRequest(StatementRequest {
-                        statement_id: self.submitted,
+                        statement_id: self.statements,
                         client_connection: key,
                         id: statement.id.clone(),
                         workload: statement.workload,
@@ -337,12 +338,13 @@
                         mark: statement.mark.clone(),
                         payload: Arc::new(*statement),
                     }));
-                    moved = true;
+                    progressed = true;
                 }
-                action => gone(action, &self.dispatcher),
+                action => report_abandoned(action, &self.dispatcher),
             }
-            more = moved || (seat.wire.writable() && !seat.client_connection.pending_output().is_empty());
-            if seat.client_connection.ended() || !more {
+            more_work =
+                progressed || (slot.socket.writable() && !slot.client_connection.pending_output().is_empty());
+            if slot.client_connection.ended() || !more_work {
                 break;
             }
         }
@@ -351,93 +353,97 @@
                 ClientEvent::IdleTimeout => context.counters.rested.add(),
                 ClientEvent::EmptyQuery => context.counters.empty_queries.add(),
                 ClientEvent::AnswerTimeout => context.counters.forsaken.add(),
-                ClientEvent::BadInput(what) => {
+                ClientEvent::BadInput(message) => {
                     context.counters.bad_input.add();
-                    debug!(context.log, "bad input: {what}");
+                    debug!(context.log, "bad input: {message}");
                 }
             }
         }
-        self.settle(key, more, context);
+        self.update_state(key, more_work, context);
     }
 
     /// Updates the connection's state after a turn: closed, idle, waiting for a timer, or with more work queued.
-    fn settle(&mut self, key: usize, more: bool, context: &mut LoopContext) {
-        let seat = &mut self.seats[key];
-        let idle_period = seat.client_connection.idle_period();
+    fn update_state(&mut self, key: usize, more_work: bool, context: &mut LoopContext) {
+        let slot = &mut self.slots[key];
+        let idle_period = slot.client_connection.idle_period();
         // During shutdown, a command that has been read in part is waited for, until its deadline: the rest may
         // still arrive.
-        let begun = self.dismissed && seat.client_connection.unanswered_bytes() > 0;
-        let leaves = (seat.leaves || self.dismissed) && idle_period.is_some() && !more && !begun;
+        let partial_command = self.shutting_down && slot.client_connection.unanswered_bytes() > 0;
+        let should_close = (slot.close_requested || self.shutting_down)
+            && idle_period.is_some()
+            && !more_work
+            && !partial_command;
         // A final read that failed proves nothing: the socket is rechecked at its regular interval.
-        let looks = leaves && !seat.unread;
-        if seat.client_connection.ended() || (looks && seat.looked) {
+        let needs_final_read = should_close && !slot.read_failed;
+        if slot.client_connection.ended() || (needs_final_read && slot.final_read_done) {
             return self.close(key, context);
         }
-        if looks {
-            seat.wire.look();
+        if needs_final_read {
+            slot.socket.force_read();
         }
-        seat.looked = leaves;
-        if seat.resting.map(|(spell, _)| spell) != idle_period {
-            if let Some((rest, _)) = seat.idle.take() {
-                context.budget.remove_idle(rest);
+        slot.final_read_done = should_close;
+        if slot.idle_state.map(|(period, _)| period) != idle_period {
+            if let Some((idle_key, _)) = slot.idle_key.take() {
+                context.budget.remove_idle(idle_key);
             }
-            self.resting_strangers -= usize::from(seat.rests_as_stranger());
-            seat.resting = idle_period.map(|spell| (spell, context.clock.now()));
-            self.resting_strangers += usize::from(seat.rests_as_stranger());
+            self.idle_new_clients -= usize::from(slot.is_idle_new_client());
+            slot.idle_state = idle_period.map(|period| (period, context.clock.now()));
+            self.idle_new_clients += usize::from(slot.is_idle_new_client());
         }
-        let own = if seat.unread { f64::INFINITY } else { seat.client_connection.due() };
-        let mut due = own.min(seat.wire.look_due());
-        if let (Some(((holder, spell), since)), None) = (seat.resting, seat.idle) {
+        let own_deadline = if slot.read_failed { f64::INFINITY } else { slot.client_connection.due() };
+        let mut due = own_deadline.min(slot.socket.recheck_due());
+        if let (Some(((holder, period), since)), None) = (slot.idle_state, slot.idle_key) {
             // A connection that has just become idle may be about to send a statement: it is not closed in favour
             // of another.
-            if context.clock.now() >= since + SETTLED {
-                seat.idle = Some((context.budget.mark_idle(holder, key), spell));
+            if context.clock.now() >= since + MIN_IDLE_BEFORE_EVICTION_S {
+                slot.idle_key = Some((context.budget.mark_idle(holder, key), period));
             } else {
-                due = due.min(since + SETTLED);
+                due = due.min(since + MIN_IDLE_BEFORE_EVICTION_S);
             }
         }
-        if due < seat.armed {
-            seat.armed = due;
+        if due < slot.timer_due {
+            slot.timer_due = due;
             context.timers.push(due, token(key));
         }
-        if more || looks {
+        if more_work || needs_final_read {
             self.queue(key, context);
         }
     }
 
     /// Counts why a connection ends and logs it: at debug level each of them, otherwise the unusual ones, at most
     /// one of a kind per second.
-    fn log_closing(&mut self, seat: &Seat, context: &LoopContext) {
-        let broken = seat.close_reason == Some(CloseReason::ClientBroken);
-        let own_end = seat.client_connection.ended() && !broken;
-        let why = seat.close_reason.filter(|_| !own_end).unwrap_or(seat.client_connection.close_reason());
-        context.counters.closed(why);
+    fn log_close(&mut self, slot: &ClientSlot, context: &LoopContext) {
+        let broken = slot.close_reason == Some(CloseReason::ClientBroken);
+        let ended_itself = slot.client_connection.ended() && !broken;
+        let reason =
+            slot.close_reason.filter(|_| !ended_itself).unwrap_or(slot.client_connection.close_reason());
+        context.counters.count_close(reason);
         let now = context.clock.now();
-        debug!(context.log, "client closed: {why:?}"; "client" => seat.number, "answered" => seat.client_connection.answered());
-        if !why.ordinary() && self.unusual.admits(now, why) {
-            info!(context.log, "client closed: {why:?}"; "client" => seat.number, "reads" => seat.reads,
-                "answered" => seat.client_connection.answered(), "unanswered_bytes" => seat.client_connection.unanswered_bytes(),
-                "errno" => seat.error, "connected_s" => format!("{:.3}", now - seat.accepted_at));
+        debug!(context.log, "client closed: {reason:?}"; "client" => slot.number, "answered" => slot.client_connection.answered());
+        if !reason.ordinary() && self.unusual_close_log.admits(now, reason) {
+            info!(context.log, "client closed: {reason:?}"; "client" => slot.number, "reads" => slot.reads,
+                "answered" => slot.client_connection.answered(), "unanswered_bytes" => slot.client_connection.unanswered_bytes(),
+                "errno" => slot.error, "connected_s" => format!("{:.3}", now - slot.accepted_at));
         }
     }
 
     fn close(&mut self, key: usize, context: &mut LoopContext) {
-        let mut seat = self.seats.remove(key);
-        self.resting_strangers -= usize::from(seat.rests_as_stranger());
-        self.log_closing(&seat, context);
-        if let Some((rest, _)) = seat.idle {
-            context.budget.remove_idle(rest);
+        let mut slot = self.slots.remove(key);
+        self.idle_new_clients -= usize::from(slot.is_idle_new_client());
+        self.log_close(&slot, context);
+        if let Some((idle_key, _)) = slot.idle_key {
+            context.budget.remove_idle(idle_key);
         }
-        seat.client_connection.release(&mut context.budget);
-        seat.wire.close(&context.registry);
-        match seat.refused {
+        slot.client_connection.release(&mut context.budget);
+        slot.socket.close(&context.registry);
+        match slot.refused {
             true => context.budget.release_refused(),
             false => context.budget.release(Holder::ClientConnection),
         }
     }
 }
 
-fn gone(action: Option<ClientAction>, dispatcher: &MailboxSender<DispatcherMessage>) {
+fn report_abandoned(action: Option<ClientAction>, dispatcher: &MailboxSender<DispatcherMessage>) {
     if let Some(ClientAction::Abandon(statement_id)) = action {
         dispatcher.send(DispatcherMessage::ClientGone(statement_id));
     }
--- a/crates/sandstile-router/src/clock.rs
+++ b/crates/sandstile-router/src/clock.rs
@@ -19,7 +19,7 @@
     }
 
     /// Time until `deadline`; zero once it has passed.
-    pub fn until(&self, at: f64) -> Duration {
-        Duration::try_from_secs_f64(at - self.now()).unwrap_or(Duration::ZERO)
+    pub fn time_until(&self, deadline: f64) -> Duration {
+        Duration::try_from_secs_f64(deadline - self.now()).unwrap_or(Duration::ZERO)
     }
 }
--- a/crates/sandstile-router/src/control.rs
+++ b/crates/sandstile-router/src/control.rs
@@ -7,76 +7,76 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-pub const DOOR: Token = Token(usize::MAX - 3);
+pub const LISTENER: Token = Token(usize::MAX - 3);
 /// The most clients served at a time, and the first of their tokens.
-const ASKERS: usize = 8;
-const FIRST: usize = usize::MAX - 3 - ASKERS;
+const MAX_CLIENTS: usize = 8;
+const FIRST_CLIENT: usize = usize::MAX - 3 - MAX_CLIENTS;
 /// Seconds for which an answer may wait to be read.
-const PATIENCE: f64 = 2.0;
+const ANSWER_TIMEOUT_S: f64 = 2.0;
 
-struct Asker {
+struct ControlClient {
     stream: UnixStream,
-    left: Vec<u8>,
-    until: f64,
+    remaining: Vec<u8>,
+    deadline: f64,
 }
 
 /// Whether no process listens on this socket: only a refused connection proves that.
 pub fn is_abandoned(path: &Path) -> bool {
-    let tried = retry_interrupted(|| std::os::unix::net::UnixStream::connect(path));
-    matches!(tried, Err(e) if e.kind() == io::ErrorKind::ConnectionRefused)
+    let result = retry_interrupted(|| std::os::unix::net::UnixStream::connect(path));
+    matches!(result, Err(e) if e.kind() == io::ErrorKind::ConnectionRefused)
 }
 
 pub struct ControlSocket {
     path: PathBuf,
     listener: UnixListener,
-    askers: [Option<Asker>; ASKERS],
+    clients: [Option<ControlClient>; MAX_CLIENTS],
     ready: bool,
 }
 
 impl ControlSocket {
     /// Opens the socket. A socket file left by a previous process is removed; one that a process listens on is not.
     pub fn open(path: &Path) -> Result<ControlSocket, String> {
-        let told = |e: io::Error| format!("members: {}: {e}", path.display());
+        let to_message = |e: io::Error| format!("members: {}: {e}", path.display());
         if let Ok(found) = std::fs::symlink_metadata(path) {
             if !std::os::unix::fs::FileTypeExt::is_socket(&found.file_type()) {
-                return Err(format!("members: {}: there is something else", path.display()));
+                return Err(format!("members: {}: the file there is not a socket", path.display()));
             }
             if !is_abandoned(path) {
                 return Err(format!("members: {}: another process may listen there", path.display()));
             }
-            std::fs::remove_file(path).map_err(told)?;
+            std::fs::remove_file(path).map_err(to_message)?;
         }
-        let listener = UnixListener::bind(path).map_err(told)?;
+        let listener = UnixListener::bind(path).map_err(to_message)?;
         // Only users that may read the local configuration file may query.
         let mode = std::os::unix::fs::PermissionsExt::from_mode(0o600);
-        std::fs::set_permissions(path, mode).map_err(told)?;
-        Ok(ControlSocket { path: path.to_path_buf(), listener, askers: Default::default(), ready: true })
+        std::fs::set_permissions(path, mode).map_err(to_message)?;
+        Ok(ControlSocket { path: path.to_path_buf(), listener, clients: Default::default(), ready: true })
     }
 
     pub fn register(&mut self, registry: &Registry) -> io::Result<()> {
-        registry.register(&mut self.listener, DOOR, Interest::READABLE)
+        registry.register(&mut self.listener, LISTENER, Interest::READABLE)
     }
 
     /// Whether this is one of the control socket's tokens.
-    pub fn is_its(token: Token) -> bool {
-        (FIRST..=DOOR.0).contains(&token.0)
+    pub fn owns_token(token: Token) -> bool {
+        (FIRST_CLIENT..=LISTENER.0).contains(&token.0)
     }
 
-    pub fn told(&mut self) {
+    pub fn set_readable(&mut self) {
         self.ready = true;
     }
 
     pub fn due(&self) -> f64 {
-        self.askers.iter().flatten().map(|a| a.until).fold(f64::INFINITY, f64::min)
+        self.clients.iter().flatten().map(|client| client.deadline).fold(f64::INFINITY, f64::min)
     }
 
     /// Accepts new clients and continues writing to those that read slowly.
     pub fn serve(&mut self, registry: &Registry, now: f64, report: impl Fn() -> String) {
-        for _ in 0..ASKERS {
+        for _ in 0..MAX_CLIENTS {
             if !self.ready {
                 break;
             }
-            let Some(place) = self.askers.iter().position(Option::is_none) else { break };
+            let Some(index) = self.clients.iter().position(Option::is_none) else { break };
             let mut stream = match self.listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
@@ -86,26 +86,27 @@
                 // More clients may be waiting.
                 Err(_) => continue,
             };
-            if registry.register(&mut stream, Token(FIRST + place), Interest::WRITABLE).is_ok() {
-                let left = (report() + "\n").into_bytes();
-                self.askers[place] = Some(Asker { stream, left, until: now + PATIENCE });
+            if registry.register(&mut stream, Token(FIRST_CLIENT + index), Interest::WRITABLE).is_ok() {
+                let remaining = (report() + "\n").into_bytes();
+                self.clients[index] =
+                    Some(ControlClient { stream, remaining, deadline: now + ANSWER_TIMEOUT_S });
             }
         }
         let mut freed = false;
-        for asker in &mut self.askers {
-            let Some(a) = asker else { continue };
-            let mut over = now >= a.until;
-            while !a.left.is_empty() && !over {
-                match a.stream.write(&a.left) {
-                    Ok(n) => drop(a.left.drain(..n)),
+        for slot in &mut self.clients {
+            let Some(client) = slot else { continue };
+            let mut finished = now >= client.deadline;
+            while !client.remaining.is_empty() && !finished {
+                match client.stream.write(&client.remaining) {
+                    Ok(n) => drop(client.remaining.drain(..n)),
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                    Err(_) => over = true,
+                    Err(_) => finished = true,
                 }
             }
-            if over || a.left.is_empty() {
-                let _ = registry.deregister(&mut a.stream);
-                *asker = None;
+            if finished || client.remaining.is_empty() {
+                let _ = registry.deregister(&mut client.stream);
+                *slot = None;
                 freed = true;
             }
         }
@@ -114,7 +115,7 @@
     }
 
     pub fn busy(&self) -> bool {
-        self.ready && self.askers.iter().any(Option::is_none)
+        self.ready && self.clients.iter().any(Option::is_none)
     }
 
     pub fn close(&self) {
--- a/crates/sandstile-router/src/counters.rs
+++ b/crates/sandstile-router/src/counters.rs
@@ -55,11 +55,11 @@
 }
 
 impl Counters {
-    pub fn ended(&self, ending: Ending) {
+    pub fn count_ending(&self, ending: Ending) {
         self.endings[ending as usize].add();
     }
 
-    pub fn closed(&self, closing: CloseReason) {
+    pub fn count_close(&self, closing: CloseReason) {
         self.closings[closing as usize].add();
     }
 }
@@ -67,7 +67,7 @@
 /// One line of `name=value` pairs, with the same names in the same order each time.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let plain = [
+        let named_counters = [
             ("connections", &self.connections),
             ("taken", &self.dispatcher.taken),
             ("completed", &self.dispatcher.completed),
@@ -110,7 +110,7 @@
             ("longest_dial_wait_ms", &self.longest_dial_wait_ms),
         ];
         write!(f, "counters")?;
-        for (name, count) in plain {
+        for (name, count) in named_counters {
             write!(f, " {name}={}", count.get())?;
         }
         for ending in outcome::ALL {
--- a/crates/sandstile-router/src/discovery.rs
+++ b/crates/sandstile-router/src/discovery.rs
@@ -1,8 +1,8 @@
 //! Follows the host list by a watch on discovery and sends each change to the dispatcher. After any error the list
 //! is kept and the watch is reopened from the last index.
 use crate::counters::Counters;
-use crate::known_hosts::KnownList;
-use crate::list_stream::{Heard, ListStream};
+use crate::known_hosts::KnownHosts;
+use crate::list_stream::{ListStream, WatchItem};
 use crate::lists;
 use crate::mailbox::MailboxSender;
 use oorandom::Rand32;
@@ -25,88 +25,88 @@
         Arc::new(DiscoveryAgent(Mutex::new((address, None))))
     }
 
-    fn held(&self) -> MutexGuard<'_, (SocketAddr, Option<TcpStream>)> {
+    fn lock(&self) -> MutexGuard<'_, (SocketAddr, Option<TcpStream>)> {
         self.0.lock().expect("no thread panics under the lock")
     }
 
     fn address(&self) -> SocketAddr {
-        self.held().0
+        self.lock().0
     }
 
     /// Sets a new address and ends a watch of the previous one, which would stay open without news for a while.
-    pub fn moved(&self, address: SocketAddr) {
-        let mut held = self.held();
-        if held.0 != address {
-            held.0 = address;
-            if let Some(watch) = held.1.take() {
+    pub fn set_address(&self, address: SocketAddr) {
+        let mut state = self.lock();
+        if state.0 != address {
+            state.0 = address;
+            if let Some(watch) = state.1.take() {
                 let _ = watch.shutdown(Shutdown::Both);
             }
         }
     }
 
     /// Records the open watch; `false` where the address has changed since `stream` was dialled.
-    fn watched(&self, address: SocketAddr, stream: &TcpStream) -> bool {
-        let mut held = self.held();
-        held.1 = stream.try_clone().ok();
-        held.0 == address
+    fn set_watch(&self, address: SocketAddr, stream: &TcpStream) -> bool {
+        let mut state = self.lock();
+        state.1 = stream.try_clone().ok();
+        state.0 == address
     }
 }
 
 pub struct Watcher {
     pub agent: Arc<DiscoveryAgent>,
     pub index: u64,
-    pub known: KnownList,
+    pub known_hosts: KnownHosts,
     pub dispatcher: MailboxSender<HostListUpdate>,
     pub counters: Arc<Counters>,
     pub log: Logger,
-    pub told: BTreeSet<String>,
+    pub reported: BTreeSet<String>,
     /// Random pauses between watches, where the local configuration file turns them on.
-    pub returning: Option<ListBackoff>,
+    pub backoff: Option<ListBackoff>,
     /// The longest pause after refused requests.
-    pub longest_pause: Duration,
-    pub chance: Rand32,
+    pub max_pause: Duration,
+    pub rng: Rand32,
     /// Dropped once the first list has arrived or the first request has failed.
-    pub first: Option<MailboxSender<()>>,
+    pub first_list: Option<MailboxSender<()>>,
 }
 
 /// Prefix of the error message of a request that discovery answered with a status other than 200.
-const REFUSED: &str = "refused with status ";
+const REFUSED_PREFIX: &str = "refused with status ";
 
 /// Discovery sends something, if only an empty line, every 2 s, and a change counts as received 6 s after it was
 /// announced: a line that is late by half a period is no longer a delay, and this leaves time to reconnect.
-const SILENCE: Duration = Duration::from_secs(3);
+const SILENCE_LIMIT: Duration = Duration::from_secs(3);
 /// Connect timeout. The agent is on this machine, where a connection is established at once or not at all; the list
 /// of a new agent counts as received 4 s after the new configuration.
-const DIAL: Duration = Duration::from_secs(1);
+const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
 /// How soon a new address is noticed while the watch of the previous one goes on.
-const MOVED_LOOK: Duration = Duration::from_millis(500);
+const ADDRESS_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Approximate pause between requests: the agent is on this machine and requests are cheap, but a loop must not
 /// spin.
-pub const PAUSE: Duration = Duration::from_millis(200);
+pub const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Bytes of an incomplete list that count as a sign of life from discovery: a long list may take longer to arrive
 /// than the silence limit.
-const PROGRESS: usize = 64 * 1024;
-const MOST_CAUSES: usize = 256;
+const PROGRESS_BYTES: usize = 64 * 1024;
+const MAX_REPORTED_CAUSES: usize = 256;
 /// Enough for an indented list of thousands of hosts. Longer input is not a list, and parsing it would take ten
 /// times as much memory.
-const MOST_LIST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
 impl Watcher {
     pub fn run(mut self) {
-        let mut refused = 0;
+        let mut refusals = 0;
         loop {
             let address = self.agent.address();
-            let why = match self.watch(address) {
+            let cause = match self.watch(address) {
                 Ok(()) => "the watch ended".to_string(),
-                Err(why) => why,
+                Err(cause) => cause,
             };
             // Pauses grow with each refusal, as a discovery that refuses is overloaded, up to the longest time that
             // a request may wait.
-            refused = if why.starts_with(REFUSED) { refused + 1 } else { 0 };
-            self.first = None;
+            refusals = if cause.starts_with(REFUSED_PREFIX) { refusals + 1 } else { 0 };
+            self.first_list = None;
             if self.agent.address() == address {
-                self.complain(why, "the list is kept");
-                self.pause(address, self.longest_pause.min(PAUSE * 2u32.pow(refused.min(8))));
+                self.warn_once(cause, "the list is kept");
+                self.pause(address, self.max_pause.min(RETRY_PAUSE * 2u32.pow(refusals.min(8))));
             }
         }
     }
@@ -114,79 +114,84 @@
     /// Waits for about `pause`, randomised: hundreds of routers are refused at the same time, and would return at
     /// the same time. A new address ends the wait.
     fn pause(&mut self, address: SocketAddr, pause: Duration) {
-        let spread = pause.mul_f64(0.5 + f64::from(self.chance.rand_float()));
-        let again = self.returning.as_mut().map_or(spread, |l| Duration::from_secs_f64(l.next_delay()));
-        let until = Instant::now() + again;
+        let randomised = pause.mul_f64(0.5 + f64::from(self.rng.rand_float()));
+        let wait =
+            self.backoff.as_mut().map_or(randomised, |backoff| Duration::from_secs_f64(backoff.next_delay()));
+        let until = Instant::now() + wait;
         while Instant::now() < until && self.agent.address() == address {
-            thread::sleep(PAUSE.min(until.saturating_duration_since(Instant::now())));
+            thread::sleep(RETRY_PAUSE.min(until.saturating_duration_since(Instant::now())));
         }
     }
 
     /// Warns once per cause, or an agent that stays away would fill the log. The set of causes is cleared when it
     /// is full, to bound its memory.
-    fn complain(&mut self, why: String, so: &str) {
-        debug!(self.log, "discovery: {why}");
-        if self.told.len() >= MOST_CAUSES {
-            self.told.clear();
+    fn warn_once(&mut self, cause: String, consequence: &str) {
+        debug!(self.log, "discovery: {cause}");
+        if self.reported.len() >= MAX_REPORTED_CAUSES {
+            self.reported.clear();
         }
-        if !self.told.contains(&why) {
-            warn!(self.log, "discovery: {why}; {so}"; "index" => self.index);
-            self.told.insert(why);
+        if !self.reported.contains(&cause) {
+            warn!(self.log, "discovery: {cause}; {consequence}"; "index" => self.index);
+            self.reported.insert(cause);
         }
     }
 
     fn watch(&mut self, address: SocketAddr) -> Result<(), String> {
         self.counters.watches.add();
-        let mut stream = TcpStream::connect_timeout(&address, DIAL).map_err(|e| format!("connect: {e}"))?;
-        if !self.agent.watched(address, &stream) {
+        let mut stream =
+            TcpStream::connect_timeout(&address, DIAL_TIMEOUT).map_err(|e| format!("connect: {e}"))?;
+        if !self.agent.set_watch(address, &stream) {
             return Ok(());
         }
         stream.set_nodelay(true).map_err(|e| e.to_string())?;
-        let ask = format!(
+        let request = format!(
             "GET /catalog/members?follow=1&since={} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n",
             self.index
         );
-        stream.write_all(ask.as_bytes()).map_err(|e| format!("ask: {e}"))?;
-        let mut buf = Vec::new();
+        stream.write_all(request.as_bytes()).map_err(|e| format!("send request: {e}"))?;
+        let mut buffer = Vec::new();
         let mut chunks = None;
         let mut lists = ListStream::default();
         let mut bytes = [0; 16 * 1024];
         // Only complete items and long stretches of bytes count as a sign of life: a trickle of bytes would hide a
         // silence.
-        let (mut heard, mut long_from) = (Instant::now(), PROGRESS);
+        let (mut last_progress, mut next_progress_at) = (Instant::now(), PROGRESS_BYTES);
         loop {
             if self.agent.address() != address {
                 // The stream could not be cloned, so the change of address could not end the watch.
                 return Ok(());
             }
-            let left = SILENCE.saturating_sub(heard.elapsed());
-            if left.is_zero() {
-                return Err(format!("silent for {} s", SILENCE.as_secs()));
+            let silence_left = SILENCE_LIMIT.saturating_sub(last_progress.elapsed());
+            if silence_left.is_zero() {
+                return Err(format!("silent for {} s", SILENCE_LIMIT.as_secs()));
             }
-            stream.set_read_timeout(Some(left.min(MOVED_LOOK))).map_err(|e| e.to_string())?;
-            let got = match stream.read(&mut bytes) {
+            stream
+                .set_read_timeout(Some(silence_left.min(ADDRESS_CHECK_INTERVAL)))
+                .map_err(|e| e.to_string())?;
+            let received = match stream.read(&mut bytes) {
                 Ok(0) => return Ok(()),
-                Ok(got) => got,
+                Ok(received) => received,
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
                 Err(e) => return Err(format!("read: {e}")),
             };
-            buf.extend_from_slice(&bytes[..got]);
+            buffer.extend_from_slice(&bytes[..received]);
             if chunks.is_none() {
-                let head = head(&buf).inspect_err(|_| self.counters.bad_lists.add())?;
-                let Some((length, chunked)) = head else { continue };
-                buf.drain(..length);
-                chunks = Some(Chunks::new(chunked));
+                let response_head =
+                    read_response_head(&buffer).inspect_err(|_| self.counters.bad_lists.add())?;
+                let Some((length, chunked)) = response_head else { continue };
+                buffer.drain(..length);
+                chunks = Some(ChunkDecoder::new(chunked));
             }
             let chunks = chunks.as_mut().expect("set above");
-            chunks.take(&mut buf, lists.content()).inspect_err(|_| self.counters.bad_lists.add())?;
+            chunks.decode(&mut buffer, lists.buffer()).inspect_err(|_| self.counters.bad_lists.add())?;
             if self.take_lists(&mut lists)? {
-                (heard, long_from) = (Instant::now(), PROGRESS);
-            } else if lists.held() >= long_from {
-                (heard, long_from) = (Instant::now(), lists.held() + PROGRESS);
+                (last_progress, next_progress_at) = (Instant::now(), PROGRESS_BYTES);
+            } else if lists.buffered_bytes() >= next_progress_at {
+                (last_progress, next_progress_at) = (Instant::now(), lists.buffered_bytes() + PROGRESS_BYTES);
             }
-            if lists.held() > MOST_LIST {
-                return Err("a list without an end".to_string());
+            if lists.buffered_bytes() > MAX_LIST_BYTES {
+                return Err("the list is too long".to_string());
             }
             if chunks.end {
                 return Ok(());
@@ -196,57 +201,59 @@
 
     /// Takes all complete lists and empty lines that have arrived; `false` where there was neither.
     fn take_lists(&mut self, lists: &mut ListStream) -> Result<bool, String> {
-        let mut any = false;
+        let mut any_item = false;
         loop {
-            let heard = lists.take().map_err(|e| {
+            let item = lists.next_item().map_err(|e| {
                 self.counters.bad_lists.add();
                 e.to_string()
             })?;
-            match heard {
-                Some(Heard::EmptyLine) => {}
-                Some(Heard::List(json)) => self.list(&json)?,
+            match item {
+                Some(WatchItem::EmptyLine) => {}
+                Some(WatchItem::List(json)) => self.handle_list(&json)?,
                 None => break,
             }
-            any = true;
+            any_item = true;
         }
-        if let Some(lists) = self.returning.as_mut().filter(|_| any) {
-            lists.reset();
+        if let Some(backoff) = self.backoff.as_mut().filter(|_| any_item) {
+            backoff.reset();
         }
-        Ok(any)
+        Ok(any_item)
     }
 
-    fn list(&mut self, json: &Value) -> Result<(), String> {
-        let (update, wrong) = lists::read(json).inspect_err(|_| self.counters.bad_lists.add())?;
-        if let Some(what) = wrong {
+    fn handle_list(&mut self, json: &Value) -> Result<(), String> {
+        let (update, problem) = lists::parse(json).inspect_err(|_| self.counters.bad_lists.add())?;
+        if let Some(message) = problem {
             self.counters.bad_lists.add();
-            self.complain(what, "the rest is taken");
+            self.warn_once(message, "the other entries are taken");
         }
         self.counters.lists.add();
         let entries = update.entries.len();
         info!(self.log, "list"; "index" => update.index, "whole" => update.is_snapshot, "entries" => entries);
         self.index = update.index;
         let is_snapshot = update.is_snapshot;
-        for piece in self.known.changes(update) {
-            for entry in piece.entries.iter().filter(|_| !is_snapshot) {
+        for chunk in self.known_hosts.changes(update) {
+            for entry in chunk.entries.iter().filter(|_| !is_snapshot) {
                 info!(self.log, "listed as {:?}", entry.readiness; "host" => &entry.host, "since" => entry.since);
             }
-            self.dispatcher.send(piece);
+            self.dispatcher.send(chunk);
         }
         // Whoever waits for the first list need not wait any longer.
-        self.first = None;
+        self.first_list = None;
         Ok(())
     }
 }
 
 /// The length of a response's head and whether its body is chunked; `None` until the head is complete.
-fn head(buf: &[u8]) -> Result<Option<(usize, bool)>, String> {
+fn read_response_head(buffer: &[u8]) -> Result<Option<(usize, bool)>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
-    match response.parse(buf).map_err(|e| format!("answer: {e}"))? {
-        httparse::Status::Partial if buf.len() > 16 * 1024 => Err("a head without an end".to_string()),
+    match response.parse(buffer).map_err(|e| format!("invalid answer: {e}"))? {
+        httparse::Status::Partial if buffer.len() > 16 * 1024 => {
+            Err("the response head is too long".to_string())
+        }
         httparse::Status::Partial => Ok(None),
         httparse::Status::Complete(_) if response.code != Some(200) => {
-            Err(format!("{REFUSED}{}", response.code.unwrap_or(0)))
+            Err(format!("{REFUSED_PREFIX}{}", response.code.unwrap_or(0)))
         }
         httparse::Status::Complete(length) => {
             let coding = response.headers.iter().find(|h| h.name.eq_ignore_ascii_case("transfer-encoding"));
@@ -256,42 +263,46 @@
 }
 
 /// Decodes the body: tracks the bytes left of the current chunk, its closing line included.
-pub struct Chunks {
+pub struct ChunkDecoder {
     chunked: bool,
-    left: usize,
+    remaining: usize,
     pub end: bool,
 }
 
-impl Chunks {
+impl ChunkDecoder {
     pub fn new(chunked: bool) -> Self {
-        Chunks { chunked, left: 0, end: false }
+        ChunkDecoder { chunked, remaining: 0, end: false }
     }
 
     /// Moves the content in `buf` to `content`, and keeps incomplete framing for later.
-    pub fn take(&mut self, buf: &mut Vec<u8>, content: &mut Vec<u8>) -> Result<(), String> {
+    pub fn decode(&mut self, buffer: &mut Vec<u8>, content: &mut Vec<u8>) -> Result<(), String> {
         if !self.chunked {
-            content.append(buf);
+            content.append(buffer);
             return Ok(());
         }
-        while !self.end && !buf.is_empty() {
-            if self.left == 0 {
-                match httparse::parse_chunk_size(buf).map_err(|_| "chunk size".to_string())? {
-                    httparse::Status::Partial if buf.len() > 64 => return Err("chunk size".to_string()),
+        while !self.end && !buffer.is_empty() {
+            if self.remaining == 0 {
+                match httparse::parse_chunk_size(buffer).map_err(|_| "invalid chunk size".to_string())? {
+                    httparse::Status::Partial if buffer.len() > 64 => {
+                        return Err("invalid chunk size".to_string())
+                    }
                     httparse::Status::Partial => return Ok(()),
                     httparse::Status::Complete((length, size)) => {
-                        buf.drain(..length);
+                        buffer.drain(..length);
                         self.end = size == 0;
-                        self.left =
-                            usize::try_from(size).ok().and_then(|n| n.checked_add(2)).ok_or("chunk size")?;
+                        self.remaining = usize::try_from(size)
+                            .ok()
+                            .and_then(|n| n.checked_add(2))
+                            .ok_or("invalid chunk size")?;
                     }
                 }
                 continue;
             }
-            let got = self.left.min(buf.len());
-            let of_content = self.left.saturating_sub(2).min(got);
-            content.extend_from_slice(&buf[..of_content]);
-            buf.drain(..got);
-            self.left -= got;
+            let received = self.remaining.min(buffer.len());
+            let content_length = self.remaining.saturating_sub(2).min(received);
+            content.extend_from_slice(&buffer[..content_length]);
+            buffer.drain(..received);
+            self.remaining -= received;
         }
         Ok(())
     }
--- a/crates/sandstile-router/src/errno.rs
+++ b/crates/sandstile-router/src/errno.rs
@@ -28,7 +28,7 @@
 }
 
 /// Classifies an error of `accept`. Not for `WouldBlock`.
-pub fn accept_failure(error: &io::Error) -> AcceptFailure {
+pub fn classify_accept_error(error: &io::Error) -> AcceptFailure {
     match error.raw_os_error() {
         Some(EMFILE) => AcceptFailure::DescriptorsSpent,
         Some(ENFILE | ENOBUFS | ENOMEM | ENOSPC) => AcceptFailure::MachineShort,
@@ -38,7 +38,7 @@
 
 /// Whether an error of `socket`, `connect` or a registration is a problem of this machine: it says nothing about
 /// the host that was dialled, and may pass in a moment.
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_local_error(error: &io::Error) -> bool {
     const LOCAL: [i32; 9] =
         [EAGAIN, ENOMEM, ENFILE, EMFILE, ENOSPC, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ENOBUFS];
     error.kind() == ErrorKind::Interrupted || error.raw_os_error().is_some_and(|n| LOCAL.contains(&n))
@@ -56,22 +56,22 @@
 
 /// Whether a start that failed with this error may succeed in a moment: a previous process may still hold the
 /// address.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(EADDRINUSE | EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC))
         || error.kind() == ErrorKind::Interrupted
 }
 
 /// How long a start retries calls that failed with a transient error, and the pause between two tries.
-const START_PATIENCE: Duration = Duration::from_secs(5);
-const START_PAUSE: Duration = Duration::from_millis(20);
+const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+const START_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Retries a call of the start while its error is transient, up to `START_RETRY_TIMEOUT`.
 pub fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let give_up_at = Instant::now() + START_PATIENCE;
+    let give_up_at = Instant::now() + START_RETRY_TIMEOUT;
     loop {
         match call() {
-            Err(e) if may_pass(&e) && Instant::now() < give_up_at => thread::sleep(START_PAUSE),
-            done => return done,
+            Err(e) if is_transient(&e) && Instant::now() < give_up_at => thread::sleep(START_RETRY_PAUSE),
+            result => return result,
         }
     }
 }
@@ -81,7 +81,7 @@
     loop {
         match call() {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/crates/sandstile-router/src/event_loop.rs
+++ b/crates/sandstile-router/src/event_loop.rs
@@ -9,13 +9,13 @@
 use crate::control::ControlSocket;
 use crate::counters::Counters;
 use crate::errno::AcceptFailure;
-use crate::hosts::{self, Dialled, Hosts};
-use crate::listener::{Accepted, Listener};
+use crate::hosts::{self, DialResult, Hosts};
+use crate::listener::{AcceptResult, Listener};
 use crate::loop_context::LoopContext;
-use crate::mailbox::{carried, single_slot_mailbox, Bell, Mailbox, MailboxSender};
+use crate::mailbox::{event_loop_mailbox, single_slot_mailbox, LoopWaker, Mailbox, MailboxSender};
 use crate::members::{self, Members};
 use crate::outcome::Ending;
-use crate::rate::Limiter;
+use crate::rate::LogLimiter;
 use crate::session_messages::SessionMessage;
 use crate::statement::Workload;
 use mio::net::TcpStream;
@@ -30,29 +30,29 @@
 use std::time::Duration;
 
 /// Bytes per read at the most.
-const MOST_READ: usize = 64 * 1024;
+const MAX_READ_BYTES: usize = 64 * 1024;
 /// Events per poll at the most.
-const MOST_EVENTS: usize = 256;
+const MAX_EVENTS: usize = 256;
 /// Connections accepted in a row before the existing ones get their turn.
-const MOST_ACCEPTS: usize = 128;
+const MAX_ACCEPTS: usize = 128;
 /// Rounds between dispatcher and hosts before the sockets get their turn.
-const ROUNDS: usize = 8;
+const MAX_ROUNDS: usize = 8;
 /// Consecutive failures of `accept` after which an idle connection is closed to free a descriptor.
 const FAILURES_TO_EVICT: u32 = 4;
 /// Seconds for which the setup of an accepted connection is retried.
-const SETUP_PATIENCE: f64 = 2.0;
+const SETUP_TIMEOUT_S: f64 = 2.0;
 /// Seconds after SIGTERM for which the router serves on: new connections arrive for 0.4 s at most, and clients
 /// learn of the end only through their connections.
-const WINDOW: f64 = 0.5;
+const SHUTDOWN_WINDOW_S: f64 = 0.5;
 /// Seconds of an iteration that is worth a line of log: a tenth of the shortest time that clients wait.
-const LONG_TURN: f64 = 0.05;
+const LONG_ITERATION_S: f64 = 0.05;
 /// How long the end waits until the state of the sessions has been stored.
-const LAST_WORD: Duration = Duration::from_millis(500);
-const BELL: Token = Token(0);
-const DOOR: Token = Token(1);
+const SESSIONS_END_TIMEOUT: Duration = Duration::from_millis(500);
+const WAKE: Token = Token(0);
+const LISTENER: Token = Token(1);
 
 /// A connection that was accepted and could not be set up yet.
-struct Unserved {
+struct PendingClient {
     stream: TcpStream,
     waited_since: f64,
     give_up_at: f64,
@@ -61,68 +61,68 @@
 }
 
 /// Messages from the main thread to the event loop.
-pub enum Charge {
+pub enum ControlMessage {
     End,
     /// The members' message keys have changed.
     Keys(Vec<[u8; 32]>),
 }
 
-pub struct Carrier {
+pub struct EventLoop {
     poll: Poll,
-    bell: Arc<Bell>,
+    loop_waker: Arc<LoopWaker>,
     context: LoopContext,
     /// Connections beyond the budget wait in its listen queue.
     listener: Listener,
-    unserved: Option<Unserved>,
+    pending_client: Option<PendingClient>,
     /// When readiness was last polled.
     polled_at: f64,
     /// The serving window after SIGTERM has closed: the loop ends once all that had connected by then is answered.
-    closing: bool,
-    accept_failures: Limiter<AcceptFailure>,
-    long_turns: Limiter<()>,
+    window_closed: bool,
+    accept_failure_log: LogLimiter<AcceptFailure>,
+    long_iteration_log: LogLimiter<()>,
     clients: Clients,
     hosts: Hosts,
     dispatcher: Dispatcher,
-    mail: Mailbox<DispatcherMessage>,
+    inbox: Mailbox<DispatcherMessage>,
     /// Answers that waited for a disk write.
     answers: Mailbox<FinalAnswer>,
-    charges: Mailbox<Charge>,
+    control_messages: Mailbox<ControlMessage>,
     /// Present where the local configuration file turns membership on.
     members: Option<Box<Members>>,
     /// End of the serving window after SIGTERM.
-    ends_at: f64,
+    window_ends_at: f64,
     /// To the session store, which has to write its state at the end.
-    last_word: Option<MailboxSender<SessionMessage>>,
+    session_messages: Option<MailboxSender<SessionMessage>>,
 }
 
 /// The mailboxes of the event loop, created before the actors that send to them.
-pub struct Posts {
+pub struct Mailboxes {
     poll: Poll,
-    bell: Arc<Bell>,
+    loop_waker: Arc<LoopWaker>,
     /// For answers that waited for a disk write.
     pub answers: MailboxSender<FinalAnswer>,
-    answer_box: Mailbox<FinalAnswer>,
-    pub charges: MailboxSender<Charge>,
-    charge_box: Mailbox<Charge>,
+    answer_mailbox: Mailbox<FinalAnswer>,
+    pub control_messages: MailboxSender<ControlMessage>,
+    control_mailbox: Mailbox<ControlMessage>,
 }
 
-impl Posts {
-    pub fn open() -> io::Result<Posts> {
+impl Mailboxes {
+    pub fn open() -> io::Result<Mailboxes> {
         let poll = Poll::new()?;
-        let bell = Bell::new(mio::Waker::new(poll.registry(), BELL)?);
-        let (answers, answer_box) = carried(&bell);
-        let (charges, charge_box) = carried(&bell);
-        Ok(Posts { poll, bell, answers, answer_box, charges, charge_box })
+        let loop_waker = LoopWaker::new(mio::Waker::new(poll.registry(), WAKE)?);
+        let (answers, answer_mailbox) = event_loop_mailbox(&loop_waker);
+        let (control_messages, control_mailbox) = event_loop_mailbox(&loop_waker);
+        Ok(Mailboxes { poll, loop_waker, answers, answer_mailbox, control_messages, control_mailbox })
     }
 
     /// A mailbox of a dispatcher source; sending to it wakes the event loop.
-    pub fn inlet<T>(&self) -> (MailboxSender<T>, Mailbox<T>) {
-        carried(&self.bell)
+    pub fn source_mailbox<T>(&self) -> (MailboxSender<T>, Mailbox<T>) {
+        event_loop_mailbox(&self.loop_waker)
     }
 }
 
 /// The components that make up one router.
-pub struct Parts {
+pub struct RouterParts {
     pub clock: Clock,
     pub budget: Budget,
     pub counters: Arc<Counters>,
@@ -130,45 +130,50 @@
     pub dispatcher: Dispatcher,
     pub workloads: Vec<Workload>,
     /// In seconds, as in `Hosts`.
-    pub dial_limit: f64,
+    pub dial_timeout: f64,
     pub idle_close: f64,
     /// Dial pacing, where the local configuration file turns it on.
-    pub dials: Option<DialPacer>,
+    pub dial_pacer: Option<DialPacer>,
     pub members: Option<Members>,
-    pub last_word: Option<MailboxSender<SessionMessage>>,
+    pub session_messages: Option<MailboxSender<SessionMessage>>,
 }
 
-impl Carrier {
-    pub fn new(posts: Posts, parts: Parts, listener: std::net::TcpListener) -> io::Result<Carrier> {
-        let Posts { poll, bell, answers: _, answer_box, charge_box, charges: _ } = posts;
-        let Parts {
+impl EventLoop {
+    pub fn new(
+        mailboxes: Mailboxes,
+        router_parts: RouterParts,
+        listener: std::net::TcpListener,
+    ) -> io::Result<EventLoop> {
+        let Mailboxes { poll, loop_waker, answers: _, answer_mailbox, control_mailbox, control_messages: _ } =
+            mailboxes;
+        let RouterParts {
             clock,
             budget,
             counters,
             log,
             dispatcher,
             workloads,
-            dial_limit,
+            dial_timeout,
             idle_close,
-            dials,
+            dial_pacer,
             members,
-            last_word,
-        } = parts;
+            session_messages,
+        } = router_parts;
         let registry = poll.registry().try_clone()?;
-        let listener = Listener::new(&registry, DOOR, listener, clock.now())?;
-        let (to_dispatcher, mail) = carried(&bell);
+        let listener = Listener::new(&registry, LISTENER, listener, clock.now())?;
+        let (to_dispatcher, inbox) = event_loop_mailbox(&loop_waker);
         let (timers, queue) = (TimerWheel::starting_at(clock.now()), VecDeque::new());
         let mut hosts =
-            Hosts::new(to_dispatcher.clone(), counters.clone(), log.clone(), dial_limit, idle_close);
-        hosts.dials = dials;
+            Hosts::new(to_dispatcher.clone(), counters.clone(), log.clone(), dial_timeout, idle_close);
+        hosts.dial_pacer = dial_pacer;
         let mut members = members.map(Box::new);
         if let Some(members) = &mut members {
             members.register(&registry)?;
         }
-        let scratch = vec![0; MOST_READ];
-        Ok(Carrier {
+        let scratch = vec![0; MAX_READ_BYTES];
+        Ok(EventLoop {
             poll,
-            bell,
+            loop_waker,
             context: LoopContext {
                 registry,
                 clock,
@@ -181,109 +186,113 @@
                 scratch,
             },
             listener,
-            unserved: None,
+            pending_client: None,
             polled_at: clock.now(),
-            closing: false,
-            accept_failures: Limiter::default(),
-            long_turns: Limiter::default(),
+            window_closed: false,
+            accept_failure_log: LogLimiter::default(),
+            long_iteration_log: LogLimiter::default(),
             clients: Clients::new(workloads, to_dispatcher),
             hosts,
             dispatcher,
-            mail,
-            answers: answer_box,
-            charges: charge_box,
+            inbox,
+            answers: answer_mailbox,
+            control_messages: control_mailbox,
             members,
-            ends_at: f64::INFINITY,
-            last_word,
+            window_ends_at: f64::INFINITY,
+            session_messages,
         })
     }
 
     /// Runs until an end is requested and all accepted statements are answered.
     pub fn run(mut self) -> io::Result<()> {
-        let mut events = Events::with_capacity(MOST_EVENTS);
+        let mut events = Events::with_capacity(MAX_EVENTS);
         // The initial state has to be processed before the first client is read.
         while self.dispatcher.pending() {
-            self.settle();
+            self.process();
         }
-        while !self.over() {
-            self.sleep(&mut events)?;
+        while !self.finished() {
+            self.wait_for_events(&mut events)?;
             let woke_at = self.context.clock.now();
             self.dispatcher.check_for_stall(self.context.clock.now());
             for event in &events {
                 match event.token() {
-                    BELL => {}
-                    DOOR => self.listener.told(self.context.events_since),
+                    WAKE => {}
+                    LISTENER => self.listener.mark_ready(self.context.events_since),
                     members::DATAGRAMS => self.members.iter_mut().for_each(|m| m.set_readable()),
-                    token if ControlSocket::is_its(token) => {
+                    token if ControlSocket::owns_token(token) => {
                         self.members
                             .iter_mut()
                             .filter_map(|m| m.control.as_mut())
-                            .for_each(ControlSocket::told);
+                            .for_each(ControlSocket::set_readable);
                     }
-                    Token(n) if n % 2 == 0 => self.clients.told((n - 2) / 2, event, &mut self.context),
-                    Token(n) => self.hosts.told((n - 3) / 2, event, &mut self.context),
+                    Token(n) if n % 2 == 0 => self.clients.on_event((n - 2) / 2, event, &mut self.context),
+                    Token(n) => self.hosts.on_event((n - 3) / 2, event, &mut self.context),
                 }
             }
-            self.charged();
+            self.handle_control_messages();
             if let Some(members) = &mut self.members {
                 members.turn(&self.context);
             }
             // A connection with more work to do goes to the back of the queue.
             for _ in 0..self.context.queue.len() {
                 match self.context.queue.pop_front() {
-                    Some(Token(n)) if n % 2 == 0 => self.clients.called((n - 2) / 2, &mut self.context),
-                    Some(Token(n)) => self.hosts.called((n - 3) / 2, &mut self.context),
+                    Some(Token(n)) if n % 2 == 0 => self.clients.run_queued((n - 2) / 2, &mut self.context),
+                    Some(Token(n)) => self.hosts.run_queued((n - 3) / 2, &mut self.context),
                     None => break,
                 }
             }
-            self.settle();
-            self.timers();
-            self.settle();
+            self.process();
+            self.handle_timers();
+            self.process();
             self.accept();
-            self.note_turn(woke_at, events.iter().count());
+            self.record_iteration(woke_at, events.iter().count());
         }
         self.end();
         Ok(())
     }
 
     /// Records the longest iteration, and logs one that was long enough for clients to notice.
-    fn note_turn(&mut self, woke_at: f64, events: usize) {
+    fn record_iteration(&mut self, woke_at: f64, events: usize) {
         let now = self.context.clock.now();
         self.context.counters.longest_turn_ms.record_max_ms(now - woke_at);
-        if now - woke_at >= LONG_TURN && self.long_turns.admits(now, ()) {
-            info!(self.context.log, "a long turn"; "ms" => format!("{:.0}", (now - woke_at) * 1e3), "events" => events,
+        if now - woke_at >= LONG_ITERATION_S && self.long_iteration_log.admits(now, ()) {
+            info!(self.context.log, "long event loop turn"; "ms" => format!("{:.0}", (now - woke_at) * 1e3), "events" => events,
                 "statements" => self.dispatcher.open_statements(), "lines_behind" => self.context.queue.len());
         }
     }
 
-    fn busy(&self) -> bool {
-        let mail = !self.mail.is_empty() || self.dispatcher.pending() || !self.answers.is_empty();
-        let letters = self.members.as_ref().is_some_and(|m| m.busy());
-        mail || letters || !self.context.queue.is_empty() || !self.charges.is_empty() || self.accepts()
+    fn has_work(&self) -> bool {
+        let has_messages = !self.inbox.is_empty() || self.dispatcher.pending() || !self.answers.is_empty();
+        let has_datagrams = self.members.as_ref().is_some_and(|m| m.busy());
+        has_messages
+            || has_datagrams
+            || !self.context.queue.is_empty()
+            || !self.control_messages.is_empty()
+            || self.can_accept()
     }
 
-    fn sleep(&mut self, events: &mut Events) -> io::Result<()> {
-        self.bell.sleeps();
-        let limit = if self.busy() {
+    fn wait_for_events(&mut self, events: &mut Events) -> io::Result<()> {
+        self.loop_waker.prepare_sleep();
+        let timeout = if self.has_work() {
             Some(Duration::ZERO)
         } else {
             // Once the window has closed there is nothing left to wake up for: a deadline in the past would make
             // the loop spin.
-            let window = if self.closing { f64::INFINITY } else { self.ends_at };
+            let window = if self.window_closed { f64::INFINITY } else { self.window_ends_at };
             let mut due = self.dispatcher.due(self.context.clock.now()).min(window).min(self.hosts.due());
             due = due.min(self.members.as_ref().map_or(f64::INFINITY, |m| m.due()));
             due = due.min(self.context.timers.earliest().unwrap_or(f64::INFINITY));
             due = due.min(self.accept_due());
-            due.is_finite().then(|| self.context.clock.until(due))
+            due.is_finite().then(|| self.context.clock.time_until(due))
         };
-        let (told_all, polled_at) = (events.iter().count() < MOST_EVENTS, self.polled_at);
-        let polled = self.poll.poll(events, limit);
-        self.bell.wakes();
+        let (got_all_events, polled_at) = (events.iter().count() < MAX_EVENTS, self.polled_at);
+        let polled = self.poll.poll(events, timeout);
+        self.loop_waker.end_sleep();
         self.polled_at = self.context.clock.now();
-        if told_all {
+        if got_all_events {
             // If the loop slept, the first event woke it; otherwise the events may have occurred at any time since
             // the previous poll.
-            let slept = limit != Some(Duration::ZERO);
+            let slept = timeout != Some(Duration::ZERO);
             self.context.events_since = if slept { self.polled_at } else { polled_at };
         }
         match polled {
@@ -297,18 +306,18 @@
 
     /// The dispatcher takes all waiting messages, polls its sources where `poll_sources` is set, and lets the
     /// policy decide; `false` where there was nothing to do.
-    fn decide(&mut self, asks: bool) -> bool {
-        let mut took = asks && self.dispatcher.poll_sources(self.context.clock.now());
-        while let Some(mail) = self.mail.try_recv() {
-            self.dispatcher.handle(self.context.clock.now(), mail);
-            took = true;
+    fn decide(&mut self, poll_sources: bool) -> bool {
+        let mut has_input = poll_sources && self.dispatcher.poll_sources(self.context.clock.now());
+        while let Some(message) = self.inbox.try_recv() {
+            self.dispatcher.handle(self.context.clock.now(), message);
+            has_input = true;
         }
-        let worked = self.dispatcher.decide_if_due(self.context.clock.now(), took);
-        for said in self.dispatcher.take_log_events() {
-            match said {
-                LogEvent::Stalled(_) => warn!(self.context.log, "{said}"),
+        let worked = self.dispatcher.decide_if_due(self.context.clock.now(), has_input);
+        for log_event in self.dispatcher.take_log_events() {
+            match log_event {
+                LogEvent::Stalled(_) => warn!(self.context.log, "{log_event}"),
                 step if step.is_statement_step() => debug!(self.context.log, "{step}"),
-                _ => info!(self.context.log, "{said}"),
+                _ => info!(self.context.log, "{log_event}"),
             }
         }
         worked
@@ -316,24 +325,24 @@
 
     /// Runs dispatcher, hosts and clients in turn until nothing is left to do. Commands are handled before answers,
     /// or a dial that succeeds just then could still write a statement that has been answered.
-    fn settle(&mut self) {
-        for round in 0..ROUNDS {
+    fn process(&mut self) {
+        for round in 0..MAX_ROUNDS {
             let mut worked = self.decide(round == 0);
-            while let Some(order) = self.dispatcher.next_command() {
-                self.hosts.order(order, &mut self.context);
+            while let Some(command) = self.dispatcher.next_command() {
+                self.hosts.handle_command(command, &mut self.context);
                 worked = true;
             }
-            while !self.yields_to_queue()
-                && self.hosts.wanting(self.context.clock.now())
+            while !self.reserves_for_queue()
+                && self.hosts.next_dial_ready(self.context.clock.now())
                 && self.claim(Holder::UpstreamConnection)
             {
-                if self.hosts.dial(&mut self.context) == Dialled::DescriptorsSpent {
-                    self.make_room();
+                if self.hosts.dial(&mut self.context) == DialResult::DescriptorsSpent {
+                    self.evict_oldest_idle();
                 }
                 worked = true;
             }
-            while let Some(given) = self.dispatcher.next_answer().or_else(|| self.answers.try_recv()) {
-                self.clients.answer(given, &mut self.context);
+            while let Some(final_answer) = self.dispatcher.next_answer().or_else(|| self.answers.try_recv()) {
+                self.clients.answer(final_answer, &mut self.context);
                 worked = true;
             }
             if !worked {
@@ -342,29 +351,34 @@
         }
     }
 
-    fn timers(&mut self) {
+    fn handle_timers(&mut self) {
         let now = self.context.clock.now();
         while let Some((at, Token(n))) = self.context.timers.pop(now) {
             match n {
-                n if n >= hosts::HOSTS => self.hosts.host_timer(n - hosts::HOSTS, at, &mut self.context),
-                n if n % 2 == 0 => self.clients.timer((n - 2) / 2, at, &mut self.context),
-                n => self.hosts.timer((n - 3) / 2, at, &mut self.context),
+                n if n >= hosts::HOST_TIMER_TOKENS => {
+                    self.hosts.handle_host_timer(n - hosts::HOST_TIMER_TOKENS, at, &mut self.context)
+                }
+                n if n % 2 == 0 => self.clients.handle_timer((n - 2) / 2, at, &mut self.context),
+                n => self.hosts.handle_timer((n - 3) / 2, at, &mut self.context),
             }
         }
-        if self.ends_at <= now && !self.closing {
+        if self.window_ends_at <= now && !self.window_closed {
             // Everything that has connected by now is accepted, as far as there is room.
-            self.closing = true;
-            self.listener.look();
+            self.window_closed = true;
+            self.listener.force_accept();
             self.accept();
-            self.clients.dismiss(&mut self.context);
+            self.clients.shut_down(&mut self.context);
         }
     }
 
-    fn charged(&mut self) {
-        while let Some(charge) = self.charges.try_recv() {
-            match charge {
-                Charge::End => self.ends_at = self.ends_at.min(self.context.clock.now() + WINDOW),
-                Charge::Keys(keys) => self.members.iter_mut().for_each(|m| m.rotate(keys.clone())),
+    fn handle_control_messages(&mut self) {
+        while let Some(message) = self.control_messages.try_recv() {
+            match message {
+                ControlMessage::End => {
+                    self.window_ends_at =
+                        self.window_ends_at.min(self.context.clock.now() + SHUTDOWN_WINDOW_S)
+                }
+                ControlMessage::Keys(keys) => self.members.iter_mut().for_each(|m| m.rotate(keys.clone())),
             }
         }
     }
@@ -376,9 +390,9 @@
             match self.context.budget.claim(holder) {
                 Claim::Granted => return true,
                 Claim::Evict(Holder::UpstreamConnection, key) => {
-                    self.hosts.leave(key, Ending::IdleEvicted, &mut self.context);
+                    self.hosts.close_idle(key, Ending::IdleEvicted, &mut self.context);
                 }
-                Claim::Evict(_, key) => self.clients.leave(key, &mut self.context),
+                Claim::Evict(_, key) => self.clients.request_close(key, &mut self.context),
                 Claim::Full => return false,
             }
         }
@@ -389,14 +403,15 @@
         if now < self.listener.overdue_at() {
             return Admission::Wait;
         }
-        let serves = !self.clients.has_resting_strangers();
-        self.context.budget.admission(serves, now >= self.listener.refused_at())
+        let serves = !self.clients.has_idle_new_clients();
+        self.context.budget.admission(serves, now >= self.listener.refuse_at())
     }
 
     /// Whether one more client can be accepted now, if only to refuse its statement.
     fn has_room(&self, now: f64) -> bool {
-        let fits = self.unserved.is_some() || self.context.budget.can_claim(Holder::ClientConnection);
-        fits || self.admission(now) != Admission::Wait
+        let has_descriptor =
+            self.pending_client.is_some() || self.context.budget.can_claim(Holder::ClientConnection);
+        has_descriptor || self.admission(now) != Admission::Wait
     }
 
     /// When to try `accept` without an event.
@@ -406,58 +421,58 @@
             return self.listener.due();
         }
         // A connection that ends or becomes idle before that wakes the loop.
-        let next = [self.listener.overdue_at(), self.listener.refused_at()];
+        let next = [self.listener.overdue_at(), self.listener.refuse_at()];
         next.into_iter().filter(|at| *at > now).fold(f64::INFINITY, f64::min)
     }
 
     /// Whether the next free descriptor is reserved for the listen queue rather than for an upstream connection.
-    fn yields_to_queue(&self) -> bool {
-        let overdue = self.context.clock.now() >= self.listener.overdue_at();
-        let serves = !self.clients.has_resting_strangers() && self.context.budget.clients_below_limit();
-        overdue && serves && self.listener.is_open()
+    fn reserves_for_queue(&self) -> bool {
+        let is_overdue = self.context.clock.now() >= self.listener.overdue_at();
+        let serves = !self.clients.has_idle_new_clients() && self.context.budget.clients_below_limit();
+        is_overdue && serves && self.listener.is_open()
     }
 
     /// Whether a connection could be accepted now, if one is waiting.
-    fn accepts(&self) -> bool {
+    fn can_accept(&self) -> bool {
         let now = self.context.clock.now();
-        self.listener.wants(now) && self.has_room(now)
+        self.listener.is_due(now) && self.has_room(now)
     }
 
     fn accept(&mut self) {
-        for _ in 0..MOST_ACCEPTS {
-            if !self.accepts() {
+        for _ in 0..MAX_ACCEPTS {
+            if !self.can_accept() {
                 break;
             }
-            let Some(next) = self.unserved.take().or_else(|| self.accept_next()) else { continue };
-            self.serve(next);
+            let Some(next) = self.pending_client.take().or_else(|| self.accept_next()) else { continue };
+            self.set_up_client(next);
         }
         let now = self.context.clock.now();
         if !self.has_room(now) {
-            self.listener.hold_up(now);
+            self.listener.record_no_room(now);
         }
     }
 
     /// The next connection of the listen queue, counted in the budget.
-    fn accept_next(&mut self) -> Option<Unserved> {
+    fn accept_next(&mut self) -> Option<PendingClient> {
         let now = self.context.clock.now();
         match self.listener.accept(&self.context.registry, now) {
-            Accepted::Connection(stream, waited_since) => {
+            AcceptResult::Connection(stream, waited_since) => {
                 self.context.counters.connections.add();
                 self.context.counters.longest_accept_wait_ms.record_max_ms(now - waited_since);
                 let refused = !self.claim(Holder::ClientConnection)
                     && self.claim_beyond_share(now) == Admission::Refuse;
                 if let Some(key) = self.context.budget.take_surplus_client() {
-                    self.clients.leave(key, &mut self.context);
+                    self.clients.request_close(key, &mut self.context);
                 }
-                Some(Unserved { stream, waited_since, give_up_at: now + SETUP_PATIENCE, refused })
+                Some(PendingClient { stream, waited_since, give_up_at: now + SETUP_TIMEOUT_S, refused })
             }
-            Accepted::Empty => {
-                if self.closing {
+            AcceptResult::Empty => {
+                if self.window_closed {
                     self.listener.close();
                 }
                 None
             }
-            Accepted::Failed(failure, error) => {
+            AcceptResult::Failed(failure, error) => {
                 self.accept_failed(now, failure, &error);
                 None
             }
@@ -470,7 +485,7 @@
         let admission = self.admission(now);
         match admission {
             Admission::Refuse => self.context.budget.take_refused(),
-            Admission::Serve => self.claim_in_place_of_links(),
+            Admission::Serve => self.claim_evicting_upstream(),
             // The idle connections chosen for closing had just sent a statement: the limit is exceeded by one for a
             // moment.
             Admission::Wait => self.context.budget.take(Holder::ClientConnection),
@@ -478,11 +493,11 @@
         admission
     }
 
-    fn claim_in_place_of_links(&mut self) {
+    fn claim_evicting_upstream(&mut self) {
         loop {
             match self.context.budget.claim_beyond_share() {
                 Claim::Granted => return,
-                Claim::Evict(_, key) => self.hosts.leave(key, Ending::IdleEvicted, &mut self.context),
+                Claim::Evict(_, key) => self.hosts.close_idle(key, Ending::IdleEvicted, &mut self.context),
                 Claim::Full => return self.context.budget.take(Holder::ClientConnection),
             }
         }
@@ -490,30 +505,30 @@
 
     fn accept_failed(&mut self, now: f64, failure: AcceptFailure, error: &io::Error) {
         self.context.counters.accept_errors.add();
-        if self.accept_failures.admits(now, failure) {
+        if self.accept_failure_log.admits(now, failure) {
             warn!(self.context.log, "accept: {error}"; "failure" => ?failure);
         }
         // A single failure may be transient; the budget keeps this process well below its limit.
         if failure == AcceptFailure::DescriptorsSpent && self.listener.failures() >= FAILURES_TO_EVICT {
-            self.make_room();
+            self.evict_oldest_idle();
         }
     }
 
     /// Closes the oldest idle connection: the platform grants fewer descriptors than the configuration promises.
-    fn make_room(&mut self) {
+    fn evict_oldest_idle(&mut self) {
         match self.context.budget.take_oldest_idle() {
             Some((Holder::UpstreamConnection, key)) => {
-                self.hosts.leave(key, Ending::IdleEvicted, &mut self.context)
+                self.hosts.close_idle(key, Ending::IdleEvicted, &mut self.context)
             }
-            Some((_, key)) => self.clients.leave(key, &mut self.context),
+            Some((_, key)) => self.clients.request_close(key, &mut self.context),
             None => {}
         }
     }
 
     /// Hands a connection to the clients, or keeps it for another try.
-    fn serve(&mut self, next: Unserved) {
+    fn set_up_client(&mut self, next: PendingClient) {
         let now = self.context.clock.now();
-        let Unserved { stream, waited_since, give_up_at, refused } = next;
+        let PendingClient { stream, waited_since, give_up_at, refused } = next;
         let Err((stream, error)) = self.clients.accept(stream, waited_since, refused, &mut self.context)
         else {
             return;
@@ -521,27 +536,34 @@
         if now < give_up_at {
             self.accept_failed(now, AcceptFailure::MachineShort, &error);
             self.listener.pause(now);
-            self.unserved = Some(Unserved { stream, waited_since, give_up_at, refused });
+            self.pending_client = Some(PendingClient { stream, waited_since, give_up_at, refused });
         } else {
             match refused {
                 true => self.context.budget.release_refused(),
                 false => self.context.budget.release(Holder::ClientConnection),
             }
-            self.context.counters.closed(CloseReason::ClientSetupFailed);
+            self.context.counters.count_close(CloseReason::ClientSetupFailed);
             warn!(self.context.log, "client not served: {error}");
         }
     }
 
-    fn over(&self) -> bool {
-        self.closing && !self.listener.is_open() && self.unserved.is_none() && self.clients.is_empty()
+    fn finished(&self) -> bool {
+        self.window_closed
+            && !self.listener.is_open()
+            && self.pending_client.is_none()
+            && self.clients.is_empty()
     }
 
     /// Everything is answered, so the state of the sessions is complete and is stored as such.
     fn end(&mut self) {
-        let (done, last) = single_slot_mailbox::<()>();
-        if self.last_word.as_ref().is_some_and(|words| words.send(SessionMessage::End(done))) {
+        let (end_sender, ended) = single_slot_mailbox::<()>();
+        if self
+            .session_messages
+            .as_ref()
+            .is_some_and(|messages| messages.send(SessionMessage::End(end_sender)))
+        {
             self.decide(true);
-            let _ = last.recv(Some(LAST_WORD));
+            let _ = ended.recv(Some(SESSIONS_END_TIMEOUT));
         }
         if let Some(members) = &mut self.members {
             members.leave(self.context.clock.now());
--- a/crates/sandstile-router/src/hosts.rs
+++ b/crates/sandstile-router/src/hosts.rs
@@ -3,12 +3,12 @@
 use crate::budget::{Holder, IdleKey};
 use crate::counters::Counters;
 use crate::dialling::{dial_ending, is_up};
-use crate::errno::{accept_failure, is_local, AcceptFailure};
-use crate::loop_context::{LoopContext, TURN};
+use crate::errno::{classify_accept_error, is_local_error, AcceptFailure};
+use crate::loop_context::{LoopContext, MAX_STEPS_PER_TURN};
 use crate::mailbox::MailboxSender;
 use crate::outcome::{Ending, Outcome};
 use crate::pool::{Lookup, NextUse, Placement, Pool};
-use crate::socket::{Moved, Wire};
+use crate::socket::{Socket, Transfer};
 use crate::task::{HostTask, TaskKind};
 use crate::upstream_connection::{Event, UpstreamConnection};
 use mio::net::TcpStream;
@@ -25,32 +25,32 @@
     pool: Pool,
     log: Logger,
     /// For each kind of outcome, when it was last logged and how many were not logged since.
-    causes: BTreeMap<Ending, (f64, u64)>,
+    outcome_log: BTreeMap<Ending, (f64, u64)>,
     /// When the timer for its idle connections is due.
-    armed: f64,
+    timer_due: f64,
 }
 
-struct Seat {
+struct ConnectionSlot {
     host: usize,
-    line: UpstreamConnection,
-    wire: Option<Wire>,
+    connection: UpstreamConnection,
+    socket: Option<Socket>,
     queued: bool,
-    armed: f64,
-    idle: Option<IdleKey>,
+    timer_due: f64,
+    idle_key: Option<IdleKey>,
     /// When its dial began, while the dial is under way and dials are paced.
-    began: Option<f64>,
-    wanted_at: f64,
+    dial_started_at: Option<f64>,
+    requested_at: f64,
     /// It has been delayed by the dial pacing and counted for that.
-    held: bool,
+    delayed: bool,
     /// Until when its dial is retried, once a dial has failed with a local error of this machine.
-    local_until: Option<f64>,
+    local_retry_until: Option<f64>,
 }
 
-impl Seat {
+impl ConnectionSlot {
     /// When the socket is rechecked without an event. Idle connections are not: they are checked before use.
-    fn look_due(&self) -> f64 {
-        match &self.wire {
-            Some(wire) if !self.line.idle() => wire.look_due(),
+    fn recheck_due(&self) -> f64 {
+        match &self.socket {
+            Some(socket) if !self.connection.idle() => socket.recheck_due(),
             _ => f64::INFINITY,
         }
     }
@@ -58,37 +58,37 @@
 
 pub struct Hosts {
     hosts: Vec<Option<Host>>,
-    seats: Slab<Seat>,
+    slots: Slab<ConnectionSlot>,
     dispatcher: MailboxSender<DispatcherMessage>,
     counters: Arc<Counters>,
     log: Logger,
     /// Connections that wait for a descriptor, with the address to dial.
-    wanted: VecDeque<(usize, SocketAddr)>,
+    pending_dials: VecDeque<(usize, SocketAddr)>,
     /// Events of upstream connections that have not been handled yet.
     events: VecDeque<(usize, Event)>,
     /// Paces dials, where the local configuration file turns that on.
-    pub dials: Option<DialPacer>,
+    pub dial_pacer: Option<DialPacer>,
     /// When the next delayed dial may begin; infinite where there is none.
-    turn_at: f64,
+    next_dial_at: f64,
     /// No dial begins before this time: the last one failed with a local error of this machine.
     paused_until: f64,
     /// Seconds for a connection to be established, or between parts of an answer: the maximum that the network of
     /// this deployment needs.
-    dial_limit: f64,
+    dial_timeout: f64,
     /// Seconds for which a connection may be idle: well below the host's own idle timeout, for a statement that is
     /// written while the host closes the connection may have run.
-    rest_limit: f64,
+    idle_limit: f64,
 }
 
 /// Seconds for which a dial that failed with a local error is retried before its statement fails, and seconds
 /// between the tries.
-const LOCAL_PATIENCE: f64 = 0.05;
-const LOCAL_PAUSE: f64 = 0.005;
+const LOCAL_RETRY_TIMEOUT_S: f64 = 0.05;
+const LOCAL_RETRY_PAUSE_S: f64 = 0.005;
 
 /// Result of starting one dial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dialled {
-    Begun,
+pub enum DialResult {
+    Started,
     Failed,
     /// This process has reached its descriptor limit: an idle connection has to be closed.
     DescriptorsSpent,
@@ -99,29 +99,29 @@
     Token(2 * key + 3)
 }
 
-pub const HOSTS: usize = usize::MAX / 2;
+pub const HOST_TIMER_TOKENS: usize = usize::MAX / 2;
 
 impl Hosts {
     pub fn new(
         dispatcher: MailboxSender<DispatcherMessage>,
         counters: Arc<Counters>,
         log: Logger,
-        dial_limit: f64,
+        dial_timeout: f64,
         idle_close: f64,
     ) -> Self {
         Hosts {
             hosts: Vec::new(),
-            seats: Slab::new(),
+            slots: Slab::new(),
             dispatcher,
             counters,
             log,
-            wanted: VecDeque::new(),
+            pending_dials: VecDeque::new(),
             events: VecDeque::new(),
-            dials: None,
-            turn_at: f64::INFINITY,
+            dial_pacer: None,
+            next_dial_at: f64::INFINITY,
             paused_until: f64::NEG_INFINITY,
-            dial_limit,
-            rest_limit: idle_close * 0.75,
+            dial_timeout,
+            idle_limit: idle_close * 0.75,
         }
     }
 
@@ -130,40 +130,46 @@
         self.hosts.get_mut(host).and_then(Option::as_mut).expect("a pool for each host")
     }
 
-    pub fn order(&mut self, order: Command, context: &mut LoopContext) {
-        match order {
-            Command::UpdateHost { host, name, address } => self.known(host, &name, address, context),
+    pub fn handle_command(&mut self, command: Command, context: &mut LoopContext) {
+        match command {
+            Command::UpdateHost { host, name, address } => self.update_host(host, &name, address, context),
             Command::RemoveHost(host) => {
                 let connections: Vec<usize> = self.host(host).pool.connections().collect();
                 connections.into_iter().for_each(|key| self.close(key, context));
                 self.hosts[host] = None;
                 self.counters.hosts.decrement();
-                if let Some(dials) = &mut self.dials {
-                    dials.forget(host);
+                if let Some(dial_pacer) = &mut self.dial_pacer {
+                    dial_pacer.forget(host);
                 }
             }
-            Command::Start(host, task) => self.begin(host, task, context),
+            Command::Start(host, task) => self.start_task(host, task, context),
             Command::Probe(host) => {
                 self.counters.probes.add();
-                let deadline = context.clock.now() + self.dial_limit;
-                self.begin(host, HostTask { kind: TaskKind::Probe, deadline }, context);
+                let deadline = context.clock.now() + self.dial_timeout;
+                self.start_task(host, HostTask { kind: TaskKind::Probe, deadline }, context);
             }
             Command::Cancel { host, statement_id, execution } => {
-                self.recall(host, (statement_id, execution), true, context)
+                self.cancel(host, (statement_id, execution), true, context)
             }
             Command::CancelUnsent { host, statement_id, execution } => {
-                self.recall(host, (statement_id, execution), false, context)
+                self.cancel(host, (statement_id, execution), false, context)
             }
             Command::RouterCount(n) => {
-                if let Some(dials) = &mut self.dials {
-                    dials.set_router_count(n);
+                if let Some(dial_pacer) = &mut self.dial_pacer {
+                    dial_pacer.set_router_count(n);
                 }
             }
         }
-        self.act(context);
+        self.process_events(context);
     }
 
-    fn known(&mut self, host: usize, name: &str, address: Option<SocketAddr>, context: &mut LoopContext) {
+    fn update_host(
+        &mut self,
+        host: usize,
+        name: &str,
+        address: Option<SocketAddr>,
+        context: &mut LoopContext,
+    ) {
         if self.hosts.len() <= host {
             self.hosts.resize_with(host + 1, || None);
         }
@@ -171,53 +177,64 @@
             info!(self.log, "host {host} is {name}"; "address" => address.map(|at| at.to_string()));
             self.counters.hosts.add();
             let log = self.log.new(o!("host" => name.to_string()));
-            let (pool, causes, armed) = (Pool::default(), BTreeMap::new(), f64::INFINITY);
-            self.hosts[host] = Some(Host { pool, log, causes, armed });
+            let (pool, outcome_log, timer_due) = (Pool::default(), BTreeMap::new(), f64::INFINITY);
+            self.hosts[host] = Some(Host { pool, log, outcome_log, timer_due });
         }
         let Some(address) = address else { return };
-        let known_before = self.host(host).pool.has_address();
+        let had_address = self.host(host).pool.has_address();
         let Some(connections) = self.host(host).pool.set_address(address) else { return };
-        if known_before {
+        if had_address {
             info!(self.host(host).log, "address is {address}");
         }
         for key in connections {
-            self.counters.ended(Ending::Moved);
+            self.counters.count_ending(Ending::Moved);
             self.close(key, context);
         }
-        for _ in 0..self.dials.as_ref().map_or(0, DialPacer::initial_dials) {
-            self.want(host, address, context);
+        for _ in 0..self.dial_pacer.as_ref().map_or(0, DialPacer::initial_dials) {
+            self.request_dial(host, address, context);
         }
     }
 
     /// Adds one more connection to be dialled.
-    fn want(&mut self, host: usize, address: SocketAddr, context: &LoopContext) {
+    fn request_dial(&mut self, host: usize, address: SocketAddr, context: &LoopContext) {
         self.counters.dialled.add();
-        let line = UpstreamConnection::new(context.clock.now() + self.dial_limit, self.dial_limit);
-        let (armed, idle, began, held) = (f64::INFINITY, None, None, false);
-        let wanted_at = context.clock.now();
-        let (wire, queued, local_until) = (None, false, None);
-        let seat = Seat { host, line, wire, queued, armed, idle, began, wanted_at, held, local_until };
-        let key = self.seats.insert(seat);
+        let connection = UpstreamConnection::new(context.clock.now() + self.dial_timeout, self.dial_timeout);
+        let (timer_due, idle_key, dial_started_at, delayed) = (f64::INFINITY, None, None, false);
+        let requested_at = context.clock.now();
+        let (socket, queued, local_retry_until) = (None, false, None);
+        let slot = ConnectionSlot {
+            host,
+            connection,
+            socket,
+            queued,
+            timer_due,
+            idle_key,
+            dial_started_at,
+            requested_at,
+            delayed,
+            local_retry_until,
+        };
+        let key = self.slots.insert(slot);
         self.host(host).pool.dialled(key);
-        self.wanted.push_back((key, address));
+        self.pending_dials.push_back((key, address));
     }
 
     /// A task takes an idle connection if one is still usable, or waits for a dial.
-    fn begin(&mut self, host: usize, mut task: HostTask, context: &mut LoopContext) {
+    fn start_task(&mut self, host: usize, mut task: HostTask, context: &mut LoopContext) {
         loop {
             match self.host(host).pool.begin(task) {
-                Placement::Assign(key, handed) => {
-                    self.wake(key, context);
-                    if self.quiet(key) {
-                        return self.hand(key, handed, context);
+                Placement::Assign(key, assigned) => {
+                    self.mark_busy(key, context);
+                    if self.is_silent(key) {
+                        return self.assign(key, assigned, context);
                     }
                     self.host(host).pool.remove_stale(key);
-                    self.counters.ended(Ending::IdleEnded);
+                    self.counters.count_ending(Ending::IdleEnded);
                     self.close(key, context);
-                    task = handed;
+                    task = assigned;
                 }
                 Placement::Dial(address) => {
-                    self.want(host, address, context);
+                    self.request_dial(host, address, context);
                     return;
                 }
                 Placement::End(task, ending) => return self.report(host, task, ending.into(), context),
@@ -225,39 +242,45 @@
         }
     }
 
-    fn quiet(&self, key: usize) -> bool {
-        self.seats[key].wire.as_ref().is_some_and(Wire::quiet)
+    fn is_silent(&self, key: usize) -> bool {
+        self.slots[key].socket.as_ref().is_some_and(Socket::is_silent)
     }
 
     /// Removes an idle connection from the budget's idle list.
-    fn wake(&mut self, key: usize, context: &mut LoopContext) {
-        if let Some(rest) = self.seats[key].idle.take() {
-            context.budget.remove_idle(rest);
+    fn mark_busy(&mut self, key: usize, context: &mut LoopContext) {
+        if let Some(idle_key) = self.slots[key].idle_key.take() {
+            context.budget.remove_idle(idle_key);
         }
     }
 
-    fn hand(&mut self, key: usize, task: HostTask, context: &mut LoopContext) {
+    fn assign(&mut self, key: usize, task: HostTask, context: &mut LoopContext) {
         if task.execution_id().is_some() {
             self.counters.sent.add();
         }
-        if let Some(event) = self.seats[key].line.begin(context.clock.now(), task) {
+        if let Some(event) = self.slots[key].connection.begin(context.clock.now(), task) {
             self.events.push_back((key, event));
         }
         self.run(key, context);
     }
 
     /// Cancels an execution that waits for a connection, and, if `sent` is set, also one that is in progress.
-    fn recall(&mut self, host: usize, execution_id: (u64, usize), sent: bool, context: &mut LoopContext) {
+    fn cancel(
+        &mut self,
+        host: usize,
+        execution_id: (u64, usize),
+        include_sent: bool,
+        context: &mut LoopContext,
+    ) {
         match self.host(host).pool.find(execution_id) {
             Lookup::Waiting(task) => self.report(host, task, Ending::WithdrawnUnsent.into(), context),
-            Lookup::Running(key) if sent => {
+            Lookup::Running(key) if include_sent => {
                 // An answer that has arrived by now counts: otherwise nobody would know whether the statement ran.
-                if let Some(wire) = &mut self.seats[key].wire {
-                    wire.look();
+                if let Some(socket) = &mut self.slots[key].socket {
+                    socket.force_read();
                 }
                 self.run(key, context);
-                let Some(seat) = self.seats.get_mut(key) else { return };
-                if let Some(event) = seat.line.withdraw(execution_id, &mut context.budget) {
+                let Some(slot) = self.slots.get_mut(key) else { return };
+                if let Some(event) = slot.connection.withdraw(execution_id, &mut context.budget) {
                     self.events.push_back((key, event));
                 }
             }
@@ -266,37 +289,37 @@
     }
 
     /// Brings the next connection that may be dialled to the front of the queue; `false` where there is none.
-    pub fn wanting(&mut self, now: f64) -> bool {
+    pub fn next_dial_ready(&mut self, now: f64) -> bool {
         // The connection may have timed out, and its key may belong to another one by now.
-        let stands = |seat: &Seat| seat.wire.is_none() && !seat.line.dialling();
-        self.turn_at = f64::INFINITY;
+        let still_waiting = |slot: &ConnectionSlot| slot.socket.is_none() && !slot.connection.dialling();
+        self.next_dial_at = f64::INFINITY;
         if now < self.paused_until {
-            self.turn_at = if self.wanted.is_empty() { f64::INFINITY } else { self.paused_until };
+            self.next_dial_at = if self.pending_dials.is_empty() { f64::INFINITY } else { self.paused_until };
             return false;
         }
-        let Some(dials) = &mut self.dials else {
-            while let Some((key, _)) = self.wanted.front() {
-                if self.seats.get(*key).is_some_and(stands) {
+        let Some(dial_pacer) = &mut self.dial_pacer else {
+            while let Some((key, _)) = self.pending_dials.front() {
+                if self.slots.get(*key).is_some_and(still_waiting) {
                     return true;
                 }
-                self.wanted.pop_front();
+                self.pending_dials.pop_front();
             }
             return false;
         };
-        let seats = &mut self.seats;
-        self.wanted.retain(|(key, _)| seats.get(*key).is_some_and(stands));
-        for at in 0..self.wanted.len() {
-            let Some(seat) = seats.get_mut(self.wanted[at].0) else { continue };
-            let when = dials.decide(now, seat.host);
-            if when != DialDecision::Now && !std::mem::replace(&mut seat.held, true) {
+        let slots = &mut self.slots;
+        self.pending_dials.retain(|(key, _)| slots.get(*key).is_some_and(still_waiting));
+        for index in 0..self.pending_dials.len() {
+            let Some(slot) = slots.get_mut(self.pending_dials[index].0) else { continue };
+            let decision = dial_pacer.decide(now, slot.host);
+            if decision != DialDecision::Now && !std::mem::replace(&mut slot.delayed, true) {
                 self.counters.dials_held.add();
             }
-            match when {
+            match decision {
                 DialDecision::Now => {
-                    self.wanted.swap(0, at);
+                    self.pending_dials.swap(0, index);
                     return true;
                 }
-                DialDecision::At(turn) => self.turn_at = self.turn_at.min(turn),
+                DialDecision::At(time) => self.next_dial_at = self.next_dial_at.min(time),
                 DialDecision::AfterCurrent => {}
             }
         }
@@ -305,58 +328,59 @@
 
     /// When a delayed dial may begin.
     pub fn due(&self) -> f64 {
-        self.turn_at
+        self.next_dial_at
     }
 
     /// Tells the dial pacing that a dial has succeeded or failed.
-    fn dialled(&mut self, key: usize, failed: Option<Ending>, now: f64) {
-        let Some(seat) = self.seats.get_mut(key) else { return };
-        if let (Some(dials), Some(began)) = (&mut self.dials, seat.began.take()) {
-            let came = match failed {
-                None => DialOutcome::Connected(now - began),
+    fn dial_ended(&mut self, key: usize, failed: Option<Ending>, now: f64) {
+        let Some(slot) = self.slots.get_mut(key) else { return };
+        if let (Some(dial_pacer), Some(dial_started_at)) = (&mut self.dial_pacer, slot.dial_started_at.take())
+        {
+            let outcome = match failed {
+                None => DialOutcome::Connected(now - dial_started_at),
                 Some(Ending::DialTimedOut) => DialOutcome::TimedOut,
                 Some(_) => DialOutcome::Refused,
             };
-            dials.dial_ended(now, seat.host, came);
+            dial_pacer.dial_ended(now, slot.host, outcome);
         }
     }
 
     /// Starts the next dial; its descriptor is already counted in the budget.
-    pub fn dial(&mut self, context: &mut LoopContext) -> Dialled {
-        let Some((key, address)) = self.wanted.pop_front() else { return Dialled::Failed };
-        let dialled = TcpStream::connect(address).and_then(|stream| {
+    pub fn dial(&mut self, context: &mut LoopContext) -> DialResult {
+        let Some((key, address)) = self.pending_dials.pop_front() else { return DialResult::Failed };
+        let connected = TcpStream::connect(address).and_then(|stream| {
             // Without TCP_NODELAY statements may be sent a little later.
             let _ = stream.set_nodelay(true);
-            Wire::new(&context.registry, stream, token(key), false).map_err(|(_, e)| e)
+            Socket::new(&context.registry, stream, token(key), false).map_err(|(_, e)| e)
         });
         let now = context.clock.now();
-        let seat = &mut self.seats[key];
-        self.counters.longest_dial_wait_ms.record_max_ms(now - seat.wanted_at);
-        if let Some(e) = dialled.as_ref().err().filter(|e| is_local(e)) {
-            if now < *seat.local_until.get_or_insert(now + LOCAL_PATIENCE) {
+        let slot = &mut self.slots[key];
+        self.counters.longest_dial_wait_ms.record_max_ms(now - slot.requested_at);
+        if let Some(e) = connected.as_ref().err().filter(|e| is_local_error(e)) {
+            if now < *slot.local_retry_until.get_or_insert(now + LOCAL_RETRY_TIMEOUT_S) {
                 return self.dial_again(key, address, e, context);
             }
         }
-        if let Some(dials) = &mut self.dials {
-            seat.line.dialled_with_deadline(now + self.dial_limit);
-            seat.began = Some(now);
-            dials.dial_started(now, seat.host);
+        if let Some(dial_pacer) = &mut self.dial_pacer {
+            slot.connection.dialled_with_deadline(now + self.dial_timeout);
+            slot.dial_started_at = Some(now);
+            dial_pacer.dial_started(now, slot.host);
         } else {
-            seat.line.dialled();
-        }
-        match dialled {
-            Ok(mut wire) => {
-                wire.moved(now);
-                seat.wire = Some(wire);
-                self.arm(key, context);
-                Dialled::Begun
+            slot.connection.dialled();
+        }
+        match connected {
+            Ok(mut socket) => {
+                socket.record_progress(now);
+                slot.socket = Some(socket);
+                self.schedule_timer(key, context);
+                DialResult::Started
             }
             Err(e) => {
                 context.budget.release(Holder::UpstreamConnection);
-                let event = seat.line.failed(dial_ending(&e));
+                let event = slot.connection.failed(dial_ending(&e));
                 self.events.extend(event.map(|event| (key, event)));
-                self.act(context);
-                Dialled::Failed
+                self.process_events(context);
+                DialResult::Failed
             }
         }
     }
@@ -369,197 +393,207 @@
         address: SocketAddr,
         error: &std::io::Error,
         context: &mut LoopContext,
-    ) -> Dialled {
+    ) -> DialResult {
         context.budget.release(Holder::UpstreamConnection);
         context.counters.dials_repeated.add();
-        let host = self.seats[key].host;
-        debug!(self.host(host).log, "dialled again soon: {error}");
-        self.wanted.push_front((key, address));
-        self.paused_until = context.clock.now() + LOCAL_PAUSE;
-        match accept_failure(error) {
-            AcceptFailure::DescriptorsSpent => Dialled::DescriptorsSpent,
-            _ => Dialled::Failed,
+        let host = self.slots[key].host;
+        debug!(self.host(host).log, "dialled again after a local error: {error}");
+        self.pending_dials.push_front((key, address));
+        self.paused_until = context.clock.now() + LOCAL_RETRY_PAUSE_S;
+        match classify_accept_error(error) {
+            AcceptFailure::DescriptorsSpent => DialResult::DescriptorsSpent,
+            _ => DialResult::Failed,
         }
     }
 
-    pub fn told(&mut self, key: usize, event: &mio::event::Event, context: &mut LoopContext) {
-        let Some(seat) = self.seats.get_mut(key) else { return };
-        let Some(wire) = &mut seat.wire else { return };
-        wire.told(event);
+    pub fn on_event(&mut self, key: usize, event: &mio::event::Event, context: &mut LoopContext) {
+        let Some(slot) = self.slots.get_mut(key) else { return };
+        let Some(socket) = &mut slot.socket else { return };
+        socket.on_event(event);
         self.queue(key, context);
     }
 
     fn queue(&mut self, key: usize, context: &mut LoopContext) {
-        let seat = &mut self.seats[key];
-        if !std::mem::replace(&mut seat.queued, true) {
+        let slot = &mut self.slots[key];
+        if !std::mem::replace(&mut slot.queued, true) {
             context.queue.push_back(token(key));
         }
     }
 
-    pub fn called(&mut self, key: usize, context: &mut LoopContext) {
-        if let Some(seat) = self.seats.get_mut(key) {
-            seat.queued = false;
+    pub fn run_queued(&mut self, key: usize, context: &mut LoopContext) {
+        if let Some(slot) = self.slots.get_mut(key) {
+            slot.queued = false;
             self.run(key, context);
-            self.act(context);
+            self.process_events(context);
         }
     }
 
     /// Handles a timer that may belong to this connection. Input that has arrived meanwhile is read first.
-    pub fn timer(&mut self, key: usize, at: f64, context: &mut LoopContext) {
-        let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.armed == at) else { return };
-        seat.armed = f64::INFINITY;
+    pub fn handle_timer(&mut self, key: usize, at: f64, context: &mut LoopContext) {
+        let Some(slot) = self.slots.get_mut(key).filter(|slot| slot.timer_due == at) else { return };
+        slot.timer_due = f64::INFINITY;
         let now = context.clock.now();
-        let (time_up, look) = (seat.line.due() <= now, seat.look_due() <= now);
-        if time_up || look {
-            if let Some(wire) = &mut seat.wire {
-                wire.look_again(now);
-                wire.look();
+        let (deadline_passed, needs_recheck) = (slot.connection.due() <= now, slot.recheck_due() <= now);
+        if deadline_passed || needs_recheck {
+            if let Some(socket) = &mut slot.socket {
+                socket.recheck(now);
+                socket.force_read();
             }
             self.run(key, context);
-            if let Some(seat) = self.seats.get_mut(key) {
-                if let Some(event) = seat.line.handle_deadline(context.clock.now(), &mut context.budget) {
+            if let Some(slot) = self.slots.get_mut(key) {
+                if let Some(event) = slot.connection.handle_deadline(context.clock.now(), &mut context.budget)
+                {
                     self.events.push_back((key, event));
                 }
             }
-            self.act(context);
+            self.process_events(context);
         }
-        if self.seats.contains(key) {
-            self.arm(key, context);
+        if self.slots.contains(key) {
+            self.schedule_timer(key, context);
         }
     }
 
     /// Handles a timer that may belong to this host: closes connections that have been idle for too long.
-    pub fn host_timer(&mut self, host: usize, at: f64, context: &mut LoopContext) {
-        let before = context.clock.now() - self.rest_limit;
-        let Some(h) = self.hosts.get_mut(host).and_then(Option::as_mut).filter(|h| h.armed == at) else {
+    pub fn handle_host_timer(&mut self, host: usize, at: f64, context: &mut LoopContext) {
+        let idle_before = context.clock.now() - self.idle_limit;
+        let Some(entry) =
+            self.hosts.get_mut(host).and_then(Option::as_mut).filter(|entry| entry.timer_due == at)
+        else {
             return;
         };
-        h.armed = f64::INFINITY;
-        while let Some((key, _)) = self.host(host).pool.oldest_idle().filter(|(_, since)| *since <= before) {
-            self.leave(key, Ending::IdleExpired, context);
+        entry.timer_due = f64::INFINITY;
+        while let Some((key, _)) =
+            self.host(host).pool.oldest_idle().filter(|(_, since)| *since <= idle_before)
+        {
+            self.close_idle(key, Ending::IdleExpired, context);
         }
-        self.arm_host(host, context);
+        self.schedule_host_timer(host, context);
     }
 
-    fn arm_host(&mut self, host: usize, context: &mut LoopContext) {
-        let limit = self.rest_limit;
-        let h = self.host(host);
-        let due = h.pool.oldest_idle().map_or(f64::INFINITY, |(_, since)| since + limit);
-        if due < h.armed {
-            h.armed = due;
-            context.timers.push(due, Token(HOSTS + host));
+    fn schedule_host_timer(&mut self, host: usize, context: &mut LoopContext) {
+        let limit = self.idle_limit;
+        let entry = self.host(host);
+        let due = entry.pool.oldest_idle().map_or(f64::INFINITY, |(_, since)| since + limit);
+        if due < entry.timer_due {
+            entry.timer_due = due;
+            context.timers.push(due, Token(HOST_TIMER_TOKENS + host));
         }
     }
 
-    fn arm(&mut self, key: usize, context: &mut LoopContext) {
-        let seat = &mut self.seats[key];
-        let due = seat.line.due().min(seat.look_due());
-        if due < seat.armed {
-            seat.armed = due;
+    fn schedule_timer(&mut self, key: usize, context: &mut LoopContext) {
+        let slot = &mut self.slots[key];
+        let due = slot.connection.due().min(slot.recheck_due());
+        if due < slot.timer_due {
+            slot.timer_due = due;
             context.timers.push(due, token(key));
         }
     }
 
     /// Closes an idle connection, for a reason of this machine.
-    pub fn leave(&mut self, key: usize, ending: Ending, context: &mut LoopContext) {
-        let Some(seat) = self.seats.get_mut(key).filter(|seat| seat.line.idle()) else { return };
-        seat.line.leave();
-        let host = seat.host;
+    pub fn close_idle(&mut self, key: usize, ending: Ending, context: &mut LoopContext) {
+        let Some(slot) = self.slots.get_mut(key).filter(|slot| slot.connection.idle()) else { return };
+        slot.connection.leave();
+        let host = slot.host;
         self.host(host).pool.idle_closed(key);
-        self.counters.ended(ending);
+        self.counters.count_ending(ending);
         self.close(key, context);
     }
 
     fn close(&mut self, key: usize, context: &mut LoopContext) {
-        let Some(mut seat) = self.seats.try_remove(key) else { return };
-        if let Some(rest) = seat.idle {
-            context.budget.remove_idle(rest);
+        let Some(mut slot) = self.slots.try_remove(key) else { return };
+        if let Some(idle_key) = slot.idle_key {
+            context.budget.remove_idle(idle_key);
         }
-        seat.line.release(&mut context.budget);
-        if let Some(wire) = seat.wire {
-            wire.close(&context.registry);
+        slot.connection.release(&mut context.budget);
+        if let Some(socket) = slot.socket {
+            socket.close(&context.registry);
             context.budget.release(Holder::UpstreamConnection);
         }
     }
 
     /// Does a bounded amount of work on one connection before the others get their turn.
     fn run(&mut self, key: usize, context: &mut LoopContext) {
-        for turn in 0.. {
-            let Some(seat) = self.seats.get_mut(key) else { return };
-            let Some(wire) = &mut seat.wire else { return };
+        for step in 0.. {
+            let Some(slot) = self.slots.get_mut(key) else { return };
+            let Some(socket) = &mut slot.socket else { return };
             let mut event = None;
-            if seat.line.dialling() {
-                if !wire.writable() {
+            if slot.connection.dialling() {
+                if !socket.writable() {
                     break;
                 }
-                event = match is_up(wire.stream()) {
+                event = match is_up(socket.stream()) {
                     Ok(true) => {
-                        seat.line.connected();
+                        slot.connection.connected();
                         None
                     }
                     Ok(false) => {
-                        wire.unwritable();
+                        socket.clear_writable();
                         break;
                     }
-                    Err(ending) => seat.line.failed(ending),
+                    Err(ending) => slot.connection.failed(ending),
                 };
             }
-            let mut moved = false;
-            match wire.write(seat.line.pending_output()) {
-                Moved::Bytes(put) => {
-                    seat.line.wrote(put);
-                    wire.moved(context.clock.now());
-                    moved = true;
+            let mut progressed = false;
+            match socket.write(slot.connection.pending_output()) {
+                Transfer::Bytes(written) => {
+                    slot.connection.wrote(written);
+                    socket.record_progress(context.clock.now());
+                    progressed = true;
                 }
-                Moved::Later => wire.moved(context.clock.now()),
-                Moved::Ended | Moved::Broken(_) => event = event.or(seat.line.closed(&mut context.budget)),
-                Moved::Nothing => {}
+                Transfer::OutOfMemory => socket.record_progress(context.clock.now()),
+                Transfer::Ended | Transfer::Broken(_) => {
+                    event = event.or(slot.connection.closed(&mut context.budget))
+                }
+                Transfer::NotReady => {}
             }
             if event.is_none() {
-                let wanted_bytes = seat.line.wanted_bytes().min(context.scratch.len());
-                match wire.read(&mut context.scratch[..wanted_bytes]) {
-                    Moved::Bytes(got) => {
+                let wanted_bytes = slot.connection.wanted_bytes().min(context.scratch.len());
+                match socket.read(&mut context.scratch[..wanted_bytes]) {
+                    Transfer::Bytes(received) => {
                         let now = context.clock.now();
-                        if wire.unannounced() {
+                        if socket.is_unannounced() {
                             context.counters.found_by_look.add();
                         }
-                        wire.moved(now);
-                        event = seat.line.receive(now, &context.scratch[..got], &mut context.budget);
-                        moved = true;
+                        socket.record_progress(now);
+                        event =
+                            slot.connection.receive(now, &context.scratch[..received], &mut context.budget);
+                        progressed = true;
+                    }
+                    Transfer::OutOfMemory => socket.record_progress(context.clock.now()),
+                    Transfer::Ended | Transfer::Broken(_) => {
+                        event = slot.connection.closed(&mut context.budget)
                     }
-                    Moved::Later => wire.moved(context.clock.now()),
-                    Moved::Ended | Moved::Broken(_) => event = seat.line.closed(&mut context.budget),
-                    Moved::Nothing => {}
+                    Transfer::NotReady => {}
                 }
             }
             if let Some(event) = event {
                 self.events.push_back((key, event));
                 break;
             }
-            if !moved {
+            if !progressed {
                 break;
             }
-            if turn >= TURN {
+            if step >= MAX_STEPS_PER_TURN {
                 self.queue(key, context);
                 break;
             }
         }
-        if self.seats.contains(key) {
-            self.arm(key, context);
+        if self.slots.contains(key) {
+            self.schedule_timer(key, context);
         }
     }
 
     /// Handles the events of upstream connections until no more follow.
-    fn act(&mut self, context: &mut LoopContext) {
+    fn process_events(&mut self, context: &mut LoopContext) {
         while let Some((key, event)) = self.events.pop_front() {
-            let Some(seat) = self.seats.get(key) else { continue };
-            let host = seat.host;
+            let Some(slot) = self.slots.get(key) else { continue };
+            let host = slot.host;
             match event {
                 Event::Ready => {
-                    self.dialled(key, None, context.clock.now());
-                    if self.quiet(key) {
-                        let free = self.host(host).pool.dial_succeeded(key, context.clock.now());
-                        self.freed(host, key, free, true, context);
+                    self.dial_ended(key, None, context.clock.now());
+                    if self.is_silent(key) {
+                        let next_use = self.host(host).pool.dial_succeeded(key, context.clock.now());
+                        self.handle_freed(host, key, next_use, true, context);
                     } else {
                         self.dial_failed(host, key, Ending::DialBroken, context);
                     }
@@ -567,42 +601,50 @@
                 Event::Failed(ending) => self.dial_failed(host, key, ending, context),
                 Event::IdleClosed(ending) => {
                     self.host(host).pool.idle_closed(key);
-                    self.counters.ended(ending);
+                    self.counters.count_ending(ending);
                     self.close(key, context);
                 }
                 Event::Done { task, outcome, reusable } => {
                     // With more bytes behind the answer than belong to it, the connection can't be reused for a
                     // waiting statement.
-                    let spoilt = reusable && self.host(host).pool.waiting() > 0 && !self.quiet(key);
-                    if spoilt {
-                        self.counters.ended(Ending::IdleEnded);
+                    let has_extra_bytes =
+                        reusable && self.host(host).pool.waiting() > 0 && !self.is_silent(key);
+                    if has_extra_bytes {
+                        self.counters.count_ending(Ending::IdleEnded);
                     }
-                    let reusable = reusable && !spoilt;
+                    let reusable = reusable && !has_extra_bytes;
                     if !reusable {
                         self.close(key, context);
                     }
                     // The pool is updated first, so that a further execution for this host finds the connection
                     // free.
-                    let free = self.host(host).pool.task_done(key, reusable, context.clock.now());
+                    let next_use = self.host(host).pool.task_done(key, reusable, context.clock.now());
                     self.report(host, task, outcome, context);
-                    self.freed(host, key, free, false, context);
+                    self.handle_freed(host, key, next_use, false, context);
                 }
             }
         }
     }
 
     /// Handles a connection that has become free: it gets a new task, becomes idle, or is no longer usable.
-    fn freed(&mut self, host: usize, key: usize, free: NextUse, fresh: bool, context: &mut LoopContext) {
-        match free {
-            NextUse::Assign(task) => self.hand(key, task, context),
+    fn handle_freed(
+        &mut self,
+        host: usize,
+        key: usize,
+        next_use: NextUse,
+        is_new_dial: bool,
+        context: &mut LoopContext,
+    ) {
+        match next_use {
+            NextUse::Assign(task) => self.assign(key, task, context),
             NextUse::Idle => {
-                self.seats[key].idle = Some(context.budget.mark_idle(Holder::UpstreamConnection, key));
-                self.arm_host(host, context);
+                self.slots[key].idle_key = Some(context.budget.mark_idle(Holder::UpstreamConnection, key));
+                self.schedule_host_timer(host, context);
             }
-            NextUse::Moved if fresh => self.dial_failed(host, key, Ending::Moved, context),
+            NextUse::Moved if is_new_dial => self.dial_failed(host, key, Ending::Moved, context),
             NextUse::Moved => {
-                if self.seats.contains(key) {
-                    self.counters.ended(Ending::Moved);
+                if self.slots.contains(key) {
+                    self.counters.count_ending(Ending::Moved);
                     self.close(key, context);
                 }
             }
@@ -611,16 +653,16 @@
 
     /// Handles a failed dial.
     fn dial_failed(&mut self, host: usize, key: usize, ending: Ending, context: &mut LoopContext) {
-        self.dialled(key, Some(ending), context.clock.now());
+        self.dial_ended(key, Some(ending), context.clock.now());
         self.close(key, context);
         match self.host(host).pool.dial_failed(key) {
             Some(task) => self.report(host, task, ending.into(), context),
-            None => self.ended(host, ending, context),
+            None => self.record_ending(host, ending, context),
         }
     }
 
     fn report(&mut self, host: usize, task: HostTask, outcome: Outcome, context: &LoopContext) {
-        self.ended(host, outcome.ending, context);
+        self.record_ending(host, outcome.ending, context);
         self.dispatcher.send(match task.kind {
             TaskKind::Statement { statement_id, execution, .. } => {
                 DispatcherMessage::Ended { statement_id, execution, outcome }
@@ -631,20 +673,20 @@
 
     /// Counts an outcome, and logs it where it is unusual: each kind at most once per second and host, for a host
     /// that is down ends statements by the hundred.
-    fn ended(&mut self, host: usize, ending: Ending, context: &LoopContext) {
-        self.counters.ended(ending);
+    fn record_ending(&mut self, host: usize, ending: Ending, context: &LoopContext) {
+        self.counters.count_ending(ending);
         if ending.ordinary() {
             return;
         }
         let now = context.clock.now();
-        let h = self.host(host);
-        debug!(h.log, "{ending:?}");
-        let (at, more) = h.causes.entry(ending).or_insert((0.0, 0));
-        if now < *at + 1.0 {
-            *more += 1;
+        let entry = self.host(host);
+        debug!(entry.log, "{ending:?}");
+        let (logged_at, suppressed) = entry.outcome_log.entry(ending).or_insert((0.0, 0));
+        if now < *logged_at + 1.0 {
+            *suppressed += 1;
         } else {
-            info!(h.log, "ended: {ending:?}"; "unlogged_before" => std::mem::take(more));
-            *at = now;
+            info!(entry.log, "ended: {ending:?}"; "unlogged_before" => std::mem::take(suppressed));
+            *logged_at = now;
         }
     }
 }
--- a/crates/sandstile-router/src/known_hosts.rs
+++ b/crates/sandstile-router/src/known_hosts.rs
@@ -8,61 +8,62 @@
 use std::net::SocketAddr;
 
 /// Entries per chunk.
-const PIECE: usize = 32;
+const CHUNK_LEN: usize = 32;
 
 #[derive(Clone, PartialEq)]
-struct Told {
+struct ListedHost {
     entry: HostEntry,
     address: Option<SocketAddr>,
 }
 
 /// The hosts that discovery has listed, by name.
 #[derive(Default)]
-pub struct KnownList {
-    hosts: BTreeMap<String, Told>,
+pub struct KnownHosts {
+    hosts: BTreeMap<String, ListedHost>,
 }
 
-impl KnownList {
+impl KnownHosts {
     /// The changes of this list, in chunks; one chunk without entries where nothing has changed.
     pub fn changes(&mut self, update: HostListUpdate) -> Vec<HostListUpdate> {
         let index = update.index;
-        let mut told: BTreeMap<String, Told> = BTreeMap::new();
+        let mut listed: BTreeMap<String, ListedHost> = BTreeMap::new();
         for (entry, (name, address)) in update.entries.into_iter().zip(update.addresses) {
-            told.insert(name, Told { entry, address });
+            listed.insert(name, ListedHost { entry, address });
         }
         if update.is_snapshot {
-            let left = self.hosts.iter().filter(|(name, _)| !told.contains_key(*name));
-            let left: Vec<(String, Told)> = left.map(|(name, host)| (name.clone(), gone(host))).collect();
-            told.extend(left);
+            let missing = self.hosts.iter().filter(|(name, _)| !listed.contains_key(*name));
+            let missing: Vec<(String, ListedHost)> =
+                missing.map(|(name, host)| (name.clone(), removed(host))).collect();
+            listed.extend(missing);
         }
-        told.retain(|name, host| match self.hosts.get(name) {
+        listed.retain(|name, host| match self.hosts.get(name) {
             Some(known) => known != host,
             None => host.entry.readiness != Readiness::Gone,
         });
-        for (name, host) in &told {
+        for (name, host) in &listed {
             match host.entry.readiness {
                 Readiness::Gone => self.hosts.remove(name),
                 _ => self.hosts.insert(name.clone(), host.clone()),
             };
         }
-        pieces(index, told.into_values().collect())
+        chunks_of(index, listed.into_values().collect())
     }
 }
 
-fn gone(host: &Told) -> Told {
+fn removed(host: &ListedHost) -> ListedHost {
     let entry = HostEntry { readiness: Readiness::Gone, ..host.entry.clone() };
-    Told { entry, address: None }
+    ListedHost { entry, address: None }
 }
 
-fn pieces(index: u64, changed: Vec<Told>) -> Vec<HostListUpdate> {
-    let piece = |hosts: &[Told]| HostListUpdate {
+fn chunks_of(index: u64, changed: Vec<ListedHost>) -> Vec<HostListUpdate> {
+    let chunk = |hosts: &[ListedHost]| HostListUpdate {
         index,
         is_snapshot: false,
         entries: hosts.iter().map(|host| host.entry.clone()).collect(),
         addresses: hosts.iter().map(|host| (host.entry.host.clone(), host.address)).collect(),
     };
     if changed.is_empty() {
-        return vec![piece(&[])];
+        return vec![chunk(&[])];
     }
-    changed.chunks(PIECE).map(piece).collect()
+    changed.chunks(CHUNK_LEN).map(chunk).collect()
 }
--- a/crates/sandstile-router/src/lists.rs
+++ b/crates/sandstile-router/src/lists.rs
@@ -8,31 +8,31 @@
 
 /// Parses a list in discovery's format. Entries that can't be read are left out; the message then names the first
 /// of them.
-pub fn read(json: &Value) -> Result<(HostListUpdate, Option<String>), String> {
-    let index = json["index"].as_u64().ok_or("a list without an index")?;
-    let is_snapshot = json["snapshot"].as_bool().ok_or("a list without snapshot")?;
-    let listed = json["endpoints"].as_array().ok_or("a list without endpoints")?;
+pub fn parse(json: &Value) -> Result<(HostListUpdate, Option<String>), String> {
+    let index = json["index"].as_u64().ok_or("the list has no index")?;
+    let is_snapshot = json["snapshot"].as_bool().ok_or("the list has no snapshot flag")?;
+    let endpoints = json["endpoints"].as_array().ok_or("the list has no endpoints")?;
     let mut update = HostListUpdate { index, is_snapshot, entries: Vec::new(), addresses: Vec::new() };
-    let mut wrong = None;
-    for item in listed {
-        match entry(item) {
+    let mut problem = None;
+    for item in endpoints {
+        match parse_entry(item) {
             Ok((entry, address)) => {
                 if address.is_none() && entry.readiness == Readiness::Active {
-                    wrong = wrong.or(Some(format!("{}: no usable address", entry.host)));
+                    problem = problem.or(Some(format!("{}: no usable address", entry.host)));
                 }
                 update.addresses.push((entry.host.clone(), address));
                 update.entries.push(entry);
             }
-            Err(what) => wrong = wrong.or(Some(what)),
+            Err(message) => problem = problem.or(Some(message)),
         }
     }
-    Ok((update, wrong))
+    Ok((update, problem))
 }
 
-fn entry(item: &Value) -> Result<(HostEntry, Option<SocketAddr>), String> {
-    let host = item["name"].as_str().ok_or("an entry without a name")?.to_string();
-    let word = item["status"].as_str().unwrap_or("");
-    let readiness = readiness(word).ok_or_else(|| format!("{host}: status '{word}'"))?;
+fn parse_entry(item: &Value) -> Result<(HostEntry, Option<SocketAddr>), String> {
+    let host = item["name"].as_str().ok_or("a list entry has no name")?.to_string();
+    let status = item["status"].as_str().unwrap_or("");
+    let readiness = readiness(status).ok_or_else(|| format!("{host}: unknown status '{status}'"))?;
     let address = item["address"].as_str().unwrap_or("").parse().ok();
     let group = match &item["group"] {
         Value::Null => return Err(format!("{host}: no group")),
--- a/crates/sandstile-router/src/loop_context.rs
+++ b/crates/sandstile-router/src/loop_context.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 /// Reads or commands that one connection may handle before the other connections get their turn.
-pub const TURN: usize = 8;
+pub const MAX_STEPS_PER_TURN: usize = 8;
 
 /// State shared by all connections of the event loop.
 pub struct LoopContext {
--- a/crates/sandstile-router/src/mailbox.rs
+++ b/crates/sandstile-router/src/mailbox.rs
@@ -13,28 +13,28 @@
 use std::time::{Duration, Instant};
 
 /// Wakes the event loop while it sleeps.
-pub struct Bell {
+pub struct LoopWaker {
     waker: Waker,
     asleep: AtomicBool,
 }
 
-impl Bell {
-    pub fn new(waker: Waker) -> Arc<Bell> {
-        Arc::new(Bell { waker, asleep: AtomicBool::new(false) })
+impl LoopWaker {
+    pub fn new(waker: Waker) -> Arc<LoopWaker> {
+        Arc::new(LoopWaker { waker, asleep: AtomicBool::new(false) })
     }
 
     /// From now on a new message wakes the loop. The caller has to check the queues once more after this call, for
     /// messages that were sent before it.
-    pub fn sleeps(&self) {
+    pub fn prepare_sleep(&self) {
         self.asleep.store(true, SeqCst);
         fence(SeqCst);
     }
 
-    pub fn wakes(&self) {
+    pub fn end_sleep(&self) {
         self.asleep.store(false, SeqCst);
     }
 
-    fn ring(&self) {
+    fn wake_loop(&self) {
         fence(SeqCst);
         if self.asleep.swap(false, SeqCst) && retry_interrupted(|| self.waker.wake()).is_err() {
             // The wake-up failed: the next sender tries again, and the loop's own timers wake it meanwhile.
@@ -46,7 +46,7 @@
 #[derive(Clone)]
 enum Reader {
     Thread(Arc<OnceLock<Thread>>),
-    Carried(Arc<Bell>),
+    EventLoop(Arc<LoopWaker>),
 }
 
 /// The sending end; it can be cloned.
@@ -62,12 +62,12 @@
 }
 
 pub fn mailbox<T>() -> (MailboxSender<T>, Mailbox<T>) {
-    with(unbounded(), Reader::Thread(Arc::default()))
+    new_mailbox(unbounded(), Reader::Thread(Arc::default()))
 }
 
 /// A mailbox whose reader runs on the event loop.
-pub fn carried<T>(bell: &Arc<Bell>) -> (MailboxSender<T>, Mailbox<T>) {
-    with(unbounded(), Reader::Carried(bell.clone()))
+pub fn event_loop_mailbox<T>(loop_waker: &Arc<LoopWaker>) -> (MailboxSender<T>, Mailbox<T>) {
+    new_mailbox(unbounded(), Reader::EventLoop(loop_waker.clone()))
 }
 
 /// A mailbox for one message at a time.
@@ -76,19 +76,22 @@
 }
 
 /// A mailbox for at most `capacity` messages.
-pub fn bounded_mailbox<T>(most: usize) -> (MailboxSender<T>, Mailbox<T>) {
-    with(bounded(most), Reader::Thread(Arc::default()))
+pub fn bounded_mailbox<T>(capacity: usize) -> (MailboxSender<T>, Mailbox<T>) {
+    new_mailbox(bounded(capacity), Reader::Thread(Arc::default()))
 }
 
-fn with<T>((sender, receiver): (Sender<T>, Receiver<T>), reader: Reader) -> (MailboxSender<T>, Mailbox<T>) {
+fn new_mailbox<T>(
+    (sender, receiver): (Sender<T>, Receiver<T>),
+    reader: Reader,
+) -> (MailboxSender<T>, Mailbox<T>) {
     (MailboxSender { sender: Some(sender), reader: reader.clone() }, Mailbox { receiver, reader })
 }
 
 impl<T> MailboxSender<T> {
     /// Never blocks. Returns `false` where nobody will read the message: the reader is gone, or the mailbox is
     /// full.
-    pub fn send(&self, mail: T) -> bool {
-        let sent = self.sender.as_ref().is_some_and(|sender| sender.try_send(mail).is_ok());
+    pub fn send(&self, message: T) -> bool {
+        let sent = self.sender.as_ref().is_some_and(|sender| sender.try_send(message).is_ok());
         self.wake();
         sent
     }
@@ -105,7 +108,7 @@
                     reader.unpark();
                 }
             }
-            Reader::Carried(bell) => bell.ring(),
+            Reader::EventLoop(loop_waker) => loop_waker.wake_loop(),
         }
     }
 }
@@ -137,27 +140,27 @@
     }
 
     /// Waits without limit where `timeout` is `None`. Not for a reader on the event loop.
-    pub fn recv(&self, limit: Option<Duration>) -> Result<T, RecvTimeoutError> {
+    pub fn recv(&self, timeout: Option<Duration>) -> Result<T, RecvTimeoutError> {
         // A sender that runs before the thread is known wakes nobody; the loop below finds its message.
         if let Reader::Thread(reader) = &self.reader {
             reader.get_or_init(thread::current);
         }
-        let until = limit.map(|limit| Instant::now() + limit);
+        let deadline = timeout.map(|timeout| Instant::now() + timeout);
         loop {
             match self.receiver.try_recv() {
-                Ok(mail) => return Ok(mail),
+                Ok(message) => return Ok(message),
                 Err(TryRecvError::Disconnected) => return Err(RecvTimeoutError::Disconnected),
                 Err(TryRecvError::Empty) => {}
             }
-            let Some(until) = until else {
+            let Some(deadline) = deadline else {
                 thread::park();
                 continue;
             };
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Err(RecvTimeoutError::Timeout);
             }
-            thread::park_timeout(left);
+            thread::park_timeout(remaining);
         }
     }
 }
--- a/crates/sandstile-router/src/mailbox_source.rs
+++ b/crates/sandstile-router/src/mailbox_source.rs
@@ -4,25 +4,28 @@
 use sandstile_dispatcher::{DispatcherInput, Source};
 
 /// Messages taken per poll: the dispatcher serves its clients in between.
-const MOST: usize = 2;
+const MAX_MESSAGES_PER_POLL: usize = 2;
 
-pub struct Inlet<T> {
-    mail: Mailbox<T>,
-    fact: fn(T) -> DispatcherInput,
+pub struct MailboxSource<T> {
+    mailbox: Mailbox<T>,
+    to_input: fn(T) -> DispatcherInput,
 }
 
-impl<T> Inlet<T> {
-    pub fn new(mail: Mailbox<T>, fact: fn(T) -> DispatcherInput) -> Self {
-        Inlet { mail, fact }
+impl<T> MailboxSource<T> {
+    pub fn new(mailbox: Mailbox<T>, to_input: fn(T) -> DispatcherInput) -> Self {
+        MailboxSource { mailbox, to_input }
     }
 }
 
-impl<T: Send> Source for Inlet<T> {
+impl<T: Send> Source for MailboxSource<T> {
     fn pending(&self) -> bool {
-        !self.mail.is_empty()
+        !self.mailbox.is_empty()
     }
 
     fn take_inputs(&mut self, _: f64) -> Vec<DispatcherInput> {
-        std::iter::from_fn(|| self.mail.try_recv()).take(MOST).map(self.fact).collect()
+        std::iter::from_fn(|| self.mailbox.try_recv())
+            .take(MAX_MESSAGES_PER_POLL)
+            .map(self.to_input)
+            .collect()
     }
 }
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -4,21 +4,21 @@
 use crate::counters::Counters;
 use crate::discovery::{self, DiscoveryAgent, Watcher};
 use crate::errno;
-use crate::event_loop::{Carrier, Charge, Parts, Posts};
+use crate::event_loop::{ControlMessage, EventLoop, Mailboxes, RouterParts};
 use crate::exchange;
 use crate::keys;
-use crate::known_hosts::KnownList;
-use crate::launch::Launch;
+use crate::known_hosts::KnownHosts;
+use crate::launch::LaunchConfig;
 use crate::local_config::LocalConfig;
 use crate::mailbox::single_slot_mailbox;
-use crate::mailbox_source::Inlet;
+use crate::mailbox_source::MailboxSource;
 use crate::members::{self, Members, MembersContext};
 use crate::pg;
 use crate::recorder;
 use crate::replicated_state::{self, ReplicatedState};
 use crate::session_messages::SessionMessage;
 use crate::sessions::Sessions;
-use crate::signals::{Wish, Wishes};
+use crate::signals::{SignalRequest, SignalRequests};
 use crate::threads;
 use oorandom::Rand32;
 use sandstile_dispatcher::{Dispatcher, DispatcherInput, HostListUpdate};
@@ -34,14 +34,14 @@
 /// Standard streams, the listener, discovery, the signal pipe, and what the runtime opens for itself.
 const OWN_DESCRIPTORS: usize = 16;
 /// Stack bytes of the event loop's thread: connections are on the heap, and the policy's call depth is small.
-const CARRIER_STACK: usize = 512 * 1024;
+const EVENT_LOOP_STACK_BYTES: usize = 512 * 1024;
 
 /// How long the start waits for discovery's first list. The agent is on this machine: it answers at once with what
 /// it has, or is silent for as long as discovery is down.
-const FIRST_WORD: Duration = Duration::from_millis(500);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The number at the end of a router's name: the routers of a deployment are named alike.
-fn numbered(name: &str) -> Option<u64> {
+fn trailing_number(name: &str) -> Option<u64> {
     let digits = name.len() - name.trim_end_matches(|c: char| c.is_ascii_digit()).len();
     name[name.len() - digits..].parse().ok()
 }
@@ -49,44 +49,44 @@
 /// Serves until an end is requested and all accepted statements are answered. `reload_config` rereads the launch
 /// configuration.
 pub fn serve(
-    launch: Launch,
-    charter: LocalConfig,
-    again: impl Fn() -> Result<Launch, String>,
+    launch: LaunchConfig,
+    local_config: LocalConfig,
+    reload_config: impl Fn() -> Result<LaunchConfig, String>,
     counters: Arc<Counters>,
     log: Logger,
-    wishes: &mut Wishes,
+    signal_requests: &mut SignalRequests,
 ) -> Result<(), String> {
     let clock = Clock::anchor();
-    let most = launch.sockets.saturating_sub(OWN_DESCRIPTORS + MAX_REFUSED_CONNECTIONS).max(4);
+    let max_connections = launch.sockets.saturating_sub(OWN_DESCRIPTORS + MAX_REFUSED_CONNECTIONS).max(4);
     // Clients use at most a third of the descriptors for statements, each with an upstream connection beside it;
     // some more may connect and disconnect. Half of the memory is for long frames.
-    let most_clients = (launch.sockets / 3 + OWN_DESCRIPTORS).min(most / 2).max(2);
-    let budget = Budget::new(most, most_clients, (launch.memory / 2).max(4 * pg::MAX_FRAME_BYTES));
-    let posts = errno::retry_transient(Posts::open).map_err(|e| format!("readiness: {e}"))?;
-    let charges = posts.charges.clone();
-    let (lists, listed) = posts.inlet::<HostListUpdate>();
+    let max_clients = (launch.sockets / 3 + OWN_DESCRIPTORS).min(max_connections / 2).max(2);
+    let budget = Budget::new(max_connections, max_clients, (launch.memory / 2).max(4 * pg::MAX_FRAME_BYTES));
+    let mailboxes = errno::retry_transient(Mailboxes::open).map_err(|e| format!("readiness: {e}"))?;
+    let control_messages = mailboxes.control_messages.clone();
+    let (list_sender, list_mailbox) = mailboxes.source_mailbox::<HostListUpdate>();
     let agent = DiscoveryAgent::at(launch.discovery);
-    let (first, first_told) = single_slot_mailbox::<()>();
+    let (first_list_sender, first_list) = single_slot_mailbox::<()>();
     let index = launch.known.index;
-    let mut known = KnownList::default();
-    let of_the_start = known.changes(launch.known);
+    let mut known_hosts = KnownHosts::default();
+    let initial_updates = known_hosts.changes(launch.known);
     let watcher = Watcher {
         agent: agent.clone(),
         index,
-        known,
-        dispatcher: lists.clone(),
+        known_hosts,
+        dispatcher: list_sender.clone(),
         counters: counters.clone(),
         log: log.clone(),
-        told: BTreeSet::new(),
-        returning: charter.restart_pacing.as_ref().map(|_| ListBackoff::new(launch.seed)),
+        reported: BTreeSet::new(),
+        backoff: local_config.restart_pacing.as_ref().map(|_| ListBackoff::new(launch.seed)),
         // In deployments where lists are delivered on request, a change counts as received after 6 s even if it has
         // not been requested: the longest pause stays well below that.
-        longest_pause: match launch.terms.list_on_request {
+        max_pause: match launch.terms.list_on_request {
             true => Duration::from_secs_f64(launch.terms.subscribe_within.clamp(0.3, 6.0) / 3.0),
-            false => discovery::PAUSE,
+            false => discovery::RETRY_PAUSE,
         },
-        chance: Rand32::new(launch.seed),
-        first: Some(first),
+        rng: Rand32::new(launch.seed),
+        first_list: Some(first_list_sender),
     };
     // Each process start of an instance has its own generation, higher than the previous one as far as its clock is
     // right.
@@ -94,145 +94,148 @@
     let policy = Instance::new(&launch.terms, launch.seed, clock.now());
     let mut dispatcher = Dispatcher::new(policy, counters.dispatcher.clone());
     dispatcher.trace_steps = log.is_debug_enabled();
-    dispatcher.add(Box::new(Inlet::new(listed, DispatcherInput::HostList)));
-    let mut words = None;
-    if let Some(plan) = &charter.sessions {
-        let (post, word_box) = posts.inlet::<SessionMessage>();
-        let answers = posts.answers.clone();
-        let kept = plan.state.as_ref().map(|state| {
-            let terms = replicated_state::RouterSettings {
+    dispatcher.add(Box::new(MailboxSource::new(list_mailbox, DispatcherInput::HostList)));
+    let mut session_messages = None;
+    if let Some(plan) = &local_config.sessions {
+        let (session_sender, session_mailbox) = mailboxes.source_mailbox::<SessionMessage>();
+        let answers = mailboxes.answers.clone();
+        let replicated = plan.state.as_ref().map(|state| {
+            let settings = replicated_state::RouterSettings {
                 name: &launch.name,
                 generation,
                 seed: launch.seed,
                 horizon: plan.horizon,
             };
-            ReplicatedState::begin(state, &terms, post.clone(), &clock, &log)
+            ReplicatedState::begin(state, &settings, session_sender.clone(), &clock, &log)
         });
-        let seen = Sessions::begin(
+        let session_source = Sessions::begin(
             plan.clone(),
             &launch.workloads,
-            word_box,
+            session_mailbox,
             answers,
-            kept.transpose()?,
+            replicated.transpose()?,
             &clock,
             &log,
         )?;
-        dispatcher.add(Box::new(seen));
-        words = Some(post);
+        dispatcher.add(Box::new(session_source));
+        session_messages = Some(session_sender);
     }
-    let policy_returns = launch.terms.max_retry_after;
-    dispatcher.limits = charter
+    let max_retry_after = launch.terms.max_retry_after;
+    dispatcher.limits = local_config
         .limits
         .as_ref()
-        .map(|terms| (sandstile_limits::Limits::new(terms, launch.seed, clock.now()), policy_returns));
-    let restart_pacing = charter.restart_pacing.as_ref();
-    dispatcher.ramp = restart_pacing.filter(|b| b.ramp).map(|_| (AdmissionRamp::default(), policy_returns));
-    dispatcher.stall =
-        restart_pacing.filter(|b| b.stall_s > 0.0).map(|b| StallDetector::new(b.stall_s, clock.now()));
-    dispatcher.max_return_delay = policy_returns;
-    let dials = restart_pacing.map(|b| {
-        let number = numbered(&launch.name).unwrap_or(launch.seed);
-        DialPacer::new(b.pace, launch.terms.routers, number, launch.seed, clock.now())
+        .map(|settings| (sandstile_limits::Limits::new(settings, launch.seed, clock.now()), max_retry_after));
+    let restart_pacing = local_config.restart_pacing.as_ref();
+    dispatcher.ramp =
+        restart_pacing.filter(|pacing| pacing.ramp).map(|_| (AdmissionRamp::default(), max_retry_after));
+    dispatcher.stall = restart_pacing
+        .filter(|pacing| pacing.stall_s > 0.0)
+        .map(|pacing| StallDetector::new(pacing.stall_s, clock.now()));
+    dispatcher.max_return_delay = max_retry_after;
+    let dial_pacer = restart_pacing.map(|pacing| {
+        let number = trailing_number(&launch.name).unwrap_or(launch.seed);
+        DialPacer::new(pacing.pace, launch.terms.routers, number, launch.seed, clock.now())
     });
     let mut recording = None;
-    if let Some(plan) = &charter.recording {
+    if let Some(plan) = &local_config.recording {
         let workloads = launch.workloads.iter().map(|w| w.name.clone()).collect();
-        let entries = of_the_start.iter().flat_map(|piece| &piece.entries);
+        let entries = initial_updates.iter().flat_map(|chunk| &chunk.entries);
         let groups = entries.map(|entry| entry.group.clone()).collect();
-        let (tape, thread) = recorder::begin(plan, workloads, groups, clock.now(), &counters, &log)?;
-        dispatcher.add(Box::new(tape));
+        let (recording_source, thread) =
+            recorder::begin(plan, workloads, groups, clock.now(), &counters, &log)?;
+        dispatcher.add(Box::new(recording_source));
         recording = Some(thread);
     }
-    for piece in of_the_start {
-        lists.send(piece);
+    for chunk in initial_updates {
+        list_sender.send(chunk);
     }
-    let (mut exchange_peers, mut told_at) = (None, None);
-    if let (Some(plan), Some(words)) = (&charter.sessions, &words) {
+    let (mut exchange_peers, mut exchange_address) = (None, None);
+    if let (Some(plan), Some(session_messages)) = (&local_config.sessions, &session_messages) {
         if let Some(exchange) = &plan.exchange {
             let secrets = plan.read_keys()?.derived(exchange::CONTEXT);
-            let keeps = plan.state.is_some();
+            let has_state = plan.state.is_some();
             exchange_peers = Some(exchange::begin(
                 exchange,
                 &launch.name,
                 generation,
-                keeps,
+                has_state,
                 secrets,
-                words.clone(),
+                session_messages.clone(),
                 &log,
             )?);
-            told_at = Some(exchange.listen);
+            exchange_address = Some(exchange.listen);
         }
     }
     let mut members = None;
-    if let Some(plan) = &charter.members {
-        let (sharing_routers, shared) = posts.inlet::<f64>();
-        dispatcher.add(Box::new(Inlet::new(shared, DispatcherInput::RouterCount)));
-        let beside = MembersContext {
+    if let Some(plan) = &local_config.members {
+        let (sharing_routers, router_count_mailbox) = mailboxes.source_mailbox::<f64>();
+        dispatcher.add(Box::new(MailboxSource::new(router_count_mailbox, DispatcherInput::RouterCount)));
+        let members_context = MembersContext {
             name: launch.name.clone(),
             generation,
             seed: launch.seed,
             routers: launch.terms.routers,
             keys: keys::read_keys(&plan.keys)?.derived(members::CONTEXT),
-            exchange: told_at,
+            exchange: exchange_address,
             sharing_routers: Some(sharing_routers),
             exchange_peers,
         };
-        members = Some(Members::open(plan, beside, clock.now(), &log)?);
+        members = Some(Members::open(plan, members_context, clock.now(), &log)?);
     }
-    threads::spawn_joinable("discovery", CARRIER_STACK, move || watcher.run())?;
+    threads::spawn_joinable("discovery", EVENT_LOOP_STACK_BYTES, move || watcher.run())?;
     // Statements are judged by the agent's list from the first moment, and the list of the launch configuration may
     // be old: no client is accepted before the first list, unless the agent is silent. Clients must not wait in the
     // listen queue either, as their statements' time runs there.
-    let _ = first_told.recv(Some(FIRST_WORD));
+    let _ = first_list.recv(Some(FIRST_LIST_TIMEOUT));
     let listener = errno::retry_transient(|| TcpListener::bind(launch.listen))
         .map_err(|e| format!("listen on {}: {e}", launch.listen))?;
-    let parts = Parts {
+    let router_parts = RouterParts {
         clock,
         budget,
         counters,
         log: log.clone(),
         dispatcher,
         workloads: launch.workloads,
-        dial_limit: launch.dial_limit,
+        dial_timeout: launch.dial_timeout,
         idle_close: launch.terms.idle_close,
-        dials,
+        dial_pacer,
         members,
-        last_word: words.clone(),
+        session_messages: session_messages.clone(),
     };
-    let carrier = Carrier::new(posts, parts, listener).map_err(|e| format!("listen: {e}"))?;
-    info!(log, "serving"; "name" => launch.name, "listen" => %launch.listen, "clients" => most_clients,
-        "descriptors" => most);
-    let enough = wishes.enough();
-    let carry = move || {
-        let carried = carrier.run();
-        drop(enough);
-        carried
+    let event_loop = EventLoop::new(mailboxes, router_parts, listener).map_err(|e| format!("listen: {e}"))?;
+    info!(log, "serving"; "name" => launch.name, "listen" => %launch.listen, "clients" => max_clients,
+        "descriptors" => max_connections);
+    let stop_handle = signal_requests.stop_handle();
+    let run_loop = move || {
+        let loop_result = event_loop.run();
+        drop(stop_handle);
+        loop_result
     };
-    let carried = threads::spawn_joinable("carrier", CARRIER_STACK, carry)?;
-    let follow_discovery = || match again() {
+    let loop_result = threads::spawn_joinable("carrier", EVENT_LOOP_STACK_BYTES, run_loop)?;
+    let follow_discovery = || match reload_config() {
         Ok(new) => {
             info!(log, "configuration read again"; "discovery" => %new.discovery);
-            agent.moved(new.discovery);
+            agent.set_address(new.discovery);
         }
-        Err(what) => warn!(log, "{what}; the former configuration stays"),
+        Err(message) => warn!(log, "{message}; the former configuration stays"),
     };
     let read_keys = || {
-        let Some(sessions) = charter.sessions.as_ref().filter(|s| s.keys.is_some()) else { return };
+        let Some(sessions) = local_config.sessions.as_ref().filter(|s| s.keys.is_some()) else { return };
         match sessions.read_keys() {
             Ok(ring) => {
                 info!(log, "keys read again"; "numbers" => ?ring.numbers());
-                if let Some(words) = &words {
-                    words.send(SessionMessage::Keys(ring));
+                if let Some(session_messages) = &session_messages {
+                    session_messages.send(SessionMessage::Keys(ring));
                 }
             }
-            Err(what) => warn!(log, "{what}; the former keys stay"),
+            Err(message) => warn!(log, "{message}; the former keys stay"),
         }
     };
     let read_member_keys = || {
-        let Some(plan) = &charter.members else { return };
+        let Some(plan) = &local_config.members else { return };
         match keys::read_keys(&plan.keys) {
-            Ok(ring) => drop(charges.send(Charge::Keys(ring.derived(members::CONTEXT)))),
-            Err(what) => warn!(log, "{what}; the former keys of members stay"),
+            Ok(ring) => drop(control_messages.send(ControlMessage::Keys(ring.derived(members::CONTEXT)))),
+            Err(message) => warn!(log, "{message}; the former keys of members stay"),
         }
     };
     let reload = || {
@@ -241,20 +244,23 @@
         read_member_keys();
     };
     // A reload that arrives close to the end still takes effect: statements are accepted for a short while longer.
-    while let Some(wish) = wishes.await_one() {
-        match wish {
-            Wish::Reload => reload(),
-            Wish::End => {
-                info!(log, "told to end: serving for a little longer, then answering what was taken");
-                charges.send(Charge::End);
+    while let Some(request) = signal_requests.next_request() {
+        match request {
+            SignalRequest::Reload => reload(),
+            SignalRequest::End => {
+                info!(
+                    log,
+                    "told to end: serving for a short while, then answering all statements that were taken"
+                );
+                control_messages.send(ControlMessage::End);
             }
         }
     }
-    let ended = carried.join();
+    let ended = loop_result.join();
     // The dispatcher is gone, and its recording source with it: the recording is complete.
     recording.map(JoinHandle::join);
     match ended {
-        Ok(carried) => carried.map_err(|e| format!("readiness: {e}")),
-        Err(_) => Err("the carrier's thread has ended".to_string()),
+        Ok(loop_result) => loop_result.map_err(|e| format!("readiness: {e}")),
+        Err(_) => Err("the event loop's thread (carrier) has ended".to_string()),
     }
 }
--- a/crates/sandstile-router/src/signals.rs
+++ b/crates/sandstile-router/src/signals.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum SignalRequest {
     Reload,
     End,
 }
@@ -18,36 +18,36 @@
 }
 
 /// Yields the requests that operators make by signals.
-pub struct Wishes {
+pub struct SignalRequests {
     signals: Signals,
     counters: Arc<Counters>,
 }
 
 /// Ends the wait for signals when dropped.
-pub struct Enough(Handle);
+pub struct StopHandle(Handle);
 
-impl Drop for Enough {
+impl Drop for StopHandle {
     fn drop(&mut self) {
         self.0.close();
     }
 }
 
-impl Wishes {
-    pub fn listen(counters: Arc<Counters>) -> io::Result<Wishes> {
-        Ok(Wishes { signals: Signals::new([SIGHUP, SIGTERM, SIGINT, SIGUSR1])?, counters })
+impl SignalRequests {
+    pub fn listen(counters: Arc<Counters>) -> io::Result<SignalRequests> {
+        Ok(SignalRequests { signals: Signals::new([SIGHUP, SIGTERM, SIGINT, SIGUSR1])?, counters })
     }
 
-    pub fn enough(&self) -> Enough {
-        Enough(self.signals.handle())
+    pub fn stop_handle(&self) -> StopHandle {
+        StopHandle(self.signals.handle())
     }
 
     /// The next request; `None` once the wait has been ended.
-    pub fn await_one(&mut self) -> Option<Wish> {
+    pub fn next_request(&mut self) -> Option<SignalRequest> {
         loop {
             match self.signals.forever().next()? {
                 SIGUSR1 => print_counters(&self.counters),
-                SIGHUP => return Some(Wish::Reload),
-                _ => return Some(Wish::End),
+                SIGHUP => return Some(SignalRequest::Reload),
+                _ => return Some(SignalRequest::End),
             }
         }
     }
--- a/crates/sandstile-router/src/socket.rs
+++ b/crates/sandstile-router/src/socket.rs
@@ -9,51 +9,51 @@
 use std::net::Shutdown;
 
 /// Seconds from the last transfer to the first recheck without an event.
-const FIRST_LOOK: f64 = 0.025;
+const FIRST_RECHECK_S: f64 = 0.025;
 
-pub struct Wire {
+pub struct Socket {
     stream: TcpStream,
     readable: bool,
     writable: bool,
     /// The peer has closed its sending side, or the connection broke: reads go on until they reach that end.
-    ending: bool,
+    read_closed: bool,
     /// A readiness event was reported since a read last returned `WouldBlock`.
     announced: bool,
     /// When the socket is rechecked next, and the current interval in seconds.
-    look_at: f64,
-    look_gap: f64,
+    recheck_at: f64,
+    recheck_interval: f64,
 }
 
 /// Result of a read or a write.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Moved {
+pub enum Transfer {
     Bytes(usize),
-    Nothing,
+    NotReady,
     /// The call failed for lack of memory and transferred nothing; the connection is intact.
-    Later,
+    OutOfMemory,
     /// The peer has closed its sending side, and everything it sent has been read.
     Ended,
     /// The connection broke, with this error number where the platform gave one.
     Broken(Option<i32>),
 }
 
-impl Wire {
+impl Socket {
     /// Registers the socket. A socket that can't be registered now is returned with the error.
     pub fn new(
         registry: &Registry,
         mut stream: TcpStream,
         token: Token,
         writable: bool,
-    ) -> Result<Wire, (TcpStream, io::Error)> {
+    ) -> Result<Socket, (TcpStream, io::Error)> {
         match registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE) {
-            Ok(()) => Ok(Wire {
+            Ok(()) => Ok(Socket {
                 stream,
                 readable: false,
                 writable,
-                ending: false,
+                read_closed: false,
                 announced: true,
-                look_at: f64::INFINITY,
-                look_gap: FIRST_LOOK,
+                recheck_at: f64::INFINITY,
+                recheck_interval: FIRST_RECHECK_S,
             }),
             // Wrapped anew: mio treats a socket whose registration failed as registered.
             Err(e) => Err((TcpStream::from_std(stream.into()), e)),
@@ -64,43 +64,43 @@
         &self.stream
     }
 
-    pub fn told(&mut self, event: &Event) {
+    pub fn on_event(&mut self, event: &Event) {
         // A broken connection is reported by the next read or write, so both are allowed.
         let broken = event.is_error();
         self.announced = true;
-        self.ending |= event.is_read_closed() || broken;
-        self.readable |= event.is_readable() || self.ending;
+        self.read_closed |= event.is_read_closed() || broken;
+        self.readable |= event.is_readable() || self.read_closed;
         self.writable |= event.is_writable() || event.is_write_closed() || broken;
     }
 
     /// Has the next read try the socket without an event: when a deadline has passed, or before an action that
     /// depends on what has been received.
-    pub fn look(&mut self) {
+    pub fn force_read(&mut self) {
         self.readable = true;
     }
 
     /// Bytes were transferred at `now`: the recheck interval starts over.
-    pub fn moved(&mut self, now: f64) {
-        self.look_gap = FIRST_LOOK;
-        self.look_at = now + self.look_gap;
+    pub fn record_progress(&mut self, now: f64) {
+        self.recheck_interval = FIRST_RECHECK_S;
+        self.recheck_at = now + self.recheck_interval;
     }
 
     /// When the socket is rechecked without an event.
-    pub fn look_due(&self) -> f64 {
-        self.look_at
+    pub fn recheck_due(&self) -> f64 {
+        self.recheck_at
     }
 
     /// Lets the next read and write try the socket, if a recheck is due at `now`.
-    pub fn look_again(&mut self, now: f64) {
-        if now >= self.look_at {
+    pub fn recheck(&mut self, now: f64) {
+        if now >= self.recheck_at {
             (self.readable, self.writable) = (true, true);
-            self.look_gap *= 2.0;
-            self.look_at = now + self.look_gap;
+            self.recheck_interval *= 2.0;
+            self.recheck_at = now + self.recheck_interval;
         }
     }
 
     /// Whether the bytes just read came without a readiness event.
-    pub fn unannounced(&self) -> bool {
+    pub fn is_unannounced(&self) -> bool {
         !self.announced
     }
 
@@ -110,66 +110,66 @@
 
     /// Whether the peer has closed its sending side or the connection broke. Known even while there is no room to
     /// read what was sent before that.
-    pub fn ending(&self) -> bool {
-        self.ending
+    pub fn read_closed(&self) -> bool {
+        self.read_closed
     }
 
     pub fn writable(&self) -> bool {
         self.writable
     }
 
-    pub fn unwritable(&mut self) {
+    pub fn clear_writable(&mut self) {
         self.writable = false;
     }
 
-    pub fn read(&mut self, bytes: &mut [u8]) -> Moved {
+    pub fn read(&mut self, bytes: &mut [u8]) -> Transfer {
         if !self.readable || bytes.is_empty() {
-            return Moved::Nothing;
+            return Transfer::NotReady;
         }
         loop {
             match self.stream.read(bytes) {
-                Ok(0) => return Moved::Ended,
+                Ok(0) => return Transfer::Ended,
                 // A short read doesn't prove that nothing is left: readiness holds until a read returns
                 // `WouldBlock`.
-                Ok(got) => return Moved::Bytes(got),
+                Ok(received) => return Transfer::Bytes(received),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     (self.readable, self.announced) = (false, false);
-                    return Moved::Nothing;
+                    return Transfer::NotReady;
                 }
                 Err(e) if is_short_of_memory(&e) => {
                     self.readable = false;
-                    return Moved::Later;
+                    return Transfer::OutOfMemory;
                 }
-                Err(e) => return Moved::Broken(e.raw_os_error()),
+                Err(e) => return Transfer::Broken(e.raw_os_error()),
             }
         }
     }
 
-    pub fn write(&mut self, bytes: &[u8]) -> Moved {
+    pub fn write(&mut self, bytes: &[u8]) -> Transfer {
         if !self.writable || bytes.is_empty() {
-            return Moved::Nothing;
+            return Transfer::NotReady;
         }
         loop {
             match self.stream.write(bytes) {
-                Ok(0) => return Moved::Broken(None),
-                Ok(put) => return Moved::Bytes(put),
+                Ok(0) => return Transfer::Broken(None),
+                Ok(written) => return Transfer::Bytes(written),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.writable = false;
-                    return Moved::Nothing;
+                    return Transfer::NotReady;
                 }
                 Err(e) if is_short_of_memory(&e) => {
                     self.writable = false;
-                    return Moved::Later;
+                    return Transfer::OutOfMemory;
                 }
-                Err(e) => return Moved::Broken(e.raw_os_error()),
+                Err(e) => return Transfer::Broken(e.raw_os_error()),
             }
         }
     }
 
     /// Whether nothing can be read: bytes or an end of stream on an idle connection make it unusable.
-    pub fn quiet(&self) -> bool {
+    pub fn is_silent(&self) -> bool {
         loop {
             match self.stream.peek(&mut [0]) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -180,7 +180,7 @@
     }
 
     pub fn close(self, registry: &Registry) {
-        let Wire { mut stream, .. } = self;
+        let Socket { mut stream, .. } = self;
         let _ = registry.deregister(&mut stream);
         let _ = stream.shutdown(Shutdown::Both);
     }
--- a/crates/sandstile-router/src/threads.rs
+++ b/crates/sandstile-router/src/threads.rs
@@ -14,6 +14,6 @@
     stack: usize,
     body: impl FnOnce() -> T + Send + 'static,
 ) -> Result<JoinHandle<T>, String> {
-    let made = thread::Builder::new().name(name.to_string()).stack_size(stack).spawn(body);
-    made.map_err(|e| format!("thread {name}: {e}"))
+    let spawned = thread::Builder::new().name(name.to_string()).stack_size(stack).spawn(body);
+    spawned.map_err(|e| format!("thread {name}: {e}"))
 }
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -4,7 +4,7 @@
 use sandstile_deployment::{host_list, interner::Interner, settings};
 use sandstile_policy::terms::{OutcomeClass, Readiness};
 use sandstile_router::budget::{Budget, Claim, Holder};
-use sandstile_router::discovery::Chunks;
+use sandstile_router::discovery::ChunkDecoder;
 use sandstile_router::lists;
 use sandstile_router::mailbox;
 use sandstile_router::outcome::{Ending, ALL};
@@ -15,9 +15,9 @@
 use std::thread;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn holds(property: impl Testable) {
+fn check_property(property: impl Testable) {
     QuickCheck::new().rng(Gen::from_size_and_seed(200, 11)).tests(2_000).quickcheck(property);
 }
 
@@ -28,12 +28,12 @@
 }
 
 #[test]
-fn no_bytes_make_a_codec_panic_or_take_more_than_there_is() {
-    fn any(bytes: Vec<u8>, cut: usize) -> bool {
+fn random_bytes_neither_panic_a_codec_nor_consume_more_than_the_input() {
+    fn stays_within_input(bytes: Vec<u8>, part_length: usize) -> bool {
         let startup = pg::startup(&bytes);
         let frame = pg::frame(&bytes);
         let mut answer = Answer::default();
-        for part in bytes.chunks(1 + cut % 20) {
+        for part in bytes.chunks(1 + part_length % 20) {
             let _ = answer.take(part[0], &part[1..]);
         }
         let _ = answer.text();
@@ -45,12 +45,12 @@
                 frame.is_err() || frame.is_ok_and(|f| f.is_none_or(|(_, body)| body.end <= bytes.len()))
             }
     }
-    holds(any as fn(Vec<u8>, usize) -> bool);
+    check_property(stays_within_input as fn(Vec<u8>, usize) -> bool);
 }
 
 #[test]
-fn a_frame_comes_back_as_it_was_put_however_it_is_cut() {
-    fn back(tag: u8, body: Vec<u8>, rest: Vec<u8>) -> bool {
+fn a_frame_is_decoded_as_it_was_written_however_it_is_split() {
+    fn round_trips(tag: u8, body: Vec<u8>, rest: Vec<u8>) -> bool {
         let mut out = Vec::new();
         pg::write_frame(&mut out, tag, &[&body]);
         let whole = out.len();
@@ -58,12 +58,12 @@
         out.extend_from_slice(&rest);
         early && pg::frame(&out).is_ok_and(|f| f.is_some_and(|(t, at)| t == tag && out[at] == body))
     }
-    holds(back as fn(u8, Vec<u8>, Vec<u8>) -> bool);
+    check_property(round_trips as fn(u8, Vec<u8>, Vec<u8>) -> bool);
 }
 
 #[test]
-fn only_d_is_written_anew_and_the_fields_may_stand_in_any_order() {
-    fn passes(order: Vec<u8>, d: u16, wait: u16, tail: Vec<u8>, quotes: bool) -> bool {
+fn only_field_d_is_rewritten_and_fields_may_be_in_any_order() {
+    fn rewrites_only_d(order: Vec<u8>, d: u16, wait: u16, tail: Vec<u8>, quotes: bool) -> bool {
         let d = u32::from(d) + 1;
         let quote = if quotes { "'" } else { "" };
         let mut fields =
@@ -82,11 +82,11 @@
             text
         };
         let statement = statement::read(with(&d.to_string()), &workloads()).expect("a statement");
-        let mut wanted = Vec::new();
+        let mut expected = Vec::new();
         let wait = f64::from(wait) / 1000.0 + 0.0004;
         let ms = ((wait * 1000.0) as u64).max(1);
-        pg::write_frame(&mut wanted, b'Q', &[&with(&ms.to_string()), b"\0"]);
-        statement.message(wait) == wanted
+        pg::write_frame(&mut expected, b'Q', &[&with(&ms.to_string()), b"\0"]);
+        statement.message(wait) == expected
             && statement.workload == 1
             && statement.group == "7"
             && statement.session.as_deref() == Some("k9")
@@ -94,18 +94,18 @@
             && statement.retry
             && (statement.wait - f64::from(d) / 1000.0).abs() < 1e-9
     }
-    holds(passes as fn(Vec<u8>, u16, u16, Vec<u8>, bool) -> bool);
-    let wrong = |text: &str| statement::read(text.as_bytes().to_vec(), &workloads()).err();
-    assert_eq!(wrong("/* id=1,c=look,d=5 */ SELECT 1"), Some(StatementError::Group));
-    assert_eq!(wrong("/* id=1,c=look,d=-5,cluster=3 */ SELECT 1"), Some(StatementError::Wait));
-    assert_eq!(wrong("/* id=1,c=look,d=5,cluster=3,after=x */ SELECT 1"), Some(StatementError::After));
-    assert_eq!(wrong("/* c,d=5,cluster=3 */ SELECT 1"), Some(StatementError::Comment));
-    assert_eq!(wrong("/* c=look,d=5,cluster=3 */ SELECT 1"), Some(StatementError::Id));
-    assert_eq!(wrong(""), Some(StatementError::NoComment));
+    check_property(rewrites_only_d as fn(Vec<u8>, u16, u16, Vec<u8>, bool) -> bool);
+    let error_of = |text: &str| statement::read(text.as_bytes().to_vec(), &workloads()).err();
+    assert_eq!(error_of("/* id=1,c=look,d=5 */ SELECT 1"), Some(StatementError::Group));
+    assert_eq!(error_of("/* id=1,c=look,d=-5,cluster=3 */ SELECT 1"), Some(StatementError::Wait));
+    assert_eq!(error_of("/* id=1,c=look,d=5,cluster=3,after=x */ SELECT 1"), Some(StatementError::After));
+    assert_eq!(error_of("/* c,d=5,cluster=3 */ SELECT 1"), Some(StatementError::Comment));
+    assert_eq!(error_of("/* c=look,d=5,cluster=3 */ SELECT 1"), Some(StatementError::Id));
+    assert_eq!(error_of(""), Some(StatementError::NoComment));
 }
 
 #[test]
-fn an_answer_is_whole_only_as_one_row_of_one_column_in_order() {
+fn an_answer_is_complete_only_with_one_row_of_one_column_in_order() {
     let frames: [(u8, &[u8]); 4] = [
         (b'T', b"\0\x01x\0"),
         (b'D', b"\0\x01\0\0\0\x02ab"),
@@ -126,7 +126,7 @@
 
 /// A non-idempotent statement may only be executed again after an outcome that proves that it never ran.
 #[test]
-fn endings_after_the_last_written_byte_never_pass_for_never_ran() {
+fn outcomes_after_a_complete_write_are_never_classed_as_never_ran() {
     use Ending::*;
     let never_ran = |e: &Ending| {
         matches!(
@@ -145,60 +145,60 @@
 }
 
 #[test]
-fn chunks_come_out_the_same_however_they_are_cut() {
-    fn same(content: Vec<Vec<u8>>, cuts: Vec<u8>) -> bool {
-        let mut coded = Vec::new();
+fn chunked_content_is_decoded_alike_however_it_is_split() {
+    fn decodes_alike(content: Vec<Vec<u8>>, cuts: Vec<u8>) -> bool {
+        let mut encoded = Vec::new();
         for part in content.iter().filter(|p| !p.is_empty()) {
-            coded.extend_from_slice(format!("{:X};x=y\r\n", part.len()).as_bytes());
-            coded.extend_from_slice(part);
-            coded.extend_from_slice(b"\r\n");
+            encoded.extend_from_slice(format!("{:X};x=y\r\n", part.len()).as_bytes());
+            encoded.extend_from_slice(part);
+            encoded.extend_from_slice(b"\r\n");
         }
-        coded.extend_from_slice(b"0\r\n\r\n");
-        let (mut chunks, mut buf, mut out) = (Chunks::new(true), Vec::new(), Vec::new());
+        encoded.extend_from_slice(b"0\r\n\r\n");
+        let (mut chunks, mut buf, mut out) = (ChunkDecoder::new(true), Vec::new(), Vec::new());
         let (mut at, mut cuts) = (0, cuts.into_iter().chain(std::iter::repeat(3)));
-        while at < coded.len() {
-            let to = (at + 1 + cuts.next().unwrap_or(0) as usize % 9).min(coded.len());
-            buf.extend_from_slice(&coded[at..to]);
-            chunks.take(&mut buf, &mut out).expect("chunks");
+        while at < encoded.len() {
+            let to = (at + 1 + cuts.next().unwrap_or(0) as usize % 9).min(encoded.len());
+            buf.extend_from_slice(&encoded[at..to]);
+            chunks.decode(&mut buf, &mut out).expect("chunks");
             at = to;
         }
         out == content.concat() && chunks.end
     }
-    holds(same as fn(Vec<Vec<u8>>, Vec<u8>) -> bool);
-    assert!(Chunks::new(true).take(&mut b"zz\r\n".to_vec(), &mut Vec::new()).is_err());
-    assert!(Chunks::new(true).take(&mut b"ffffffffffffffff\r\n".to_vec(), &mut Vec::new()).is_err());
+    check_property(decodes_alike as fn(Vec<Vec<u8>>, Vec<u8>) -> bool);
+    assert!(ChunkDecoder::new(true).decode(&mut b"zz\r\n".to_vec(), &mut Vec::new()).is_err());
+    assert!(ChunkDecoder::new(true).decode(&mut b"ffffffffffffffff\r\n".to_vec(), &mut Vec::new()).is_err());
 }
 
 #[test]
-fn lists_lose_only_what_cannot_be_read() {
-    let read = |text: &str| lists::read(&serde_json::from_str(text).expect("json"));
+fn only_unreadable_list_entries_are_left_out() {
+    let read = |text: &str| lists::parse(&serde_json::from_str(text).expect("json"));
     let text = r#"{"index":7,"snapshot":false,"endpoints":[{"name":"a","group":3,"status":"leaving"},
         {"name":"b","group":"g","status":"dancing"},{"name":"c","address":"127.0.0.1:1","group":4,"status":"active",
         "since_ms":1500,"mode":"read-write"}]}"#;
-    let (update, wrong) = read(text).expect("a list");
-    assert_eq!(wrong.as_deref(), Some("b: status 'dancing'"));
+    let (update, problem) = read(text).expect("a list");
+    assert_eq!(problem.as_deref(), Some("b: unknown status 'dancing'"));
     let states: Vec<_> =
         update.entries.iter().map(|e| (e.host.as_str(), e.readiness, e.primary, e.since)).collect();
     assert_eq!(states, [("a", Readiness::Draining, false, 0.0), ("c", Readiness::Active, true, 1.5)]);
     assert!(read("{}").is_err() && read(r#"{"index":1,"snapshot":true}"#).is_err());
-    let (mut kept, mut hosts, mut groups) =
+    let (mut host_list, mut hosts, mut groups) =
         (host_list::HostList::default(), Interner::default(), Interner::default());
-    assert_eq!(kept.merge(false, &update.entries, &mut hosts, &mut groups).len(), 2);
-    let gone = kept.merge(true, &update.entries[..1], &mut hosts, &mut groups);
+    assert_eq!(host_list.merge(false, &update.entries, &mut hosts, &mut groups).len(), 2);
+    let gone = host_list.merge(true, &update.entries[..1], &mut hosts, &mut groups);
     assert_eq!(
         gone.iter().map(|m| m.readiness).collect::<Vec<_>>(),
         [Readiness::Gone],
         "only what has changed"
     );
-    assert!(kept.merge(false, &update.entries[..1], &mut hosts, &mut groups).is_empty());
-    assert!(kept.drop_gone(|_| false).is_empty());
-    assert_eq!(kept.drop_gone(|_| true), [("c".to_string(), 1)]);
-    assert_eq!(kept.drop_empty_groups(|_| true), [1], "the other one still has a host");
-    assert!(kept.drop_empty_groups(|_| true).is_empty());
+    assert!(host_list.merge(false, &update.entries[..1], &mut hosts, &mut groups).is_empty());
+    assert!(host_list.drop_gone(|_| false).is_empty());
+    assert_eq!(host_list.drop_gone(|_| true), [("c".to_string(), 1)]);
+    assert_eq!(host_list.drop_empty_groups(|_| true), [1], "the other one still has a host");
+    assert!(host_list.drop_empty_groups(|_| true).is_empty());
 }
 
 #[test]
-fn names_keep_their_index_and_bounded_ones_give_the_oldest_away() {
+fn interned_names_keep_their_index_and_a_bounded_interner_drops_the_oldest() {
     let mut names = Interner::with_limit(2);
     assert_eq!(["a", "b", "a", "c", "b", "a"].map(|n| names.intern(n)), [0, 1, 0, 0, 1, 1]);
     assert_eq!((names.find("b"), names.find("a"), names.name(0)), (None, Some(1), "c"));
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn nested_settings_take_the_paths_of_the_wire() {
+fn nested_settings_are_flattened_to_dotted_paths() {
     let json = serde_json::json!({"a": {"b": [1.5, "x"], "c": []}, "classes": [{"name": "n o"}], "t": true, "n": null});
     let facts: Vec<String> = settings::flatten(&json).into_iter().map(|(k, v)| format!("{k}={v}")).collect();
     assert_eq!(facts, ["a.b=1.5,x", "a.c=", "classes.0.name=n o", "classes.count=1", "n=", "t=true"]);
@@ -220,9 +220,9 @@
 /// that have not sent a statement first. For lack of descriptors, idle upstream connections are closed first,
 /// unless the clients' share is full.
 #[test]
-fn a_crowd_that_rests_leaves_room_for_those_who_ask() {
+fn idle_clients_are_closed_to_make_room_for_new_ones() {
     let mut budget = Budget::new(20, 8, 0);
-    let kinds = [
+    let holders = [
         Holder::UpstreamConnection,
         Holder::ClientConnection,
         Holder::NewClientConnection,
@@ -231,16 +231,16 @@
         Holder::ClientConnection,
         Holder::ClientConnection,
     ];
-    for (line, holder) in kinds.into_iter().enumerate() {
+    for (line, holder) in holders.into_iter().enumerate() {
         budget.mark_idle(holder, line);
     }
-    let told: Vec<_> = (0..7)
+    let evicted: Vec<_> = (0..7)
         .filter_map(|_| {
             assert_eq!(budget.claim(Holder::ClientConnection), Claim::Granted);
             budget.take_surplus_client()
         })
         .collect();
-    assert_eq!(told, [2, 3, 1, 4]);
+    assert_eq!(evicted, [2, 3, 1, 4]);
     assert_eq!(budget.claim(Holder::ClientConnection), Claim::Granted);
     assert_eq!(budget.claim(Holder::ClientConnection), Claim::Evict(Holder::ClientConnection, 5));
     for _ in 0..12 {
@@ -261,25 +261,26 @@
 /// Covers messages sent before the reader first looks, messages that arrive while it sleeps, and the drop of the
 /// last sender.
 #[test]
-fn mailboxes_wake_their_reader_for_mail_and_for_the_end() {
-    let (post, mailbox) = mailbox::mailbox();
+fn mailboxes_wake_their_reader_for_messages_and_for_the_last_drop() {
+    let (sender, mailbox) = mailbox::mailbox();
     let writers: Vec<_> = (0..4u32)
         .map(|n| {
-            let post = post.clone();
-            thread::spawn(move || (0..250).for_each(|i| assert!(post.send(n * 250 + i))))
+            let sender = sender.clone();
+            thread::spawn(move || (0..250).for_each(|i| assert!(sender.send(n * 250 + i))))
         })
         .collect();
-    let mut got: Vec<u32> = (0..1000).map(|_| mailbox.recv(Some(PATIENCE)).expect("mail")).collect();
-    got.sort_unstable();
-    assert!(got.into_iter().eq(0..1000));
-    writers.into_iter().for_each(|w| w.join().expect("a writer"));
+    let mut received: Vec<u32> =
+        (0..1000).map(|_| mailbox.recv(Some(TEST_TIMEOUT)).expect("a message")).collect();
+    received.sort_unstable();
+    assert!(received.into_iter().eq(0..1000));
+    writers.into_iter().for_each(|writer| writer.join().expect("a writer"));
     assert_eq!(mailbox.recv(Some(Duration::from_millis(5))), Err(RecvTimeoutError::Timeout));
-    let last = thread::spawn(move || drop(post));
+    let last = thread::spawn(move || drop(sender));
     assert_eq!(mailbox.recv(None), Err(RecvTimeoutError::Disconnected));
     last.join().expect("a writer");
-    let (post, single_slot_mailbox) = mailbox::single_slot_mailbox();
-    assert!(post.send(1) && !post.send(2));
-    assert_eq!(single_slot_mailbox.recv(None), Ok(1));
-    drop(single_slot_mailbox);
-    assert!(!post.send(3));
+    let (sender, mailbox) = mailbox::single_slot_mailbox();
+    assert!(sender.send(1) && !sender.send(2));
+    assert_eq!(mailbox.recv(None), Ok(1));
+    drop(mailbox);
+    assert!(!sender.send(3));
 }
