--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -10,32 +10,32 @@
 /// Guards against the time limit of a pipelined statement being counted from the answer before it: the client
 /// counts from its sending.
 #[test]
-fn a_pipelined_statement_is_told_within_the_time_from_its_own_sending() {
+fn a_pipelined_statement_is_answered_within_its_own_time_limit() {
     let primary = Host::scripted(true, &[HostReply::Slow(300, b"first"), HostReply::Silent]);
     let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     let begun = Instant::now();
     client.send(&[query(&write(700)), query(&write(700))].concat());
     assert_eq!(value(&client.answer()), b"first");
-    let got = client.answer();
+    let response = client.answer();
     let took = begun.elapsed();
-    assert!(got.ready && got.code.as_deref() == Some("57014"), "{got:?}");
+    assert!(response.ready && response.code.as_deref() == Some("57014"), "{response:?}");
     assert!(took < Duration::from_millis(950), "{took:?}");
 }
 
 /// Guards against unread commands hiding the end of a connection: a client that fills its connection with commands
 /// and disconnects is noticed at once.
 #[test]
-fn a_client_that_leaves_behind_unread_commands_is_gone() {
+fn a_client_that_disconnects_with_unread_commands_is_noticed() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
     let router = Router::start_with_hosts(&primary, &[]);
-    let mut leaver = router.client();
+    let mut leaving_client = router.client();
     let burst: Vec<u8> = (0..100).flat_map(|_| query(&write(1900))).collect();
-    leaver.send(&burst);
+    leaving_client.send(&burst);
     wait_for("the first write", || primary.count() == 1);
     let left = Instant::now();
-    drop(leaver);
-    wait_for("the withdrawal", || primary.ended.load(SeqCst) == 1);
+    drop(leaving_client);
+    wait_for("the cancellation", || primary.ended.load(SeqCst) == 1);
     assert!(left.elapsed() < Duration::from_millis(1500), "{:?}", left.elapsed());
     // None of the unread commands was started: the next query at the host is another client's.
     let mut other = router.client();
@@ -48,35 +48,35 @@
 /// Guards against good statements being lost behind a malformed one, or behind one without time left, on the same
 /// connection.
 #[test]
-fn statements_behind_an_unreadable_one_are_answered() {
+fn statements_behind_a_malformed_one_are_answered() {
     let primary = Host::start(true);
     let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     let late = write(0);
     client.send(&[query("SELECT 1"), query(&late), query(&write(800))].concat());
-    let got = client.answer();
-    assert!(got.ready && got.code.as_deref() == Some("42601"), "{got:?}");
-    let got = client.answer();
-    assert!(got.ready && got.code.as_deref() == Some("53300"), "{got:?}");
+    let response = client.answer();
+    assert!(response.ready && response.code.as_deref() == Some("42601"), "{response:?}");
+    let response = client.answer();
+    assert!(response.ready && response.code.as_deref() == Some("53300"), "{response:?}");
     assert_eq!(value(&client.answer()), b"primary");
-    assert_eq!(primary.count(), 1, "nothing begins for one whose time is up");
+    assert_eq!(primary.count(), 1, "no execution starts after its time limit");
 }
 
 /// Guards against statements routed by the old list of the launch configuration: no client is accepted before
 /// discovery's first list. Clients must not wait in the listen queue meanwhile either, as their statements' time
 /// runs there.
 #[test]
-fn a_new_process_lets_nobody_in_before_the_agent_has_told_its_list() {
+fn no_client_is_accepted_before_the_agents_first_list() {
     let (primary, replica) = (Host::start(true), Host::start(false));
     let agent = DiscoveryAgent::start();
     let text = config(agent.address, &known(&primary, &[&replica]));
     // On a machine that delays this test, the half second may be over at the check: then it is repeated.
     let (router, mut watch) = loop {
         let begun = Instant::now();
-        let (router, watch) = (Router::begin(&text), agent.watch());
+        let (router, watch) = (Router::spawn(&text), agent.watch());
         let refused = std::net::TcpStream::connect(router.address).is_err();
         if begun.elapsed() < Duration::from_millis(450) {
-            assert!(refused, "let in by an old list");
+            assert!(refused, "accepted with an old list");
             break (router, watch);
         }
     };
@@ -89,7 +89,7 @@
 
 /// Guards against a router that waits for discovery without end: a silent agent must not keep it from serving.
 #[test]
-fn a_new_process_serves_by_the_list_of_the_start_where_the_agent_is_silent() {
+fn a_router_serves_by_its_configured_list_where_the_agent_is_silent() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
     let begun = Instant::now();
@@ -124,7 +124,7 @@
 
 /// Guards against single bytes counting as a sign of life: a watch that sends nothing complete is reopened in time.
 #[test]
-fn a_watch_that_drips_is_a_silent_one() {
+fn a_watch_that_trickles_bytes_is_reopened() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
     let router = Router::start(&config(agent.address, &known(&primary, &[])));
@@ -132,39 +132,39 @@
     watch.begin();
     watch.chunk(&(list(41, false, &[]) + "\n"));
     let begun = Instant::now();
-    let drip = std::thread::spawn(move || {
-        while begun.elapsed() < Duration::from_secs(8) && watch.drips() {
+    let trickle = std::thread::spawn(move || {
+        while begun.elapsed() < Duration::from_secs(8) && watch.send_blank() {
             std::thread::sleep(Duration::from_millis(100));
         }
         begun.elapsed()
     });
-    let again = agent.watch();
+    let reopened_watch = agent.watch();
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
-    assert!(again.request.contains("since=41"));
-    assert!(drip.join().expect("a watch") < Duration::from_secs(7), "the former one was left open");
+    assert!(reopened_watch.request.contains("since=41"));
+    assert!(trickle.join().expect("a watch") < Duration::from_secs(7), "the previous watch was left open");
     drop(router);
 }
 
 /// Guards against a statement being started after its client has disconnected while it waited for a connection,
 /// even where executions may not be cancelled.
 #[test]
-fn a_statement_that_waits_for_a_connection_goes_with_its_client() {
+fn a_statement_that_waits_for_a_connection_is_dropped_with_its_client() {
     let primary = Host::scripted(true, &[HostReply::Slow(340, b"first")]);
-    primary.script.lock().expect("script").greet = Some(1);
+    primary.script.lock().expect("script").startups_to_answer = Some(1);
     let text = config(DiscoveryAgent::start().address, &known(&primary, &[]))
         .replace("\"probes\":true", "\"probes\":false")
         .replace("\"mayCancel\":true", "\"mayCancel\":false")
         .replace("\"dialTimeoutMs\":250.0", "\"dialTimeoutMs\":1500.0");
     let router = Router::start(&text);
-    let (mut first, mut leaver) = (router.client(), router.client());
+    let (mut first, mut leaving_client) = (router.client(), router.client());
     first.send(&query(&write(1500)));
     wait_for("the first write", || primary.count() == 1);
-    leaver.send(&query(&write(1500)));
-    wait_for("the dial for the second", || primary.met.load(SeqCst) == 2);
-    drop(leaver);
+    leaving_client.send(&query(&write(1500)));
+    wait_for("the dial for the second", || primary.accepted.load(SeqCst) == 2);
+    drop(leaving_client);
     assert_eq!(value(&first.answer()), b"first");
     assert_eq!(value(&first.ask(&write(1500))), b"primary");
-    assert_eq!(primary.count(), 2, "begun for a client that had gone");
+    assert_eq!(primary.count(), 2, "started for a client that had disconnected");
     let (ok, log) = router.end();
     assert!(ok && (count(&log, "clients_gone"), count(&log, "WithdrawnUnsent")) == (1, 1), "{log}");
 }
@@ -172,7 +172,7 @@
 /// Guards against an overloaded discovery being kept overloaded by hundreds of routers: refused requests are
 /// repeated at growing intervals, but often enough that no change counts as received unread.
 #[test]
-fn a_discovery_that_refuses_is_not_hammered() {
+fn refused_discovery_requests_are_repeated_at_growing_intervals() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
     let text = config(agent.address, &known(&primary, &[]));
@@ -191,7 +191,7 @@
 /// Guards against a command being lost that is half received when the window after SIGTERM closes: the rest is read
 /// and answered.
 #[test]
-fn a_command_that_is_half_there_as_the_door_closes_is_answered() {
+fn a_half_received_command_is_answered_after_the_shutdown_window() {
     let primary = Host::start(true);
     let router = Router::start_with_hosts(&primary, &[]);
     let (mut half, mut idle) = (router.client(), router.client());
@@ -201,10 +201,10 @@
     half.send(&command[..30]);
     router.signal("TERM");
     // The idle one is closed, and by then the other one would have been closed too.
-    assert_eq!(idle.answer(), Got::default());
+    assert_eq!(idle.answer(), QueryResponse::default());
     half.send(&command[30..]);
     assert_eq!(value(&half.answer()), b"primary");
-    assert_eq!(half.answer(), Got::default(), "and then it goes like any other");
+    assert_eq!(half.answer(), QueryResponse::default(), "and then it is closed like any other");
     let (ok, log) = router.end();
     assert!(ok && (count(&log, "taken"), count(&log, "completed")) == (3, 3), "{log}");
 }
@@ -212,29 +212,31 @@
 /// Guards against a failed exit where SIGTERM arrives before the first list: no client has been accepted, and the
 /// router exits with success.
 #[test]
-fn an_end_before_the_first_list_is_an_end() {
+fn sigterm_before_the_first_list_exits_with_success() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
-    let mut router = Router::begin(&config(agent.address, &known(&primary, &[])));
+    let mut router = Router::spawn(&config(agent.address, &known(&primary, &[])));
     let _silent = agent.watch();
     router.signal("TERM");
     assert!(router.child.wait().expect("an end").success());
-    assert_eq!(primary.met.load(SeqCst), 0);
+    assert_eq!(primary.accepted.load(SeqCst), 0);
 }
 
 /// Guards against effects of a killed process on its successor: the host gets no query on behalf of the dead
 /// process, and the first statement of the new one is served.
 #[test]
-fn a_process_that_is_killed_under_a_statement_leaves_nothing_to_its_next_life() {
+fn a_restarted_process_is_not_affected_by_statements_of_the_killed_one() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
     let text = config(DiscoveryAgent::start().address, &known(&primary, &[]));
-    let mut former = Router::start(&text);
-    let mut client = former.client();
+    let mut killed_router = Router::start(&text);
+    let mut client = killed_router.client();
     client.send(&query(&write(1900)));
     wait_for("the write", || primary.count() == 1);
-    former.child.kill().expect("our own process");
-    wait_for("the end of its links", || primary.ended.load(SeqCst) == primary.met.load(SeqCst));
-    assert_eq!(client.answer(), Got::default());
+    killed_router.child.kill().expect("a child process");
+    wait_for("the end of its upstream connections", || {
+        primary.ended.load(SeqCst) == primary.accepted.load(SeqCst)
+    });
+    assert_eq!(client.answer(), QueryResponse::default());
     let router = Router::start(&text);
     assert_eq!(value(&router.client().ask(&write(800))), b"primary");
     assert_eq!(primary.count(), 2);
@@ -243,13 +245,13 @@
 /// Guards against an answer being dropped that is already in the socket when its execution is cancelled: nobody
 /// would know whether the statement ran.
 #[test]
-fn an_answer_that_has_come_as_its_execution_is_withdrawn_counts() {
+fn an_answer_received_before_its_cancellation_counts() {
     use sandstile_dispatcher::{Command, DispatcherMessage, HostTask, Outcome, TaskKind};
     use sandstile_router::{
         budget::Budget, clock::Clock, counters::Counters, hosts::Hosts, loop_context::LoopContext, mailbox,
     };
-    struct Text;
-    impl sandstile_dispatcher::StatementPayload for Text {
+    struct TestPayload;
+    impl sandstile_dispatcher::StatementPayload for TestPayload {
         fn message(&self, _: f64) -> Vec<u8> {
             query("SELECT 1")
         }
@@ -269,21 +271,22 @@
         queue: Default::default(),
         scratch: vec![0; 65536],
     };
-    let (post, mail) = mailbox::mailbox::<DispatcherMessage>();
-    let mut hosts = Hosts::new(post, counters, log, 1.0, 30.0);
-    hosts.order(
+    let (sender, dispatcher_mailbox) = mailbox::mailbox::<DispatcherMessage>();
+    let mut hosts = Hosts::new(sender, counters, log, 1.0, 30.0);
+    hosts.handle_command(
         Command::UpdateHost { host: 0, name: "s-0".to_string(), address: Some(primary.address) },
         &mut context,
     );
-    let kind = TaskKind::Statement { statement_id: 7, execution: 0, payload: std::sync::Arc::new(Text) };
-    hosts.order(Command::Start(0, HostTask { kind, deadline: clock.now() + 5.0 }), &mut context);
+    let kind =
+        TaskKind::Statement { statement_id: 7, execution: 0, payload: std::sync::Arc::new(TestPayload) };
+    hosts.handle_command(Command::Start(0, HostTask { kind, deadline: clock.now() + 5.0 }), &mut context);
     let mut events = mio::Events::with_capacity(16);
     // Polls until the statement is written; from then on no event of the socket is delivered.
     wait_for("the statement at its host", || {
         if context.budget.claim(sandstile_router::budget::Holder::UpstreamConnection)
             == sandstile_router::budget::Claim::Granted
         {
-            if hosts.wanting(clock.now()) {
+            if hosts.next_dial_ready(clock.now()) {
                 hosts.dial(&mut context);
             } else {
                 context.budget.release(sandstile_router::budget::Holder::UpstreamConnection);
@@ -292,20 +295,20 @@
         if primary.count() == 0 {
             poll.poll(&mut events, Some(Duration::from_millis(1))).expect("readiness");
             for event in &events {
-                hosts.told((event.token().0 - 3) / 2, event, &mut context);
+                hosts.on_event((event.token().0 - 3) / 2, event, &mut context);
             }
             while let Some(token) = context.queue.pop_front() {
-                hosts.called((token.0 - 3) / 2, &mut context);
+                hosts.run_queued((token.0 - 3) / 2, &mut context);
             }
         }
         primary.count() == 1
     });
     wait_for("the answer in the socket", || primary.answered.load(SeqCst) == 1);
-    hosts.order(Command::Cancel { host: 0, statement_id: 7, execution: 0 }, &mut context);
-    match mail.try_recv() {
+    hosts.handle_command(Command::Cancel { host: 0, statement_id: 7, execution: 0 }, &mut context);
+    match dispatcher_mailbox.try_recv() {
         Some(DispatcherMessage::Ended { outcome: Outcome { ending, .. }, .. }) => {
             assert_eq!(ending, sandstile_dispatcher::Ending::Completed);
         }
-        _ => panic!("no ending"),
+        _ => panic!("no outcome"),
     }
 }
--- a/crates/sandstile-router/tests/program.rs
+++ b/crates/sandstile-router/tests/program.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn statements_go_by_the_design_and_come_back_as_the_hosts_bytes() {
+fn statements_are_routed_by_workload_and_answered_with_the_hosts_bytes() {
     let odd: &[u8] = &[0, 255, 92, 39, 0, 10];
     let (primary, replica) = (Host::start(true), Host::scripted(false, &[HostReply::Row(odd)]));
     let router = Router::start_with_hosts(&primary, &[&replica]);
@@ -43,7 +43,7 @@
     assert_eq!(value(&client.answer()), b"primary");
     assert_eq!(value(&client.answer()), b"replica");
     client.send(b"X\0\0\0\x04");
-    assert_eq!(client.answer(), Got::default());
+    assert_eq!(client.answer(), QueryResponse::default());
     let (ok, log) = router.end();
     assert!(ok, "{log}");
     assert_eq!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_refused_read_moves_on_and_a_value_as_long_as_allowed_passes() {
+fn a_refused_read_is_retried_elsewhere_and_the_longest_value_passes() {
     let long: &'static [u8] = vec![7; 64 * 1024].leak();
     let primary = Host::scripted(true, &[HostReply::Row(long)]);
     let replicas = [
@@ -68,11 +68,11 @@
     // The protocol's page says 64 KiB, but hosts in service send longer values. A value that exceeds this router's
     // memory is cut off.
     let longer: &'static [u8] = vec![8; 700_000].leak();
-    primary.script.lock().expect("script").acts.push_back(HostReply::Row(longer));
+    primary.script.lock().expect("script").replies.push_back(HostReply::Row(longer));
     assert_eq!(value(&client.ask(&write(1500))), longer);
-    primary.script.lock().expect("script").acts.push_back(HostReply::Row(vec![9; 8_000_000].leak()));
-    let got = client.ask(&write(1500));
-    assert!(got.ready && got.code.as_deref() == Some("57014"), "{:?}", got.code);
+    primary.script.lock().expect("script").replies.push_back(HostReply::Row(vec![9; 8_000_000].leak()));
+    let response = client.ask(&write(1500));
+    assert!(response.ready && response.code.as_deref() == Some("57014"), "{:?}", response.code);
     let literal = "ab".repeat(64 * 1024);
     let text = write(800).replace("\\x9f", &literal);
     assert_eq!(value(&client.ask(&text)), b"primary");
@@ -84,25 +84,25 @@
 /// A write that was sent completely may have run: whatever fails then, it is aborted, and sent only once.
 #[test]
 fn a_write_that_may_have_run_is_aborted_and_never_sent_again() {
-    for act in [
+    for reply in [
         HostReply::Cut(0),
         HostReply::Cut(40),
         HostReply::Fail("XX000"),
         HostReply::Raw(b"G\0\0\0\x04"),
         HostReply::Raw(b"T\xff\xff\xff\xff"),
     ] {
-        let primary = Host::scripted(true, &[act]);
+        let primary = Host::scripted(true, &[reply]);
         let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
-        let got = router.client().ask(&write(600));
-        assert!(got.ready && got.value.is_none());
-        assert!(!["53300", "57P03"].contains(&got.code.as_deref().expect("an error")), "{got:?}");
+        let response = router.client().ask(&write(600));
+        assert!(response.ready && response.value.is_none());
+        assert!(!["53300", "57P03"].contains(&response.code.as_deref().expect("an error")), "{response:?}");
         assert_eq!(primary.count(), 1);
     }
 }
 
 /// A malformed answer ends its connection at once, costs a read one more execution, and doesn't eject the host.
 #[test]
-fn spoilt_answers_are_told_early_teach_nothing_and_are_never_passed_on() {
+fn malformed_answers_are_detected_early_and_neither_used_nor_passed_on() {
     let row = |value: &[u8], length: u32| {
         let mut out = Vec::new();
         pg::write_frame(&mut out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
@@ -110,7 +110,7 @@
         out.extend_from_slice(&[&[b'D'][..], &length.to_be_bytes(), &body].concat());
         out
     };
-    let spoilt: [&'static [u8]; 6] = [
+    let malformed: [&'static [u8]; 6] = [
         b"no frame at all",
         b"G\0\0\x10\0",
         // A value with a declared length of 3 GB, a row longer than its value, and a row that stops in the middle.
@@ -120,12 +120,12 @@
         // A malformed answer that reports its host as primary: the report must be ignored.
         [row(b"value", 15), b"S\0\0\0\x14mode\0read-write\0Z\0\0\0\xffI".to_vec()].concat().leak(),
     ];
-    let acts: Vec<HostReply> = spoilt.iter().map(|bytes| HostReply::Raw(bytes)).collect();
-    let (primary, replica) = (Host::start(true), Host::scripted(false, &acts));
+    let replies: Vec<HostReply> = malformed.iter().map(|bytes| HostReply::Raw(bytes)).collect();
+    let (primary, replica) = (Host::start(true), Host::scripted(false, &replies));
     let router = Router::start_with_hosts(&primary, &[&replica]);
     let mut client = router.client();
     let started = Instant::now();
-    for n in 1..=spoilt.len() {
+    for n in 1..=malformed.len() {
         assert_eq!(value(&client.ask(&read(1800))), b"primary");
         // The replica stays in the rotation.
         assert_eq!(replica.count(), n);
@@ -139,7 +139,7 @@
 
 /// Bytes behind a good answer end the connection, and are never taken for the next statement's answer.
 #[test]
-fn more_than_the_answer_ends_the_link_and_not_the_answer() {
+fn bytes_behind_an_answer_end_the_connection_but_keep_the_answer() {
     let primary = Host::scripted(
         true,
         &[HostReply::Twice(b"mine"), HostReply::Slow(30, b"next"), HostReply::Twice(b"third")],
@@ -156,9 +156,9 @@
 
 /// Where a dial fails nothing was sent: the client may try again, and is told when.
 #[test]
-fn a_write_that_never_ran_is_rejected_with_a_time_to_return() {
+fn a_write_that_never_ran_is_rejected_with_a_retry_delay() {
     let refusing = Host::start(true);
-    refusing.script.lock().expect("script").greeting_code = Some("53300");
+    refusing.script.lock().expect("script").startup_error = Some("53300");
     for primary in [&refusing, &Host::start(true)] {
         let gone = "127.0.0.2:1".parse().expect("an address where nobody listens");
         let known = if primary.count() == 0 && primary.address != refusing.address {
@@ -168,16 +168,16 @@
         };
         let router = Router::start(&config(DiscoveryAgent::start().address, &known));
         let started = Instant::now();
-        let got = router.client().ask(&write(400));
-        assert_eq!((got.code.as_deref(), got.detail.as_deref()), (Some("53300"), Some("700")));
-        assert!(got.ready && started.elapsed() < Duration::from_millis(450));
+        let response = router.client().ask(&write(400));
+        assert_eq!((response.code.as_deref(), response.detail.as_deref()), (Some("53300"), Some("700")));
+        assert!(response.ready && started.elapsed() < Duration::from_millis(450));
         assert_eq!(primary.count(), 0);
     }
 }
 
 /// A connection that the host has closed is detected before a write is sent on it.
 #[test]
-fn an_idle_connection_is_looked_at_before_it_is_used_again() {
+fn an_idle_connection_is_checked_before_it_is_reused() {
     let primary = Host::scripted(true, &[HostReply::RowThenEnd(b"one"), HostReply::Row(b"two")]);
     let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
@@ -188,22 +188,22 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_here_before_the_host_would() {
+fn idle_connections_are_closed_before_the_hosts_idle_timeout() {
     let primary = Host::start(true);
     let known = known(&primary, &[]);
-    let brief = config(DiscoveryAgent::start().address, &known)
+    let short_idle_timeout = config(DiscoveryAgent::start().address, &known)
         .replace("\"idleCloseMs\":30000.0", "\"idleCloseMs\":200.0");
-    let router = Router::start(&brief);
+    let router = Router::start(&short_idle_timeout);
     let mut client = router.client();
     assert_eq!(value(&client.ask(&write(800))), b"primary");
-    wait_for("the end of the idle link", || primary.ended.load(SeqCst) == 1);
+    wait_for("the end of the idle connection", || primary.ended.load(SeqCst) == 1);
     assert_eq!(value(&client.ask(&write(800))), b"primary");
     let (ok, log) = router.end();
     assert!(ok && count(&log, "IdleExpired") >= 1 && count(&log, "IdleEnded") == 0, "{log}");
 }
 
 #[test]
-fn a_silent_host_costs_its_statement_only_and_a_client_that_leaves_takes_its_execution_along() {
+fn a_silent_host_affects_only_its_statement_and_a_disconnect_cancels_the_execution() {
     let primary = Host::scripted(true, &[HostReply::Silent, HostReply::Silent]);
     let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
     let (mut slow, mut quick) = (router.client(), router.client());
@@ -211,46 +211,46 @@
     slow.send(&query(&write(500)));
     wait_for("the write", || primary.count() == 1);
     assert_eq!(value(&quick.ask(&read(800))), b"replica");
-    let got = slow.answer();
+    let response = slow.answer();
     assert!(started.elapsed() < Duration::from_millis(550), "{:?}", started.elapsed());
-    assert!(got.ready && got.code.as_deref() != Some("53300"), "{got:?}");
-    wait_for("the withdrawal", || primary.ended.load(SeqCst) == 1);
+    assert!(response.ready && response.code.as_deref() != Some("53300"), "{response:?}");
+    wait_for("the cancellation", || primary.ended.load(SeqCst) == 1);
     drop(router);
 
     let primary = Host::scripted(true, &[HostReply::Silent]);
     let router = Router::start_with_hosts(&primary, &[]);
-    let mut leaver = router.client();
-    leaver.send(&query(&write(2000)));
+    let mut leaving_client = router.client();
+    leaving_client.send(&query(&write(2000)));
     wait_for("the write", || primary.count() == 1);
-    drop(leaver);
-    wait_for("the withdrawal", || primary.ended.load(SeqCst) == 1);
+    drop(leaving_client);
+    wait_for("the cancellation", || primary.ended.load(SeqCst) == 1);
     let (ok, log) = router.end();
     assert!(ok);
     assert_eq!((count(&log, "clients_gone"), count(&log, "Withdrawn")), (1, 1), "{log}");
 }
 
 #[test]
-fn hostile_input_gets_an_error_an_end_and_a_count_and_nothing_goes_on() {
+fn hostile_input_is_rejected_counted_and_never_forwarded() {
     let primary = Host::start(true);
     let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
-    let q = |text: &str| query(text);
+    let command = |text: &str| query(text);
     // The end of the command is known: only the statement is rejected, and the client is served on.
     let unreadable: Vec<Vec<u8>> = vec![
-        q("SELECT 1"),
-        q("/* c=look,d=500,cluster=3"),
-        q("/* id=1,c=nothing,d=500,cluster=3 */ SELECT 'k'"),
-        q("/* id=1,c=look,cluster=3 */ SELECT 'k'"),
-        q("/* id=1,c=look,d=abc,cluster=3 */ SELECT 'k'"),
-        q("/* id=1,c=look,d=5e2,cluster=3 */ SELECT 'k'"),
-        q("/* id=1,c=look,d=-500,cluster=3 */ SELECT 'k'"),
-        q("/* id=1,c=look,d=500 */ SELECT 'k'"),
-        q("/* c=look,d=500,cluster=3 */ SELECT 'k'"),
-        q("/* id=,c=look,d=500,cluster=3 */ SELECT 'k'"),
-        q(&format!("/* id={},c=look,d=500,cluster=3 */ SELECT 'k'", "9".repeat(65))),
+        command("SELECT 1"),
+        command("/* c=look,d=500,cluster=3"),
+        command("/* id=1,c=nothing,d=500,cluster=3 */ SELECT 'k'"),
+        command("/* id=1,c=look,cluster=3 */ SELECT 'k'"),
+        command("/* id=1,c=look,d=abc,cluster=3 */ SELECT 'k'"),
+        command("/* id=1,c=look,d=5e2,cluster=3 */ SELECT 'k'"),
+        command("/* id=1,c=look,d=-500,cluster=3 */ SELECT 'k'"),
+        command("/* id=1,c=look,d=500 */ SELECT 'k'"),
+        command("/* c=look,d=500,cluster=3 */ SELECT 'k'"),
+        command("/* id=,c=look,d=500,cluster=3 */ SELECT 'k'"),
+        command(&format!("/* id={},c=look,d=500,cluster=3 */ SELECT 'k'", "9".repeat(65))),
     ];
     // After these the framing can't be trusted: the connection is closed.
-    let bad: Vec<Vec<u8>> = vec![
-        q(&(read(500) + "\0 more")),
+    let invalid: Vec<Vec<u8>> = vec![
+        command(&(read(500) + "\0 more")),
         b"Q\xff\xff\xff\xff".to_vec(),
         b"Q\x7f\xff\xff\xff".to_vec(),
         b"Q\0\0\0\x05x".to_vec(),
@@ -260,30 +260,30 @@
     for bytes in &unreadable {
         let mut client = router.client();
         client.send(bytes);
-        let got = client.answer();
+        let response = client.answer();
         assert!(
-            got.code.as_deref() == Some("42601") && got.ready && got.value.is_none(),
-            "{bytes:?} got {got:?}"
+            response.code.as_deref() == Some("42601") && response.ready && response.value.is_none(),
+            "{bytes:?} got {response:?}"
         );
         assert!(client.ask(";").empty, "{bytes:?}");
     }
-    for bytes in &bad {
+    for bytes in &invalid {
         let mut client = router.client();
         client.send(bytes);
-        let got = client.answer();
-        assert!(got.code.is_some() && !got.ready, "{bytes:?} got {got:?}");
-        assert_eq!(client.answer(), Got::default());
+        let response = client.answer();
+        assert!(response.code.is_some() && !response.ready, "{bytes:?} got {response:?}");
+        assert_eq!(client.answer(), QueryResponse::default());
     }
     let mut no_startup = Client::connect(router.address);
     no_startup.send(b"GET / HTTP/1.1\r\n\r\n");
     assert_eq!(no_startup.answer().code.as_deref(), Some("08P01"));
     // A statement with the id of another client's open statement: that one is answered, the copy is not executed.
-    primary.script.lock().expect("script").acts.push_back(HostReply::Slow(200, b"first"));
+    primary.script.lock().expect("script").replies.push_back(HostReply::Slow(200, b"first"));
     let (mut first, asked) = (router.client(), write(800));
     first.send(&query(&asked));
     wait_for("the write", || primary.count() == 1);
-    let got = router.client().ask(&asked);
-    assert!(got.code.as_deref() == Some("42710") && got.ready, "{got:?}");
+    let response = router.client().ask(&asked);
+    assert!(response.code.as_deref() == Some("42710") && response.ready, "{response:?}");
     assert_eq!(value(&first.answer()), b"first");
     // A cluster that no list names can't be served now; a retry is harmless.
     let unknown = read(60).replace("cluster=3", "cluster=99");
@@ -291,14 +291,14 @@
     assert_eq!(value(&router.client().ask(&write(800))), b"primary");
     assert_eq!(primary.count(), 2);
     let (ok, log) = router.end();
-    let turned_away = (bad.len() + unreadable.len()) as u64 + 2;
-    assert!(ok && count(&log, "bad_input") == turned_away, "{log}");
+    let rejected = (invalid.len() + unreadable.len()) as u64 + 2;
+    assert!(ok && count(&log, "bad_input") == rejected, "{log}");
 }
 
 /// A client that sends nothing, stops in the middle or trickles bytes is rejected after the time that the
 /// protocol's page states; one that has sent a statement may be idle as long.
 #[test]
-fn connections_without_an_open_statement_end_in_the_pages_time() {
+fn connections_without_an_open_statement_are_closed_in_time() {
     let router = Router::start_with_hosts(&Host::start(true), &[]);
     let started = Instant::now();
     let mut silent = Client::connect(router.address);
@@ -306,7 +306,7 @@
         (router.client(), router.client(), Client::connect(router.address), router.client());
     half.send(&query(&write(800))[..30]);
     assert_eq!(value(&asked.ask(&write(800))), b"primary");
-    let drip = thread::spawn(move || {
+    let trickle = thread::spawn(move || {
         while dripping.stream.write_all(b"\0").is_ok() && started.elapsed() < Duration::from_secs(8) {
             thread::sleep(Duration::from_millis(100));
         }
@@ -320,17 +320,17 @@
     });
     assert_eq!(half.answer().code.as_deref(), Some("08P01"));
     for client in [&mut silent, &mut greeted, &mut asked] {
-        assert_eq!(client.answer(), Got::default());
+        assert_eq!(client.answer(), QueryResponse::default());
     }
     assert!((1.9..3.0).contains(&started.elapsed().as_secs_f64()), "{:?}", started.elapsed());
-    assert!(drip.join().expect("a client") < Duration::from_secs(3));
+    assert!(trickle.join().expect("a client") < Duration::from_secs(3));
     assert!(flooding.join().expect("a client") < Duration::from_secs(3));
     let (ok, log) = router.end();
     assert!(ok && count(&log, "rested") + count(&log, "bad_input") == 6, "{log}");
 }
 
 #[test]
-fn the_list_follows_changes_whole_lists_and_addresses_through_a_watch_that_breaks() {
+fn the_host_list_follows_changes_and_snapshots_across_broken_watches() {
     let (old, new, replica) =
         (Host::start(true), Host::scripted(true, &[HostReply::Row(b"new")]), Host::start(false));
     let agent = DiscoveryAgent::start();
@@ -349,7 +349,7 @@
     watch.chunk(&moved[..moved.len() / 2]);
     watch.raw(format!("{:x}\r\n{}", moved.len() - moved.len() / 2, &moved[moved.len() / 2..]).as_bytes());
     // The new address closes the idle connection to the old one.
-    wait_for("the move", || old.ended.load(SeqCst) == 1);
+    wait_for("the change of address", || old.ended.load(SeqCst) == 1);
     assert_eq!(value(&client.ask(&write(800))), b"new");
     watch.raw(b"\r\n");
     watch.chunk("{\"index\":99,\"snapshot\":true,\"endpo");
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn told_to_end_it_serves_on_for_a_little_answers_all_and_exits_well() {
+fn after_sigterm_it_serves_briefly_answers_all_and_exits_with_success() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
     let router = Router::start_with_hosts(&primary, &[&Host::start(false)]);
     let (mut waiting, mut idle) = (router.client(), router.client());
@@ -391,7 +391,7 @@
     router.signal("TERM");
     let mut late = router.client();
     assert_eq!(value(&late.ask(&read(800))), b"replica");
-    assert_eq!(idle.answer(), Got::default());
+    assert_eq!(idle.answer(), QueryResponse::default());
     assert!(TcpStream::connect(router.address).is_err());
     assert!(waiting.answer().code.is_some());
     let (ok, log) = router.end();
@@ -402,7 +402,7 @@
 /// The process is stopped beyond a statement's deadline, as happens under a CPU quota: the answer is then sent late
 /// rather than withheld.
 #[test]
-fn an_answer_that_has_become_late_is_given_all_the_same() {
+fn a_late_answer_is_sent_rather_than_withheld() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
     let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
@@ -430,8 +430,8 @@
     let mut client = router.client();
     client.send(&query(&write(1500)));
     wait_for("the write", || primary.count() == 1);
-    for bad in ["{\"name\":", &text.replace(&old.address.to_string(), "nowhere")] {
-        router.reload(bad);
+    for invalid in ["{\"name\":", &text.replace(&old.address.to_string(), "nowhere")] {
+        router.reload(invalid);
     }
     let new = DiscoveryAgent::start();
     router.reload(&text.replace(&old.address.to_string(), &new.address.to_string()));
@@ -449,7 +449,7 @@
 /// Hosts are replaced under new names, as releases do all the time: a host that has left is removed with its
 /// connections and records.
 #[test]
-fn hosts_that_have_left_for_good_are_forgotten() {
+fn hosts_that_have_left_are_removed() {
     let (primary, replica, agent) = (Host::start(true), Host::start(false), DiscoveryAgent::start());
     let router = Router::start(&config(agent.address, &known(&primary, &[&replica])));
     let mut watch = agent.watch();
@@ -467,8 +467,8 @@
             index += 1;
             watch.chunk(&(list(index, false, &[entry]) + "\n"));
         }
-        wait_for("the old one's end", || replica.ended.load(SeqCst) == n);
-        wait_for("the new one's turn", || value(&client.ask(&read(800))) == b"replica");
+        wait_for("the end of the old host's connections", || replica.ended.load(SeqCst) == n);
+        wait_for("an answer of the new host", || value(&client.ask(&read(800))) == b"replica");
     }
     let (ok, log) = router.end();
     assert!(ok && log.matches("is forgotten").count() == 8 && log.contains("host 1 is s-9"), "{log}");
@@ -477,15 +477,15 @@
 
 /// A statement that is sent while the host closes the idle connection: the host is healthy and is not ejected.
 #[test]
-fn a_link_that_ends_under_its_next_statement_rests_no_host() {
-    let acts = [
+fn a_connection_closed_under_its_next_statement_ejects_no_host() {
+    let replies = [
         HostReply::Row(b"one"),
         HostReply::Cut(0),
         HostReply::Row(b"two"),
         HostReply::Cut(20),
         HostReply::Row(b"three"),
     ];
-    let (primary, replica) = (Host::start(true), Host::scripted(false, &acts));
+    let (primary, replica) = (Host::start(true), Host::scripted(false, &replies));
     let router = Router::start_with_hosts(&primary, &[&replica]);
     let mut client = router.client();
     for wanted in [&b"one"[..], b"primary", b"two", b"primary", b"three"] {
@@ -512,7 +512,7 @@
     let hosts = [Host::start(false), Host::start(false)];
     for host in &hosts {
         let report = [HostReply::Fail("25006"), HostReply::Row(b"x0=1700000000.5,x1=0")];
-        host.script.lock().expect("script").acts.extend(report);
+        host.script.lock().expect("script").replies.extend(report);
     }
     let router = Router::start_with_hosts(&hosts[0], &[&hosts[1]]);
     assert_eq!(router.client().ask(&write(800)).code.as_deref(), Some("53300"));
@@ -522,7 +522,7 @@
 
 /// A statement that the database host can't parse is the client's fault and doesn't eject the host.
 #[test]
-fn a_statement_that_a_host_cannot_read_is_no_fault_of_the_host() {
+fn a_statement_that_a_host_cannot_parse_does_not_eject_the_host() {
     let primary = Host::scripted(true, &[HostReply::Fail("08P01")]);
     let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
@@ -534,9 +534,9 @@
 
 /// A statement that waits for a dial uses whichever connection becomes free first.
 #[test]
-fn a_dial_that_never_comes_up_costs_nothing_where_another_link_comes_free() {
+fn a_statement_waiting_for_a_stuck_dial_uses_a_freed_connection() {
     let primary = Host::scripted(true, &[HostReply::Slow(120, b"one"), HostReply::Row(b"two")]);
-    primary.script.lock().expect("script").greet = Some(1);
+    primary.script.lock().expect("script").startups_to_answer = Some(1);
     let router = Router::start_with_hosts(&primary, &[]);
     let (mut first, mut second) = (router.client(), router.client());
     first.send(&query(&write(1500)));
@@ -567,7 +567,7 @@
 
 /// Half of a frame of maximum length from each of more clients than the router accepts at once.
 #[test]
-fn clients_that_stop_in_the_middle_of_a_frame_stay_within_the_memory() {
+fn partial_frames_of_many_clients_stay_within_the_memory_limit() {
     let primary = Host::start(true);
     let roomy = config(DiscoveryAgent::start().address, &known(&primary, &[]))
         .replace("\"sockets\":64", "\"sockets\":1024");
@@ -591,7 +591,7 @@
 
 /// Connections beyond the budget wait or replace idle ones; the process neither dies nor spins.
 #[test]
-fn a_flood_of_connections_stays_within_the_descriptors() {
+fn a_flood_of_connections_stays_within_the_descriptor_limit() {
     let long: &'static [u8] = vec![7; 64 * 1024].leak();
     let (primary, replica) = (Host::start(true), Host::start(false));
     let router = Router::start_with_hosts(&primary, &[&replica]);
@@ -608,20 +608,22 @@
         flood.push(client);
     }
     assert_eq!(answers, 20);
-    let held = std::fs::read_dir(format!("/proc/{}/fd", router.child.id())).expect("a process").count();
-    assert!(held <= 64, "{held}");
+    let open_descriptors =
+        std::fs::read_dir(format!("/proc/{}/fd", router.child.id())).expect("a process").count();
+    assert!(open_descriptors <= 64, "{open_descriptors}");
     // With more descriptors, no more connections stay idle than statements could need.
     let known = known(&primary, &[&replica]);
     let roomy = config(DiscoveryAgent::start().address, &known).replace("\"sockets\":64", "\"sockets\":256");
     let roomy = Router::start(&roomy);
     let crowd: Vec<Client> = (0..200).map(|_| Client::connect(roomy.address)).collect();
     assert_eq!(value(&roomy.client().ask(&read(1500))), b"replica");
-    let held = std::fs::read_dir(format!("/proc/{}/fd", roomy.child.id())).expect("a process").count();
-    assert!((20..=256 / 3 + 32).contains(&held), "{held}");
+    let open_descriptors =
+        std::fs::read_dir(format!("/proc/{}/fd", roomy.child.id())).expect("a process").count();
+    assert!((20..=256 / 3 + 32).contains(&open_descriptors), "{open_descriptors}");
     drop((crowd, roomy));
     // A client that never reads and one that sends a byte at a time delay nobody.
     let mut stuck = router.client();
-    replica.script.lock().expect("script").acts.extend(vec![HostReply::Row(long); 200]);
+    replica.script.lock().expect("script").replies.extend(vec![HostReply::Row(long); 200]);
     stuck.send(&query(&read(1500)).repeat(200));
     let mut dribble = router.client();
     dribble.send(&query(&read(1500))[..9]);
@@ -632,33 +634,33 @@
 }
 
 #[test]
-fn the_command_line_says_what_is_wrong_in_one_line() {
+fn command_line_errors_are_one_line() {
     let good = config(DiscoveryAgent::start().address, &list(1, true, &[]));
-    let said = |config: &str, arguments: &[&str]| {
+    let run_sandstile = |config: &str, arguments: &[&str]| {
         let output = run(config, arguments);
         let error = String::from_utf8(output.stderr).expect("text");
         (output.status.success(), String::from_utf8(output.stdout).expect("text"), error)
     };
-    let (ok, text, _) = said(&good, &["check"]);
+    let (ok, text, _) = run_sandstile(&good, &["check"]);
     assert!(
         ok && text.contains("router n3") && text.contains("workload book: Write NonIdempotent"),
         "{text}"
     );
-    assert!(said(&good, &["version"]).1.starts_with("sandstile 0"));
-    assert!(said(&good, &["--help"]).1.contains("usage"));
-    let lacks = |what: &str| good.replace(&format!("\"{what}\""), "\"other\"");
+    assert!(run_sandstile(&good, &["version"]).1.starts_with("sandstile 0"));
+    assert!(run_sandstile(&good, &["--help"]).1.contains("usage"));
+    let without_key = |what: &str| good.replace(&format!("\"{what}\""), "\"other\"");
     let broken = [
         ("serve", good[..200].to_string(), "LB_CONFIG"),
-        ("serve", lacks("settings"), "settings"),
-        ("check", lacks("known"), "known"),
-        ("serve", lacks("seed"), "seed"),
-        ("serve", lacks("dialTimeoutMs"), "dialTimeoutMs"),
+        ("serve", without_key("settings"), "settings"),
+        ("check", without_key("known"), "known"),
+        ("serve", without_key("seed"), "seed"),
+        ("serve", without_key("dialTimeoutMs"), "dialTimeoutMs"),
         ("serve", good.replace("2000.0", "\"soon\""), "deadlineMs"),
-        ("serve", lacks("sockets"), "sockets"),
+        ("serve", without_key("sockets"), "sockets"),
         ("dance", good.clone(), "dance"),
     ];
     for (command, config, named) in broken {
-        let (ok, _, error) = said(&config, &[command]);
+        let (ok, _, error) = run_sandstile(&config, &[command]);
         assert!(!ok && error.lines().count() == 1 && error.contains(named), "{command} {named}: {error}");
     }
 }
--- a/crates/sandstile-router/tests/readiness.rs
+++ b/crates/sandstile-router/tests/readiness.rs
@@ -15,12 +15,12 @@
 /// Clients that send empty queries without end, and a host that sends long answers, get their share of turns and no
 /// more.
 #[test]
-fn lines_with_endless_work_hold_up_nobody() {
+fn connections_with_endless_work_delay_nobody() {
     let long: &'static [u8] = vec![7; 60_000].leak();
     let (primary, replica) = (Host::start(true), Host::start(false));
-    replica.script.lock().expect("script").acts.extend(vec![HostReply::Row(long); 4_000]);
+    replica.script.lock().expect("script").replies.extend(vec![HostReply::Row(long); 4_000]);
     let router = Router::start_with_hosts(&primary, &[&replica]);
-    let (over, floods) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let (finished, flood_bytes) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let mut threads = Vec::new();
     for _ in 0..2 {
         // A client that has sent a statement may go on for as long as it likes.
@@ -28,13 +28,13 @@
         assert!(client.ask(&write(1500)).value.is_some());
         let mut reads = client.stream.try_clone().expect("a socket");
         let burst = query(";").repeat(8_000);
-        let (until, until_too, seen) = (over.clone(), over.clone(), floods.clone());
+        let (stop, reader_stop, seen) = (finished.clone(), finished.clone(), flood_bytes.clone());
         threads.push(thread::spawn(
-            move || while !until.load(SeqCst) && client.stream.write_all(&burst).is_ok() {},
+            move || while !stop.load(SeqCst) && client.stream.write_all(&burst).is_ok() {},
         ));
         threads.push(thread::spawn(move || {
             let mut bytes = [0; 65_536];
-            while !until_too.load(SeqCst) {
+            while !reader_stop.load(SeqCst) {
                 match reads.read(&mut bytes) {
                     Ok(got) if got > 0 => seen.fetch_add(got, SeqCst),
                     _ => return,
@@ -44,18 +44,18 @@
         }));
     }
     let mut reader = router.client();
-    let until = over.clone();
-    threads.push(thread::spawn(move || while !until.load(SeqCst) && reader.ask(&read(1500)).ready {}));
-    wait_for("the flood", || floods.load(SeqCst) > 100_000);
-    let mut usual = router.client();
+    let stop = finished.clone();
+    threads.push(thread::spawn(move || while !stop.load(SeqCst) && reader.ask(&read(1500)).ready {}));
+    wait_for("the flood", || flood_bytes.load(SeqCst) > 100_000);
+    let mut other_client = router.client();
     for _ in 0..30 {
         let begun = Instant::now();
-        assert_eq!(usual.ask(&write(1500)).value.as_deref(), Some(&b"primary"[..]));
+        assert_eq!(other_client.ask(&write(1500)).value.as_deref(), Some(&b"primary"[..]));
         assert!(begun.elapsed() < Duration::from_millis(500), "{:?}", begun.elapsed());
     }
-    let mut stranger = router.client();
-    assert!(stranger.ask(&write(1500)).value.is_some());
-    over.store(true, SeqCst);
+    let mut new_client = router.client();
+    assert!(new_client.ask(&write(1500)).value.is_some());
+    finished.store(true, SeqCst);
     threads.into_iter().for_each(|t| t.join().expect("a client"));
     assert!(router.end().0);
 }
@@ -63,19 +63,19 @@
 /// Stopped for 80 ms and run for 20 ms repeatedly, like a process with a fifth of a core: no answer is lost,
 /// duplicated or withheld.
 #[test]
-fn a_process_that_is_stopped_again_and_again_answers_all() {
+fn a_repeatedly_stopped_process_answers_every_statement() {
     let (primary, replica) = (Host::start(true), Host::start(false));
-    replica.script.lock().expect("script").acts.extend(vec![HostReply::Slow(30, b"slow"); 40]);
+    replica.script.lock().expect("script").replies.extend(vec![HostReply::Slow(30, b"slow"); 40]);
     let router = Router::start_with_hosts(&primary, &[&replica]);
     let clients: Vec<Client> = (0..6).map(|_| router.client()).collect();
-    let over = Arc::new(AtomicBool::new(false));
+    let finished = Arc::new(AtomicBool::new(false));
     let asks: Vec<_> = clients
         .into_iter()
         .map(|mut client| {
-            let over = over.clone();
+            let finished = finished.clone();
             thread::spawn(move || {
                 let mut asked = 0;
-                while !over.load(SeqCst) {
+                while !finished.load(SeqCst) {
                     let text = if asked % 3 == 0 { write(1200) } else { read(1200) };
                     let got = client.ask(&text);
                     assert!(got.ready && (got.value.is_some() || got.code.is_some()), "{got:?}");
@@ -91,25 +91,29 @@
         router.signal("CONT");
         thread::sleep(Duration::from_millis(20));
     }
-    over.store(true, SeqCst);
+    finished.store(true, SeqCst);
     let asked: u64 = asks.into_iter().map(|t| t.join().expect("a client")).sum();
     let (ok, log) = router.end();
-    let of = |name| count(&log, name);
-    assert!(ok && asked >= 6 && of("taken") == asked, "{asked} {log}");
-    assert_eq!((of("completed") + of("rejected") + of("aborted"), of("forsaken")), (asked, 0), "{log}");
+    let counter = |name| count(&log, name);
+    assert!(ok && asked >= 6 && counter("taken") == asked, "{asked} {log}");
+    assert_eq!(
+        (counter("completed") + counter("rejected") + counter("aborted"), counter("forsaken")),
+        (asked, 0),
+        "{log}"
+    );
 }
 
 /// SIGTERM and a reload while a dial, a half-read answer and a half-written command are in progress: every accepted
 /// statement is answered, once.
 #[test]
-fn an_end_and_a_reload_in_the_midst_of_everything_lose_nothing() {
+fn sigterm_and_reload_during_open_work_lose_no_statement() {
     let mut half = Vec::new();
     pg::write_frame(&mut half, b'T', &[b"\0\x01payload\0", &[0; 18]]);
     let (primary, replica) = (
         Host::scripted(true, &[HostReply::Slow(400, b"first")]),
         Host::scripted(false, &[HostReply::Raw(half.leak())]),
     );
-    primary.script.lock().expect("script").greet = Some(1);
+    primary.script.lock().expect("script").startups_to_answer = Some(1);
     let agent = DiscoveryAgent::start();
     let text = config(agent.address, &known(&primary, &[&replica]));
     let router = Router::start(&text);
@@ -140,24 +144,28 @@
         .iter()
         .map(|q| String::from_utf8_lossy(q).into_owned())
         .collect();
-    assert_eq!(asked.iter().filter(|q| q.contains("INSERT")).count(), 3, "no write twice: {asked:#?}");
+    assert_eq!(
+        asked.iter().filter(|q| q.contains("INSERT")).count(),
+        3,
+        "a write was sent twice: {asked:#?}"
+    );
 }
 
 /// Guards against a router that spins after SIGTERM while a statement is open. In the fleet, routers that spun here
 /// read no answers any more, and were killed with open statements.
 #[test]
-fn a_router_that_ends_sleeps_while_a_statement_is_out() {
+fn a_router_that_shuts_down_sleeps_while_a_statement_is_open() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
     let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     client.send(&query(&write(1900)));
     wait_for("the write", || primary.count() == 1);
     router.signal("TERM");
-    wait_for("the door's end", || TcpStream::connect(router.address).is_err());
-    let before = threads_and_time(router.child.id()).1;
+    wait_for("the end of the listener", || TcpStream::connect(router.address).is_err());
+    let before = threads_and_cpu_time(router.child.id()).1;
     thread::sleep(Duration::from_millis(500));
-    let spent = threads_and_time(router.child.id()).1 - before;
-    assert!(spent < 0.1, "{spent} s of processor time in half a second of waiting");
+    let spent = threads_and_cpu_time(router.child.id()).1 - before;
+    assert!(spent < 0.1, "{spent} s of CPU time in half a second of waiting");
     assert_eq!(client.answer().code.as_deref(), Some("57014"));
     assert!(router.end().0);
 }
@@ -182,7 +190,7 @@
 }
 
 /// Number of threads of a process, and the seconds of CPU time that they have used.
-fn threads_and_time(pid: u32) -> (usize, f64) {
+fn threads_and_cpu_time(pid: u32) -> (usize, f64) {
     let tasks = std::fs::read_dir(format!("/proc/{pid}/task")).expect("a process");
     let times: Vec<f64> = tasks
         .flatten()
@@ -196,7 +204,7 @@
 
 /// A machine of the fleet runs hundreds of routers, each with every host of the deployment on its list.
 #[test]
-fn forty_routers_before_sixty_hosts_cost_few_threads_and_nothing_at_rest() {
+fn forty_routers_with_sixty_hosts_use_few_threads_and_no_cpu_when_idle() {
     let hosts: Vec<Host> = (0..60).map(|n| Host::start(n % 6 == 0)).collect();
     let entries: Vec<String> = hosts
         .iter()
@@ -217,21 +225,21 @@
     }
     // Idle clients are closed within 2 s; from then on there is nothing to do.
     thread::sleep(Duration::from_millis(2500));
-    let before: Vec<f64> = routers.iter().map(|r| threads_and_time(r.child.id()).1).collect();
+    let before: Vec<f64> = routers.iter().map(|r| threads_and_cpu_time(r.child.id()).1).collect();
     let begun = Instant::now();
     thread::sleep(Duration::from_secs(4));
     let minutes = begun.elapsed().as_secs_f64() / 60.0;
-    let mut most: f64 = 0.0;
+    let mut max_cpu_share: f64 = 0.0;
     for (router, before) in routers.iter().zip(before) {
-        let (threads, time) = threads_and_time(router.child.id());
+        let (threads, time) = threads_and_cpu_time(router.child.id());
         assert!(threads <= 4, "{threads} threads at rest");
-        most = most.max((time - before) / minutes);
+        max_cpu_share = max_cpu_share.max((time - before) / minutes);
     }
-    println!("at rest {:.1} ms of processor time a minute at most", 1e3 * most);
-    assert!(most < 0.2, "{most} s a minute");
+    println!("idle: {:.1} ms of CPU time a minute at most", 1e3 * max_cpu_share);
+    assert!(max_cpu_share < 0.2, "{max_cpu_share} s a minute");
     // With many client and upstream connections open, still no more threads.
     let crowd: Vec<Client> = (0..30).map(|_| routers[0].client()).collect();
-    let (threads, _) = threads_and_time(routers[0].child.id());
+    let (threads, _) = threads_and_cpu_time(routers[0].child.id());
     assert!(threads <= 6, "{threads} threads");
     drop(crowd);
 }
--- a/crates/sandstile-router/tests/returns.rs
+++ b/crates/sandstile-router/tests/returns.rs
@@ -57,20 +57,20 @@
 }
 "#;
 
-struct Played {
+struct Rehearsal {
     trace: Trace,
     back: Returning,
     text: String,
     out: PathBuf,
 }
 
-impl Drop for Played {
+impl Drop for Rehearsal {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.out);
     }
 }
 
-fn play(name: &str, setup: &str, pace: &str, cues: &str) -> Played {
+fn play(name: &str, setup: &str, pace: &str, cues: &str) -> Rehearsal {
     let text = FLEET.replace("SETUP", setup).replace("PACE", pace) + cues;
     let script = Script::read(name, &text).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
@@ -85,13 +85,13 @@
         found.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
     assert!(broken.is_empty(), "{broken:?}\n{}", summary.text);
     let back = returning(&trace);
-    Played { trace, back, text: summary.text, out }
+    Rehearsal { trace, back, text: summary.text, out }
 }
 
 /// All routers are killed at once and return with their clients: service recovers, and no host gets too many dials
 /// at once.
 #[test]
-fn all_restart_at_once_and_service_comes_back() {
+fn service_recovers_after_all_routers_restart_at_once() {
     let cues = r#"
 restart "all" {
   share = 1
@@ -100,21 +100,21 @@
   at = 4
 }
 "#;
-    let played = play("all", "10", "answers", cues);
-    let starts = played.trace.routers.iter().filter(|(_, _, s)| format!("{s:?}") == "Started").count();
-    assert_eq!(starts, 8, "{}", played.text);
-    let whole = played.back.whole_after().expect("a cue");
-    assert!(whole < 6.0, "{whole}\n{}", played.text);
-    let log = std::fs::read_to_string(played.out.join("router-0.log")).expect("its log");
+    let rehearsal = play("all", "10", "answers", cues);
+    let starts = rehearsal.trace.routers.iter().filter(|(_, _, s)| format!("{s:?}") == "Started").count();
+    assert_eq!(starts, 8, "{}", rehearsal.text);
+    let recovery_time = rehearsal.back.whole_after().expect("a cue");
+    assert!(recovery_time < 6.0, "{recovery_time}\n{}", rehearsal.text);
+    let log = std::fs::read_to_string(rehearsal.out.join("router-0.log")).expect("its log");
     assert!(log.contains(" dials_held=") && !log.contains(" dials_held=0 "), "no dial waited: {log}");
-    let dials = played.back.worst("dials").expect("dials").most;
-    assert!(dials <= 16.0, "{dials} dials at a host in 100 ms\n{}", played.text);
+    let dials = rehearsal.back.worst("dials").expect("dials").most;
+    assert!(dials <= 16.0, "{dials} dials at a host in 100 ms\n{}", rehearsal.text);
 }
 
 /// Four simultaneous dials are one too many for the dial limit of a cold host: a plain restart keeps it busy with
 /// work that nobody waits for, while the paced one adapts to what the host can accept.
 #[test]
-fn hosts_that_greet_no_crowd_in_time_are_reached_all_the_same() {
+fn hosts_that_cannot_accept_a_crowd_in_time_are_still_reached() {
     let cues = r#"
 fault "hosts" {
   kind = "crash"
@@ -130,27 +130,27 @@
 }
 "#;
     let paced = play("paced", "80", "answers", cues);
-    let served = |p: &Played| {
+    let completed_share = |p: &Rehearsal| {
         let begin = p.trace.terms.as_ref().expect("terms").begin;
-        let late = |s: &&sandstile_audit::trace::Statement| {
+        let asked_late = |s: &&sandstile_audit::trace::Statement| {
             s.asked.as_ref().is_some_and(|a| a.intended > begin + 9.0)
         };
-        let all: Vec<_> = p.trace.statements.values().filter(late).collect();
-        let good = all.iter().filter(|s| {
+        let all: Vec<_> = p.trace.statements.values().filter(asked_late).collect();
+        let completed = all.iter().filter(|s| {
             s.answered.iter().any(|(_, a)| matches!(a, sandstile_audit::trace::Answered::Completed { .. }))
         });
-        good.count() as f64 / all.len().max(1) as f64
+        completed.count() as f64 / all.len().max(1) as f64
     };
-    let share = served(&paced);
+    let share = completed_share(&paced);
     assert!(share > 0.8, "{share}\n{}", paced.text);
     let plain = play("plain", "80", "plainest", cues);
-    assert!(served(&plain) < 0.5, "the baseline no longer falls over: {}", served(&plain));
+    assert!(completed_share(&plain) < 0.5, "the baseline no longer falls over: {}", completed_share(&plain));
 }
 
 /// A router is stopped for some seconds while its agent's connection is cut, and then continues with old
 /// statements.
 #[test]
-fn a_router_that_stood_still_decides_nothing_on_yesterday() {
+fn a_router_that_was_stopped_makes_no_decision_on_stale_statements() {
     let cues = r#"
 stop "still" {
   router = 2
@@ -172,20 +172,20 @@
   for = 4
 }
 "#;
-    let played = play("still", "1", "answers", cues);
-    assert!(played.trace.stood_still(2, 0.0, f64::INFINITY) && !played.trace.links.is_empty());
-    assert!(played.back.stale.is_empty(), "{:?}\n{}", played.back.stale, played.text);
-    let log = std::fs::read_to_string(played.out.join("router-2.log")).expect("its log");
+    let rehearsal = play("still", "1", "answers", cues);
+    assert!(rehearsal.trace.stood_still(2, 0.0, f64::INFINITY) && !rehearsal.trace.links.is_empty());
+    assert!(rehearsal.back.stale.is_empty(), "{:?}\n{}", rehearsal.back.stale, rehearsal.text);
+    let log = std::fs::read_to_string(rehearsal.out.join("router-2.log")).expect("its log");
     // At least once: a stall of the machine itself is detected too.
     assert!(log.contains("stood still for") && !log.contains(" stalls=0 "), "{log}");
-    let agent = std::fs::read_to_string(played.out.join("router-1.log")).expect("its log");
+    let agent = std::fs::read_to_string(rehearsal.out.join("router-1.log")).expect("its log");
     assert!(agent.contains("discovery:"), "its agent's link was cut: {agent}");
 }
 
 /// Errors in the `return` block of the local configuration file are reported with their position, and nothing
 /// starts.
 #[test]
-fn a_wrong_pace_is_told_with_its_place() {
+fn a_wrong_pace_is_reported_with_its_position() {
     let file = std::env::temp_dir().join(format!("sandstile-pace-{}.hcl", std::process::id()));
     let check = |text: &str| {
         std::fs::write(&file, text).expect("a place for files");
@@ -200,13 +200,13 @@
         let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
         (out.status.success(), text)
     };
-    let (good, text) = check("return {\n  pace = \"answers\"\n}\n");
-    assert!(good && text.contains("return answers"), "{text}");
-    let (good, text) = check("return {\n  pace = \"answer\"\n  haste = 1\n}\n");
-    assert!(!good && text.contains(":2:") && text.contains("answers") && text.contains("haste"), "{text}");
-    let (good, text) = check("");
-    assert!(good && text.contains("return off"), "{text}");
-    std::fs::remove_file(file).expect("our own file");
+    let (ok, text) = check("return {\n  pace = \"answers\"\n}\n");
+    assert!(ok && text.contains("return answers"), "{text}");
+    let (ok, text) = check("return {\n  pace = \"answer\"\n  haste = 1\n}\n");
+    assert!(!ok && text.contains(":2:") && text.contains("answers") && text.contains("haste"), "{text}");
+    let (ok, text) = check("");
+    assert!(ok && text.contains("return off"), "{text}");
+    std::fs::remove_file(file).expect("the test's file");
 }
 
 const OUT: &str = "SANDSTILE_TEST_OUT";
@@ -238,12 +238,12 @@
     // Routers are identified by the path of their configuration, which lies in this directory only.
     let routers = || -> Vec<u32> {
         let folder = format!("LB_CONFIG={}/router-", out.display());
-        let of = |pid: &u32| {
+        let has_our_config = |pid: &u32| {
             let environ = std::fs::read(format!("/proc/{pid}/environ")).unwrap_or_default();
             String::from_utf8_lossy(&environ).contains(&folder)
         };
         let all = std::fs::read_dir("/proc").expect("processes").flatten();
-        all.filter_map(|e| e.file_name().to_str()?.parse().ok()).filter(of).collect()
+        all.filter_map(|e| e.file_name().to_str()?.parse().ok()).filter(has_our_config).collect()
     };
     let stands_still = || {
         routers().iter().any(|pid| {
@@ -262,5 +262,5 @@
     lab.kill().expect("it runs");
     lab.wait().expect("its end");
     wait_for("no router is left", &|| routers().is_empty());
-    std::fs::remove_dir_all(out).expect("our own folder");
+    std::fs::remove_dir_all(out).expect("the test's directory");
 }
--- a/crates/sandstile-router/tests/stand_ins/mod.rs
+++ b/crates/sandstile-router/tests/stand_ins/mod.rs
@@ -14,10 +14,10 @@
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Polls until the condition holds.
-pub fn wait_for(what: &str, mut seen: impl FnMut() -> bool) {
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + TEST_TIMEOUT;
-    while !seen() {
-        assert!(Instant::now() < end, "never came: {what}");
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -45,17 +45,17 @@
 
 #[derive(Default)]
 pub struct Script {
-    pub acts: VecDeque<HostReply>,
-    pub greeting_code: Option<&'static str>,
+    pub replies: VecDeque<HostReply>,
+    pub startup_error: Option<&'static str>,
     /// Number of connections whose startup is answered; later ones get no answer to it.
-    pub greet: Option<usize>,
+    pub startups_to_answer: Option<usize>,
 }
 
 pub struct Host {
     pub address: SocketAddr,
     pub queries: Arc<Mutex<Vec<Vec<u8>>>>,
     /// Connections that were accepted, and that have ended, as the host sees them.
-    pub met: Arc<AtomicUsize>,
+    pub accepted: Arc<AtomicUsize>,
     pub ended: Arc<AtomicUsize>,
     /// Rounds of statements whose answers have been written.
     pub answered: Arc<AtomicUsize>,
@@ -83,20 +83,20 @@
         let host = Host {
             address: listener.local_addr().expect("bound"),
             queries: Arc::default(),
-            met: Arc::default(),
+            accepted: Arc::default(),
             ended: Arc::default(),
             answered: Arc::default(),
             script: Arc::default(),
         };
         let (queries, script, ended) = (host.queries.clone(), host.script.clone(), host.ended.clone());
-        let (met, answered) = (host.met.clone(), host.answered.clone());
+        let (accepted, answered) = (host.accepted.clone(), host.answered.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                met.fetch_add(1, SeqCst);
+                accepted.fetch_add(1, SeqCst);
                 let (queries, script, ended) = (queries.clone(), script.clone(), ended.clone());
                 let answered = answered.clone();
                 thread::spawn(move || {
-                    let _ = talk(&stream, primary, &queries, &script, &answered);
+                    let _ = serve_connection(&stream, primary, &queries, &script, &answered);
                     let _ = stream.shutdown(Shutdown::Both);
                     ended.fetch_add(1, SeqCst);
                 });
@@ -105,9 +105,9 @@
         host
     }
 
-    pub fn scripted(primary: bool, acts: &[HostReply]) -> Host {
+    pub fn scripted(primary: bool, replies: &[HostReply]) -> Host {
         let host = Host::start(primary);
-        host.script.lock().expect("script").acts.extend(acts.iter().cloned());
+        host.script.lock().expect("script").replies.extend(replies.iter().cloned());
         host
     }
 
@@ -118,14 +118,14 @@
 
 type Queries = Mutex<Vec<Vec<u8>>>;
 
-fn talk(
+fn serve_connection(
     mut stream: &TcpStream,
     primary: bool,
     queries: &Queries,
     script: &Mutex<Script>,
     answered: &AtomicUsize,
 ) -> std::io::Result<()> {
-    let (mut buf, mut bytes, mut greeted) = (Vec::new(), [0; 4096], false);
+    let (mut buf, mut bytes, mut startup_done) = (Vec::new(), [0; 4096], false);
     loop {
         let got = stream.read(&mut bytes)?;
         if got == 0 {
@@ -133,17 +133,17 @@
         }
         buf.extend_from_slice(&bytes[..got]);
         let mut out = Vec::new();
-        if !greeted {
+        if !startup_done {
             let Some((_, length)) = pg::startup(&buf).expect("a startup") else { continue };
             buf.drain(..length);
-            greeted = true;
-            if let Some(left) = script.lock().expect("script").greet.as_mut() {
+            startup_done = true;
+            if let Some(left) = script.lock().expect("script").startups_to_answer.as_mut() {
                 if *left == 0 {
                     continue;
                 }
                 *left -= 1;
             }
-            if let Some(code) = script.lock().expect("script").greeting_code {
+            if let Some(code) = script.lock().expect("script").startup_error {
                 pg::error(&mut out, true, code, "no", None);
                 return stream.write_all(&out);
             }
@@ -157,8 +157,8 @@
                 return Ok(());
             }
             queries.lock().expect("queries").push(query);
-            let act = script.lock().expect("script").acts.pop_front();
-            match act.unwrap_or(HostReply::Row(if primary { b"primary" } else { b"replica" })) {
+            let reply = script.lock().expect("script").replies.pop_front();
+            match reply.unwrap_or(HostReply::Row(if primary { b"primary" } else { b"replica" })) {
                 HostReply::Row(value) => row(value, primary, &mut out),
                 HostReply::Twice(value) => {
                     row(value, primary, &mut out);
@@ -229,7 +229,7 @@
 
     /// Sends a single space; `false` once nobody reads the watch.
     #[allow(dead_code)]
-    pub fn drips(&mut self) -> bool {
+    pub fn send_blank(&mut self) -> bool {
         self.stream.write_all(b"1\r\n \r\n").is_ok()
     }
 
@@ -281,12 +281,12 @@
 
 impl Router {
     pub fn command(config: &str) -> (Command, SocketAddr, PathBuf) {
-        let (pid, n) = (std::process::id(), fresh());
+        let (pid, n) = (std::process::id(), next_id());
         let path = std::env::temp_dir().join(format!("sandstile-{pid}-{n}.json"));
         fs::write(&path, config).expect("a place for files");
         // Each router gets its own address: a port that was free a moment ago may be in use by a connection by now.
-        let at = (pid as usize * 128 + n) as u32;
-        let [_, b, c, d] = at.to_be_bytes();
+        let number = (pid as usize * 128 + n) as u32;
+        let [_, b, c, d] = number.to_be_bytes();
         let address = SocketAddr::from(([127, 1 + b % 200, c, d], 6432));
         let mut command = Command::new(env!("CARGO_BIN_EXE_sandstile"));
         command.env("LB_CONFIG", &path).env("LB_LISTEN", address.to_string());
@@ -297,7 +297,7 @@
     pub fn start(config: &str) -> Router {
         let (mut command, address, file) = Router::command(config);
         command.arg("serve");
-        Router::up(command, address, file)
+        Router::spawn_and_wait(command, address, file)
     }
 
     // Not all tests that use these stand-ins pass arguments.
@@ -305,17 +305,17 @@
     pub fn start_with_arguments(config: &str, arguments: &[&str]) -> Router {
         let (mut command, address, file) = Router::command(config);
         command.arg("serve").args(arguments);
-        Router::up(command, address, file)
+        Router::spawn_and_wait(command, address, file)
     }
 
     /// Starts a router without waiting until it accepts connections.
     #[allow(dead_code)]
-    pub fn begin(config: &str) -> Router {
+    pub fn spawn(config: &str) -> Router {
         let (mut command, address, file) = Router::command(config);
         Router { child: command.arg("serve").spawn().expect("the program"), address, file }
     }
 
-    pub fn up(mut command: Command, address: SocketAddr, file: PathBuf) -> Router {
+    pub fn spawn_and_wait(mut command: Command, address: SocketAddr, file: PathBuf) -> Router {
         let router = Router { child: command.spawn().expect("the program"), address, file };
         wait_for("a router", || TcpStream::connect(address).is_ok());
         router
@@ -328,7 +328,7 @@
         shell.args(["-c", line]).arg(command.get_program());
         shell.envs(command.get_envs().filter_map(|(k, v)| Some((k, v?))));
         shell.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        Router::up(shell, address, file)
+        Router::spawn_and_wait(shell, address, file)
     }
 
     /// A router with one primary and the given replicas, with discovery silent.
@@ -384,7 +384,7 @@
 
 /// The response to one query, up to ReadyForQuery or the end of the connection.
 #[derive(Debug, Default, PartialEq)]
-pub struct Got {
+pub struct QueryResponse {
     pub value: Option<Vec<u8>>,
     pub code: Option<String>,
     pub detail: Option<String>,
@@ -394,7 +394,7 @@
 
 /// The value that came back, or a dash.
 #[allow(dead_code)]
-pub fn value(got: &Got) -> &[u8] {
+pub fn value(got: &QueryResponse) -> &[u8] {
     got.value.as_deref().unwrap_or(b"-")
 }
 
@@ -427,8 +427,8 @@
         assert!(self.answer().ready);
     }
 
-    pub fn answer(&mut self) -> Got {
-        let mut got = Got::default();
+    pub fn answer(&mut self) -> QueryResponse {
+        let mut response = QueryResponse::default();
         loop {
             let whole = |buf: &[u8]| {
                 pg::frame_end(buf, 1 << 24).expect("frames of the protocol").filter(|end| buf.len() >= *end)
@@ -437,15 +437,15 @@
                 let (tag, body) = (self.buf[0], self.buf[5..end].to_vec());
                 self.buf.drain(..end);
                 match tag {
-                    b'Z' => return Got { ready: true, ..got },
-                    b'D' => got.value = Some(body[6..].to_vec()),
-                    b'I' => got.empty = true,
+                    b'Z' => return QueryResponse { ready: true, ..response },
+                    b'D' => response.value = Some(body[6..].to_vec()),
+                    b'I' => response.empty = true,
                     b'E' => {
                         for field in body.split(|b| *b == 0).filter(|f| !f.is_empty()) {
                             let text = Some(String::from_utf8_lossy(&field[1..]).into_owned());
                             match field[0] {
-                                b'C' => got.code = text,
-                                b'D' => got.detail = text,
+                                b'C' => response.code = text,
+                                b'D' => response.detail = text,
                                 _ => {}
                             }
                         }
@@ -456,14 +456,14 @@
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(n) if n > 0 => self.buf.extend_from_slice(&bytes[..n]),
-                Ok(_) => return got,
-                Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return got,
+                Ok(_) => return response,
+                Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return response,
                 Err(e) => panic!("no answer: {e}"),
             }
         }
     }
 
-    pub fn ask(&mut self, text: &str) -> Got {
+    pub fn ask(&mut self, text: &str) -> QueryResponse {
         self.send(&query(text));
         self.answer()
     }
@@ -476,14 +476,14 @@
 }
 
 /// Each statement has its own id, as clients assign them.
-fn fresh() -> usize {
+fn next_id() -> usize {
     NEXT.fetch_add(1, SeqCst)
 }
 
 pub fn read(d: u32) -> String {
-    format!("/* id=9b1f{},c=look,d={d},cluster=3 */ SELECT payload FROM entries WHERE ref = 'k1'", fresh())
+    format!("/* id=9b1f{},c=look,d={d},cluster=3 */ SELECT payload FROM entries WHERE ref = 'k1'", next_id())
 }
 
 pub fn write(d: u32) -> String {
-    format!("/* id=9b20{},c=book,d={d},cluster=3 */ INSERT INTO entries (ref, payload) VALUES ('k1', '\\x9f') RETURNING payload", fresh())
+    format!("/* id=9b20{},c=book,d={d},cluster=3 */ INSERT INTO entries (ref, payload) VALUES ('k1', '\\x9f') RETURNING payload", next_id())
 }
--- a/crates/sandstile-router/tests/system_calls.rs
+++ b/crates/sandstile-router/tests/system_calls.rs
@@ -17,29 +17,29 @@
     let library = sandstile_shim::library(Path::new(command.get_program())).expect("the shim");
     Plan { seed: 1, rules: rules.to_vec() }.apply(&mut command, &library);
     command.arg("serve");
-    Router::up(command, address, file)
+    Router::spawn_and_wait(command, address, file)
 }
 
 /// Sends the startup message and the statement in one write, as most clients do. Yields the answer to the statement
 /// and how long it took.
-fn first_statement(router: &Router, text: &str) -> (Got, Duration) {
+fn first_statement(router: &Router, text: &str) -> (QueryResponse, Duration) {
     let mut client = Client::connect(router.address);
     client.stream.set_read_timeout(Some(Duration::from_secs(4))).expect("a limit");
     let began = Instant::now();
     client.send(&[pg::startup_message(), query(text)].concat());
     assert!(client.answer().ready, "no greeting");
-    let got = client.answer();
-    (got, began.elapsed())
+    let response = client.answer();
+    (response, began.elapsed())
 }
 
 /// Guards against incident 39: a short read doesn't prove that nothing more has arrived.
 #[test]
-fn a_request_read_in_parts_is_answered_in_its_time() {
+fn a_request_read_in_parts_is_answered_in_time() {
     let (primary, replica) = (Host::start(true), Host::start(false));
-    let parts = Rule::new(Call::Recv, Fault::Short(60));
-    let router = router_under(&[parts], &primary, &[&replica]);
-    let (got, took) = first_statement(&router, &read(800));
-    assert_eq!(got.value.as_deref(), Some(&b"replica"[..]), "{got:?} after {took:?}");
+    let short_reads = Rule::new(Call::Recv, Fault::Short(60));
+    let router = router_under(&[short_reads], &primary, &[&replica]);
+    let (response, took) = first_statement(&router, &read(800));
+    assert_eq!(response.value.as_deref(), Some(&b"replica"[..]), "{response:?} after {took:?}");
     assert!(took < Duration::from_millis(800), "{took:?}");
 }
 
@@ -48,8 +48,8 @@
     let (primary, replica) = (Host::start(true), Host::start(false));
     let router = router_under(rules, &primary, &[&replica]);
     for _ in 0..3 {
-        let (got, took) = first_statement(&router, &read(800));
-        assert_eq!(got.value.as_deref(), Some(&b"replica"[..]), "{name}: {got:?} after {took:?}");
+        let (response, took) = first_statement(&router, &read(800));
+        assert_eq!(response.value.as_deref(), Some(&b"replica"[..]), "{name}: {response:?} after {took:?}");
         assert!(took < Duration::from_millis(800), "{name}: {took:?}");
     }
     let (ok, log) = router.end();
@@ -59,7 +59,7 @@
 
 /// Neither an error nor a short read proves that everything has been read.
 #[test]
-fn interrupted_and_one_byte_reads_and_writes_cost_no_answer() {
+fn interrupted_and_one_byte_reads_and_writes_lose_no_answer() {
     answered_under(
         "one byte",
         &[Rule::new(Call::Recv, Fault::Short(1)), Rule::new(Call::Send, Fault::Short(1))],
@@ -78,7 +78,7 @@
 
 /// A read that returns EAGAIN although bytes are there is repeated within a bounded time.
 #[test]
-fn readiness_that_is_used_up_for_nothing_is_looked_for_again() {
+fn spurious_would_block_results_are_rechecked() {
     answered_under("reads", &[Rule::fails(Call::Recv, EAGAIN).chance(0.4)]);
     answered_under("writes", &[Rule::fails(Call::Send, EAGAIN).chance(0.4)]);
     answered_under("accepts", &[Rule::fails(Call::Accept, EAGAIN).chance(0.6)]);
@@ -86,31 +86,33 @@
 
 /// A call that fails for lack of memory closes no connection.
 #[test]
-fn a_machine_short_of_memory_for_a_read_or_a_write_costs_no_connection() {
+fn out_of_memory_errors_of_reads_and_writes_close_no_connection() {
     let reads = Rule::fails(Call::Recv, ENOMEM).chance(0.3);
     answered_under("short", &[reads, Rule::fails(Call::Send, ENOBUFS).chance(0.3)]);
 }
 
 /// No error of `accept` proves that the listen queue is empty.
 #[test]
-fn a_connection_whose_accept_failed_is_taken_in_with_the_next_try() {
+fn a_connection_whose_accept_failed_is_accepted_on_the_next_try() {
     let transient =
         [ECONNABORTED, EINTR, EPROTO, ENETDOWN, EHOSTUNREACH, ENETUNREACH, ETIMEDOUT].map(|n| (n, 0.7));
-    let short = [ENFILE, EMFILE, ENOBUFS, ENOMEM].map(|n| (n, 0.6));
-    for (errno, chance) in transient.into_iter().chain(short) {
-        let log =
-            answered_under(&format!("accept {errno}"), &[Rule::fails(Call::Accept, errno).chance(chance)]);
-        assert!(count(&log, "accept_errors") > 0, "{errno}: none struck: {log}");
+    let out_of_memory = [ENFILE, EMFILE, ENOBUFS, ENOMEM].map(|n| (n, 0.6));
+    for (errno, probability) in transient.into_iter().chain(out_of_memory) {
+        let log = answered_under(
+            &format!("accept {errno}"),
+            &[Rule::fails(Call::Accept, errno).chance(probability)],
+        );
+        assert!(count(&log, "accept_errors") > 0, "{errno}: no call failed: {log}");
     }
 }
 
 /// A resource that this machine lacks says nothing about the host that is dialled.
 #[test]
-fn trouble_of_this_machine_in_a_dial_costs_neither_the_statement_nor_the_host() {
+fn local_dial_errors_fail_no_statement_and_eject_no_host() {
     let statement_survives = |name: String, rule: Rule, primary: &Host| {
         let router = router_under(&[rule], primary, &[&Host::start(false)]);
-        let (got, took) = first_statement(&router, &write(800));
-        assert_eq!(got.value.as_deref(), Some(&b"primary"[..]), "{name}: {got:?} after {took:?}");
+        let (response, took) = first_statement(&router, &write(800));
+        assert_eq!(response.value.as_deref(), Some(&b"primary"[..]), "{name}: {response:?} after {took:?}");
         let (ok, log) = router.end();
         assert!(ok && count(&log, "DialRefused") == 0, "{name}: {log}");
     };
@@ -132,8 +134,8 @@
     let router =
         router_under(&[Rule::fails(Call::Socket, ENOBUFS).between(500, 60_000)], &primary, &[&replica]);
     std::thread::sleep(Duration::from_millis(600));
-    let (got, took) = first_statement(&router, &write(700));
-    assert_eq!(got.code.as_deref(), Some("53300"), "{got:?}");
+    let (response, took) = first_statement(&router, &write(700));
+    assert_eq!(response.code.as_deref(), Some("53300"), "{response:?}");
     assert!(took < Duration::from_millis(700), "{took:?}");
     assert_eq!(primary.count(), 0);
 }
@@ -153,8 +155,8 @@
         // The first send to the host is the startup message; the statement is the second.
         let broken = Rule::fails(Call::Send, errno).port(primary.address.port()).after(1).times(1);
         let router = router_under(&[broken], &primary, &[&replica]);
-        let (got, _) = first_statement(&router, &write(900));
-        assert_eq!(got.value.as_deref(), Some(&b"primary"[..]), "{errno}: {got:?}");
+        let (response, _) = first_statement(&router, &write(900));
+        assert_eq!(response.value.as_deref(), Some(&b"primary"[..]), "{errno}: {response:?}");
         let queries = primary.queries.lock().expect("queries");
         let inserts = queries.iter().filter(|q| q.windows(6).any(|w| w == b"INSERT")).count();
         assert_eq!(inserts, 1, "{errno}");
@@ -170,21 +172,21 @@
         let broken = Rule::fails(Call::Recv, errno).port(primary.address.port()).between(500, 2000);
         let router = router_under(&[broken], &primary, &[&replica]);
         std::thread::sleep(Duration::from_millis(300));
-        let (got, _) = first_statement(&router, &write(1500));
-        assert_eq!((got.code.as_deref(), primary.count()), (Some("57014"), 1), "{errno}: {got:?}");
+        let (response, _) = first_statement(&router, &write(1500));
+        assert_eq!((response.code.as_deref(), primary.count()), (Some("57014"), 1), "{errno}: {response:?}");
         assert_eq!(first_statement(&router, &read(800)).0.value.as_deref(), Some(&b"replica"[..]), "{errno}");
     }
 }
 
 /// Log writes that fail end no router.
 #[test]
-fn a_log_that_takes_nothing_ends_no_router() {
+fn failing_log_writes_end_no_router() {
     for errno in [ENOSPC, EIO, EPIPE, EAGAIN] {
         let (primary, replica) = (Host::start(true), Host::start(false));
         let router = router_under(&[Rule::fails(Call::LogWrite, errno)], &primary, &[&replica]);
         router.signal("USR1");
-        let (got, _) = first_statement(&router, &read(800));
-        assert_eq!(got.value.as_deref(), Some(&b"replica"[..]), "{errno}");
+        let (response, _) = first_statement(&router, &read(800));
+        assert_eq!(response.value.as_deref(), Some(&b"replica"[..]), "{errno}");
         assert!(router.end().0, "{errno}");
     }
 }
@@ -219,8 +221,8 @@
             &[&replica],
         );
         std::thread::sleep(Duration::from_millis(400));
-        let (got, took) = first_statement(&router, &write(500));
-        assert!(got.code.is_some() && took < Duration::from_millis(800), "{ms}: {got:?} {took:?}");
+        let (response, took) = first_statement(&router, &write(500));
+        assert!(response.code.is_some() && took < Duration::from_millis(800), "{ms}: {response:?} {took:?}");
         assert!(took > Duration::from_millis(200), "{ms}: {took:?}");
         assert_eq!(first_statement(&router, &read(800)).0.value.as_deref(), Some(&b"replica"[..]), "{ms}");
         let began = Instant::now();
@@ -231,23 +233,23 @@
 
 /// The time limit passed on with a statement doesn't exceed what its client has left, though its connection waited.
 #[test]
-fn a_statement_that_waited_in_the_listen_queue_is_told_the_time_that_is_left() {
+fn a_statement_that_waited_in_the_listen_queue_is_passed_on_with_its_remaining_time() {
     let (primary, replica) = (Host::start(true), Host::start(false));
-    let held = Rule::fails(Call::Accept, ENFILE).between(300, 900);
-    let router = router_under(&[held], &primary, &[&replica]);
+    let failing_accepts = Rule::fails(Call::Accept, ENFILE).between(300, 900);
+    let router = router_under(&[failing_accepts], &primary, &[&replica]);
     std::thread::sleep(Duration::from_millis(350));
     let began = Instant::now();
-    let (got, took) = first_statement(&router, &read(1500));
-    assert_eq!(got.value.as_deref(), Some(&b"replica"[..]), "{got:?} after {took:?}");
+    let (response, took) = first_statement(&router, &read(1500));
+    assert_eq!(response.value.as_deref(), Some(&b"replica"[..]), "{response:?} after {took:?}");
     assert!(took >= Duration::from_millis(300), "it waited: {took:?}");
     let passed = replica.queries.lock().expect("queries")[0].clone();
     let text = String::from_utf8(passed).expect("text");
     let (_, rest) = text.split_once(",d=").expect("a d");
-    let told: u64 = rest.split(',').next().and_then(|n| n.parse().ok()).expect("a number");
-    let left = 1500 - took.as_millis() as u64;
+    let passed_ms: u64 = rest.split(',').next().and_then(|n| n.parse().ok()).expect("a number");
+    let remaining_ms = 1500 - took.as_millis() as u64;
     assert!(
-        told <= left + 150,
-        "told {told} ms where {left} were left, {:?} after the start",
+        passed_ms <= remaining_ms + 150,
+        "passed on {passed_ms} ms with {remaining_ms} ms left, {:?} after the start",
         began.elapsed()
     );
 }
@@ -255,10 +257,10 @@
 /// Guards against a connection being closed in favour of another with its request unread, because the final read
 /// failed for lack of memory.
 #[test]
-fn a_last_look_that_fails_closes_no_connection_unread() {
+fn a_failed_final_read_closes_no_connection_unread() {
     let (primary, replica) = (Host::start(true), Host::start(false));
-    let short = Rule::fails(Call::Recv, ENOMEM).between(0, 1_200);
-    let router = router_under(&[short], &primary, &[&replica]);
+    let out_of_memory = Rule::fails(Call::Recv, ENOMEM).between(0, 1_200);
+    let router = router_under(&[out_of_memory], &primary, &[&replica]);
     let clients: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = Client::connect(router.address);
@@ -268,21 +270,21 @@
         .collect();
     for mut client in clients {
         assert!(client.answer().ready, "closed unread");
-        let got = client.answer();
-        assert!(got.value.is_some() || got.code.is_some(), "{got:?}");
+        let response = client.answer();
+        assert!(response.value.is_some() || response.code.is_some(), "{response:?}");
     }
 }
 
 /// Guards against an idle connection being closed with its request unread, because the read at its idle timeout
 /// failed for lack of memory.
 #[test]
-fn a_rest_ends_no_connection_whose_request_could_not_be_read() {
+fn an_idle_timeout_closes_no_connection_whose_request_could_not_be_read() {
     let (primary, replica) = (Host::start(true), Host::start(false));
-    let short = Rule::fails(Call::Recv, ENOMEM).between(1_500, 2_800);
-    let router = router_under(&[short], &primary, &[&replica]);
+    let out_of_memory = Rule::fails(Call::Recv, ENOMEM).between(1_500, 2_800);
+    let router = router_under(&[out_of_memory], &primary, &[&replica]);
     let mut client = Client::connect(router.address);
     std::thread::sleep(Duration::from_millis(1_800));
     client.send(&[pg::startup_message(), query(&read(2500))].concat());
-    let got = client.answer();
-    assert!(got.ready || got.code.is_some(), "closed unread");
+    let response = client.answer();
+    assert!(response.ready || response.code.is_some(), "closed unread");
 }
--- a/crates/sandstile-router/tests/waiting.rs
+++ b/crates/sandstile-router/tests/waiting.rs
@@ -5,9 +5,9 @@
 
 use mio::{Poll, Token};
 use sandstile_policy::terms::Readiness;
-use sandstile_router::known_hosts::KnownList;
-use sandstile_router::list_stream::{Heard, ListStream};
-use sandstile_router::listener::{Accepted, Listener};
+use sandstile_router::known_hosts::KnownHosts;
+use sandstile_router::list_stream::{ListStream, WatchItem};
+use sandstile_router::listener::{AcceptResult, Listener};
 use sandstile_router::lists;
 use stand_ins::*;
 use std::net::{TcpListener, TcpStream};
@@ -19,9 +19,9 @@
 
 /// Guards against requests that stay unread in the listen queue while all accepted connections are busy.
 #[test]
-fn a_request_behind_a_full_house_gets_its_answer_in_its_time() {
+fn a_request_in_the_listen_queue_of_a_full_router_is_answered_in_time() {
     let (primary, replica) = (Host::start(true), Host::scripted(false, &vec![HostReply::Silent; 200]));
-    primary.script.lock().expect("script").acts.extend(vec![HostReply::Silent; 200]);
+    primary.script.lock().expect("script").replies.extend(vec![HostReply::Silent; 200]);
     let router = Router::start_with_hosts(&primary, &[&replica]);
     let busy: Vec<Client> = (0..60)
         .map(|_| {
@@ -54,26 +54,29 @@
 /// Guards against connections being dated back to the last moment at which the queue was empty, however many have
 /// been accepted since.
 #[test]
-fn what_comes_out_of_a_queue_that_is_never_empty_is_as_old_as_its_place_there() {
+fn connection_age_is_bounded_by_the_length_of_a_queue_that_is_never_empty() {
     let poll = Poll::new().expect("readiness");
     let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = socket.local_addr().expect("bound");
-    let (began, apart) = (1_000.0, 0.01);
+    let (began, interval) = (1_000.0, 0.01);
     let mut listener = Listener::new(poll.registry(), Token(0), socket, began).expect("a listener");
     let connect = || TcpStream::connect(address).expect("room in the queue");
     let mut clients: Vec<TcpStream> = (0..3).map(|_| connect()).collect();
     let mut age = 0.0;
     for n in 0..400 {
-        let now = began + f64::from(n) * apart;
+        let now = began + f64::from(n) * interval;
         clients.push(connect());
-        let Accepted::Connection(_, since) = listener.accept(poll.registry(), now) else {
-            panic!("one waits")
+        let AcceptResult::Connection(_, since) = listener.accept(poll.registry(), now) else {
+            panic!("a connection is waiting")
         };
         age = now - since;
-        assert!(age >= 2.9 * apart || n < 3, "{n}: three came before it, and it may have come no later");
+        assert!(
+            age >= 2.9 * interval || n < 3,
+            "{n}: three connections arrived before it, so it may be this old"
+        );
     }
     // Allows for the length of the queue and for the interval between recorded timestamps.
-    assert!(age <= 150.0 * apart, "taken to be {age:.2} s old");
+    assert!(age <= 150.0 * interval, "its age is taken as {age:.2} s");
 }
 
 fn long_list(hosts: usize) -> String {
@@ -93,7 +96,7 @@
 
 /// Guards against a list of thousands of hosts being rejected because its indented form exceeds the length limit.
 #[test]
-fn an_indented_list_of_thousands_of_hosts_is_taken() {
+fn an_indented_list_of_thousands_of_hosts_is_accepted() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
     let router = Router::start(&config(agent.address, &known(&primary, &[])));
@@ -113,7 +116,7 @@
 /// Guards against a long list being requested again and again because it takes longer to arrive than the silence
 /// limit of a watch.
 #[test]
-fn a_long_list_that_comes_slowly_is_taken() {
+fn a_long_list_that_arrives_slowly_is_accepted() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
     let router = Router::start(&config(agent.address, &known(&primary, &[])));
@@ -132,44 +135,44 @@
 /// Guards against an incomplete list being parsed again with each piece that arrives: it must cost no more than its
 /// bytes.
 #[test]
-fn lists_come_out_of_pieces_as_they_went_in_and_nonsense_is_told_early() {
+fn lists_are_reassembled_from_pieces_and_syntax_errors_are_reported_early() {
     let text = indented(&long_list(40)) + &long_list(3) + "\n\n" + &indented(&list(44, false, &[]));
-    for cut in [1, 7, 100, 4096, text.len()] {
+    for piece_length in [1, 7, 100, 4096, text.len()] {
         let mut stream = ListStream::default();
-        let (mut lists, mut lines) = (Vec::new(), 0);
-        for piece in text.as_bytes().chunks(cut) {
-            stream.content().extend_from_slice(piece);
-            while let Some(heard) = stream.take().expect("lists") {
-                match heard {
-                    Heard::List(json) => lists.push(json["endpoints"].as_array().map_or(0, Vec::len)),
-                    Heard::EmptyLine => lines += 1,
+        let (mut lists, mut empty_lines) = (Vec::new(), 0);
+        for piece in text.as_bytes().chunks(piece_length) {
+            stream.buffer().extend_from_slice(piece);
+            while let Some(item) = stream.next_item().expect("lists") {
+                match item {
+                    WatchItem::List(json) => lists.push(json["endpoints"].as_array().map_or(0, Vec::len)),
+                    WatchItem::EmptyLine => empty_lines += 1,
                 }
             }
         }
-        assert_eq!(lists, [40, 3, 0], "cut {cut}");
-        assert!(lines >= 3 && stream.held() == 0, "cut {cut}");
+        assert_eq!(lists, [40, 3, 0], "pieces of {piece_length} bytes");
+        assert!(empty_lines >= 3 && stream.buffered_bytes() == 0, "pieces of {piece_length} bytes");
     }
     let mut stream = ListStream::default();
-    stream.content().extend_from_slice(b"no list");
-    assert!(stream.take().is_err());
+    stream.buffer().extend_from_slice(b"no list");
+    assert!(stream.next_item().is_err());
     let mut stream = ListStream::default();
-    stream.content().extend_from_slice(b"{\"a\" 1,".repeat(1_000).as_slice());
-    assert!(stream.take().is_err(), "though its braces never close");
+    stream.buffer().extend_from_slice(b"{\"a\" 1,".repeat(1_000).as_slice());
+    assert!(stream.next_item().is_err(), "a syntax error is reported although its braces never close");
 }
 
 /// Guards against a whole list being processed anew although next to nothing in it has changed.
 #[test]
-fn a_whole_list_is_told_on_as_what_has_changed_in_pieces() {
-    let read = |text: &str| lists::read(&serde_json::from_str(text).expect("json")).expect("a list").0;
-    let mut known = KnownList::default();
+fn a_whole_list_is_forwarded_as_its_changes_in_chunks() {
+    let read = |text: &str| lists::parse(&serde_json::from_str(text).expect("json")).expect("a list").0;
+    let mut known = KnownHosts::default();
     let first = known.changes(read(&long_list(100)));
     assert!(first.iter().all(|piece| piece.entries.len() <= 32 && !piece.is_snapshot));
     assert_eq!(first.iter().map(|piece| piece.entries.len()).sum::<usize>(), 100);
-    let same = known.changes(read(&long_list(100)));
-    assert_eq!((same.len(), same[0].entries.len(), same[0].index), (1, 0, 42));
+    let unchanged = known.changes(read(&long_list(100)));
+    assert_eq!((unchanged.len(), unchanged[0].entries.len(), unchanged[0].index), (1, 0, 42));
     let shorter = known.changes(read(&long_list(99)));
-    let left: Vec<_> = shorter[0].entries.iter().map(|e| (e.host.as_str(), e.readiness)).collect();
-    assert_eq!(left, [(format!("s-{:0150}", 99).as_str(), Readiness::Gone)]);
+    let removed: Vec<_> = shorter[0].entries.iter().map(|e| (e.host.as_str(), e.readiness)).collect();
+    assert_eq!(removed, [(format!("s-{:0150}", 99).as_str(), Readiness::Gone)]);
     assert_eq!(shorter[0].addresses.len(), 1);
-    assert!(known.changes(read(&long_list(99)))[0].entries.is_empty(), "told once");
+    assert!(known.changes(read(&long_list(99)))[0].entries.is_empty(), "a removed host is reported once");
 }
