--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -233,7 +233,7 @@
     client.send(&query(&write(1900)));
     wait_for("the write", || primary.count() == 1);
     killed_router.child.kill().expect("a child process");
-    wait_for("the end of its upstream connections", || {
+    wait_for("the end of its connections", || {
         primary.ended.load(SeqCst) == primary.accepted.load(SeqCst)
     });
     assert_eq!(client.answer(), QueryResponse::default());
