--- a/crates/sandstile-router/src/control_client.rs
+++ b/crates/sandstile-router/src/control_client.rs
@@ -1,5 +1,5 @@
 //! Queries a running router over its control socket and formats the answer.
-use sandstile_replicated_state::stored::{self, Found};
+use sandstile_replicated_state::stored::{self, FileContents};
 use serde_json::Value;
 use std::fmt::Write as _;
 use std::io::{Read, Write as _};
@@ -91,13 +91,13 @@
 }
 
 /// The facts of a running router, by its socket, or of a file. The error message is one line.
-pub fn facts(path: &Path) -> Result<Found, String> {
+pub fn facts(path: &Path) -> Result<FileContents, String> {
     let bytes = match is_socket(path)? {
         true => request(path, "facts")?,
         false => std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?,
     };
     let found = stored::read(&bytes);
-    match found.life {
+    match found.generation {
         Some(_) => Ok(found),
         None => Err(format!("{}: not a copy of replicated state", path.display())),
     }
@@ -112,16 +112,16 @@
     }
     let found = facts(path)?;
     let mut kinds = std::collections::BTreeMap::<&str, usize>::new();
-    let facts = sandstile_replicated_state::differ::gather(&found.facts);
-    facts.keys().for_each(|key| *kinds.entry(key.kind.word()).or_default() += 1);
+    let facts = sandstile_replicated_state::differ::merge_by_key(&found.facts);
+    facts.keys().for_each(|key| *kinds.entry(key.kind.name()).or_default() += 1);
     let kinds: Vec<String> = kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
     Ok(format!(
         "{} bytes, life {}, number {}, ended in order: {}, places that can't be read: {}\n{} facts: {}\n",
         found.bytes,
-        found.life.unwrap_or(0),
-        found.number,
-        found.ended,
-        found.spoilt,
+        found.generation.unwrap_or(0),
+        found.version,
+        found.ended_cleanly,
+        found.corrupt,
         facts.len(),
         kinds.join(", "),
     ))
--- a/crates/sandstile-router/src/main.rs
+++ b/crates/sandstile-router/src/main.rs
@@ -100,9 +100,9 @@
         "{} bytes, {} marks, {} records that can't be read",
         found.bytes,
         found.marks.len(),
-        found.spoilt
+        found.damaged_records
     );
-    println!("whole: {}, ended in order: {}", found.whole, found.ended);
+    println!("whole: {}, ended in order: {}", found.intact, found.closed_cleanly);
     let latest = found.marks.iter().map(|(_, s)| s.latest()).fold(0.0, f64::max);
     println!("latest position: {latest:.3}");
     Ok(())
@@ -131,8 +131,8 @@
                 (control_client::facts(Path::new(one))?, control_client::facts(Path::new(other))?);
             let differences = sandstile_replicated_state::differ::compare(&one.facts, &other.facts);
             differences.iter().for_each(|difference| println!("{difference}"));
-            let counts =
-                [&one, &other].map(|found| sandstile_replicated_state::differ::gather(&found.facts).len());
+            let counts = [&one, &other]
+                .map(|found| sandstile_replicated_state::differ::merge_by_key(&found.facts).len());
             println!("{} facts, {} facts, {} differ", counts[0], counts[1], differences.len());
             match differences.is_empty() {
                 true => Ok(()),
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -63,7 +63,7 @@
     let max_clients = (launch.sockets / 3 + OWN_DESCRIPTORS).min(max_connections / 2).max(2);
     let budget = Budget::new(max_connections, max_clients, (launch.memory / 2).max(4 * pg::MAX_FRAME_BYTES));
     let mailboxes = errno::retry_transient(Mailboxes::open).map_err(|e| format!("readiness: {e}"))?;
-    let control_messages = mailboxes.control_messages.clone();
+    let loop_sender = mailboxes.control_messages.clone();
     let (list_sender, list_mailbox) = mailboxes.source_mailbox::<HostListUpdate>();
     let agent = DiscoveryAgent::at(launch.discovery);
     let (first_list_sender, first_list) = single_slot_mailbox::<()>();
@@ -152,7 +152,7 @@
     let (mut exchange_peers, mut exchange_address) = (None, None);
     if let (Some(plan), Some(session_messages)) = (&local_config.sessions, &session_messages) {
         if let Some(exchange) = &plan.exchange {
-            let secrets = plan.read_keys()?.derived(exchange::CONTEXT);
+            let secrets = plan.read_keys()?.derive_secrets(exchange::CONTEXT);
             let has_state = plan.state.is_some();
             exchange_peers = Some(exchange::begin(
                 exchange,
@@ -175,7 +175,7 @@
             generation,
             seed: launch.seed,
             routers: launch.terms.routers,
-            keys: keys::read_keys(&plan.keys)?.derived(members::CONTEXT),
+            keys: keys::read_keys(&plan.keys)?.derive_secrets(members::CONTEXT),
             exchange: exchange_address,
             sharing_routers: Some(sharing_routers),
             exchange_peers,
@@ -234,7 +234,7 @@
     let read_member_keys = || {
         let Some(plan) = &local_config.members else { return };
         match keys::read_keys(&plan.keys) {
-            Ok(ring) => drop(control_messages.send(ControlMessage::Keys(ring.derived(members::CONTEXT)))),
+            Ok(ring) => drop(loop_sender.send(ControlMessage::Keys(ring.derive_secrets(members::CONTEXT)))),
             Err(message) => warn!(log, "{message}; the former keys of members stay"),
         }
     };
@@ -252,7 +252,7 @@
                     log,
                     "told to end: serving for a short while, then answering all statements that were taken"
                 );
-                control_messages.send(ControlMessage::End);
+                loop_sender.send(ControlMessage::End);
             }
         }
     }
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -130,7 +130,7 @@
     use Ending::*;
     let never_ran = |e: &Ending| {
         matches!(
-            e.verdict(),
+            e.outcome_class(),
             OutcomeClass::Full
                 | OutcomeClass::ConnectFailed
                 | OutcomeClass::NotSent
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -233,9 +233,7 @@
     client.send(&query(&write(1900)));
     wait_for("the write", || primary.count() == 1);
     killed_router.child.kill().expect("a child process");
-    wait_for("the end of its connections", || {
-        primary.ended.load(SeqCst) == primary.accepted.load(SeqCst)
-    });
+    wait_for("the end of its connections", || primary.ended.load(SeqCst) == primary.accepted.load(SeqCst));
     assert_eq!(client.answer(), QueryResponse::default());
     let router = Router::start(&text);
     assert_eq!(value(&router.client().ask(&write(800))), b"primary");
