--- a/crates/sandstile-lab/src/processes.rs
+++ b/crates/sandstile-lab/src/processes.rs
@@ -29,7 +29,7 @@
             };
             json!({"name": w.name, "aimMs": t.slo * 1e3, "deadlineMs": t.timeout * 1e3, "credit": t.importance,
                 "lateWorth": t.late_share, "effect": effect, "dedupScope": "group",
-                "windowMs": plan.groups.iter().map(|g| g.dedup_s).fold(f64::INFINITY, f64::min) * 1e3})
+                "windowMs": plan.groups.iter().map(|g| g.dedup_window_s).fold(f64::INFINITY, f64::min) * 1e3})
         })
         .collect();
     let consistency: Vec<&str> = plan
@@ -43,7 +43,7 @@
             Consistency::Any => "loose",
         })
         .collect();
-    let ages: Vec<f64> = plan.workloads.iter().map(|w| w.bound_s * 1e3).collect();
+    let ages: Vec<f64> = plan.workloads.iter().map(|w| w.max_age_s * 1e3).collect();
     // Where kinds differ, routers are told the most careful figures.
     let least = |of: &dyn Fn(&sandstile_fleet::plan::MachineKind) -> f64| {
         plan.kinds.iter().map(of).fold(f64::INFINITY, f64::min)
@@ -52,14 +52,14 @@
     let a = &script.allowed;
     json!({
         "classes": classes, "peersTotal": script.routers.count, "tickMs": 5.0, "discovery": "pushed",
-        "allowed": {"mostTries": a.executions, "mayCancel": a.recall, "probes": a.probes,
-            "retryAfter": a.return_s > 0.0, "maxRetryAfterMs": a.return_s * 1e3, "dialTimeoutMs": a.dial_s * 1e3,
-            "idleCloseMs": least(&|k| k.idle_s) * 1e3},
+        "allowed": {"mostTries": a.max_executions, "mayCancel": a.may_cancel, "probes": a.probes,
+            "retryAfter": a.max_retry_after_s > 0.0, "maxRetryAfterMs": a.max_retry_after_s * 1e3, "dialTimeoutMs": a.dial_timeout_s * 1e3,
+            "idleCloseMs": least(&|k| k.idle_timeout_s) * 1e3},
         "rules": {"coldFrom": least(&|k| k.cold_share), "coldMs": warm * 1e3,
-            "tipMultiple": least(&|k| k.tip_multiple)},
+            "tipMultiple": least(&|k| k.cold_overload_multiple)},
         "clients": {"marksRetry": true},
         "specifics": {"consistency": consistency, "maxAgeMs": ages, "answersStamped": true,
-            "guards": if plan.guarded { "reject" } else { "off" },
+            "guards": if plan.hosts_check_reads { "reject" } else { "off" },
             "tokens": match plan.tokens { Tokens::Remembered => "router", Tokens::Carried => "client" }},
     })
 }
@@ -107,7 +107,7 @@
         let path = state_file(script, dir, number);
         text += &format!("  journal = {:?}\n  durability = \"before-answer\"\n", path.display().to_string());
         // Only where nobody roams has one router heard of all that a session wrote.
-        let stay = script.streams.iter().all(|s| s.roams == 0.0) && script.routers.count == 1;
+        let stay = script.streams.iter().all(|s| s.roaming_share == 0.0) && script.routers.count == 1;
         text += &format!("  sessions_stay = {stay}\n");
     }
     if wanted.exchange {
@@ -130,7 +130,7 @@
             file.parent().unwrap_or(dir).display().to_string(),
             dir.join(format!("router-{number}.witness")).display().to_string(),
             state_socket(net, number).display().to_string(),
-            wanted.together,
+            wanted.share_probes,
         );
     }
     fs::write(&path, text + "}\n" + &beside)?;
@@ -177,7 +177,7 @@
 }
 
 fn relayed(script: &Script) -> bool {
-    script.cues.iter().any(|c| matches!(c.act, sandstile_scenario::script::Act::Link { .. }))
+    script.cues.iter().any(|c| matches!(c.action, sandstile_scenario::script::CueAction::Link { .. }))
 }
 
 /// Where a router is asked for the state that it keeps with others.
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -6,8 +6,8 @@
 use crate::trace_writer::{self, Book, Line};
 use crossbeam_channel::{unbounded, Receiver, RecvTimeoutError};
 pub use sandstile_emulator::router_address;
-use sandstile_emulator::{Clock, Emulator, Handle, Note, Record};
-use sandstile_faults::{Blow, State};
+use sandstile_emulator::{Clock, Emulator, Handle, Notification, Record};
+use sandstile_faults::{ProcessFault, StateAfterRestart};
 use sandstile_fleet::plan::{Consistency, Effect};
 use sandstile_scenario::traffic::Traffic;
 use sandstile_scenario::Script;
@@ -49,7 +49,7 @@
     script: &Script,
     clock: Clock,
     records: crossbeam_channel::Sender<Record>,
-) -> io::Result<(Emulator, Receiver<Note>, u8)> {
+) -> io::Result<(Emulator, Receiver<Notification>, u8)> {
     let base = (std::process::id() % 200) as u8;
     for step in 0..40u8 {
         let net = 20 + base.wrapping_add(step.wrapping_mul(5)) % 200;
@@ -104,19 +104,27 @@
     }
 
     /// One process is struck as told.
-    fn strike(&self, number: usize, blow: Blow, crew: &Crew, emulator: &Handle) -> io::Result<()> {
-        match blow {
-            Blow::Restart { kill, back, state } => self.restart(number, kill, back, state, crew, emulator),
-            Blow::Stop { lasts } => {
+    fn strike(
+        &self,
+        number: usize,
+        process_fault: ProcessFault,
+        crew: &Crew,
+        emulator: &Handle,
+    ) -> io::Result<()> {
+        match process_fault {
+            ProcessFault::Restart { kill, back, state } => {
+                self.restart(number, kill, back, state, crew, emulator)
+            }
+            ProcessFault::Stop { duration_s } => {
                 self.note(number, "stopped", None);
                 self.with(number, Router::stop);
-                self.sleep(lasts);
+                self.sleep(duration_s);
                 self.with(number, Router::go_on);
                 self.note(number, "continued", None);
                 Ok(())
             }
-            Blow::Slow { share, lasts } => {
-                let until = self.clock.now() + lasts;
+            ProcessFault::Slow { share, duration_s } => {
+                let until = self.clock.now() + duration_s;
                 self.note(number, "slow", None);
                 while self.clock.now() < until && !self.over.load(SeqCst) {
                     self.with(number, Router::stop);
@@ -127,7 +135,7 @@
                 self.note(number, "continued", None);
                 Ok(())
             }
-            Blow::Copy => {
+            ProcessFault::SaveState => {
                 let file = processes::state_file(&self.script, &self.out, number);
                 match std::fs::copy(&file, file.with_extension("copy")) {
                     Ok(_) => Ok(()),
@@ -153,11 +161,11 @@
     }
 
     /// What a process that starts again finds of its state.
-    fn state(&self, number: usize, state: State) -> io::Result<()> {
+    fn state(&self, number: usize, state: StateAfterRestart) -> io::Result<()> {
         let file = processes::state_file(&self.script, &self.out, number);
         let Ok(bytes) = std::fs::read(&file) else { return Ok(()) };
         let copy = std::fs::read(file.with_extension("copy")).ok();
-        match state.of(bytes, copy.as_deref(), self.script.plan.seed ^ number as u64) {
+        match state.apply(bytes, copy.as_deref(), self.script.plan.seed ^ number as u64) {
             Some(bytes) => std::fs::write(&file, bytes),
             None => std::fs::remove_file(&file),
         }
@@ -169,7 +177,7 @@
         number: usize,
         kill: bool,
         back: f64,
-        state: State,
+        state: StateAfterRestart,
         crew: &Crew,
         emulator: &Handle,
     ) -> io::Result<()> {
@@ -197,15 +205,15 @@
             true => (began + back - self.clock.now()).max(0.0),
             false => back - waited,
         });
-        if state != State::Kept {
+        if state != StateAfterRestart::Kept {
             self.state(number, state)?;
         }
         if self.over.load(SeqCst) {
             return Ok(());
         }
-        self.start(number, &emulator.known(number))?;
+        self.start(number, &emulator.discovery_list(number))?;
         crew.door(number).open.store(true, SeqCst);
-        crew.crowd(number, self.script.clients.crowd);
+        crew.crowd(number, self.script.clients.returning_clients);
         Ok(())
     }
 
@@ -304,7 +312,7 @@
 /// Plays a script; the trace and the summary lie in `out` afterwards.
 pub fn rehearse(wanted: Wanted) -> Result<report::Summary, String> {
     let told = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
-    let script = if wanted.quick { wanted.script.quick() } else { wanted.script };
+    let script = if wanted.quick { wanted.script.shortened() } else { wanted.script };
     std::fs::create_dir_all(&wanted.out).map_err(told("the folder for results"))?;
     for number in 0..script.routers.count {
         // Logs of an earlier rehearsal in the same folder.
@@ -337,14 +345,14 @@
         over: AtomicBool::new(false),
     });
     for number in 0..script.routers.count {
-        stage.start(number, &emulator.known(number)).map_err(told("a router"))?;
-        thread::sleep(Duration::from_secs_f64(script.routers.apart));
+        stage.start(number, &emulator.discovery_list(number)).map_err(told("a router"))?;
+        thread::sleep(Duration::from_secs_f64(script.routers.start_interval));
     }
-    let crew = Crew::new(&script, script.plan.seed, &emulator.doors, clock, book.clone())
+    let crew = Crew::new(&script, script.plan.seed, &emulator.client_addresses, clock, book.clone())
         .map_err(told("clients"))?;
     let begin = clock.now() + 0.1;
     stage.book.line(begin, stage.run_line());
-    emulator.begin(begin);
+    emulator.start_script(begin);
     info!(title = script.title, seconds = script.seconds, seed = script.plan.seed, "begins");
     let traffic = Traffic::new(&script, script.plan.seed);
     thread::scope(|scope| {
@@ -373,7 +381,7 @@
                     script.seconds
                 );
             }
-            !emulator.ended() && !stopped.load(SeqCst)
+            !emulator.is_finished() && !stopped.load(SeqCst)
         });
         while clock.now() < begin + script.seconds && !stopped.load(SeqCst) {
             thread::sleep(clock.until(begin + script.seconds).min(Duration::from_millis(50)));
@@ -412,7 +420,7 @@
 }
 
 /// What the emulator has the lab do, until the end.
-fn follow(stage: &Arc<Stage>, notes: &Receiver<Note>, crew: &Crew, emulator: &Handle) {
+fn follow(stage: &Arc<Stage>, notes: &Receiver<Notification>, crew: &Crew, emulator: &Handle) {
     thread::scope(|scope| loop {
         let note = match notes.recv_timeout(Duration::from_millis(50)) {
             Ok(note) => note,
@@ -420,22 +428,22 @@
             Err(_) => return,
         };
         match note {
-            Note::Process { name, whom, blow, spread } => {
+            Notification::Process { name, selector, process_fault, spread } => {
                 // Each cue of a script chooses for itself, the same with each play of a seed.
                 let seed =
                     name.bytes().fold(stage.script.plan.seed, |h, b| h.wrapping_mul(31) ^ u64::from(b));
-                let struck = whom.of(stage.routers.len(), spread, seed);
-                info!(name, ?blow, routers = struck.len(), "processes are struck");
+                let struck = selector.select(stage.routers.len(), spread, seed);
+                info!(name, ?process_fault, routers = struck.len(), "processes are struck");
                 for (number, after) in struck {
                     scope.spawn(move || {
                         stage.sleep(after);
-                        if let Err(e) = stage.strike(number, blow, crew, emulator) {
+                        if let Err(e) = stage.strike(number, process_fault, crew, emulator) {
                             warn!(number, "not struck: {e}");
                         }
                     });
                 }
             }
-            Note::Moved(addresses) => {
+            Notification::AgentsMoved(addresses) => {
                 info!("discovery moves");
                 *stage.agents.lock().expect("no thread panics under the lock") = addresses.clone();
                 for (slot, address) in stage.routers.iter().zip(addresses) {
@@ -444,7 +452,7 @@
                     }
                 }
             }
-            Note::InVain(name) => warn!(name, "a cue found nothing to strike"),
+            Notification::NoTarget(name) => warn!(name, "a cue found nothing to strike"),
         }
     });
 }
