--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -1,9 +1,10 @@
-//! Instances tell each other what sessions have seen: each dials those that our own file names and tells them, and
-//! listens to whoever dials it. Plain threads round the frames of `sandstile-exchange`; off without our own file.
+//! Exchange of session marks between instances. Each instance dials the peers in its local configuration file
+//! and sends them its marks, and receives marks from the instances that dial it. Runs on plain threads, with
+//! the frames of `sandstile-exchange`; off without a local configuration file.
 use crate::errno::retry_interrupted;
-use crate::local_config::Exchange;
+use crate::local_config::ExchangeConfig;
 use crate::mailbox::{bounded_mailbox, MailboxSender};
-use crate::session_messages::{SessionMessage, Telling};
+use crate::session_messages::{PeerMessage, SessionMessage};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_exchange::{greeting, keeping, read_greeting, Heard, Listener, Teller, MOST_MARKS};
@@ -17,119 +18,128 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What this use of the keys is called, so that no secret serves two.
+/// Context for key derivation, so that no secret is used for two purposes.
 pub const CONTEXT: &str = "sandstile exchange between instances, version 1";
 
-/// Between tries to reach an instance that is not there.
-const AGAIN: Duration = Duration::from_millis(300);
-/// A greeting crosses a slow link twice; one that takes longer is not there.
-const PATIENCE: Duration = Duration::from_millis(2000);
-/// Between looks at whether a listener is still there.
-const LOOK: Duration = Duration::from_millis(100);
-/// Marks that wait for one instance; beyond that it is told all anew.
-const MOST_WAITING: usize = 8192;
-/// Words of others that wait for the desk; a frame has a quarter of a megabyte at the most. And how long a teller waits then.
-const MOST_HEARD: usize = 128;
-const BREATH: Duration = Duration::from_millis(2);
-/// Instances that are told at one time, a thread each.
-const MOST_TOLD: usize = 64;
-/// Instances that may tell at one time.
-const MOST_TELLERS: usize = 64;
+/// Pause between attempts to reach an instance.
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
+/// Timeout for dials, greetings and writes. A greeting crosses a slow network twice; an instance that takes
+/// longer counts as unreachable.
+const IO_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Interval of the check whether an idle connection's peer is still there.
+const PEER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Limit on the marks queued for one instance; beyond it the connection is closed and starts again with a
+/// snapshot.
+const MAX_QUEUED_MARKS: usize = 8192;
+/// Limit on the messages of other instances queued for the dispatcher; a frame has at most a quarter of a
+/// megabyte. A connection's thread pauses for the second constant while the queue is above the limit.
+const MAX_QUEUED_MESSAGES: usize = 128;
+const BACKPRESSURE_PAUSE: Duration = Duration::from_millis(2);
+/// Limit on outgoing connections, each with a thread.
+const MAX_OUTGOING: usize = 64;
+/// Limit on incoming connections, each with a thread.
+const MAX_INCOMING: usize = 64;
 
-/// Whom this instance tells: those that our own file names, and the members that are there.
+/// The instances that this one sends to: those of the local configuration file, and the members that are
+/// alive.
 pub struct ExchangePeers {
-    named: BTreeSet<SocketAddr>,
-    /// Who is told now; dropping what stands beside an address ends that.
-    told: BTreeMap<SocketAddr, Arc<AtomicBool>>,
+    configured: BTreeSet<SocketAddr>,
+    /// The stop flag of each outgoing connection, by address.
+    stop_flags: BTreeMap<SocketAddr, Arc<AtomicBool>>,
     name: String,
-    /// Where this one is found itself, where state is kept with others: of many members it tells those that are near.
-    near: Option<SocketAddr>,
+    /// This instance's own address, if state is replicated: it then sends only to its neighbours among the
+    /// members.
+    own_address: Option<SocketAddr>,
     secret: [u8; 32],
     desk: MailboxSender<SessionMessage>,
     log: Logger,
 }
 
 impl ExchangePeers {
-    /// Tells just these from now on, and those that our own file names.
-    pub fn follow(&mut self, members: &BTreeSet<SocketAddr>) {
-        let mut wanted: BTreeSet<SocketAddr> = members.union(&self.named).copied().collect();
-        if let Some(own) = self.near {
-            // Named by their addresses, which all others have for them too.
+    /// Sends to exactly these members from now on, and to the peers of the local configuration file.
+    pub fn update(&mut self, members: &BTreeSet<SocketAddr>) {
+        let mut wanted: BTreeSet<SocketAddr> = members.union(&self.configured).copied().collect();
+        if let Some(own_address) = self.own_address {
+            // Identified by address, which is the same at every instance.
             let by_name: BTreeMap<String, SocketAddr> =
                 wanted.iter().map(|at| (at.to_string(), *at)).collect();
-            let near = near(&own.to_string(), &by_name.keys().cloned().collect());
-            wanted = near.iter().filter_map(|name| by_name.get(name).copied()).collect();
+            let neighbours = near(&own_address.to_string(), &by_name.keys().cloned().collect());
+            wanted = neighbours.iter().filter_map(|name| by_name.get(name).copied()).collect();
         }
-        while wanted.len() > MOST_TOLD {
-            warn!(self.log, "exchange: more instances than are told"; "most" => MOST_TOLD);
+        while wanted.len() > MAX_OUTGOING {
+            warn!(self.log, "exchange: too many instances, some are left out"; "most" => MAX_OUTGOING);
             wanted.pop_last();
         }
-        self.told.retain(|at, ends| {
+        self.stop_flags.retain(|at, stop_flag| {
             let stays = wanted.contains(at);
-            ends.store(!stays, SeqCst);
+            stop_flag.store(!stays, SeqCst);
             stays
         });
         for peer in wanted {
-            if self.told.contains_key(&peer) {
+            if self.stop_flags.contains_key(&peer) {
                 continue;
             }
-            let ends = Arc::new(AtomicBool::new(false));
+            let stop_flag = Arc::new(AtomicBool::new(false));
             let (name, secret, desk, log) =
                 (self.name.clone(), self.secret, self.desk.clone(), self.log.clone());
-            let over = ends.clone();
-            let begun = threads::spawn_detached("tell", move || {
-                while !over.load(SeqCst) {
-                    // Whatever ends it, the next time begins with a snapshot.
-                    if let Ok(true) = tell(peer, &name, &secret, &desk, &over, &log) {
+            let stop = stop_flag.clone();
+            let spawned = threads::spawn_detached("tell", move || {
+                while !stop.load(SeqCst) {
+                    // Every new connection begins with a snapshot, whatever ended the last one.
+                    if let Ok(true) = send_to_peer(peer, &name, &secret, &desk, &stop, &log) {
                         return;
                     }
-                    thread::sleep(AGAIN);
+                    thread::sleep(RECONNECT_DELAY);
                 }
             });
-            match begun {
-                Ok(()) => drop(self.told.insert(peer, ends)),
+            match spawned {
+                Ok(()) => drop(self.stop_flags.insert(peer, stop_flag)),
                 Err(e) => warn!(self.log, "exchange: {e}"),
             }
         }
     }
 }
 
-/// `life` tells the lives of one name apart; `keeps` says that state is kept with others.
+/// Starts the listener and the outgoing connections. `generation` distinguishes the processes that run under
+/// one name; `replicates_state` says that state is replicated.
 pub fn begin(
-    plan: &Exchange,
+    config: &ExchangeConfig,
     name: &str,
-    life: u64,
-    keeps: bool,
+    generation: u64,
+    replicates_state: bool,
     secrets: Vec<[u8; 32]>,
     desk: MailboxSender<SessionMessage>,
     log: &Logger,
 ) -> Result<ExchangePeers, String> {
-    let name = format!("{}#{life}", name.chars().take(40).collect::<String>());
-    let name = &if keeps { keeping(&name) } else { name };
-    let listener = TcpListener::bind(plan.listen).map_err(|e| format!("exchange: {}: {e}", plan.listen))?;
-    let (own, keys, to_desk, own_log) = (name.to_string(), secrets.clone(), desk.clone(), log.clone());
-    threads::spawn_detached("exchange", move || accept(&listener, &own, &keys, &to_desk, &own_log))?;
+    let name = format!("{}#{generation}", name.chars().take(40).collect::<String>());
+    let name = &if replicates_state { keeping(&name) } else { name };
+    let listener =
+        TcpListener::bind(config.listen).map_err(|e| format!("exchange: {}: {e}", config.listen))?;
+    let (own_name, keys, to_desk, thread_log) =
+        (name.to_string(), secrets.clone(), desk.clone(), log.clone());
+    threads::spawn_detached("exchange", move || accept(&listener, &own_name, &keys, &to_desk, &thread_log))?;
     let mut exchange_peers = ExchangePeers {
-        named: plan.peers.iter().copied().collect(),
-        told: BTreeMap::new(),
+        configured: config.peers.iter().copied().collect(),
+        stop_flags: BTreeMap::new(),
         name: name.to_string(),
-        near: keeps.then_some(plan.listen),
+        own_address: replicates_state.then_some(config.listen),
         secret: secrets[0],
         desk,
         log: log.clone(),
     };
-    exchange_peers.follow(&BTreeSet::new());
+    exchange_peers.update(&BTreeSet::new());
     Ok(exchange_peers)
 }
 
-/// A listener says nothing after its greeting.
-fn there(stream: &TcpStream) -> bool {
-    let look = stream.set_nonblocking(true).and_then(|()| retry_interrupted(|| stream.peek(&mut [0])));
-    let back = stream.set_nonblocking(false);
-    matches!(look, Err(e) if e.kind() == io::ErrorKind::WouldBlock) && back.is_ok()
+/// Whether the peer is still connected. It sends nothing after its greeting, so a readable stream means that
+/// it has closed the connection.
+fn is_open(stream: &TcpStream) -> bool {
+    let peeked = stream.set_nonblocking(true).and_then(|()| retry_interrupted(|| stream.peek(&mut [0])));
+    let restored = stream.set_nonblocking(false);
+    matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock) && restored.is_ok()
 }
 
-/// Never the same twice, here or in an earlier life.
+/// A nonce that differs from all others of this process and of earlier ones.
 fn nonce(secret: &[u8; 32], number: usize) -> [u8; 16] {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
     let mut hash = blake3::Hasher::new_keyed(secret);
@@ -147,34 +157,36 @@
     desk: &MailboxSender<SessionMessage>,
     log: &Logger,
 ) {
-    let tellers = Arc::new(AtomicUsize::new(0));
+    let connections = Arc::new(AtomicUsize::new(0));
     for (number, stream) in listener.incoming().enumerate() {
         let Ok(mut stream) = stream else {
-            thread::sleep(AGAIN);
+            thread::sleep(RECONNECT_DELAY);
             continue;
         };
-        if tellers.fetch_add(1, SeqCst) >= MOST_TELLERS {
-            tellers.fetch_sub(1, SeqCst);
+        if connections.fetch_add(1, SeqCst) >= MAX_INCOMING {
+            connections.fetch_sub(1, SeqCst);
             continue;
         }
         let nonce = nonce(&secrets[0], number);
         let (secrets, desk, log) = (secrets.to_vec(), desk.clone(), log.clone());
-        let (greeting, here) = (greeting(nonce, name), tellers.clone());
-        let listen = move || {
-            let heard = stream.write_all(&greeting).and_then(|()| hear(&mut stream, &secrets, &nonce, &desk));
-            if let Err(e) = heard {
+        let (greeting, open_connections) = (greeting(nonce, name), connections.clone());
+        let receive = move || {
+            let result = stream
+                .write_all(&greeting)
+                .and_then(|()| receive_from_peer(&mut stream, &secrets, &nonce, &desk));
+            if let Err(e) = result {
                 info!(log, "exchange: a connection ended: {e}");
             }
-            here.fetch_sub(1, SeqCst);
+            open_connections.fetch_sub(1, SeqCst);
         };
-        if threads::spawn_detached("hear", listen).is_err() {
-            tellers.fetch_sub(1, SeqCst);
+        if threads::spawn_detached("hear", receive).is_err() {
+            connections.fetch_sub(1, SeqCst);
         }
     }
 }
 
-/// Takes in what another instance tells, until it ends or can't be believed.
-fn hear(
+/// Receives the messages of another instance until the connection ends or a message fails verification.
+fn receive_from_peer(
     stream: &mut TcpStream,
     secrets: &[[u8; 32]],
     nonce: &[u8; 16],
@@ -183,67 +195,71 @@
     let mut listener = Listener::new(secrets, nonce);
     let mut from = None;
     let mut bytes = [0; 8192];
-    // A stranger has to prove itself soon; one that has may be silent for as long as nobody writes.
-    stream.set_read_timeout(Some(PATIENCE))?;
+    // An unauthenticated peer must prove itself within the timeout; an authenticated one is silent while
+    // nobody writes.
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
     loop {
         let n = retry_interrupted(|| stream.read(&mut bytes))?;
         if n == 0 {
             return Ok(());
         }
         listener.hear(&bytes[..n]);
-        let wrong = |w| io::Error::other(format!("{w:?}"));
-        while let Some(heard) = listener.next_heard().map_err(wrong)? {
+        let to_io_error = |w| io::Error::other(format!("{w:?}"));
+        while let Some(heard) = listener.next_heard().map_err(to_io_error)? {
             if let Heard::Who(name) = &heard {
                 from = Some(name.clone());
                 stream.set_read_timeout(None)?;
             }
-            // One that tells faster than is heard waits in its own stream, and fills no memory here.
-            while desk.queued() > MOST_HEARD {
-                thread::sleep(BREATH);
+            // Backpressure: a peer that sends faster than the dispatcher reads is held back by its TCP
+            // connection.
+            while desk.queued() > MAX_QUEUED_MESSAGES {
+                thread::sleep(BACKPRESSURE_PAUSE);
             }
             if let Some(from) = &from {
-                desk.send(SessionMessage::Heard(from.clone(), heard));
+                desk.send(SessionMessage::FromPeer(from.clone(), heard));
             }
         }
     }
 }
 
-/// Tells one instance all that is known and then what comes; `true` once this one has ended in order.
-fn tell(
+/// Sends one instance a snapshot and then every new mark. Returns `true` once this instance has shut down in
+/// order.
+fn send_to_peer(
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
     desk: &MailboxSender<SessionMessage>,
-    over: &AtomicBool,
+    stop: &AtomicBool,
     log: &Logger,
 ) -> io::Result<bool> {
-    let mut to = None;
-    let told = tell_one(peer, name, secret, desk, over, log, &mut to);
-    if let Some(to) = to {
-        desk.send(SessionMessage::Untold(to));
+    let mut connected_to = None;
+    let result = run_connection(peer, name, secret, desk, stop, log, &mut connected_to);
+    if let Some(peer_name) = connected_to {
+        desk.send(SessionMessage::PeerDisconnected(peer_name));
     }
-    told
+    result
 }
 
-/// As `tell`; `whom` is who was told, from when on the desk knows of it.
-fn tell_one(
+/// Does the work of `send_to_peer`; sets `connected_to` to the peer's name once the dispatcher knows of the
+/// connection.
+fn run_connection(
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
     desk: &MailboxSender<SessionMessage>,
-    over: &AtomicBool,
+    stop: &AtomicBool,
     log: &Logger,
-    whom: &mut Option<String>,
+    connected_to: &mut Option<String>,
 ) -> io::Result<bool> {
-    let mut stream = TcpStream::connect_timeout(&peer, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
+    let mut stream = TcpStream::connect_timeout(&peer, IO_TIMEOUT)?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
     stream.set_nodelay(true)?;
     let (mut buf, mut bytes) = (Vec::new(), [0; 128]);
-    let (nonce, to) = loop {
-        let wrong = |w| io::Error::other(format!("{w:?}"));
-        if let Some((nonce, to, _)) = read_greeting(&buf).map_err(wrong)? {
-            break (nonce, to);
+    let (nonce, peer_name) = loop {
+        let to_io_error = |w| io::Error::other(format!("{w:?}"));
+        if let Some((nonce, peer_name, _)) = read_greeting(&buf).map_err(to_io_error)? {
+            break (nonce, peer_name);
         }
         let n = retry_interrupted(|| stream.read(&mut bytes))?;
         if n == 0 {
@@ -253,60 +269,61 @@
     };
     let mut teller = Teller::new(secret, &nonce);
     stream.write_all(&teller.who(name))?;
-    let (outlet, tellings) = bounded_mailbox(MOST_WAITING);
-    *whom = Some(to.clone());
-    desk.send(SessionMessage::Tell(to.clone(), outlet));
+    let (sender, messages) = bounded_mailbox(MAX_QUEUED_MARKS);
+    *connected_to = Some(peer_name.clone());
+    desk.send(SessionMessage::PeerConnected(peer_name.clone(), sender));
     loop {
-        let telling = match tellings.recv(Some(LOOK)) {
-            Ok(telling) => telling,
-            // While nobody writes, its end is seen by a look alone; the next life is to be told soon.
-            Err(RecvTimeoutError::Timeout) if !over.load(SeqCst) && there(&stream) => continue,
+        let message = match messages.recv(Some(PEER_CHECK_INTERVAL)) {
+            Ok(message) => message,
+            // While there is nothing to write, only this check notices that the peer has ended; its next
+            // generation should be reached soon.
+            Err(RecvTimeoutError::Timeout) if !stop.load(SeqCst) && is_open(&stream) => continue,
             Err(RecvTimeoutError::Timeout) => return Ok(false),
-            // One whose outlet was dropped has fallen behind: it is told all anew.
+            // The sessions drop the sender of a peer that has fallen behind; it starts again with a snapshot.
             Err(RecvTimeoutError::Disconnected) => break,
         };
-        match telling {
-            Telling::Snapshot { exact, of_yours } => {
+        match message {
+            PeerMessage::Snapshot { exact, of_yours } => {
                 let all: Vec<_> = exact.iter().collect();
-                for piece in all.chunks(MOST_MARKS / 4) {
-                    stream.write_all(&teller.marks(piece.iter().map(|(key, seen)| (**key, *seen))))?;
+                for chunk in all.chunks(MOST_MARKS / 4) {
+                    stream.write_all(&teller.marks(chunk.iter().map(|(key, seen)| (**key, *seen))))?;
                 }
                 stream.write_all(&teller.whole(of_yours))?;
-                info!(log, "exchange: told"; "instance" => &to, "marks" => all.len());
+                info!(log, "exchange: all marks sent"; "instance" => &peer_name, "marks" => all.len());
             }
-            Telling::Whole { of_yours } => stream.write_all(&teller.whole(of_yours))?,
-            Telling::State(message) => {
-                stream.write_all(&teller.state(&message))?;
-                desk.send(SessionMessage::Written(to.clone(), message.len()));
+            PeerMessage::Whole { of_yours } => stream.write_all(&teller.whole(of_yours))?,
+            PeerMessage::State(state) => {
+                stream.write_all(&teller.state(&state))?;
+                desk.send(SessionMessage::StateBytesWritten(peer_name.clone(), state.len()));
             }
-            Telling::Seen(key, seen) => {
-                // All that waits goes in one frame.
+            PeerMessage::Seen(key, seen) => {
+                // Sends all queued marks in one frame.
                 let mut marks = vec![(key, seen)];
-                let mut end = None;
+                let mut other_message = None;
                 while marks.len() < MOST_MARKS / 4 {
-                    match tellings.try_recv() {
-                        Some(Telling::Seen(key, seen)) => marks.push((key, seen)),
+                    match messages.try_recv() {
+                        Some(PeerMessage::Seen(key, seen)) => marks.push((key, seen)),
                         Some(other) => {
-                            end = Some(other);
+                            other_message = Some(other);
                             break;
                         }
                         None => break,
                     }
                 }
                 stream.write_all(&teller.marks(marks.iter().map(|(key, seen)| (*key, seen))))?;
-                if let Some(Telling::End(done)) = end {
+                if let Some(PeerMessage::End(done)) = other_message {
                     stream.write_all(&teller.farewell())?;
                     drop(done);
                     return Ok(true);
                 }
             }
-            Telling::End(done) => {
+            PeerMessage::End(done) => {
                 stream.write_all(&teller.farewell())?;
                 drop(done);
                 return Ok(true);
             }
         }
     }
-    warn!(log, "exchange: an instance fell behind and is told anew"; "instance" => &to);
+    warn!(log, "exchange: an instance fell behind and will receive all marks again"; "instance" => &peer_name);
     Ok(false)
 }
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -1,4 +1,5 @@
-//! Our own file, in HCL: what the platform's configuration does not know. Without it all of this is off.
+//! The local configuration file, in HCL: features that the platform's configuration does not cover. Without
+//! the file all of them are off.
 use crate::keys::read_keys;
 use sandstile_hcl::{Section, Source};
 use sandstile_sessions::token::KeyRing;
@@ -7,50 +8,51 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Durability {
-    /// Given to the platform with the answer; a power cut may take the last seconds.
+    /// Writes are passed to the operating system before the answer; a power cut may lose the last seconds.
     None,
-    /// On the disk before the client hears of its write.
+    /// Writes are on the disk before the client gets its answer.
     BeforeAnswer,
-    /// On the disk every so many seconds, which is what a power cut may take.
+    /// Writes are synced at this interval in seconds, which is what a power cut may lose.
     Every(f64),
 }
 
-/// What our own file says of sessions. Times in seconds.
+/// The `sessions` section. Times are in seconds.
 #[derive(Clone, Debug)]
-pub struct Sessions {
+pub struct SessionsConfig {
     pub keys: Option<PathBuf>,
-    pub token_lasts: f64,
-    /// Clocks differ by no more.
-    pub skew: f64,
-    /// Replicas lag by no more.
+    pub token_lifetime: f64,
+    /// Upper bound of the difference between the routers' clocks.
+    pub max_clock_skew: f64,
+    /// Upper bound of the replicas' lag.
     pub horizon: f64,
-    /// A session's writes come by this instance alone, for as long as it lives.
-    pub stay: bool,
-    pub exact: usize,
-    pub cells: usize,
-    /// Statements that carry no mark at all are served as without our own file: for the time in which clients
-    /// learn to carry them.
-    pub unmarked_as_before: bool,
+    /// All writes of a session go through this instance, for as long as the instance runs.
+    pub sessions_stay: bool,
+    pub max_sessions: usize,
+    pub sketch_cells: usize,
+    /// Statements without a mark are served as if there were no local configuration file: for the time until
+    /// all clients send marks.
+    pub allow_unmarked: bool,
     pub journal: Option<PathBuf>,
-    pub exchange: Option<Exchange>,
+    pub exchange: Option<ExchangeConfig>,
     pub durability: Durability,
-    pub state: Option<State>,
+    pub state: Option<StateConfig>,
 }
 
-/// What our own file says of the state that routers keep together.
+/// The `state` section: state that is replicated between routers.
 #[derive(Clone, Debug)]
-pub struct State {
-    /// Where the copy lies; in memory alone without.
+pub struct StateConfig {
+    /// Directory of the copy on the disk; without it, the state is in memory only.
     pub dir: Option<PathBuf>,
-    /// What tells a copy that was put back from the latest one: a file that no backup of `dir` holds.
+    /// A file outside the backups of `dir`, which shows whether the copy in `dir` is the latest or a restored
+    /// one.
     pub witness: Option<PathBuf>,
-    /// Where `sandstile state` asks, if anywhere.
+    /// UNIX socket for `sandstile state`, if any.
     pub control: Option<PathBuf>,
-    /// Probes for lost primaries are shared, and hosts that refused another are spared.
-    pub together: bool,
+    /// Routers share the probes for lost primaries, and avoid hosts that refused another router.
+    pub learn_together: bool,
 }
 
-impl Sessions {
+impl SessionsConfig {
     pub fn read_keys(&self) -> Result<KeyRing, String> {
         self.keys.as_ref().map_or_else(|| Ok(KeyRing::default()), |path| read_keys(path))
     }
@@ -61,212 +63,225 @@
             Some(path) => format!("journal {} ({:?})", path.display(), self.durability),
             None => "no journal".to_string(),
         };
-        let state = if self.state.is_some() { ", state kept with others" } else { "" };
-        format!("on, {tokens}, {} remembered, {journal}{state}", self.exact)
+        let state = if self.state.is_some() { ", state replicated with other routers" } else { "" };
+        format!("on, {tokens}, {} remembered, {journal}{state}", self.max_sessions)
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Exchange {
+pub struct ExchangeConfig {
     pub listen: SocketAddr,
     pub peers: Vec<SocketAddr>,
 }
 
-/// What our own file says of a recording.
+/// The `recording` section.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Recording {
+pub struct RecordingConfig {
     pub file: PathBuf,
-    /// Bytes; the recording ends there.
+    /// The recording ends when it reaches this size.
     pub max_bytes: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct LocalConfig {
-    pub sessions: Option<Sessions>,
-    pub recording: Option<Recording>,
+    pub sessions: Option<SessionsConfig>,
+    pub recording: Option<RecordingConfig>,
     pub limits: Option<sandstile_limits::Terms>,
-    /// How a router that has just started comes back.
+    /// Pacing of dials and admissions after a restart.
     pub restart_pacing: Option<sandstile_restart_pacing::Terms>,
-    pub members: Option<Members>,
+    pub members: Option<MembersConfig>,
 }
 
-/// What our own file says of the other routers.
+/// The `members` section: membership among the routers.
 #[derive(Clone, Debug)]
-pub struct Members {
+pub struct MembersConfig {
     pub listen: SocketAddr,
-    /// Where others find it, which may be another address than where it listens.
+    /// Address that other routers send to; it may differ from the address that this one listens on.
     pub advertise: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub keys: PathBuf,
     pub zone: String,
-    /// Where `sandstile members` asks, if anywhere.
+    /// UNIX socket for `sandstile members`, if any.
     pub control: Option<PathBuf>,
-    /// Shares at hosts follow how many are there.
+    /// The router's share of a host's capacity follows the number of routers that are alive.
     pub share: bool,
-    /// Seconds.
+    /// Seconds between two rounds of the membership protocol.
     pub period: f64,
 }
 
 impl LocalConfig {
-    /// Reads the file that the command line names, if it names one. The message is one line a problem, each with its
-    /// place.
+    /// Loads the file given on the command line, if any. The error message has one line for each problem,
+    /// with its position in the file.
     pub fn load(path: Option<&Path>) -> Result<LocalConfig, String> {
         let Some(path) = path else { return Ok(LocalConfig::default()) };
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-        let charter = LocalConfig::read(&name, &text)?;
-        let of_sessions = charter.sessions.as_ref().and_then(|s| s.keys.as_ref());
-        for keys in of_sessions.into_iter().chain(charter.members.as_ref().map(|m| &m.keys)) {
-            // Before anything starts: a router without its keys would believe nobody.
+        let local_config = LocalConfig::parse(&name, &text)?;
+        let session_keys = local_config.sessions.as_ref().and_then(|s| s.keys.as_ref());
+        for keys in session_keys.into_iter().chain(local_config.members.as_ref().map(|m| &m.keys)) {
+            // Checked before anything starts: without its keys, a router would reject all tokens and
+            // messages.
             read_keys(keys)?;
         }
-        Ok(charter)
+        Ok(local_config)
     }
 
-    pub fn read(name: &str, text: &str) -> Result<LocalConfig, String> {
+    pub fn parse(name: &str, text: &str) -> Result<LocalConfig, String> {
         let source = Source::new(name, text);
-        let charter = source.parse().map(|body| {
-            let file = Section::of(&source, &body);
-            let sessions = file.only("sessions").map(|s| sessions(&s));
-            let recording = file.only("recording").and_then(|r| {
-                let plan = Recording {
-                    file: PathBuf::from(r.needed_text("file")),
-                    max_bytes: r.count("most_mb", 1.0..1_000_000.0, 256) as u64 * 1024 * 1024,
+        let local_config = source.parse().map(|parsed| {
+            let file = Section::of(&source, &parsed);
+            let sessions = file.only("sessions").map(|section| read_sessions(&section));
+            let recording = file.only("recording").and_then(|section| {
+                let config = RecordingConfig {
+                    file: PathBuf::from(section.needed_text("file")),
+                    max_bytes: section.count("most_mb", 1.0..1_000_000.0, 256) as u64 * 1024 * 1024,
                 };
-                let on = r.yes("on", true);
-                r.finish();
-                on.then_some(plan)
+                let on = section.yes("on", true);
+                section.finish();
+                on.then_some(config)
             });
-            let limits = file.only("limits").and_then(|l| {
-                let usual = sandstile_limits::Terms::default();
+            let limits = file.only("limits").and_then(|section| {
+                let defaults = sandstile_limits::Terms::default();
                 let terms = sandstile_limits::Terms {
-                    later_tries: l.number("later_tries", 0.0..10.0, usual.later_tries),
-                    false_alarms: l.number("false_alarms_a_day", 0.000_001..1000.0, usual.false_alarms),
-                    returning: l.number("returning", 0.01..1.0, usual.returning),
+                    later_tries: section.number("later_tries", 0.0..10.0, defaults.later_tries),
+                    false_alarms: section.number(
+                        "false_alarms_a_day",
+                        0.000_001..1000.0,
+                        defaults.false_alarms,
+                    ),
+                    returning: section.number("returning", 0.01..1.0, defaults.returning),
                 };
-                let on = l.yes("on", true);
-                l.finish();
+                let on = section.yes("on", true);
+                section.finish();
                 on.then_some(terms)
             });
-            let restart_pacing = file.only("return").and_then(|r| {
-                let usual = sandstile_restart_pacing::Terms::default();
+            let restart_pacing = file.only("return").and_then(|section| {
+                let defaults = sandstile_restart_pacing::Terms::default();
                 let terms = sandstile_restart_pacing::Terms {
-                    pace: r.word("pace", &sandstile_restart_pacing::PACES, Some(usual.pace)),
-                    ramp: r.yes("ramp", usual.ramp),
-                    stall_s: r.ms("stall_ms", 0.0..60_000.0, usual.stall_s),
+                    pace: section.word("pace", &sandstile_restart_pacing::PACES, Some(defaults.pace)),
+                    ramp: section.yes("ramp", defaults.ramp),
+                    stall_s: section.ms("stall_ms", 0.0..60_000.0, defaults.stall_s),
                 };
-                let on = r.yes("on", true);
-                r.finish();
+                let on = section.yes("on", true);
+                section.finish();
                 on.then_some(terms)
             });
-            let members = file.only("members").and_then(|m| members(&m));
+            let members = file.only("members").and_then(|section| read_members(&section));
             file.finish();
             LocalConfig { sessions: sessions.flatten(), recording, limits, restart_pacing, members }
         });
         let problems = source.problems();
-        match charter {
-            Some(charter) if problems.is_empty() => Ok(charter),
+        match local_config {
+            Some(local_config) if problems.is_empty() => Ok(local_config),
             _ => Err(problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")),
         }
     }
 }
 
-fn address(s: &Section, key: &str, text: &str) -> Option<SocketAddr> {
+fn parse_address(section: &Section, key: &str, text: &str) -> Option<SocketAddr> {
     let address = text.parse().ok();
     if address.is_none() {
-        s.wrong(key, format!("\"{text}\" is no address"), Some("ADDRESS:PORT".to_string()));
+        section.wrong(key, format!("\"{text}\" is not an address"), Some("ADDRESS:PORT".to_string()));
     }
     address
 }
 
-fn members(m: &Section) -> Option<Members> {
-    let on = m.yes("on", true);
-    let listen = address(m, "listen", &m.needed_text("listen"));
-    let advertise = m.text("advertise").and_then(|text| address(m, "advertise", &text));
-    if advertise.or(listen).is_some_and(|at| at.ip().is_unspecified()) {
+fn read_members(section: &Section) -> Option<MembersConfig> {
+    let on = section.yes("on", true);
+    let listen = parse_address(section, "listen", &section.needed_text("listen"));
+    let advertise = section.text("advertise").and_then(|text| parse_address(section, "advertise", &text));
+    if advertise.or(listen).is_some_and(|address| address.ip().is_unspecified()) {
         let hint = Some("advertise = \"ADDRESS:PORT\"".to_string());
-        m.wrong("listen", "nobody can be found at this address", hint);
+        section.wrong("listen", "other routers cannot reach an unspecified address", hint);
     }
-    let seeds = m.texts("seeds").unwrap_or_default();
-    let plan = listen.map(|listen| Members {
+    let seeds = section.texts("seeds").unwrap_or_default();
+    let config = listen.map(|listen| MembersConfig {
         listen,
         advertise: advertise.unwrap_or(listen),
-        seeds: seeds.iter().filter_map(|s| address(m, "seeds", s)).collect(),
-        keys: PathBuf::from(m.needed_text("keys")),
-        zone: m.text("zone").unwrap_or_default(),
-        control: m.text("control").map(PathBuf::from),
-        share: m.yes("share", false),
-        period: m.ms("period_ms", 50.0..60_000.0, 0.25),
+        seeds: seeds.iter().filter_map(|seed| parse_address(section, "seeds", seed)).collect(),
+        keys: PathBuf::from(section.needed_text("keys")),
+        zone: section.text("zone").unwrap_or_default(),
+        control: section.text("control").map(PathBuf::from),
+        share: section.yes("share", false),
+        period: section.ms("period_ms", 50.0..60_000.0, 0.25),
     });
-    if plan.as_ref().is_some_and(|p| p.zone.len() > sandstile_membership::wire::LONGEST_ZONE) {
-        m.wrong("zone", "a zone's name has 32 bytes at most", None);
+    if config.as_ref().is_some_and(|config| config.zone.len() > sandstile_membership::wire::LONGEST_ZONE) {
+        section.wrong("zone", "a zone's name has at most 32 bytes", None);
     }
-    m.finish();
-    plan.filter(|_| on)
+    section.finish();
+    config.filter(|_| on)
 }
 
-fn sessions(s: &Section) -> Option<Sessions> {
-    let on = s.yes("on", true);
-    let exchange = s.only("exchange").map(|e| {
-        let address = |key: &str, text: &str| address(&e, key, text);
-        let listen = address("listen", &e.needed_text("listen"));
-        let peers = e.texts("peers").unwrap_or_default();
-        let peers = peers.iter().filter_map(|p| address("peers", p)).collect();
-        e.finish();
-        if !s.has("keys") {
-            s.source().wrong(e.at, "exchange goes with keys", Some("keys = \"FILE\"".to_string()));
+fn read_sessions(section: &Section) -> Option<SessionsConfig> {
+    let on = section.yes("on", true);
+    let exchange = section.only("exchange").map(|exchange_section| {
+        let address = |key: &str, text: &str| parse_address(&exchange_section, key, text);
+        let listen = address("listen", &exchange_section.needed_text("listen"));
+        let peers = exchange_section.texts("peers").unwrap_or_default();
+        let peers = peers.iter().filter_map(|peer| address("peers", peer)).collect();
+        exchange_section.finish();
+        if !section.has("keys") {
+            section.source().wrong(
+                exchange_section.at,
+                "exchange requires keys",
+                Some("keys = \"FILE\"".to_string()),
+            );
         }
-        listen.map(|listen| Exchange { listen, peers })
+        listen.map(|listen| ExchangeConfig { listen, peers })
     });
-    let state = s.only("state").and_then(|t| {
-        let plan = State {
-            dir: t.text("dir").map(PathBuf::from),
-            witness: t.text("witness").map(PathBuf::from),
-            control: t.text("control").map(PathBuf::from),
-            together: t.yes("learn_together", false),
+    let state = section.only("state").and_then(|state_section| {
+        let config = StateConfig {
+            dir: state_section.text("dir").map(PathBuf::from),
+            witness: state_section.text("witness").map(PathBuf::from),
+            control: state_section.text("control").map(PathBuf::from),
+            learn_together: state_section.yes("learn_together", false),
         };
-        if plan.witness.is_some() && plan.dir.is_none() {
-            t.wrong("witness", "witness goes with dir", Some("dir = \"FOLDER\"".to_string()));
+        if config.witness.is_some() && config.dir.is_none() {
+            state_section.wrong("witness", "witness requires dir", Some("dir = \"FOLDER\"".to_string()));
         }
         if exchange.is_none() {
-            s.source().wrong(t.at, "state goes with exchange", Some("exchange { }".to_string()));
+            section.source().wrong(
+                state_section.at,
+                "state requires exchange",
+                Some("exchange { }".to_string()),
+            );
         }
-        if s.has("journal") {
-            s.wrong("journal", "journal and state both keep marks: one of them", None);
+        if section.has("journal") {
+            section.wrong("journal", "journal and state both keep marks: choose one of them", None);
         }
-        let on = t.yes("on", true);
-        t.finish();
-        on.then_some(plan)
+        let on = state_section.yes("on", true);
+        state_section.finish();
+        on.then_some(config)
     });
-    let plan = Sessions {
+    let config = SessionsConfig {
         state,
         exchange: exchange.flatten(),
-        keys: s.text("keys").map(PathBuf::from),
-        token_lasts: s.number("token_lasts_s", 1.0..31_536_000.0, 86_400.0),
-        skew: s.ms("skew_ms", 0.0..600_000.0, 1.0),
-        horizon: s.number("replicas_lag_at_most_s", 1.0..86_400.0, 300.0),
-        stay: s.yes("sessions_stay", false),
-        unmarked_as_before: s.word("without_mark", &[("primary", false), ("as-before", true)], Some(false)),
-        exact: s.count("remembered", 16.0..10_000_000.0, 1 << 16),
-        cells: s.count("sketch_cells", 16.0..268_435_456.0, 1 << 18),
-        journal: s.text("journal").map(PathBuf::from),
-        durability: match s.text("durability").as_deref() {
+        keys: section.text("keys").map(PathBuf::from),
+        token_lifetime: section.number("token_lasts_s", 1.0..31_536_000.0, 86_400.0),
+        max_clock_skew: section.ms("skew_ms", 0.0..600_000.0, 1.0),
+        horizon: section.number("replicas_lag_at_most_s", 1.0..86_400.0, 300.0),
+        sessions_stay: section.yes("sessions_stay", false),
+        allow_unmarked: section.word("without_mark", &[("primary", false), ("as-before", true)], Some(false)),
+        max_sessions: section.count("remembered", 16.0..10_000_000.0, 1 << 16),
+        sketch_cells: section.count("sketch_cells", 16.0..268_435_456.0, 1 << 18),
+        journal: section.text("journal").map(PathBuf::from),
+        durability: match section.text("durability").as_deref() {
             None | Some("before-answer") => Durability::BeforeAnswer,
             Some("none") => Durability::None,
-            Some("every") => Durability::Every(s.ms("every_ms", 1.0..60_000.0, 0.1)),
+            Some("every") => Durability::Every(section.ms("every_ms", 1.0..60_000.0, 0.1)),
             Some(other) => {
-                let all = Some("one of: before-answer, every, none".to_string());
-                s.wrong("durability", format!("durability = \"{other}\""), all);
+                let hint = Some("one of: before-answer, every, none".to_string());
+                section.wrong("durability", format!("durability = \"{other}\""), hint);
                 Durability::None
             }
         },
     };
-    if s.has("every_ms") && !matches!(plan.durability, Durability::Every(_)) {
-        s.wrong("every_ms", "every_ms goes with durability = \"every\"", None);
+    if section.has("every_ms") && !matches!(config.durability, Durability::Every(_)) {
+        section.wrong("every_ms", "every_ms requires durability = \"every\"", None);
     }
-    if s.has("durability") && plan.journal.is_none() {
-        s.wrong("durability", "durability goes with journal", Some("journal = \"FILE\"".to_string()));
+    if section.has("durability") && config.journal.is_none() {
+        section.wrong("durability", "durability requires journal", Some("journal = \"FILE\"".to_string()));
     }
-    s.finish();
-    on.then_some(plan)
+    section.finish();
+    on.then_some(config)
 }
--- a/crates/sandstile-router/src/members.rs
+++ b/crates/sandstile-router/src/members.rs
@@ -1,8 +1,8 @@
-//! The peers' letters beside the carrier's loop: one UDP socket, no thread. What is said and believed is `sandstile-peers`; off without
-//! our own file.
+//! Membership among the routers: one UDP socket on the event loop, without a thread. The protocol is in
+//! `sandstile-peers`; off without a local configuration file.
 use crate::control::ControlSocket;
 use crate::exchange::ExchangePeers;
-use crate::local_config::Members as Plan;
+use crate::local_config::MembersConfig;
 use crate::loop_context::LoopContext;
 use crate::mailbox::MailboxSender;
 use mio::net::UdpSocket;
@@ -14,30 +14,31 @@
 use slog::{info, warn, Logger};
 use std::io;
 
-/// What this use of the keys is called, so that no secret serves two.
+/// Context for key derivation, so that no secret is used for two purposes.
 pub const CONTEXT: &str = "sandstile members, version 1";
-/// As its makers count; members of several run side by side.
+/// Version that this router announces, set by the developers; members of different versions run side by side.
 pub const VERSION: u16 = 1;
-/// Far above those of clients and links.
+/// Token of the UDP socket, far above those of client and upstream connections.
 pub const DATAGRAMS: Token = Token(usize::MAX - 2);
-/// Letters read before the others have their turn.
-const TURN: usize = 64;
-/// A letter is one datagram of some 1,200 bytes; more is none of ours.
-const LONGEST: usize = 2048;
+/// Limit on the datagrams read in one turn, so that the event loop's other work is not delayed.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+/// Size of the receive buffer in bytes. A message is one datagram of about 1,200 bytes; longer ones come from
+/// elsewhere.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
 pub struct Members {
     socket: UdpSocket,
     peers: Peers,
-    /// The platform may hold more letters.
-    ready: bool,
+    /// The socket may have more datagrams to read.
+    readable: bool,
     sharing_routers: Option<MailboxSender<f64>>,
     exchange_peers: Option<ExchangePeers>,
     pub control: Option<ControlSocket>,
-    counted: sandstile_peers::Counts,
+    published_counts: sandstile_peers::Counts,
     log: Logger,
 }
 
-/// What the router that members run beside has told them.
+/// What membership needs to know of its router.
 pub struct MembersContext {
     pub name: String,
     pub generation: u64,
@@ -45,57 +46,63 @@
     pub routers: usize,
     pub keys: Vec<[u8; 32]>,
     pub exchange: Option<std::net::SocketAddr>,
-    /// Where the number of those that share the hosts goes.
+    /// Receives the number of routers that share the hosts.
     pub sharing_routers: Option<MailboxSender<f64>>,
-    /// Who is to be told what sessions have seen.
+    /// The instances that this one sends session marks to.
     pub exchange_peers: Option<ExchangePeers>,
 }
 
 impl Members {
-    /// The message is one line.
-    pub fn open(plan: &Plan, beside: MembersContext, now: f64, log: &Logger) -> Result<Members, String> {
-        let told = |e: io::Error| format!("members: {}: {e}", plan.listen);
-        if beside.name.is_empty() || beside.name.len() > LONGEST_NAME {
-            return Err(format!("members: a router's name has 1 to {LONGEST_NAME} bytes: '{}'", beside.name));
+    /// The error message is one line.
+    pub fn open(
+        config: &MembersConfig,
+        router: MembersContext,
+        now: f64,
+        log: &Logger,
+    ) -> Result<Members, String> {
+        let with_address = |e: io::Error| format!("members: {}: {e}", config.listen);
+        if router.name.is_empty() || router.name.len() > LONGEST_NAME {
+            return Err(format!("members: a router's name has 1 to {LONGEST_NAME} bytes: '{}'", router.name));
         }
-        let socket = UdpSocket::bind(plan.listen).map_err(told)?;
-        let control = plan.control.as_deref().map(ControlSocket::open).transpose()?;
-        let terms = Terms {
-            name: beside.name,
-            life: beside.generation,
-            at: plan.advertise,
-            seeds: plan.seeds.clone(),
-            meta: Meta { version: VERSION, zone: plan.zone.clone(), exchange: beside.exchange },
-            period: plan.period,
-            share: plan.share.then_some(beside.routers),
-            keys: beside.keys,
+        let socket = UdpSocket::bind(config.listen).map_err(with_address)?;
+        let control = config.control.as_deref().map(ControlSocket::open).transpose()?;
+        let settings = Terms {
+            name: router.name,
+            life: router.generation,
+            at: config.advertise,
+            seeds: config.seeds.clone(),
+            meta: Meta { version: VERSION, zone: config.zone.clone(), exchange: router.exchange },
+            period: config.period,
+            share: config.share.then_some(router.routers),
+            keys: router.keys,
         };
-        info!(log, "members"; "listen" => %plan.listen, "found at" => %plan.advertise, "seeds" => plan.seeds.len());
+        info!(log, "members"; "listen" => %config.listen, "found at" => %config.advertise,
+            "seeds" => config.seeds.len());
         Ok(Members {
             socket,
-            peers: Peers::new(terms, beside.seed, now),
-            ready: true,
-            sharing_routers: beside.sharing_routers,
-            exchange_peers: beside.exchange_peers,
+            peers: Peers::new(settings, router.seed, now),
+            readable: true,
+            sharing_routers: router.sharing_routers,
+            exchange_peers: router.exchange_peers,
             control,
-            counted: sandstile_peers::Counts::default(),
+            published_counts: sandstile_peers::Counts::default(),
             log: log.clone(),
         })
     }
 
     pub fn register(&mut self, registry: &Registry) -> io::Result<()> {
         registry.register(&mut self.socket, DATAGRAMS, Interest::READABLE)?;
-        self.control.as_mut().map_or(Ok(()), |c| c.register(registry))
+        self.control.as_mut().map_or(Ok(()), |control| control.register(registry))
     }
 
-    /// Letters may have come.
+    /// Called when the socket is readable.
     pub fn set_readable(&mut self) {
-        self.ready = true;
+        self.readable = true;
     }
 
-    /// Whether letters may wait to be read.
+    /// Whether the socket may have datagrams to read.
     pub fn busy(&self) -> bool {
-        self.ready
+        self.readable
     }
 
     pub fn due(&self) -> f64 {
@@ -107,74 +114,80 @@
         self.peers.rotate(keys);
     }
 
-    /// A bounded piece of work: letters that have come, what is due, what is to go out, who asks.
+    /// Does a bounded amount of work: reads datagrams, runs due timers, sends messages, and serves the
+    /// control socket.
     pub fn turn(&mut self, context: &LoopContext) {
-        // A process that stood still looks at what has come before it holds anybody for dead.
-        let mut bytes = [0; LONGEST];
-        for _ in 0..TURN {
-            if !self.ready {
+        // Datagrams are read before timers run, so that a process that was stopped declares nobody dead whose
+        // messages are waiting in the socket.
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            if !self.readable {
                 break;
             }
             match self.socket.recv_from(&mut bytes) {
                 Ok((n, _)) => self.peers.received(context.clock.now(), &bytes[..n]),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.ready = false,
-                // What could not be delivered earlier is told here; it is the other's death, which letters tell better.
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.readable = false,
+                // An earlier datagram could not be delivered; the missing messages of that member show its
+                // death more reliably than this error.
                 Err(_) => {}
             }
         }
         let now = context.clock.now();
-        if self.peers.due() <= now && !self.ready {
+        if self.peers.due() <= now && !self.readable {
             self.peers.woken(now);
         }
         self.send(now);
-        self.heed(context);
+        self.handle_events(context);
         if let Some(mut control) = self.control.take() {
             control.serve(&context.registry, now, || report(&self.peers.report(now)).to_string());
             self.control = Some(control);
         }
     }
 
-    /// Letters that the platform does not take now are lost, as any may be.
+    /// Sends the queued messages. Datagrams that the socket does not accept now are dropped; the protocol
+    /// tolerates loss.
     fn send(&mut self, now: f64) {
-        for (to, letter) in self.peers.take_out(now) {
-            let _ = self.socket.send_to(&letter, to);
+        for (to, datagram) in self.peers.take_out(now) {
+            let _ = self.socket.send_to(&datagram, to);
         }
     }
 
-    fn heed(&mut self, context: &LoopContext) {
-        for news in self.peers.take_news() {
-            match news {
+    fn handle_events(&mut self, context: &LoopContext) {
+        for event in self.peers.take_news() {
+            match event {
                 News::Change(Change::NameTaken(at)) => {
                     warn!(self.log, "another process runs under this router's name"; "at" => %at);
                 }
                 News::Change(change) => info!(self.log, "member: {change:?}"),
-                News::View(view, look) => {
+                News::View(view, summary) => {
                     context.counters.view_changes.add();
-                    info!(self.log, "view: {}", view.word(); "there" => look.there, "suspects" => look.suspects,
-                        "dead" => look.dead, "differing" => look.differing);
+                    info!(self.log, "view: {}", view.word(); "there" => summary.there, "suspects" => summary.suspects,
+                        "dead" => summary.dead, "differing" => summary.differing);
                 }
-                News::Sharers(n) => drop(self.sharing_routers.as_ref().map(|post| post.send(n))),
-                News::Tell(whom) => {
+                News::Sharers(count) => drop(self.sharing_routers.as_ref().map(|sender| sender.send(count))),
+                News::Tell(addresses) => {
                     if let Some(exchange_peers) = &mut self.exchange_peers {
-                        exchange_peers.follow(&whom);
+                        exchange_peers.update(&addresses);
                     }
                 }
             }
         }
         let counts = self.peers.counts();
-        if counts != self.counted {
-            self.counted = counts;
-            let c = &context.counters;
-            c.letters.set(counts.letters);
-            c.letters_refused.set(counts.unreadable + counts.forged + counts.replayed + counts.flooded);
-            c.names_taken.set(counts.names_taken);
-            c.member_deaths.set(counts.deaths);
+        if counts != self.published_counts {
+            self.published_counts = counts;
+            let counters = &context.counters;
+            counters.letters.set(counts.letters);
+            counters
+                .letters_refused
+                .set(counts.unreadable + counts.forged + counts.replayed + counts.flooded);
+            counters.names_taken.set(counts.names_taken);
+            counters.member_deaths.set(counts.deaths);
         }
         context.counters.members.set(self.peers.count() as u64);
         context.counters.view.set(self.peers.view() as u64);
     }
 
-    /// This process ends: the others need not wonder.
+    /// Announces that this process leaves, so that the others need not suspect it.
     pub fn leave(&mut self, now: f64) {
         self.peers.leave();
         self.send(now);
@@ -184,7 +197,7 @@
     }
 }
 
-fn word(state: State) -> &'static str {
+fn state_text(state: State) -> &'static str {
     match state {
         State::Alive => "alive",
         State::Suspect => "suspect",
@@ -193,23 +206,27 @@
     }
 }
 
-/// As `sandstile members` reads it.
-pub fn report(r: &Report) -> Value {
-    let members: Vec<Value> = r
+/// The report that `sandstile members` reads.
+pub fn report(report: &Report) -> Value {
+    let members: Vec<Value> = report
         .members
         .iter()
-        .map(|m| {
-            json!({"name": m.rumour.of.name, "life": m.rumour.of.life, "state": word(m.rumour.state),
-                "address": m.rumour.at.to_string(), "since": m.since, "round_trip_ms": m.round_trip.map(|s| s * 1e3),
-                "version": m.rumour.meta.version, "zone": m.rumour.meta.zone, "agrees": m.agrees})
+        .map(|member| {
+            json!({"name": member.rumour.of.name, "life": member.rumour.of.life,
+                "state": state_text(member.rumour.state), "address": member.rumour.at.to_string(),
+                "since": member.since, "round_trip_ms": member.round_trip.map(|seconds| seconds * 1e3),
+                "version": member.rumour.meta.version, "zone": member.rumour.meta.zone, "agrees": member.agrees})
         })
         .collect();
-    let c = &r.counts;
-    json!({"name": r.name, "life": r.life, "address": r.at.to_string(), "version": r.meta.version, "zone": r.meta.zone,
-        "view": r.view.word(), "holds_for_s": r.holds_for, "digest": format!("{:016x}", r.digest),
-        "there": r.look.there, "suspects": r.look.suspects, "dead": r.look.dead, "differing": r.look.differing,
-        "health": r.health, "sharers": r.sharers, "members": members,
-        "letters": {"taken": c.letters, "sent": r.sent.1, "bytes_sent": r.sent.0, "unreadable": c.unreadable,
-            "forged": c.forged, "replayed": c.replayed, "flooded": c.flooded, "held_back": c.held_back},
-        "suspicions": c.suspicions, "deaths": c.deaths, "names_taken": c.names_taken})
+    let counts = &report.counts;
+    json!({"name": report.name, "life": report.life, "address": report.at.to_string(),
+        "version": report.meta.version, "zone": report.meta.zone,
+        "view": report.view.word(), "holds_for_s": report.holds_for, "digest": format!("{:016x}", report.digest),
+        "there": report.look.there, "suspects": report.look.suspects, "dead": report.look.dead,
+        "differing": report.look.differing,
+        "health": report.health, "sharers": report.sharers, "members": members,
+        "letters": {"taken": counts.letters, "sent": report.sent.1, "bytes_sent": report.sent.0,
+            "unreadable": counts.unreadable, "forged": counts.forged, "replayed": counts.replayed, "flooded": counts.flooded,
+            "held_back": counts.held_back},
+        "suspicions": counts.suspicions, "deaths": counts.deaths, "names_taken": counts.names_taken})
 }
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -1,7 +1,8 @@
-//! Writes down who asked what kind of thing when, for models and rehearsals: no literal, no name of a session. Off without
-//! our own file. The disk holds up nobody: what it does not keep up with is counted and left out.
+//! Records the arrival time, workload and group of each statement, for models and rehearsals; literals and
+//! names of sessions are not recorded. Off without a local configuration file. Statements never wait for the
+//! disk: arrivals that it is too slow for are counted and left out.
 use crate::counters::Counters;
-use crate::local_config::Recording;
+use crate::local_config::RecordingConfig;
 use crate::mailbox::{bounded_mailbox, Mailbox, MailboxSender};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
@@ -14,91 +15,91 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// One arrival, as the desk sees it.
-pub struct Seen {
+/// One arrival, as the dispatcher sees it.
+pub struct RecordedArrival {
     /// Unix seconds.
-    pub at: f64,
+    pub arrived_at: f64,
     pub workload: usize,
     pub group: String,
     pub session: Option<String>,
-    /// Seconds that the client waits.
-    pub wait: f64,
-    pub again: bool,
+    /// Seconds until the statement's deadline.
+    pub time_left: f64,
+    pub is_retry: bool,
 }
 
-/// The desk's end.
-pub struct Tape {
-    post: MailboxSender<Seen>,
+/// The dispatcher's side of the recorder.
+pub struct RecordingSource {
+    sender: MailboxSender<RecordedArrival>,
     counters: Arc<Counters>,
 }
 
-impl Source for Tape {
-    fn arrives(&mut self, now: f64, asked: &Asked) {
-        let seen = Seen {
-            at: now,
-            workload: asked.workload,
-            group: asked.group.clone(),
-            session: asked.session.clone(),
-            wait: asked.until - now,
-            again: asked.retry,
+impl Source for RecordingSource {
+    fn arrives(&mut self, now: f64, request: &Asked) {
+        let arrival = RecordedArrival {
+            arrived_at: now,
+            workload: request.workload,
+            group: request.group.clone(),
+            session: request.session.clone(),
+            time_left: request.until - now,
+            is_retry: request.retry,
         };
-        if !self.post.send(seen) {
+        if !self.sender.send(arrival) {
             self.counters.unrecorded.add();
         }
     }
 }
 
-/// Arrivals that may wait for the disk: at ten thousand a second, most of a second.
-const MOST_WAITING: usize = 8192;
-/// All so far can be read though the rest never comes, this often.
-const EVERY: Duration = Duration::from_secs(1);
+/// Limit on the arrivals queued for the disk: most of a second at 10,000 arrivals a second.
+const MAX_QUEUED_ARRIVALS: usize = 8192;
+/// Interval of syncs, so that an interrupted recording can be read up to the last one.
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Begins a recording; the thread ends once the tape is gone.
+/// Starts a recording; its thread ends once the returned source is dropped.
 pub fn begin(
-    plan: &Recording,
+    config: &RecordingConfig,
     workloads: Vec<String>,
     mut groups: Vec<String>,
     now: f64,
     counters: &Arc<Counters>,
     log: &Logger,
-) -> Result<(Tape, JoinHandle<()>), String> {
-    let told = |e: io::Error| format!("recording: {}: {e}", plan.file.display());
-    // An evening that is there already is somebody's.
-    let file = OpenOptions::new().write(true).create_new(true).open(&plan.file).map_err(told)?;
+) -> Result<(RecordingSource, JoinHandle<()>), String> {
+    let with_path = |e: io::Error| format!("recording: {}: {e}", config.file.display());
+    // An existing recording is never overwritten.
+    let file = OpenOptions::new().write(true).create_new(true).open(&config.file).map_err(with_path)?;
     let mut salt = [0; 16];
-    File::open("/dev/urandom").and_then(|mut f| f.read_exact(&mut salt)).map_err(told)?;
+    File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut salt)).map_err(with_path)?;
     groups.sort();
     groups.dedup();
-    // Groups that no list has named by now.
+    // The empty name stands for groups that no host list has named yet.
     groups.push(String::new());
     let head = Head { salt, workloads, groups };
-    let out = Counted { out: BufWriter::new(file), written: 0 };
-    let recorder = Recorder::begin(out, &head).map_err(told)?;
-    let (post, mailbox) = bounded_mailbox(MOST_WAITING);
-    let (max_bytes, own) = (plan.max_bytes, log.clone());
-    let write = move || match write(recorder, &head, &mailbox, now, max_bytes) {
-        Ok((written, true)) => info!(own, "the recording is whole"; "arrivals" => written),
+    let out = CountingWriter { out: BufWriter::new(file), written: 0 };
+    let recorder = Recorder::begin(out, &head).map_err(with_path)?;
+    let (sender, mailbox) = bounded_mailbox(MAX_QUEUED_ARRIVALS);
+    let (max_bytes, thread_log) = (config.max_bytes, log.clone());
+    let run = move || match write(recorder, &head, &mailbox, now, max_bytes) {
+        Ok((written, true)) => info!(thread_log, "the recording is whole"; "arrivals" => written),
         Ok((written, false)) => {
-            warn!(own, "the recording has reached its most and ends"; "arrivals" => written)
+            warn!(thread_log, "the recording has reached its size limit and ends"; "arrivals" => written)
         }
-        Err(e) => warn!(own, "the recording ends: {e}"),
+        Err(e) => warn!(thread_log, "the recording ends after a write error: {e}"),
     };
-    let thread = threads::spawn_joinable("recorder", threads::STACK, write)?;
-    info!(log, "recording"; "file" => %plan.file.display());
-    Ok((Tape { post, counters: counters.clone() }, thread))
+    let thread = threads::spawn_joinable("recorder", threads::STACK, run)?;
+    info!(log, "recording"; "file" => %config.file.display());
+    Ok((RecordingSource { sender, counters: counters.clone() }, thread))
 }
 
-/// How much has gone to the disk.
-struct Counted<W> {
+/// Counts the bytes written.
+struct CountingWriter<W> {
     out: W,
     written: u64,
 }
 
-impl<W: Write> Write for Counted<W> {
+impl<W: Write> Write for CountingWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let put = self.out.write(bytes)?;
-        self.written += put as u64;
-        Ok(put)
+        let bytes_written = self.out.write(bytes)?;
+        self.written += bytes_written as u64;
+        Ok(bytes_written)
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -106,26 +107,28 @@
     }
 }
 
-/// `false` where it ended at its most.
+/// Writes arrivals until the source is dropped or the size limit is reached. Returns the number of arrivals,
+/// and `false` if the limit ended the recording.
 fn write(
-    mut recorder: Recorder<Counted<BufWriter<File>>>,
+    mut recorder: Recorder<CountingWriter<BufWriter<File>>>,
     head: &Head,
-    mailbox: &Mailbox<Seen>,
-    begun: f64,
+    mailbox: &Mailbox<RecordedArrival>,
+    started_at: f64,
     max_bytes: u64,
 ) -> io::Result<(u64, bool)> {
-    let unnamed = head.groups.len() - 1;
+    let unnamed_group = head.groups.len() - 1;
     loop {
-        match mailbox.recv(Some(EVERY)) {
-            Ok(seen) => {
-                let group = head.groups[..unnamed].binary_search(&seen.group).unwrap_or(unnamed);
+        match mailbox.recv(Some(SYNC_INTERVAL)) {
+            Ok(arrival) => {
+                let group =
+                    head.groups[..unnamed_group].binary_search(&arrival.group).unwrap_or(unnamed_group);
                 recorder.add(&Arrival {
-                    at_us: ((seen.at - begun).max(0.0) * 1e6) as u64,
-                    workload: seen.workload as u32,
+                    at_us: ((arrival.arrived_at - started_at).max(0.0) * 1e6) as u64,
+                    workload: arrival.workload as u32,
                     group: group as u32,
-                    session: seen.session.map_or(0, |name| head.session(&name)),
-                    wait_ms: (seen.wait * 1e3) as u32,
-                    again: seen.again,
+                    session: arrival.session.map_or(0, |name| head.session(&name)),
+                    wait_ms: (arrival.time_left * 1e3) as u32,
+                    again: arrival.is_retry,
                 })?;
                 if recorder.out().written >= max_bytes {
                     let written = recorder.written;
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -1,10 +1,11 @@
-//! The state that is kept together with other instances, beside the desk's sessions. What is told to whom and believed when stands in
-//! `sandstile-replication`; here it meets outlets to other instances, the disk's thread and whoever asks over a socket. Off without our own file.
+//! The state that is replicated between instances, used by the dispatcher's sessions. `sandstile-replication`
+//! decides what is sent to which peer and when a copy is trusted; this module connects it to the peers'
+//! connections, the disk's thread and the control socket. Off without a local configuration file.
 use crate::clock::Clock;
 use crate::control::is_abandoned;
-use crate::local_config::State as Plan;
+use crate::local_config::StateConfig;
 use crate::mailbox::{mailbox, Mailbox, MailboxSender};
-use crate::session_messages::{SessionMessage, Shown, Telling};
+use crate::session_messages::{PeerMessage, SessionMessage, StateReport};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Ending, Outcome};
@@ -27,21 +28,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of the periodic work.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Seconds between writes to the disk.
-const WRITES: f64 = 0.25;
-/// Seconds between two words on how far one group's log has come.
-const FLOORS: f64 = 1.0;
-/// For whoever asks over the socket to say what, and to read it.
-const PATIENCE: Duration = Duration::from_secs(2);
-
-/// Hosts and groups that are remembered as spoken of.
-const MOST_HOSTS: usize = 4096;
-/// Seconds between two words on one host that refuses.
-const REFUSALS: f64 = 0.5;
-
-/// What is known of this router besides its plan.
+const WRITE_INTERVAL_S: f64 = 0.25;
+/// Seconds between two facts about the log position of one group.
+const FLOOR_INTERVAL_S: f64 = 1.0;
+/// Timeout for reading a request from the control socket, and for writing the answer.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Limit on the hosts, and on the groups, whose last published fact is remembered.
+const MAX_REMEMBERED: usize = 4096;
+/// Seconds between two facts that the same host refuses.
+const REFUSAL_INTERVAL_S: f64 = 0.5;
+
+/// Settings from outside the `state` section of the local configuration file.
 pub struct RouterSettings<'a> {
     pub name: &'a str,
     pub generation: u64,
@@ -50,43 +51,43 @@
     pub horizon: f64,
 }
 
-/// What a turn brought.
+/// What processing the received facts has brought.
 #[derive(Default)]
-pub struct Learnt {
+pub struct StateChanges {
     pub marks: Vec<(Key, Seen)>,
-    /// The copy from the disk was an old one: what it lacks may have been written.
+    /// The copy from the disk was outdated, so writes may be missing from it.
     pub old_copy: bool,
-    /// One that was handed all of ours told all that it has.
-    pub vouched: bool,
-    /// Hosts that refused another, and how long ago.
-    pub warned: Vec<(String, f64)>,
+    /// A peer that had received all of this instance's facts before its restart has sent everything it has.
+    pub all_received: bool,
+    /// Hosts that refused another instance, and how many seconds ago.
+    pub host_warnings: Vec<(String, f64)>,
 }
 
-/// For the disk's thread.
-enum Chore {
+/// Task of the disk's thread.
+enum DiskTask {
     Put(f64, Snapshot),
     End(f64, Snapshot, MailboxSender<()>),
 }
 
 pub struct ReplicatedState {
-    keeper: Keeper,
-    outlets: BTreeMap<String, MailboxSender<Telling>>,
-    /// Those that were handed all that our former life knew.
-    vouchers: BTreeSet<String>,
-    /// Where the disk takes what has changed; `None` in memory alone, and once it has failed.
-    disk: Option<MailboxSender<Chore>>,
-    /// The disk's thread has done what it was given.
-    idle: Mailbox<bool>,
-    busy: bool,
-    wrote_at: f64,
-    put: u64,
-    /// When each group's log was spoken of last, and the term it was under.
-    led: BTreeMap<Arc<str>, (f64, u64)>,
-    /// Who probes which host, where our own file has it shared.
-    duties: Option<Duties>,
-    /// Hosts that refused this router: when it said so last.
+    replication: Keeper,
+    peers: BTreeMap<String, MailboxSender<PeerMessage>>,
+    /// Peers that hold all that this instance's former generation knew.
+    complete_peers: BTreeSet<String>,
+    /// Mailbox of the disk's thread; `None` if the state is in memory only, or after the disk has failed.
+    disk: Option<MailboxSender<DiskTask>>,
+    /// Results of the disk's thread, one for each finished task.
+    results: Mailbox<bool>,
+    writing: bool,
+    last_write_at: f64,
+    saved_number: u64,
+    /// When each group's log position was last published, and the term then.
+    published_positions: BTreeMap<Arc<str>, (f64, u64)>,
+    /// Which router probes which host, if the local configuration file turns sharing on.
+    probe_sharing: Option<Duties>,
+    /// Hosts that refuse this router, and when that was last published.
     refused: BTreeMap<String, f64>,
-    /// Whose word on hosts that refuse is heeded.
+    /// Which peers' claims about refusing hosts are trusted.
     warnings: Warnings,
     believed: Belief,
     old_copy: bool,
@@ -94,12 +95,12 @@
     contradictions: u64,
 }
 
-/// What a probe told, how careful that makes, and its word among facts.
-const TOLD: [(Told, u8, &str); 3] =
+/// The results of a probe, each with its degree of caution and its text in a fact.
+const PROBE_RESULTS: [(Told, u8, &str); 3] =
     [(Told::Silent, 1, "silent"), (Told::Answers, 0, "answers"), (Told::Primary, 0, "primary")];
 
-/// A peer's name without its life.
-fn bare(peer: &str) -> &str {
+/// A peer's name without its generation.
+fn name_of(peer: &str) -> &str {
     peer.split_once('#').map_or(peer, |(name, _)| name)
 }
 
@@ -107,7 +108,7 @@
     format!("{:016x}", key.0)
 }
 
-fn mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(Key, Seen)> {
+fn to_mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(Key, Seen)> {
     match (key.kind, &fact.value) {
         (Kind::Mark, Value::Seen(seen)) => {
             Some((Key(u64::from_str_radix(&key.subject, 16).ok()?), seen.clone()))
@@ -117,53 +118,53 @@
 }
 
 impl ReplicatedState {
-    /// Takes up what the disk holds, and begins what runs beside. The message is one line.
+    /// Loads the state from the disk and starts the threads. The error message is one line.
     pub fn begin(
-        plan: &Plan,
-        terms: &RouterSettings,
-        words: MailboxSender<SessionMessage>,
+        config: &StateConfig,
+        settings: &RouterSettings,
+        messages: MailboxSender<SessionMessage>,
         clock: &Clock,
         log: &Logger,
     ) -> Result<ReplicatedState, String> {
         let now = clock.now();
         let (mut disk, mut believed, mut stored_life, mut facts) = (None, Belief::None, None, Vec::new());
-        let (idle, done) = mailbox();
-        if let Some(dir) = &plan.dir {
-            let folder = Folder::open(dir, plan.witness.as_deref())?;
+        let (result_sender, result_mailbox) = mailbox();
+        if let Some(dir) = &config.dir {
+            let folder = Folder::open(dir, config.witness.as_deref())?;
             let Opened { found, stored, witness, shelf } =
-                sandstile_durable_state::open(Box::new(folder), terms.generation);
+                sandstile_durable_state::open(Box::new(folder), settings.generation);
             believed = believe(stored, witness);
-            info!(log, "state is taken up"; "facts" => found.facts.len(), "spoilt" => found.spoilt,
-                "ended" => found.ended, "believed" => ?believed, "witness" => ?witness.file);
+            info!(log, "state: copy loaded from the disk"; "facts" => found.facts.len(),
+                "spoilt" => found.spoilt, "ended" => found.ended, "believed" => ?believed, "witness" => ?witness.file);
             (stored_life, facts) = (found.life, found.facts);
             match shelf {
                 Ok(shelf) => {
-                    let (post, chores) = mailbox();
-                    let own = log.clone();
+                    let (sender, tasks) = mailbox();
+                    let thread_log = log.clone();
                     threads::spawn_joinable("state", threads::STACK, move || {
-                        keep(shelf, &chores, &idle, &own)
+                        run_disk(shelf, &tasks, &result_sender, &thread_log)
                     })?;
-                    disk = Some(post);
+                    disk = Some(sender);
                 }
-                Err(e) => warn!(log, "state is kept in memory alone: {e}"),
+                Err(e) => warn!(log, "state: kept in memory only: {e}"),
             }
         }
-        let ticks = words.clone();
+        let ticks = messages.clone();
         threads::spawn_detached("ticks", move || {
             while ticks.send(SessionMessage::Tick) {
-                std::thread::sleep(TICK);
+                std::thread::sleep(TICK_INTERVAL);
             }
         })?;
-        if let Some(path) = &plan.control {
-            let listener = door(path)?;
-            threads::spawn_detached("state asked", move || answer(&listener, &words))?;
+        if let Some(path) = &config.control {
+            let listener = open_socket(path)?;
+            threads::spawn_detached("state asked", move || serve_requests(&listener, &messages))?;
         }
-        let keeper = Keeper::new(
+        let replication = Keeper::new(
             sandstile_replication::Terms {
-                name: terms.name.to_string(),
-                life: terms.generation,
-                horizon: terms.horizon,
-                seed: terms.seed ^ terms.generation,
+                name: settings.name.to_string(),
+                life: settings.generation,
+                horizon: settings.horizon,
+                seed: settings.seed ^ settings.generation,
                 stored: facts,
                 believed,
                 stored_life,
@@ -171,16 +172,18 @@
             now,
         );
         Ok(ReplicatedState {
-            keeper,
-            outlets: BTreeMap::new(),
-            vouchers: BTreeSet::new(),
+            replication,
+            peers: BTreeMap::new(),
+            complete_peers: BTreeSet::new(),
             disk,
-            idle: done,
-            busy: false,
-            wrote_at: now,
-            put: 0,
-            led: BTreeMap::new(),
-            duties: plan.together.then(|| Duties::new(terms.name, sandstile_probe_sharing::Terms::default())),
+            results: result_mailbox,
+            writing: false,
+            last_write_at: now,
+            saved_number: 0,
+            published_positions: BTreeMap::new(),
+            probe_sharing: config
+                .learn_together
+                .then(|| Duties::new(settings.name, sandstile_probe_sharing::Terms::default())),
             refused: BTreeMap::new(),
             warnings: Warnings::default(),
             believed,
@@ -190,90 +193,103 @@
         })
     }
 
-    /// Marks that were found on the disk.
+    /// Marks loaded from the disk.
     pub fn marks(&self) -> impl Iterator<Item = (Key, Seen)> + '_ {
-        self.keeper.replica().iter().filter_map(mark)
+        self.replication.replica().iter().filter_map(to_mark)
     }
 
-    /// Whether what was found is all that the former life knew.
+    /// Whether the copy on the disk holds all that the former generation knew.
     pub fn found_all(&self) -> bool {
         self.believed == Belief::All
     }
 
-    pub fn wrote(&mut self, now: f64, key: Key, seen: &Seen) {
-        self.keeper.learn(now, Kind::Mark, &subject(key), Value::Seen(seen.clone()));
+    pub fn record_write(&mut self, now: f64, key: Key, seen: &Seen) {
+        self.replication.learn(now, Kind::Mark, &subject(key), Value::Seen(seen.clone()));
     }
 
-    /// A group's primary has told how far its log is.
-    pub fn led(&mut self, now: f64, group: &Arc<str>, mark: Mark) {
+    /// Publishes the log position that a group's primary has reported.
+    pub fn record_primary_position(&mut self, now: f64, group: &Arc<str>, mark: Mark) {
         let term = mark.term.0;
-        let before = self.led.get(group).copied();
-        if before.is_some_and(|(at, of)| of == term && now < at + FLOORS) {
+        let previous = self.published_positions.get(group).copied();
+        if previous.is_some_and(|(published_at, published_term)| {
+            published_term == term && now < published_at + FLOOR_INTERVAL_S
+        }) {
             return;
         }
-        if self.led.len() >= MOST_HOSTS {
-            self.led.clear();
+        if self.published_positions.len() >= MAX_REMEMBERED {
+            self.published_positions.clear();
         }
-        self.led.insert(group.clone(), (now, term));
-        // Names that are too long for a key are told of nowhere.
-        if before.is_none_or(|(_, of)| of != term) {
-            self.keeper.say(now, Kind::Leads, group, 0, &format!("{term:016x}"));
+        self.published_positions.insert(group.clone(), (now, term));
+        // Names that are too long for a key are not published.
+        if previous.is_none_or(|(_, published_term)| published_term != term) {
+            self.replication.say(now, Kind::Leads, group, 0, &format!("{term:016x}"));
         }
-        self.keeper.learn(now, Kind::Floor, &format!("{term:016x}/{group}"), Value::Most(mark.position));
+        self.replication.learn(now, Kind::Floor, &format!("{term:016x}/{group}"), Value::Most(mark.position));
     }
 
-    /// This one hears us from now on; `of_yours` says that it ended in order and left us all that it knew.
-    pub fn linked(&mut self, now: f64, peer: String, outlet: MailboxSender<Telling>, of_yours: bool) {
-        if outlet.send(Telling::Whole { of_yours }) {
-            self.keeper.linked_with(now, &peer);
-            self.outlets.insert(peer, outlet);
+    /// Starts sending to a peer; `of_yours` says that its former generation shut down in order and had sent
+    /// all its facts here.
+    pub fn peer_connected(
+        &mut self,
+        now: f64,
+        peer: String,
+        sender: MailboxSender<PeerMessage>,
+        of_yours: bool,
+    ) {
+        if sender.send(PeerMessage::Whole { of_yours }) {
+            self.replication.linked_with(now, &peer);
+            self.peers.insert(peer, sender);
         }
     }
 
-    pub fn parted(&mut self, now: f64, peer: &str) {
-        if self.outlets.remove(peer).is_some() {
-            self.keeper.parted_from(now, peer);
+    pub fn peer_disconnected(&mut self, now: f64, peer: &str) {
+        if self.peers.remove(peer).is_some() {
+            self.replication.parted_from(now, peer);
         }
     }
 
-    pub fn written(&mut self, peer: &str, bytes: usize) {
-        self.keeper.written(peer, bytes);
+    pub fn record_bytes_written(&mut self, peer: &str, bytes: usize) {
+        self.replication.written(peer, bytes);
     }
 
-    pub fn heard(&mut self, now: f64, from: &str, message: &[u8]) {
-        self.keeper.heard(now, from, message);
+    pub fn receive(&mut self, now: f64, from: &str, message: &[u8]) {
+        self.replication.heard(now, from, message);
     }
 
-    pub fn vouches(&mut self, peer: &str) {
-        // Few were told by our former life.
-        if self.vouchers.len() < 64 {
-            self.vouchers.insert(peer.to_string());
+    pub fn expect_all_from(&mut self, peer: &str) {
+        // The former generation was connected to far fewer peers than this limit.
+        if self.complete_peers.len() < 64 {
+            self.complete_peers.insert(peer.to_string());
         }
     }
 
-    /// Whether this router is to probe a host whose group lacks a primary.
+    /// Whether this router should probe a host whose group has no known primary.
     pub fn may_probe(&mut self, now: f64, host: &str) -> bool {
-        let Some(duties) = &mut self.duties else { return true };
-        let there = self.keeper.linked().map(|peer| bare(peer).to_string()).collect();
-        duties.there(now, &there);
-        duties.probes(now, host)
+        let Some(probe_sharing) = &mut self.probe_sharing else { return true };
+        let connected = self.replication.linked().map(|peer| name_of(peer).to_string()).collect();
+        probe_sharing.there(now, &connected);
+        probe_sharing.probes(now, host)
     }
 
     pub fn probed(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        let Some(duties) = &mut self.duties else { return };
-        let told = match (outcome.ending == Ending::Completed, outcome.note.primary) {
+        let Some(probe_sharing) = &mut self.probe_sharing else { return };
+        let result = match (outcome.ending == Ending::Completed, outcome.note.primary) {
             (false, _) => Told::Silent,
             (true, Some(true)) => Told::Primary,
             (true, _) => Told::Answers,
         };
-        duties.probed(now, host, told);
-        let (careful, body) = TOLD.iter().find(|(t, ..)| *t == told).map_or((1, ""), |(_, c, b)| (*c, *b));
-        self.keeper.say(now, Kind::Probed, host, careful, body);
+        probe_sharing.probed(now, host, result);
+        let (careful, body) = PROBE_RESULTS
+            .iter()
+            .find(|(known, ..)| *known == result)
+            .map_or((1, ""), |(_, careful, body)| (*careful, *body));
+        self.replication.say(now, Kind::Probed, host, careful, body);
     }
 
-    /// An execution at this host has ended: what others would lose a statement to learn is told to them.
+    /// Called when an execution on this host has ended. Publishes refusals, so that other instances need not
+    /// lose a statement to notice them.
     pub fn met(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        if self.duties.is_none() {
+        if self.probe_sharing.is_none() {
             return;
         }
         if outcome.ending == Ending::Completed {
@@ -281,35 +297,47 @@
         }
         match outcome.ending.verdict() {
             Verdict::ConnectFailed | Verdict::Reset | Verdict::Full => {
-                if self.refused.len() >= MOST_HOSTS {
+                if self.refused.len() >= MAX_REMEMBERED {
                     self.refused.clear();
                 }
-                if self.refused.get(host).is_none_or(|said| now >= said + REFUSALS) {
+                if self.refused.get(host).is_none_or(|published_at| now >= published_at + REFUSAL_INTERVAL_S)
+                {
                     self.refused.insert(host.to_string(), now);
-                    self.keeper.say(now, Kind::Refuses, host, 1, "");
+                    self.replication.say(now, Kind::Refuses, host, 1, "");
                 }
             }
             Verdict::Completed if self.refused.remove(host).is_some() => {
-                self.keeper.say(now, Kind::Refuses, host, 0, "");
+                self.replication.say(now, Kind::Refuses, host, 0, "");
             }
             _ => {}
         }
     }
 
-    /// Another's word on a host.
-    fn told(&mut self, now: f64, key: &sandstile_replicated_state::Key, said: &Said, learnt: &mut Learnt) {
-        let Some(duties) = &mut self.duties else { return };
-        let Some(born) = self.keeper.replica().get(key).map(|fact| fact.born) else { return };
+    /// Applies a peer's claim about a host.
+    fn apply_claim(
+        &mut self,
+        now: f64,
+        key: &sandstile_replicated_state::Key,
+        claim: &Said,
+        changes: &mut StateChanges,
+    ) {
+        let Some(probe_sharing) = &mut self.probe_sharing else { return };
+        let Some(born) = self.replication.replica().get(key).map(|fact| fact.born) else { return };
         match key.kind {
             Kind::Probed => {
-                let Some((told, ..)) = TOLD.iter().find(|(_, _, body)| *body == &*said.body) else { return };
-                duties.heard(&key.owner, said.life, said.number, &key.subject, born, *told);
+                let Some((probe_result, ..)) =
+                    PROBE_RESULTS.iter().find(|(_, _, body)| *body == &*claim.body)
+                else {
+                    return;
+                };
+                probe_sharing.heard(&key.owner, claim.life, claim.number, &key.subject, born, *probe_result);
             }
             Kind::Refuses => {
-                // More care is allowed in every view, alone as well.
-                let may = said.careful > 0 && may(View::Alone, About::Refusal, Way::MoreCareful, false);
-                if may && self.warnings.heed(now, &key.owner, &key.subject) {
-                    learnt.warned.push((key.subject.to_string(), now - born));
+                // A claim that asks for more caution is allowed in every membership view, even if this router
+                // is alone.
+                let allowed = claim.careful > 0 && may(View::Alone, About::Refusal, Way::MoreCareful, false);
+                if allowed && self.warnings.heed(now, &key.owner, &key.subject) {
+                    changes.host_warnings.push((key.subject.to_string(), now - born));
                 }
             }
             _ => {}
@@ -317,123 +345,128 @@
     }
 
     fn send(&mut self, now: f64) {
-        for (peer, message) in self.keeper.take_out(now) {
-            if self.outlets.get(&peer).is_some_and(|o| !o.send(Telling::State(message))) {
-                self.outlets.remove(&peer);
-                self.keeper.parted_from(now, &peer);
+        for (peer, message) in self.replication.take_out(now) {
+            if self.peers.get(&peer).is_some_and(|sender| !sender.send(PeerMessage::State(message))) {
+                self.peers.remove(&peer);
+                self.replication.parted_from(now, &peer);
             }
         }
     }
 
-    /// Answers go out at once, news with the next look: so many facts share a message, and a message a look is all that a link carries
-    /// of them.
-    pub fn turn(&mut self, now: f64, looks: bool, log: &Logger) -> Learnt {
-        if looks {
-            self.keeper.look(now);
+    /// Sends replies to peers at once, and new facts with the next periodic run, so that facts are batched:
+    /// each connection carries one message with new facts per run.
+    pub fn process(&mut self, now: f64, check_due: bool, log: &Logger) -> StateChanges {
+        if check_due {
+            self.replication.look(now);
         }
         self.send(now);
-        let mut learnt = Learnt::default();
-        for news in self.keeper.take_news() {
-            match news {
+        let mut changes = StateChanges::default();
+        for event in self.replication.take_news() {
+            match event {
                 News::Learnt(key, Value::Seen(seen)) if key.kind == Kind::Mark => {
-                    learnt.marks.extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (Key(k), seen)));
+                    changes.marks.extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (Key(k), seen)));
                 }
-                News::Learnt(key, Value::Said(said)) => self.told(now, &key, &said, &mut learnt),
+                News::Learnt(key, Value::Said(claim)) => self.apply_claim(now, &key, &claim, &mut changes),
                 News::Learnt(..) => {}
                 News::Standing(standing) => {
-                    info!(log, "state: {}", word(standing); "facts" => self.keeper.replica().len())
+                    info!(log, "state: {}", standing_text(standing); "facts" => self.replication.replica().len())
                 }
-                News::Has(peer) => learnt.vouched |= self.vouchers.remove(&peer),
+                News::Has(peer) => changes.all_received |= self.complete_peers.remove(&peer),
                 News::Contradicts(key) => {
                     self.contradictions += 1;
-                    warn!(log, "state: one under one number said two things"; "kind" => key.kind.word(),
-                        "of" => &*key.subject, "by" => &*key.owner);
+                    warn!(log, "state: contradiction: one member said two things under one number";
+                        "kind" => key.kind.word(), "of" => &*key.subject, "by" => &*key.owner);
                 }
                 News::OldCopy { found, met } => {
-                    (self.old_copy, learnt.old_copy) = (true, true);
-                    warn!(log, "state: the copy on the disk was an old one"; "its life" => found, "a later one" => met);
+                    (self.old_copy, changes.old_copy) = (true, true);
+                    warn!(log, "state: the copy from the disk was an old one"; "its life" => found,
+                        "a later one" => met);
                 }
-                News::Twin(life) => {
+                News::Twin(generation) => {
                     self.twins += 1;
                     if self.twins == 1 {
-                        warn!(log, "state: a later life of this name is about"; "life" => life);
+                        warn!(log, "state: a process with this router's name and a later life is running";
+                            "life" => generation);
                     }
                 }
             }
         }
-        self.put_by(now, log);
-        learnt
+        self.save_if_due(now, log);
+        changes
     }
 
-    fn put_by(&mut self, now: f64, log: &Logger) {
-        while let Some(well) = self.idle.try_recv() {
-            self.busy = false;
-            if !well && self.disk.take().is_some() {
-                warn!(log, "state is kept in memory alone from now on");
+    fn save_if_due(&mut self, now: f64, log: &Logger) {
+        while let Some(succeeded) = self.results.try_recv() {
+            self.writing = false;
+            if !succeeded && self.disk.take().is_some() {
+                warn!(log, "state: kept in memory only from now on");
             }
         }
-        let number = self.keeper.replica().number();
-        if self.busy || now < self.wrote_at + WRITES || (number == self.put && self.put > 0) {
+        let number = self.replication.replica().number();
+        if self.writing
+            || now < self.last_write_at + WRITE_INTERVAL_S
+            || (number == self.saved_number && self.saved_number > 0)
+        {
             return;
         }
         if let Some(disk) = &self.disk {
-            // A copy shares its facts with ours.
-            self.busy = disk.send(Chore::Put(now, self.keeper.replica().snapshot()));
-            (self.wrote_at, self.put) = (now, number);
+            // Cheap: the snapshot shares its facts with the replica.
+            self.writing = disk.send(DiskTask::Put(now, self.replication.replica().snapshot()));
+            (self.last_write_at, self.saved_number) = (now, number);
         }
     }
 
-    /// All is told to all, and put down as that.
-    pub fn end(&mut self, now: f64, done: &MailboxSender<()>) {
-        self.keeper.look(now);
-        for (peer, outlet) in std::mem::take(&mut self.outlets) {
-            let Some(words) = self.keeper.last_words(now, &peer) else { continue };
-            if words.into_iter().all(|w| outlet.send(Telling::State(w))) {
-                outlet.send(Telling::End(done.clone()));
+    /// Sends all facts to all peers, and writes the final state to the disk.
+    pub fn shut_down(&mut self, now: f64, done: &MailboxSender<()>) {
+        self.replication.look(now);
+        for (peer, sender) in std::mem::take(&mut self.peers) {
+            let Some(last_messages) = self.replication.last_words(now, &peer) else { continue };
+            if last_messages.into_iter().all(|message| sender.send(PeerMessage::State(message))) {
+                sender.send(PeerMessage::End(done.clone()));
             }
         }
         if let Some(disk) = self.disk.take() {
-            disk.send(Chore::End(now, self.keeper.replica().snapshot(), done.clone()));
+            disk.send(DiskTask::End(now, self.replication.replica().snapshot(), done.clone()));
         }
     }
 
-    /// What an operator is told, but for what takes a look at every fact.
-    pub fn show(&self, now: f64) -> Shown {
-        let replica = self.keeper.replica();
-        let (c, r) = (self.keeper.counts(), replica.counts());
-        let about = json!({"standing": word(self.keeper.standing()), "facts": replica.len(),
+    /// The report for operators, without the parts that need a pass over all facts.
+    pub fn report(&self, now: f64) -> StateReport {
+        let replica = self.replication.replica();
+        let (counts, replica_counts) = (self.replication.counts(), replica.counts());
+        let summary = json!({"standing": standing_text(self.replication.standing()), "facts": replica.len(),
             "digest": format!("{:016x}", replica.digest()),
-            "linked": self.keeper.linked().collect::<Vec<_>>(), "number": replica.number(),
+            "linked": self.replication.linked().collect::<Vec<_>>(), "number": replica.number(),
             "believed": format!("{:?}", self.believed).to_lowercase(), "old_copy": self.old_copy,
             "disk": self.disk.is_some(), "twins": self.twins, "contradictions": self.contradictions,
-            "bytes_in": c.bytes_in, "bytes_out": c.bytes_out, "messages_in": c.messages_in,
-            "messages_out": c.messages_out, "rounds": c.rounds, "rounds_lost": c.rounds_lost,
-            "unreadable": c.unreadable, "refused": c.refused, "shed": c.shed,
-            "given_up": r.given_up, "forgotten": r.forgotten});
-        Shown { at: now, about, held: replica.snapshot() }
+            "bytes_in": counts.bytes_in, "bytes_out": counts.bytes_out, "messages_in": counts.messages_in,
+            "messages_out": counts.messages_out, "rounds": counts.rounds, "rounds_lost": counts.rounds_lost,
+            "unreadable": counts.unreadable, "refused": counts.refused, "shed": counts.shed,
+            "given_up": replica_counts.given_up, "forgotten": replica_counts.forgotten});
+        StateReport { at: now, summary, facts: replica.snapshot() }
     }
 }
 
-/// How it stands, with the sum of what is older than this.
-fn summary(shown: Shown, at: f64) -> Vec<u8> {
-    let Shown { mut about, held, .. } = shown;
+/// The report as one JSON line, with counts by kind and the digest of the facts older than `at`.
+fn summary_line(report: StateReport, at: f64) -> Vec<u8> {
+    let StateReport { mut summary, facts, .. } = report;
     let mut kinds: BTreeMap<&str, u64> = BTreeMap::new();
-    held.iter().for_each(|(key, _)| *kinds.entry(key.kind.word()).or_default() += 1);
-    about["kinds"] = json!(kinds);
-    about["as_of"] = json!(at);
-    about["digest_as_of"] = json!(format!("{:016x}", held.digest_as_of(at)));
-    format!("{about}\n").into_bytes()
+    facts.iter().for_each(|(key, _)| *kinds.entry(key.kind.word()).or_default() += 1);
+    summary["kinds"] = json!(kinds);
+    summary["as_of"] = json!(at);
+    summary["digest_as_of"] = json!(format!("{:016x}", facts.digest_as_of(at)));
+    format!("{summary}\n").into_bytes()
 }
 
-/// All facts in the form of a file, so that a router and a file compare alike.
-fn facts(shown: &Shown) -> Vec<u8> {
+/// All facts in the format of the state file, so that a router and a file can be compared.
+fn all_facts(report: &StateReport) -> Vec<u8> {
     let mut out = stored::head(1);
-    shown.held.iter().for_each(|(key, fact)| stored::put(&mut out, 1, shown.at, key, fact));
-    stored::ended(&mut out, 1, shown.held.number());
+    report.facts.iter().for_each(|(key, fact)| stored::put(&mut out, 1, report.at, key, fact));
+    stored::ended(&mut out, 1, report.facts.number());
     out
 }
 
-fn word(standing: Standing) -> &'static str {
+fn standing_text(standing: Standing) -> &'static str {
     match standing {
         Standing::New => "new",
         Standing::CatchingUp => "catching up",
@@ -443,21 +476,21 @@
     }
 }
 
-/// The disk's thread: one chore at a time, however slow it is.
-fn keep(mut shelf: Shelf, chores: &Mailbox<Chore>, idle: &MailboxSender<bool>, log: &Logger) {
+/// The disk's thread: runs one task at a time, however slow the disk is.
+fn run_disk(mut shelf: Shelf, tasks: &Mailbox<DiskTask>, results: &MailboxSender<bool>, log: &Logger) {
     loop {
-        match chores.recv(None) {
-            Ok(Chore::Put(now, held)) => {
-                let put = shelf.put(now, &held);
-                idle.send(put.is_ok());
+        match tasks.recv(None) {
+            Ok(DiskTask::Put(now, snapshot)) => {
+                let put = shelf.put(now, &snapshot);
+                results.send(put.is_ok());
                 if let Err(e) = put {
-                    warn!(log, "state: the disk takes no more: {e}");
+                    warn!(log, "state: write to the disk failed, no more will follow: {e}");
                     return;
                 }
             }
-            Ok(Chore::End(now, held, done)) => {
-                if let Err(e) = shelf.end(now, &held) {
-                    warn!(log, "state: not all of it is on the disk: {e}");
+            Ok(DiskTask::End(now, snapshot, done)) => {
+                if let Err(e) = shelf.end(now, &snapshot) {
+                    warn!(log, "state: final write failed, not all of it is on the disk: {e}");
                 }
                 drop(done);
                 return;
@@ -468,46 +501,49 @@
     }
 }
 
-/// A socket that a former process left is taken away; one that somebody listens at is not.
-fn door(path: &Path) -> Result<UnixListener, String> {
-    let told = |e: std::io::Error| format!("state: {}: {e}", path.display());
+/// Opens the control socket. A stale socket file of an earlier process is replaced; one with a listener is an
+/// error.
+fn open_socket(path: &Path) -> Result<UnixListener, String> {
+    let with_path = |e: std::io::Error| format!("state: {}: {e}", path.display());
     if std::fs::symlink_metadata(path).is_ok() {
         if !is_abandoned(path) {
-            return Err(format!("state: {}: another process may listen there", path.display()));
+            return Err(format!("state: {}: another process may listen on this socket", path.display()));
         }
-        std::fs::remove_file(path).map_err(told)?;
+        std::fs::remove_file(path).map_err(with_path)?;
     }
-    let listener = UnixListener::bind(path).map_err(told)?;
-    std::fs::set_permissions(path, std::os::unix::fs::PermissionsExt::from_mode(0o600)).map_err(told)?;
+    let listener = UnixListener::bind(path).map_err(with_path)?;
+    std::fs::set_permissions(path, std::os::unix::fs::PermissionsExt::from_mode(0o600)).map_err(with_path)?;
     Ok(listener)
 }
 
-/// Answers one after the other: `summary SECONDS` or `facts`, a line.
-fn answer(listener: &UnixListener, words: &MailboxSender<SessionMessage>) {
+/// Serves requests one after the other. A request is one line: `summary SECONDS` or `facts`.
+fn serve_requests(listener: &UnixListener, messages: &MailboxSender<SessionMessage>) {
     for stream in listener.incoming() {
         let Ok(mut stream) = stream else {
-            std::thread::sleep(TICK);
+            std::thread::sleep(TICK_INTERVAL);
             continue;
         };
-        let patient = stream.set_read_timeout(Some(PATIENCE)).and(stream.set_write_timeout(Some(PATIENCE)));
+        let timeouts_set = stream
+            .set_read_timeout(Some(CONTROL_TIMEOUT))
+            .and(stream.set_write_timeout(Some(CONTROL_TIMEOUT)));
         let mut line = String::new();
         let read = BufReader::new((&stream).take(64)).read_line(&mut line);
-        if patient.is_err() || read.is_err() {
+        if timeouts_set.is_err() || read.is_err() {
             continue;
         }
         let at = line.strip_prefix("summary ").and_then(|at| at.trim().parse::<f64>().ok());
         if at.is_none_or(|at| !at.is_finite()) && line.trim() != "facts" {
             continue;
         }
-        let (post, told) = crate::mailbox::single_slot_mailbox();
-        if !words.send(SessionMessage::Show(post)) {
+        let (sender, receiver) = crate::mailbox::single_slot_mailbox();
+        if !messages.send(SessionMessage::Report(sender)) {
             return;
         }
-        // Looked through here, and not where statements wait.
-        if let Ok(shown) = told.recv(Some(PATIENCE)) {
+        // The pass over all facts happens on this thread, so that statements do not wait for it.
+        if let Ok(report) = receiver.recv(Some(CONTROL_TIMEOUT)) {
             let bytes = match at {
-                Some(at) => summary(shown, at),
-                None => facts(&shown),
+                Some(at) => summary_line(report, at),
+                None => all_facts(&report),
             };
             let _ = stream.write_all(&bytes);
         }
--- a/crates/sandstile-router/src/session_messages.rs
+++ b/crates/sandstile-router/src/session_messages.rs
@@ -1,4 +1,4 @@
-//! What the desk's sessions hear from outside, and what goes from them to other instances.
+//! Messages to the dispatcher's sessions, and from them to other instances.
 use crate::mailbox::MailboxSender;
 use sandstile_exchange::Heard;
 use sandstile_replicated_state::Snapshot;
@@ -6,41 +6,43 @@
 use sandstile_sessions::store::{Exact, Key};
 use sandstile_sessions::token::KeyRing;
 
-/// What an operator is told of the kept state: how it stands, and a copy that shares its facts, to be looked through elsewhere.
-pub struct Shown {
+/// The replicated state for an operator: a summary, and a snapshot that shares its facts and is evaluated on
+/// the thread that asked.
+pub struct StateReport {
     pub at: f64,
-    pub about: serde_json::Value,
-    pub held: Snapshot,
+    pub summary: serde_json::Value,
+    pub facts: Snapshot,
 }
 
-/// Word from outside the desk.
+/// Message to the sessions from outside the dispatcher.
 pub enum SessionMessage {
     Keys(KeyRing),
-    /// Another instance, of this name, wants to be told what is known here.
-    Tell(String, MailboxSender<Telling>),
-    /// What another instance, of this name, has told.
-    Heard(String, Heard),
-    /// The instance of this name is not told any more.
-    Untold(String),
-    /// So many bytes on kept state were written to it.
-    Written(String, usize),
-    /// The kept state is to be looked at: some twenty times a second.
+    /// A connection to the instance of this name is open; it is to receive all marks.
+    PeerConnected(String, MailboxSender<PeerMessage>),
+    /// A message from the instance of this name.
+    FromPeer(String, Heard),
+    /// The connection to the instance of this name has ended.
+    PeerDisconnected(String),
+    /// A message of replicated state with this many bytes was written to the instance of this name.
+    StateBytesWritten(String, usize),
+    /// Triggers the periodic work of the replicated state, about twenty times a second.
     Tick,
-    /// An operator asks.
-    Show(MailboxSender<Shown>),
-    /// The instance ends: all that is known is to be on the disk, and told, when nobody holds this any more.
+    /// An operator asks for a report.
+    Report(MailboxSender<StateReport>),
+    /// The instance shuts down. All marks are on the disk and sent to the peers once every clone of the
+    /// sender has been dropped.
     End(MailboxSender<()>),
 }
 
-/// What goes to another instance.
-pub enum Telling {
-    /// All that is known, and whether that is all that the other knew when it ended last.
+/// Message to another instance.
+pub enum PeerMessage {
+    /// All marks; `of_yours` says whether they include all that the peer knew when it last shut down.
     Snapshot {
         exact: Exact,
         of_yours: bool,
     },
     Seen(Key, Seen),
-    /// In place of a snapshot, for one that keeps state with us.
+    /// Replaces the snapshot for a peer that replicates state.
     Whole {
         of_yours: bool,
     },
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -1,11 +1,11 @@
-//! What sessions have seen, beside the desk: marks are taken from answers and tokens, put down in a journal, and
-//! say what an own read must reach. What is to be decided stands in `sandstile-sessions`; here it meets statements,
-//! keys and the disk.
+//! Read-your-own-writes sessions of the dispatcher. Marks come from answers and tokens, are appended to a
+//! journal, and give the position that a session's own read must reach. The rules are in
+//! `sandstile-sessions`; this module connects them to statements, keys and the disk.
 use crate::clock::Clock;
-use crate::local_config::{Durability, Sessions as Plan};
+use crate::local_config::{Durability, SessionsConfig};
 use crate::mailbox::{mailbox, Mailbox, MailboxSender};
 use crate::replicated_state::ReplicatedState;
-use crate::session_messages::{SessionMessage, Telling};
+use crate::session_messages::{PeerMessage, SessionMessage};
 use crate::statement::Workload;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Answer, Asked, Ending, Fact, Given, Outcome, Source};
@@ -24,17 +24,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What one statement wants of all this.
-struct Wish {
+/// A statement that belongs to a session, from its arrival until it is over.
+struct SessionStatement {
     key: Key,
-    /// Names of groups are few and shared by many.
+    /// Shared, because there are few group names and many statements.
     group: Arc<str>,
     writes: bool,
-    /// For an own read: what it must reach.
+    /// For an own read, what its answer must include.
     floor: Option<Floor>,
 }
 
-impl Wish {
+impl SessionStatement {
     fn reach(&self) -> Option<Reach> {
         self.floor.map(|floor| match floor {
             Floor::Known(position) => Reach::Position(position),
@@ -49,150 +49,160 @@
     pub known: u64,
     pub unknown: u64,
     pub nothing: u64,
-    /// Tokens that were not believed.
+    /// Tokens that failed verification.
     pub refused: u64,
-    /// Answers that told of less than was asked for, and were not passed on.
+    /// Answers from hosts that were behind the required position; they were not passed on to the client.
     pub unserved: u64,
 }
 
 pub struct Sessions {
-    plan: Plan,
+    config: SessionsConfig,
     store: Store,
-    ring: KeyRing,
-    /// Which workloads are own reads.
+    key_ring: KeyRing,
+    /// Whether a workload consists of own reads, by its index.
     own_reads: Vec<bool>,
-    /// What the statements that are open want.
-    wishes: BTreeMap<u64, Wish>,
-    words: Mailbox<SessionMessage>,
+    /// Open statements by their id.
+    statements: BTreeMap<u64, SessionStatement>,
+    messages: Mailbox<SessionMessage>,
     journal: Option<MailboxSender<Entry>>,
-    outlets: Vec<MailboxSender<Telling>>,
-    /// Instances that ended in order and told all they knew before: when, and the life that is to have it back.
-    handed: BTreeMap<String, (f64, Option<String>)>,
-    heard_since: f64,
-    /// How far each group's log had come when its primary first answered this instance.
-    begun: BTreeMap<Arc<str>, Mark>,
-    /// What is kept together with other instances, where our own file turns that on.
-    kept: Option<Box<ReplicatedState>>,
-    /// What others met, for the decisions.
-    warned: Vec<Fact>,
-    aged_at: f64,
+    peers: Vec<MailboxSender<PeerMessage>>,
+    /// Instances that sent all their marks here and then shut down in order: when that was, and the
+    /// generation that gets the marks back once it has connected.
+    handovers: BTreeMap<String, (f64, Option<String>)>,
+    complete_since: f64,
+    /// Each group's log position when its primary first answered this instance.
+    first_marks: BTreeMap<Arc<str>, Mark>,
+    /// The state replicated between instances, if the local configuration file turns it on.
+    replicated: Option<Box<ReplicatedState>>,
+    /// Warnings of other instances about hosts, for the dispatcher.
+    host_warnings: Vec<Fact>,
+    last_expiry_at: f64,
     counts: Counts,
-    told_at: f64,
+    last_logged_at: f64,
     log: Logger,
 }
 
-/// Between looks for what is too old to be remembered.
-const AGE: f64 = 5.0;
-/// A restart takes no longer; after that nobody vouches for what an instance may have written in between.
-const HANDED: f64 = 15.0;
-/// Groups whose beginning is remembered.
-const MOST_GROUPS: usize = 4096;
-/// Between lines of log that count.
-const TELL: f64 = 60.0;
+/// Seconds between removals of marks that are older than the horizon.
+const EXPIRY_INTERVAL_S: f64 = 5.0;
+/// Seconds for which a handover is valid. A restart takes no longer; afterwards the instance may have written
+/// marks that nobody here knows of.
+const HANDOVER_VALID_S: f64 = 15.0;
+/// Limit on the groups whose first mark is stored.
+const MAX_GROUPS: usize = 4096;
+/// Seconds between log lines with the counters.
+const LOG_INTERVAL_S: f64 = 60.0;
 
 impl Sessions {
-    /// Takes up what a journal holds. The message is one line.
+    /// Loads the journal and starts its writer thread. The error message is one line.
     pub fn begin(
-        plan: Plan,
+        config: SessionsConfig,
         workloads: &[Workload],
-        words: Mailbox<SessionMessage>,
+        messages: Mailbox<SessionMessage>,
         answers: MailboxSender<Given>,
-        kept: Option<ReplicatedState>,
+        replicated: Option<ReplicatedState>,
         clock: &Clock,
         log: &Logger,
     ) -> Result<Sessions, String> {
         let now = clock.now();
-        let ring = plan.read_keys()?;
-        let bounds = Bounds { exact: plan.exact, cells: plan.cells, terms: 4 };
+        let key_ring = config.read_keys()?;
+        let bounds = Bounds { exact: config.max_sessions, cells: config.sketch_cells, terms: 4 };
         let mut store = Store::new(bounds);
-        // One that begins knows of nothing that was written before.
-        let mut heard_since = now;
+        // Without a complete journal, writes before this start are unknown.
+        let mut complete_since = now;
         let mut journal = None;
-        if let Some(path) = &plan.journal {
-            let told = |e| format!("{}: {e}", path.display());
-            let (opened, found) = open_journal(path, now - plan.horizon, log).map_err(told)?;
+        if let Some(path) = &config.journal {
+            let with_path = |e| format!("{}: {e}", path.display());
+            let (opened, found) = open_journal(path, now - config.horizon, log).map_err(with_path)?;
             found.marks.iter().for_each(|(key, seen)| store.merge(*key, seen));
-            // Nothing can be missing: each write was on the disk before anybody was told of it, or the last writer
-            // ended in order. A first journal knows of nothing before it.
-            let promised = plan.durability == Durability::BeforeAnswer || found.ended;
-            if found.whole && promised && found.bytes > 0 {
-                heard_since = f64::NEG_INFINITY;
+            // The journal is complete if each write was on the disk before its answer was sent, or if the
+            // last writer shut down in order. A new, empty journal says nothing about earlier writes.
+            let complete = config.durability == Durability::BeforeAnswer || found.ended;
+            if found.whole && complete && found.bytes > 0 {
+                complete_since = f64::NEG_INFINITY;
             }
-            info!(log, "sessions are taken up"; "marks" => found.marks.len(), "whole" => found.whole,
+            info!(log, "sessions: journal loaded"; "marks" => found.marks.len(), "whole" => found.whole,
                 "ended" => found.ended, "spoilt" => found.spoilt);
-            let (post, entries) = mailbox();
-            let (file, durability, log) = (path.clone(), plan.durability, log.clone());
-            let scribe = Scribe { journal: opened, answers, path: file, durability, clock: *clock, log };
+            let (sender, entries) = mailbox();
+            let (file, durability, log) = (path.clone(), config.durability, log.clone());
+            let writer =
+                JournalWriter { journal: opened, answers, path: file, durability, clock: *clock, log };
             thread::Builder::new()
                 .name("journal".to_string())
-                .spawn(move || scribe.run(&entries))
+                .spawn(move || writer.run(&entries))
                 .map_err(|e| format!("thread journal: {e}"))?;
-            journal = Some(post);
+            journal = Some(sender);
         }
-        if let Some(kept) = &kept {
-            kept.marks().for_each(|(key, seen)| store.merge(key, &seen));
-            if kept.found_all() {
-                heard_since = f64::NEG_INFINITY;
+        if let Some(replicated) = &replicated {
+            replicated.marks().for_each(|(key, seen)| store.merge(key, &seen));
+            if replicated.found_all() {
+                complete_since = f64::NEG_INFINITY;
             }
         }
-        if !plan.stay {
-            heard_since = f64::INFINITY;
+        if !config.sessions_stay {
+            complete_since = f64::INFINITY;
         }
         let own_reads = workloads.iter().map(|w| w.sessions && !w.writes).collect();
         let (counts, log) = (Counts::default(), log.clone());
         Ok(Sessions {
-            plan,
+            config,
             store,
-            ring,
+            key_ring,
             own_reads,
-            wishes: BTreeMap::new(),
-            words,
+            statements: BTreeMap::new(),
+            messages,
             journal,
-            outlets: Vec::new(),
-            handed: BTreeMap::new(),
-            heard_since,
-            begun: BTreeMap::new(),
-            kept: kept.map(Box::new),
-            warned: Vec::new(),
-            aged_at: now,
+            peers: Vec::new(),
+            handovers: BTreeMap::new(),
+            complete_since,
+            first_marks: BTreeMap::new(),
+            replicated: replicated.map(Box::new),
+            host_warnings: Vec::new(),
+            last_expiry_at: now,
             counts,
-            told_at: now,
+            last_logged_at: now,
             log,
         })
     }
 
-    /// A statement came in; `term` is what its group's hosts have told, 0 where nothing.
-    fn asked(&mut self, now: f64, asked: &Asked, term: u64) -> Option<Wish> {
-        let session = asked.session.as_deref()?;
-        if now > self.aged_at + AGE {
-            self.aged_at = now;
-            self.store.age_out(now, self.plan.horizon);
+    /// Works out what an arriving statement needs; `term` is the term that its group's hosts have reported,
+    /// or 0 if none has.
+    fn track_statement(&mut self, now: f64, request: &Asked, term: u64) -> Option<SessionStatement> {
+        let session = request.session.as_deref()?;
+        if now > self.last_expiry_at + EXPIRY_INTERVAL_S {
+            self.last_expiry_at = now;
+            self.store.age_out(now, self.config.horizon);
         }
-        if now > self.told_at + TELL {
-            self.told_at = now;
+        if now > self.last_logged_at + LOG_INTERVAL_S {
+            self.last_logged_at = now;
             info!(self.log, "sessions: {:?}", self.counts; "remembered" => self.store.len(),
                 "sketch_fill" => self.store.fill(), "pushed_out" => self.store.counts().pushed_out);
         }
-        let key = Key::of(&asked.group, session);
-        let begun = self.begun.get_key_value(asked.group.as_str());
-        let group = begun.map_or_else(|| Arc::from(asked.group.as_str()), |(name, _)| name.clone());
+        let key = Key::of(&request.group, session);
+        let begun = self.first_marks.get_key_value(request.group.as_str());
+        let group = begun.map_or_else(|| Arc::from(request.group.as_str()), |(name, _)| name.clone());
         let begun = begun.map(|(_, mark)| *mark);
-        let own = self.own_reads.get(asked.workload).copied().unwrap_or(false);
-        let floor = own.then(|| {
-            let carried = asked.mark.as_deref().and_then(|text| {
-                let checked = self.ring.check(text, key, now, self.plan.token_lasts, self.plan.skew);
+        let is_own_read = self.own_reads.get(request.workload).copied().unwrap_or(false);
+        let floor = is_own_read.then(|| {
+            let token_mark = request.mark.as_deref().and_then(|text| {
+                let checked = self.key_ring.check(
+                    text,
+                    key,
+                    now,
+                    self.config.token_lifetime,
+                    self.config.max_clock_skew,
+                );
                 self.counts.refused += u64::from(checked.is_err());
                 checked.ok().map(|token| token.mark)
             });
             let ground = Ground {
                 now,
                 term: (term > 0).then_some(Term(term)),
-                horizon: self.plan.horizon,
-                skew: self.plan.skew,
-                heard_since: self.heard_since,
+                horizon: self.config.horizon,
+                skew: self.config.max_clock_skew,
+                heard_since: self.complete_since,
                 begun,
             };
-            let floor = self.store.floor(key, carried, &ground);
+            let floor = self.store.floor(key, token_mark, &ground);
             match floor {
                 Floor::Known(_) => self.counts.known += 1,
                 Floor::Unknown(_) => self.counts.unknown += 1,
@@ -200,106 +210,116 @@
             }
             floor
         });
-        let before = self.plan.unmarked_as_before && asked.mark.is_none();
-        let floor = floor.filter(|floor| !(before && matches!(floor, Floor::Unknown(_))));
-        Some(Wish { key, group, writes: asked.writes, floor })
+        let lenient = self.config.allow_unmarked && request.mark.is_none();
+        let floor = floor.filter(|floor| !(lenient && matches!(floor, Floor::Unknown(_))));
+        Some(SessionStatement { key, group, writes: request.writes, floor })
     }
 
-    /// An answer by a host that turns out to hold less than the read must see is none: another host serves it. That
-    /// is no fault of the host's, which may have been demoted on the way.
-    fn verify(&mut self, wish: &Wish, outcome: &mut Outcome) {
+    /// Rejects an answer from a host that is behind what the read must see, so that another host serves it.
+    /// This is not counted as the host's failure, because it may have been demoted while the statement ran.
+    fn verify(&mut self, statement: &SessionStatement, outcome: &mut Outcome) {
         if outcome.ending != Ending::Completed || outcome.note.primary == Some(true) {
             return;
         }
-        let holds = match wish.floor {
+        let up_to_date = match statement.floor {
             None | Some(Floor::Nothing) => true,
             Some(Floor::Unknown(_)) => false,
-            // Where hosts tell no term, there is none to differ.
+            // Only positions are compared: hosts that report no term have none to compare.
             Some(Floor::Known(position)) => outcome.note.position.is_some_and(|at| at >= position),
         };
-        if !holds {
+        if !up_to_date {
             self.counts.unserved += 1;
             outcome.ending = Ending::Missed;
         }
     }
 
-    /// What an answer tells of its session's place: after a write its commit, after a read by the primary all that it
-    /// can have written before.
-    fn mark(wish: &Wish, outcome: &Outcome) -> Option<Mark> {
-        let at_primary = wish.writes || outcome.note.primary == Some(true);
+    /// The session's mark after an answer: the commit position after a write; after a read on the primary,
+    /// the primary's position, which covers every earlier write of the session.
+    fn session_mark(statement: &SessionStatement, outcome: &Outcome) -> Option<Mark> {
+        let at_primary = statement.writes || outcome.note.primary == Some(true);
         let (term, position) = (outcome.term?, outcome.note.position?);
         at_primary.then_some(Mark { term: Term(term), position })
     }
 
-    /// The first word of a group's primary in this life, or under a term of its own, says how far the log had come.
-    fn led(&mut self, now: f64, wish: &Wish, outcome: &Outcome) {
-        let Some(mark) = Self::mark(wish, outcome) else { return };
-        if self.begun.len() >= MOST_GROUPS && !self.begun.contains_key(&wish.group) {
-            // Its unknown sessions go to the primary a little longer.
+    /// Records the log position in the first answer of a group's primary, or in its first answer under a new
+    /// term.
+    fn record_primary_position(&mut self, now: f64, statement: &SessionStatement, outcome: &Outcome) {
+        let Some(mark) = Self::session_mark(statement, outcome) else { return };
+        if self.first_marks.len() >= MAX_GROUPS && !self.first_marks.contains_key(&statement.group) {
+            // Without a first mark, unknown sessions of this group only go to the primary for longer.
             return;
         }
-        if self.begun.get(&wish.group).is_none_or(|b| b.term != mark.term) {
-            self.begun.insert(wish.group.clone(), mark);
+        if self.first_marks.get(&statement.group).is_none_or(|b| b.term != mark.term) {
+            self.first_marks.insert(statement.group.clone(), mark);
         }
-        if let Some(kept) = &mut self.kept {
-            kept.led(now, &wish.group, mark);
+        if let Some(replicated) = &mut self.replicated {
+            replicated.record_primary_position(now, &statement.group, mark);
         }
     }
 
-    fn remember(&mut self, now: f64, wish: &Wish, outcome: &Outcome) -> Option<Seen> {
-        if !wish.writes {
+    fn record_write(&mut self, now: f64, statement: &SessionStatement, outcome: &Outcome) -> Option<Seen> {
+        if !statement.writes {
             return None;
         }
-        let seen = match Self::mark(wish, outcome) {
+        let seen = match Self::session_mark(statement, outcome) {
             Some(mark) => Seen::of(mark),
             None => Seen::Lost(now),
         };
-        self.store.merge(wish.key, &seen);
-        if let Some(kept) = &mut self.kept {
-            kept.wrote(now, wish.key, &seen);
+        self.store.merge(statement.key, &seen);
+        if let Some(replicated) = &mut self.replicated {
+            replicated.record_write(now, statement.key, &seen);
         }
-        // One that does not take it in as fast as writes come is told all of it anew, later.
-        self.outlets.retain(|outlet| outlet.send(Telling::Seen(wish.key, seen.clone())));
+        // A peer whose queue is full is dropped; it gets a new snapshot when it is connected again.
+        self.peers.retain(|peer| peer.send(PeerMessage::Seen(statement.key, seen.clone())));
         Some(seen)
     }
 
-    /// What comes of a write that has completed goes on the disk. `answer` waits for that, where somebody is to have it.
-    fn put_down(&mut self, key: Key, seen: Option<Seen>, answer: Option<Given>) -> Option<Given> {
+    /// Queues a completed write for the journal. The journal's thread sends `answer`, if there is one, once
+    /// the write is as durable as configured; otherwise the answer is returned.
+    fn append_to_journal(&mut self, key: Key, seen: Option<Seen>, answer: Option<Given>) -> Option<Given> {
         let (Some(journal), Some(seen)) = (&self.journal, seen) else { return answer };
-        journal.send(Entry::Seen { key, seen, then: answer });
+        journal.send(Entry::Seen { key, seen, pending_answer: answer });
         None
     }
 
-    fn heard(&mut self, now: f64, word: SessionMessage) {
-        match word {
-            SessionMessage::Keys(ring) => self.ring = ring,
-            SessionMessage::Tell(to, outlet) => {
-                let of_yours = self.has_of(now, &to);
-                if let Some(kept) = self.kept.as_mut().filter(|_| sandstile_exchange::keeps(&to)) {
-                    kept.linked(now, to, outlet, of_yours);
+    fn handle_message(&mut self, now: f64, message: SessionMessage) {
+        match message {
+            SessionMessage::Keys(key_ring) => self.key_ring = key_ring,
+            SessionMessage::PeerConnected(peer_name, peer) => {
+                let of_yours = self.holds_all_of(now, &peer_name);
+                if let Some(replicated) =
+                    self.replicated.as_mut().filter(|_| sandstile_exchange::keeps(&peer_name))
+                {
+                    replicated.peer_connected(now, peer_name, peer, of_yours);
                     return;
                 }
-                if outlet.send(Telling::Snapshot { exact: self.store.snapshot(), of_yours }) {
-                    self.outlets.push(outlet);
+                if peer.send(PeerMessage::Snapshot { exact: self.store.snapshot(), of_yours }) {
+                    self.peers.push(peer);
                 }
             }
-            SessionMessage::Heard(from, heard) => self.learn(now, &from, heard),
-            SessionMessage::Untold(to) => self.kept.iter_mut().for_each(|k| k.parted(now, &to)),
-            SessionMessage::Written(to, bytes) => self.kept.iter_mut().for_each(|k| k.written(&to, bytes)),
-            SessionMessage::Tick => self.keep(now, true),
-            SessionMessage::Show(post) => {
-                if let Some(kept) = &self.kept {
-                    post.send(kept.show(now));
+            SessionMessage::FromPeer(from, peer_message) => self.apply_peer_message(now, &from, peer_message),
+            SessionMessage::PeerDisconnected(peer_name) => self
+                .replicated
+                .iter_mut()
+                .for_each(|replicated| replicated.peer_disconnected(now, &peer_name)),
+            SessionMessage::StateBytesWritten(peer_name, bytes) => self
+                .replicated
+                .iter_mut()
+                .for_each(|replicated| replicated.record_bytes_written(&peer_name, bytes)),
+            SessionMessage::Tick => self.update_replicated_state(now, true),
+            SessionMessage::Report(sender) => {
+                if let Some(replicated) = &self.replicated {
+                    sender.send(replicated.report(now));
                 }
             }
             SessionMessage::End(done) => {
-                self.told_at = now;
+                self.last_logged_at = now;
                 info!(self.log, "sessions: {:?}", self.counts; "remembered" => self.store.len());
-                for outlet in self.outlets.drain(..) {
-                    outlet.send(Telling::End(done.clone()));
+                for peer in self.peers.drain(..) {
+                    peer.send(PeerMessage::End(done.clone()));
                 }
-                if let Some(kept) = &mut self.kept {
-                    kept.end(now, &done);
+                if let Some(replicated) = &mut self.replicated {
+                    replicated.shut_down(now, &done);
                 }
                 if let Some(journal) = &self.journal {
                     journal.send(Entry::End(done));
@@ -308,57 +328,64 @@
         }
     }
 
-    /// Whether all that an instance knew before its present life is known here. Lives are told apart, for one in
-    /// between, even one that nobody here has met, may have written more.
-    fn has_of(&mut self, now: f64, whose: &str) -> bool {
-        let (name, life) = whose.split_once('#').unwrap_or((whose, ""));
-        let Some((at, heir)) = self.handed.get_mut(name) else { return false };
-        let fits = now < *at + HANDED && heir.get_or_insert_with(|| life.to_string()) == life;
-        if !fits {
-            self.handed.remove(name);
+    /// Whether this instance has all marks that the peer had before its present generation. Only one
+    /// generation may claim a handover: one in between, even if it never connected here, may have written
+    /// more.
+    fn holds_all_of(&mut self, now: f64, peer_id: &str) -> bool {
+        let (name, generation) = peer_id.split_once('#').unwrap_or((peer_id, ""));
+        let Some((at, claimed_by)) = self.handovers.get_mut(name) else { return false };
+        let valid = now < *at + HANDOVER_VALID_S
+            && claimed_by.get_or_insert_with(|| generation.to_string()) == generation;
+        if !valid {
+            self.handovers.remove(name);
         }
-        fits
+        valid
     }
 
-    /// What follows from what was heard of the state that is kept together; `looks` where what is due is looked for as well.
-    fn keep(&mut self, now: f64, looks: bool) {
-        let Some(kept) = &mut self.kept else { return };
-        let learnt = kept.turn(now, looks, &self.log);
-        learnt.marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen));
-        self.warned.extend(learnt.warned.into_iter().map(|(host, age)| Fact::Warned(host, age)));
-        if learnt.old_copy && self.heard_since == f64::NEG_INFINITY {
-            self.heard_since = now;
-        } else if learnt.vouched && self.plan.stay {
-            self.heard_since = f64::NEG_INFINITY;
+    /// Applies what the replicated state has learnt from peers; `check_due` also runs its periodic work.
+    fn update_replicated_state(&mut self, now: f64, check_due: bool) {
+        let Some(replicated) = &mut self.replicated else { return };
+        let changes = replicated.process(now, check_due, &self.log);
+        changes.marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen));
+        self.host_warnings
+            .extend(changes.host_warnings.into_iter().map(|(host, age)| Fact::Warned(host, age)));
+        if changes.old_copy && self.complete_since == f64::NEG_INFINITY {
+            self.complete_since = now;
+        } else if changes.all_received && self.config.sessions_stay {
+            self.complete_since = f64::NEG_INFINITY;
         }
     }
 
-    fn learn(&mut self, now: f64, from: &str, heard: Heard) {
-        match heard {
+    fn apply_peer_message(&mut self, now: f64, from: &str, peer_message: Heard) {
+        match peer_message {
             Heard::State(message) => {
-                if let Some(kept) = &mut self.kept {
-                    kept.heard(now, from, &message);
-                    self.keep(now, false);
+                if let Some(replicated) = &mut self.replicated {
+                    replicated.receive(now, from, &message);
+                    self.update_replicated_state(now, false);
                 }
             }
-            Heard::Whole { of_yours } if self.kept.is_some() && sandstile_exchange::keeps(from) => {
-                // Believed once all that it holds is held here.
-                self.kept.iter_mut().filter(|_| of_yours).for_each(|k| k.vouches(from));
+            Heard::Whole { of_yours } if self.replicated.is_some() && sandstile_exchange::keeps(from) => {
+                // Trusted only once all of the peer's facts have been received.
+                self.replicated
+                    .iter_mut()
+                    .filter(|_| of_yours)
+                    .for_each(|replicated| replicated.expect_all_from(from));
             }
-            // A further life of it: what an earlier one handed over may not be all any more.
-            Heard::Who(_) => drop(self.has_of(now, from)),
+            // A new generation of the peer ends the handover of an earlier one, which may be incomplete by
+            // now.
+            Heard::Who(_) => drop(self.holds_all_of(now, from)),
             Heard::Marks(marks) => marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen)),
             Heard::Whole { of_yours } => {
-                info!(self.log, "sessions were told"; "by" => from, "all_of_ours" => of_yours,
+                info!(self.log, "sessions: all marks received"; "by" => from, "all_of_ours" => of_yours,
                     "remembered" => self.store.len());
-                if of_yours && self.plan.stay {
-                    self.heard_since = f64::NEG_INFINITY;
+                if of_yours && self.config.sessions_stay {
+                    self.complete_since = f64::NEG_INFINITY;
                 }
             }
             Heard::Farewell => {
-                info!(self.log, "an instance has handed its sessions over"; "instance" => from);
+                info!(self.log, "sessions: an instance has handed over its marks"; "instance" => from);
                 let name = from.split_once('#').map_or(from, |(name, _)| name);
-                self.handed.insert(name.to_string(), (now, None));
+                self.handovers.insert(name.to_string(), (now, None));
             }
         }
     }
@@ -366,77 +393,83 @@
 
 impl Source for Sessions {
     fn pending(&self) -> bool {
-        !self.words.is_empty()
+        !self.messages.is_empty()
     }
 
     fn facts(&mut self, now: f64) -> Vec<Fact> {
-        while let Some(word) = self.words.try_recv() {
-            self.heard(now, word);
+        while let Some(message) = self.messages.try_recv() {
+            self.handle_message(now, message);
         }
-        std::mem::take(&mut self.warned)
+        std::mem::take(&mut self.host_warnings)
     }
 
     fn may_probe(&mut self, now: f64, host: &str) -> bool {
-        self.kept.as_mut().is_none_or(|kept| kept.may_probe(now, host))
+        self.replicated.as_mut().is_none_or(|replicated| replicated.may_probe(now, host))
     }
 
     fn probed(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        self.kept.iter_mut().for_each(|kept| kept.probed(now, host, outcome));
+        self.replicated.iter_mut().for_each(|replicated| replicated.probed(now, host, outcome));
     }
 
     fn met(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        self.kept.iter_mut().for_each(|kept| kept.met(now, host, outcome));
+        self.replicated.iter_mut().for_each(|replicated| replicated.met(now, host, outcome));
     }
 
-    fn reach(&mut self, now: f64, asked: &Asked, term: u64) -> Option<Reach> {
-        let wish = self.asked(now, asked, term)?;
-        let reach = wish.reach();
-        self.wishes.insert(asked.stmt, wish);
+    fn reach(&mut self, now: f64, request: &Asked, term: u64) -> Option<Reach> {
+        let statement = self.track_statement(now, request, term)?;
+        let reach = statement.reach();
+        self.statements.insert(request.stmt, statement);
         reach
     }
 
     fn ended(&mut self, _: f64, stmt: u64, outcome: &mut Outcome) {
-        if let Some(wish) = self.wishes.remove(&stmt) {
-            self.verify(&wish, outcome);
-            self.wishes.insert(stmt, wish);
+        if let Some(statement) = self.statements.remove(&stmt) {
+            self.verify(&statement, outcome);
+            self.statements.insert(stmt, statement);
         }
     }
 
-    /// The answer takes the session's mark along, once what durability asks for is done.
-    fn completed(&mut self, now: f64, outcome: &Outcome, mut given: Given) -> Option<Given> {
-        let Some(wish) = self.wishes.remove(&given.stmt) else { return Some(given) };
-        let seen = self.remember(now, &wish, outcome);
-        if let Answer::Completed(_, token) = &mut given.answer {
-            *token = Self::mark(&wish, outcome).and_then(|mark| {
-                // All that is known of it, not the last alone: it may have come from elsewhere with more.
-                let known = self.store.seen(wish.key);
-                let same = known.marks().filter(|m| m.term == mark.term).map(|m| m.position);
-                let position = same.fold(mark.position, f64::max);
-                self.ring.issue(&Token { key: wish.key, mark: Mark { position, ..mark }, issued: now })
+    /// Adds the session's new token to the answer, and holds the answer back until the write is as durable as
+    /// configured.
+    fn completed(&mut self, now: f64, outcome: &Outcome, mut final_answer: Given) -> Option<Given> {
+        let Some(statement) = self.statements.remove(&final_answer.stmt) else { return Some(final_answer) };
+        let seen = self.record_write(now, &statement, outcome);
+        if let Answer::Completed(_, token) = &mut final_answer.answer {
+            *token = Self::session_mark(&statement, outcome).and_then(|mark| {
+                // Covers all known writes of the session, not only this one: other routers may have served
+                // later ones.
+                let known = self.store.seen(statement.key);
+                let positions = known.marks().filter(|m| m.term == mark.term).map(|m| m.position);
+                let position = positions.fold(mark.position, f64::max);
+                self.key_ring.issue(&Token {
+                    key: statement.key,
+                    mark: Mark { position, ..mark },
+                    issued: now,
+                })
             });
         }
-        self.led(now, &wish, outcome);
-        let key = wish.key;
-        self.wishes.insert(given.stmt, wish);
-        self.put_down(key, seen, Some(given))
+        self.record_primary_position(now, &statement, outcome);
+        let key = statement.key;
+        self.statements.insert(final_answer.stmt, statement);
+        self.append_to_journal(key, seen, Some(final_answer))
     }
 
-    /// A write completed whose client has left: nobody was told, and yet it may come again and ask.
+    /// Records a completed write whose client has disconnected, because the session may return and read.
     fn unheard(&mut self, now: f64, stmt: u64, outcome: &Outcome) {
-        let Some(wish) = self.wishes.remove(&stmt) else { return };
-        let seen = self.remember(now, &wish, outcome);
-        self.put_down(wish.key, seen, None);
-        self.wishes.insert(stmt, wish);
+        let Some(statement) = self.statements.remove(&stmt) else { return };
+        let seen = self.record_write(now, &statement, outcome);
+        self.append_to_journal(statement.key, seen, None);
+        self.statements.insert(stmt, statement);
     }
 
     fn over(&mut self, stmt: u64) {
-        self.wishes.remove(&stmt);
+        self.statements.remove(&stmt);
     }
 }
 
-/// Takes up the journal at `path`. A disk that takes no writes at this moment keeps no router from serving: what the
-/// journal holds is taken up, and the file is made one that nobody takes for whole later, for it will lack this life's
-/// writes.
+/// Opens the journal at `path`. A disk that accepts no writes at the moment must not keep the router from
+/// serving: the journal's marks are loaded, and the file is invalidated, so that no later start takes it for
+/// complete although it lacks the writes of this generation.
 fn open_journal(path: &Path, since: f64, log: &Logger) -> Result<(Option<Journal>, Found), Wrong> {
     let error = match Journal::open(path, since) {
         Ok((journal, found)) => return Ok((Some(journal), found)),
@@ -449,18 +482,19 @@
         Err(e) => return Err(e.into()),
     };
     sandstile_journal::invalidate(path)?;
-    warn!(log, "sessions are kept without a journal: {error}");
+    warn!(log, "sessions: running without a journal: {error}");
     Ok((None, found))
 }
 
 enum Entry {
-    Seen { key: Key, seen: Seen, then: Option<Given> },
+    Seen { key: Key, seen: Seen, pending_answer: Option<Given> },
     End(MailboxSender<()>),
 }
 
-/// The journal's actor: all that waits in its mailbox shares one sync.
-struct Scribe {
-    /// `None` once the disk has failed.
+/// Writes the journal on its own thread, with group commit: all entries that wait in the mailbox share one
+/// sync.
+struct JournalWriter {
+    /// `None` after a failure of the disk.
     journal: Option<Journal>,
     answers: MailboxSender<Given>,
     path: PathBuf,
@@ -469,13 +503,13 @@
     log: Logger,
 }
 
-/// For so long it is tried to make a journal invalid, with pauses between.
-const INVALIDATE_PATIENCE: Duration = Duration::from_millis(200);
-const INVALIDATE_PAUSE: Duration = Duration::from_millis(10);
-/// A journal that has grown beyond this is written anew, each session once.
-const LONGEST: u64 = 64 << 20;
+/// How long an invalidation of the journal is retried, and the pause between attempts.
+const INVALIDATE_TIMEOUT: Duration = Duration::from_millis(200);
+const INVALIDATE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// A journal larger than this, in bytes, is compacted to one record per session.
+const MAX_JOURNAL_BYTES: u64 = 64 << 20;
 
-impl Scribe {
+impl JournalWriter {
     fn run(mut self, entries: &Mailbox<Entry>) {
         let mut pace = match self.durability {
             Durability::Every(s) => Some(Pace::new(s)),
@@ -492,74 +526,75 @@
             let mut next = first;
             while let Some(entry) = next {
                 match entry {
-                    Entry::Seen { key, seen, then } => {
-                        self.tried(|journal| journal.append(key, &seen));
+                    Entry::Seen { key, seen, pending_answer } => {
+                        self.try_journal(|journal| journal.append(key, &seen));
                         if let Some(pace) = &mut pace {
                             pace.wrote(self.clock.now());
                         }
-                        answers.extend(then);
+                        answers.extend(pending_answer);
                     }
                     Entry::End(done) => {
-                        self.tried(|journal| journal.end());
+                        self.try_journal(|journal| journal.end());
                         drop(done);
-                        self.give(&mut answers);
+                        self.send_answers(&mut answers);
                         return;
                     }
                 }
                 next = entries.try_recv();
             }
             match self.durability {
-                Durability::BeforeAnswer => self.tried(Journal::sync),
+                Durability::BeforeAnswer => self.try_journal(Journal::sync),
                 Durability::Every(_) if pace.as_mut().is_some_and(|p| p.due(self.clock.now())) => {
-                    self.tried(Journal::sync);
+                    self.try_journal(Journal::sync);
                 }
-                _ => self.tried(Journal::flush),
+                _ => self.try_journal(Journal::flush),
             }
-            self.give(&mut answers);
-            if self.journal.as_ref().is_some_and(|j| j.bytes() > LONGEST) {
-                self.renew();
+            self.send_answers(&mut answers);
+            if self.journal.as_ref().is_some_and(|j| j.bytes() > MAX_JOURNAL_BYTES) {
+                self.compact();
             }
         }
     }
 
-    fn give(&self, answers: &mut Vec<Given>) {
-        for given in answers.drain(..) {
-            self.answers.send(given);
+    fn send_answers(&self, answers: &mut Vec<Given>) {
+        for final_answer in answers.drain(..) {
+            self.answers.send(final_answer);
         }
     }
 
-    /// A disk that fails takes the journal with it: one that lacks writes must not be found whole later.
-    fn tried(&mut self, act: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
+    /// Runs an operation on the journal. After an error the journal is abandoned and invalidated: it lacks
+    /// writes, and a later start must not take it for complete.
+    fn try_journal(&mut self, operation: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
         let Some(journal) = &mut self.journal else { return };
-        if let Err(e) = act(journal) {
-            warn!(self.log, "the journal of sessions is given up: {e}");
+        if let Err(e) = operation(journal) {
+            warn!(self.log, "journal of sessions abandoned after a disk error: {e}");
             self.journal = None;
             self.invalidate();
         }
     }
 
-    /// Nobody is to find the file whole later. Answers wait for that, for as long as they may.
+    /// Marks the file as incomplete. Answers wait for this, up to the timeout.
     fn invalidate(&self) {
-        let give_up_at = Instant::now() + INVALIDATE_PATIENCE;
+        let give_up_at = Instant::now() + INVALIDATE_TIMEOUT;
         while let Err(e) = sandstile_journal::invalidate(&self.path) {
             if Instant::now() >= give_up_at {
-                warn!(self.log, "the journal of sessions could not be made invalid: {e}; remove it by hand";
+                warn!(self.log, "journal of sessions could not be invalidated: {e}; remove the file by hand";
                     "file" => %self.path.display());
                 return;
             }
-            thread::sleep(INVALIDATE_PAUSE);
+            thread::sleep(INVALIDATE_RETRY_INTERVAL);
         }
     }
 
-    fn renew(&mut self) {
-        self.tried(Journal::sync);
+    fn compact(&mut self) {
+        self.try_journal(Journal::sync);
         let read = std::fs::read(&self.path).ok().and_then(|bytes| sandstile_journal::read(&bytes).ok());
         let Some(found) = read else { return };
         let mut merged = std::collections::BTreeMap::<Key, Seen>::new();
         found.marks.iter().for_each(|(key, seen)| merged.entry(*key).or_default().merge(seen));
         match Journal::replace(&self.path, merged.iter().map(|(key, seen)| (*key, seen))) {
             Ok(journal) => self.journal = Some(journal),
-            Err(e) => warn!(self.log, "the journal of sessions goes on as it is: {e}"),
+            Err(e) => warn!(self.log, "journal of sessions could not be compacted and is used as it is: {e}"),
         }
     }
 }
