--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -1,5 +1,5 @@
-//! Several processes of this program that know each other, and faults between them: short forms of the rehearsals of members; and
-//! what our own file turns on, against what runs without it.
+//! Membership among several router processes, with faults between them: short forms of the membership
+//! rehearsals. Also checks the `members` section of the local configuration file, and what runs without it.
 #[allow(dead_code)]
 mod stand_ins;
 
@@ -19,7 +19,7 @@
 use std::path::{Path, PathBuf};
 
 const FLEET: &str = r#"
-title = "Members, in little"
+title = "Members, small"
 seconds = SECONDS
 settle = 1
 machine "std" { cores = [1, 1] }
@@ -46,28 +46,30 @@
 }
 "#;
 
-fn play(name: &str, seconds: u32, cues: &str) -> (Agreement, Trace) {
+fn rehearse_fleet(name: &str, seconds: u32, cues: &str) -> (Agreement, Trace) {
     let text = FLEET.replace("SECONDS", &seconds.to_string()) + cues;
     let script = Script::read(name, &text).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
     let router = Path::new(env!("CARGO_BIN_EXE_sandstile")).to_path_buf();
-    rehearse(Wanted { script, quick: false, router, out: out.clone() }).expect("a rehearsal");
-    let trace = Trace::read(&fs::read_to_string(out.join("trace.jsonl")).expect("a trace")).expect("lines");
-    let found = judge(&trace).expect("a whole trace");
-    let broken: Vec<_> =
+    rehearse(Wanted { script, quick: false, router, out: out.clone() }).expect("rehearsal failed");
+    let trace = Trace::read(&fs::read_to_string(out.join("trace.jsonl")).expect("no trace file"))
+        .expect("malformed trace");
+    let found = judge(&trace).expect("incomplete trace");
+    let violations: Vec<_> =
         found.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(violations.is_empty(), "{violations:?}");
     let _ = fs::remove_dir_all(out);
     (agreement(&trace), trace)
 }
 
-fn after(found: &Agreement, why: &str) -> f64 {
-    let epoch = found.epochs.iter().find(|e| e.why.contains(why)).unwrap_or_else(|| panic!("{why}: {found}"));
-    epoch.agreed_after.unwrap_or_else(|| panic!("{why}: {found}"))
+fn agreed_after_s(found: &Agreement, cause: &str) -> f64 {
+    let epoch =
+        found.epochs.iter().find(|e| e.why.contains(cause)).unwrap_or_else(|| panic!("{cause}: {found}"));
+    epoch.agreed_after.unwrap_or_else(|| panic!("{cause}: {found}"))
 }
 
 #[test]
-fn a_split_is_seen_by_both_sides_and_so_is_its_heal() {
+fn both_sides_notice_a_partition_and_its_end() {
     let cues = r#"
 partition "split" {
   sides = ["router:0-1", "router:2-3"]
@@ -75,16 +77,19 @@
   for = 10
 }
 "#;
-    let (found, trace) = play("members-split", 21, cues);
-    assert!(after(&found, "split begins") < 9.0 && after(&found, "split heals") < 6.0, "{found}");
+    let (found, trace) = rehearse_fleet("members-split", 21, cues);
+    assert!(
+        agreed_after_s(&found, "split begins") < 9.0 && agreed_after_s(&found, "split heals") < 6.0,
+        "{found}"
+    );
     assert_eq!(found.false_deaths(), 0, "{found}");
-    // What they do while they are cut off: nobody takes a larger part.
+    // While cut off, no router takes a larger share of the hosts.
     assert_eq!(found.sharers, Some((4.0, 4.0)));
     assert!(trace.sights.iter().any(|s| s.view == "cut off from some"));
 }
 
 #[test]
-fn a_kill_a_stop_and_a_return_are_seen_by_all() {
+fn all_members_notice_a_kill_a_stop_and_a_restart() {
     let cues = r#"
 restart "dies" {
   router = 3
@@ -98,106 +103,117 @@
   at = 15
 }
 "#;
-    let (found, _) = play("members-kill", 28, cues);
-    assert!(after(&found, "killed") < 8.0, "{found}");
-    assert!(after(&found, "stopped") < 8.0 && after(&found, "went on") < 4.0, "{found}");
-    let back = found.epochs.iter().skip(1).find(|e| e.why.contains("started")).expect("a return");
+    let (found, _) = rehearse_fleet("members-kill", 28, cues);
+    assert!(agreed_after_s(&found, "killed") < 8.0, "{found}");
+    assert!(agreed_after_s(&found, "stopped") < 8.0 && agreed_after_s(&found, "went on") < 4.0, "{found}");
+    let back =
+        found.epochs.iter().skip(1).find(|e| e.why.contains("started")).expect("no return in the trace");
     assert!(back.agreed_after.is_some_and(|s| s < 4.0), "{found}");
     assert_eq!(found.false_deaths(), 0, "{found}");
 }
 
 const KEY: &str = "1 00112233445566778899aabbccddeeff0123456789abcdef0123456789abcdef\n";
 
-/// A folder of its own with the keys in it.
-fn folder(name: &str) -> PathBuf {
+/// Creates a folder for one test, with a key file in it.
+fn test_folder(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
-    fs::create_dir_all(&dir).expect("a place for files");
-    fs::write(dir.join("keys"), KEY).expect("keys");
-    fs::set_permissions(dir.join("keys"), fs::Permissions::from_mode(0o600)).expect("rights");
+    fs::create_dir_all(&dir).expect("cannot write the test's files");
+    fs::write(dir.join("keys"), KEY).expect("cannot write the keys");
+    fs::set_permissions(dir.join("keys"), fs::Permissions::from_mode(0o600)).expect("cannot set permissions");
     dir
 }
 
-fn own_file(dir: &Path, number: usize, at: SocketAddr, seed: SocketAddr) -> (PathBuf, PathBuf) {
+fn write_local_config(dir: &Path, number: usize, listen: SocketAddr, seed: SocketAddr) -> (PathBuf, PathBuf) {
     let (file, socket) = (dir.join(format!("{number}.hcl")), dir.join(format!("{number}.sock")));
     let keys = dir.join("keys");
     let text = format!(
-        "members {{\n  listen = \"{at}\"\n  seeds = [\"{seed}\"]\n  keys = {keys:?}\n  control = {socket:?}\n}}\n"
+        "members {{\n  listen = \"{listen}\"\n  seeds = [\"{seed}\"]\n  keys = {keys:?}\n  control = {socket:?}\n}}\n"
     );
-    fs::write(&file, text).expect("a place for files");
+    fs::write(&file, text).expect("cannot write the test's files");
     (file, socket)
 }
 
-/// An address that nobody has, from the platform.
-fn free() -> SocketAddr {
-    UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()).expect("an address")
+/// An unused address, chosen by the operating system.
+fn free_address() -> SocketAddr {
+    UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()).expect("no address")
 }
 
-fn there(said: &Value, state: &str) -> usize {
-    said["members"].as_array().into_iter().flatten().filter(|m| m["state"] == state).count()
+fn count(report: &Value, state: &str) -> usize {
+    report["members"].as_array().into_iter().flatten().filter(|member| member["state"] == state).count()
 }
 
-fn started(name: &str, primary: &Host, file: &Path) -> Router {
+fn start_router(name: &str, primary: &Host, file: &Path) -> Router {
     let config = config(DiscoveryAgent::start().address, &known(primary, &[]))
         .replace("\"name\":\"n3\"", &format!("\"name\":\"{name}\""));
     Router::start_with_arguments(&config, &["--config", &file.display().to_string()])
 }
 
-/// Another process under a name that is taken: the first stays, and its log and counters say so. Under the same name from a new
-/// address after a kill, and with the address of another: a new life each time.
+/// Guards against two processes under one name. A second process under a taken name does not displace the
+/// first, whose log and counters report it. After a kill, a process under the same name from a new address,
+/// and one under another name at the old address, each count as a new member.
 #[test]
-fn a_name_has_one_life_at_a_time() {
-    let (dir, primary) = (folder("members-names"), Host::start(true));
-    let at: Vec<SocketAddr> = (0..4).map(|_| free()).collect();
-    let files: Vec<_> = (0..4).map(|n| own_file(&dir, n, at[n], at[0])).collect();
-    let first = started("a", &primary, &files[0].0);
-    let second = started("b", &primary, &files[1].0);
-    let asked = |n: usize| control_client::members(&files[n].1).unwrap_or(Value::Null);
-    wait_for("both", || there(&asked(0), "alive") == 1 && there(&asked(1), "alive") == 1);
-    let life = |said: &Value, name: &str| {
-        let found = said["members"].as_array()?.iter().find(|m| m["name"] == name)?;
+fn a_name_belongs_to_one_process_at_a_time() {
+    let (dir, primary) = (test_folder("members-names"), Host::start(true));
+    let addresses: Vec<SocketAddr> = (0..4).map(|_| free_address()).collect();
+    let files: Vec<_> = (0..4).map(|n| write_local_config(&dir, n, addresses[n], addresses[0])).collect();
+    let first = start_router("a", &primary, &files[0].0);
+    let second = start_router("b", &primary, &files[1].0);
+    let report_of = |n: usize| control_client::members(&files[n].1).unwrap_or(Value::Null);
+    wait_for("both routers to see each other", || {
+        count(&report_of(0), "alive") == 1 && count(&report_of(1), "alive") == 1
+    });
+    let process_of = |report: &Value, name: &str| {
+        let found = report["members"].as_array()?.iter().find(|m| m["name"] == name)?;
         Some((found["life"].as_u64()?, found["address"].as_str()?.to_string()))
     };
-    let before = life(&asked(0), "b").expect("b");
-    // Its twin has a later life; whoever had the name first hears of it.
-    let twin = started("b", &primary, &files[2].0);
-    wait_for("the twin is said", || asked(1)["names_taken"].as_u64().is_some_and(|n| n > 0));
+    let before = process_of(&report_of(0), "b").expect("b");
+    // The duplicate has a later generation; the process that had the name first is notified.
+    let twin = start_router("b", &primary, &files[2].0);
+    wait_for("the duplicate name to be reported", || {
+        report_of(1)["names_taken"].as_u64().is_some_and(|n| n > 0)
+    });
     drop(twin);
     drop(second);
-    // Back under the same name, at a new address.
-    let back = started("b", &primary, &files[3].0);
-    wait_for("a new life", || {
-        life(&asked(0), "b").is_some_and(|(l, address)| l > before.0 && address == at[3].to_string())
-            && there(&asked(0), "alive") == 1
+    // Restarted under the same name, at a new address.
+    let back = start_router("b", &primary, &files[3].0);
+    wait_for("a new generation", || {
+        process_of(&report_of(0), "b")
+            .is_some_and(|(generation, address)| generation > before.0 && address == addresses[3].to_string())
+            && count(&report_of(0), "alive") == 1
     });
     drop(back);
-    // And another name at the address that b had first.
-    let third = started("c", &primary, &files[1].0);
-    wait_for("c", || life(&asked(0), "c").is_some_and(|(_, address)| address == at[1].to_string()));
-    wait_for("no b", || {
-        [0, 1].iter().all(|n| there(&asked(*n), "alive") == 1 && there(&asked(*n), "suspect") == 0)
+    // Another name, at the address that b had first.
+    let third = start_router("c", &primary, &files[1].0);
+    wait_for("c to be a member", || {
+        process_of(&report_of(0), "c").is_some_and(|(_, address)| address == addresses[1].to_string())
     });
-    let (ok, said) = third.end();
-    assert!(ok && said.contains(" members=2 "), "{said}");
-    wait_for("a farewell", || there(&asked(0), "alive") == 0 && there(&asked(0), "left") == 1);
+    wait_for("b to be gone", || {
+        [0, 1].iter().all(|n| count(&report_of(*n), "alive") == 1 && count(&report_of(*n), "suspect") == 0)
+    });
+    let (ok, report) = third.end();
+    assert!(ok && report.contains(" members=2 "), "{report}");
+    wait_for("c to leave", || count(&report_of(0), "alive") == 0 && count(&report_of(0), "left") == 1);
     drop(first);
     let _ = fs::remove_dir_all(dir);
 }
 
-/// One with the key that lies: the others dead, and dead as loudly as can be; old letters again; a flood; names by the thousand. The
-/// routers go on serving, come to agree once it is silent, and hold no more than their bounds.
+/// Guards against damage by a process that holds the key and sends false updates: members declared dead, up
+/// to the highest incarnation, replayed messages, a flood, and names by the thousand. The routers keep
+/// serving, agree again once it is silent, and stay within their limits.
 #[test]
-fn a_liar_with_the_key_costs_words() {
-    let (dir, primary) = (folder("members-liar"), Host::start(true));
-    let at: Vec<SocketAddr> = (0..3).map(|_| free()).collect();
-    let files: Vec<_> = (0..3).map(|n| own_file(&dir, n, at[n], at[0])).collect();
-    let routers: Vec<Router> = (0..3).map(|n| started(&format!("r{n}"), &primary, &files[n].0)).collect();
-    let asked = |n: usize| control_client::members(&files[n].1).unwrap_or(Value::Null);
-    let all_there = || (0..3).all(|n| there(&asked(n), "alive") >= 2);
-    wait_for("all", all_there);
-    let secret = keys::read_keys(&dir.join("keys")).expect("keys").derived(CONTEXT);
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("an address");
-    let me = socket.local_addr().expect("an address");
+fn false_updates_by_a_key_holder_do_not_disrupt_the_routers() {
+    let (dir, primary) = (test_folder("members-liar"), Host::start(true));
+    let addresses: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
+    let files: Vec<_> = (0..3).map(|n| write_local_config(&dir, n, addresses[n], addresses[0])).collect();
+    let routers: Vec<Router> =
+        (0..3).map(|n| start_router(&format!("r{n}"), &primary, &files[n].0)).collect();
+    let report_of = |n: usize| control_client::members(&files[n].1).unwrap_or(Value::Null);
+    let all_alive = || (0..3).all(|n| count(&report_of(n), "alive") >= 2);
+    wait_for("all members to be alive", all_alive);
+    let secret = keys::read_keys(&dir.join("keys")).expect("cannot read the keys").derived(CONTEXT);
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("no address");
+    let own_address = socket.local_addr().expect("no address");
     let rumour = |name: &str, life: u64, at, incarnation, state| Rumour {
         of: Life { name: name.to_string(), life },
         at,
@@ -206,96 +222,110 @@
         by: 0,
         meta: Meta::default(),
     };
-    let lives: Vec<u64> = (0..3).map(|n| asked(n)["life"].as_u64().expect("a life")).collect();
+    let generations: Vec<u64> =
+        (0..3).map(|n| report_of(n)["life"].as_u64().expect("no life in the report")).collect();
     let mut sealer = Sealer::new(secret, 1);
-    let mut say = |to: usize, rumours: Vec<Rumour>| {
-        let from = rumour("liar", 1, me, 0, State::Alive);
+    let mut send = |to: usize, rumours: Vec<Rumour>| {
+        let from = rumour("liar", 1, own_address, 0, State::Alive);
         let letter = Letter { from, message: Message::Known, rumours, digest: 7 }.write();
-        let sealed = sealer.seal(at[to], &letter);
-        let _ = socket.send_to(&sealed, at[to]);
+        let sealed = sealer.seal(addresses[to], &letter);
+        let _ = socket.send_to(&sealed, addresses[to]);
         sealed
     };
     let mut first = None;
     for round in 0..60u32 {
         for to in 0..3 {
-            let whom = (to + 1) % 3;
-            let loud = if round % 5 == 4 { u32::MAX } else { round };
-            let sealed = say(to, vec![rumour(&format!("r{whom}"), lives[whom], at[whom], loud, State::Dead)]);
+            let target = (to + 1) % 3;
+            let incarnation = if round % 5 == 4 { u32::MAX } else { round };
+            let sealed = send(
+                to,
+                vec![rumour(
+                    &format!("r{target}"),
+                    generations[target],
+                    addresses[target],
+                    incarnation,
+                    State::Dead,
+                )],
+            );
             first.get_or_insert(sealed);
-            // The same letter over and over, and names that nobody has.
-            let _ = socket.send_to(first.as_ref().expect("a letter"), at[0]);
-            let names = (0..8)
-                .map(|n| rumour(&format!("x{}", round * 24 + to as u32 * 8 + n), 1, me, 0, State::Alive));
-            say(to, names.collect());
+            // Replays the first message, and announces names that do not exist.
+            let _ = socket.send_to(first.as_ref().expect("nothing was sent yet"), addresses[0]);
+            let names = (0..8).map(|n| {
+                rumour(&format!("x{}", round * 24 + to as u32 * 8 + n), 1, own_address, 0, State::Alive)
+            });
+            send(to, names.collect());
         }
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
-    // Served all the while.
+    // Reads are served in the meantime.
     let mut client = routers[0].client();
     assert!(client.ask(&stand_ins::read(1000)).value.is_some());
-    wait_for("they agree again", || {
+    wait_for("the routers to agree again", || {
         (0..3).all(|n| {
-            let said = asked(n);
+            let report = report_of(n);
             let real =
                 |m: &Value| m["name"].as_str().is_some_and(|n| n.starts_with('r')) && m["state"] == "alive";
-            said["members"].as_array().into_iter().flatten().filter(|m| real(m)).count() == 2
+            report["members"].as_array().into_iter().flatten().filter(|m| real(m)).count() == 2
         })
     });
-    let said = asked(0);
-    assert!(said["letters"]["replayed"].as_u64().is_some_and(|n| n > 0), "{said}");
-    assert!(said["members"].as_array().is_some_and(|m| m.len() <= 1024), "{said}");
+    let report = report_of(0);
+    assert!(report["letters"]["replayed"].as_u64().is_some_and(|n| n > 0), "{report}");
+    assert!(report["members"].as_array().is_some_and(|m| m.len() <= 1024), "{report}");
     drop(routers);
     let _ = fs::remove_dir_all(dir);
 }
 
-fn open(router: &Router, what: &str) -> usize {
-    let fds = fs::read_dir(format!("/proc/{}/fd", router.child.id())).expect("a process");
+fn open_files(router: &Router, kind: &str) -> usize {
+    let fds = fs::read_dir(format!("/proc/{}/fd", router.child.id())).expect("the process has ended");
     fds.filter_map(|f| fs::read_link(f.ok()?.path()).ok())
-        .filter(|l| l.to_string_lossy().contains(what))
+        .filter(|l| l.to_string_lossy().contains(kind))
         .count()
 }
 
-fn threads(router: &Router) -> usize {
-    fs::read_dir(format!("/proc/{}/task", router.child.id())).expect("a process").count()
+fn thread_count(router: &Router) -> usize {
+    fs::read_dir(format!("/proc/{}/task", router.child.id())).expect("the process has ended").count()
 }
 
-/// Without our own file there is no socket and no thread more; with it two sockets, and no thread.
+/// Without a local configuration file there are no additional sockets or threads. With it there are two more
+/// sockets, and no more threads.
 #[test]
-fn off_there_is_nothing_and_on_there_is_no_thread() {
-    let (dir, primary) = (folder("members-off"), Host::start(true));
+fn members_use_no_socket_when_off_and_no_thread_when_on() {
+    let (dir, primary) = (test_folder("members-off"), Host::start(true));
     let config = config(DiscoveryAgent::start().address, &known(&primary, &[]));
     let off = Router::start(&config);
-    let at = free();
-    let (file, socket) = own_file(&dir, 0, at, at);
-    let on = started("a", &primary, &file);
-    wait_for("control", || control_client::members(&socket).is_ok());
-    wait_for("the same threads", || threads(&on) == threads(&off));
-    // The listener, and the watch of discovery.
-    wait_for("sockets", || open(&off, "socket:") <= 3 && open(&on, "socket:") == open(&off, "socket:") + 2);
-    let (ok, said) = on.end();
-    assert!(ok && !socket.exists(), "the control socket goes with it: {said}");
-    let (ok, said) = off.end();
-    assert!(ok && said.contains(" members=0 ") && said.contains(" letters=0 "), "{said}");
+    let address = free_address();
+    let (file, socket) = write_local_config(&dir, 0, address, address);
+    let on = start_router("a", &primary, &file);
+    wait_for("the control socket", || control_client::members(&socket).is_ok());
+    wait_for("the same number of threads", || thread_count(&on) == thread_count(&off));
+    // The listener, and the connection to discovery.
+    wait_for("the expected number of sockets", || {
+        open_files(&off, "socket:") <= 3 && open_files(&on, "socket:") == open_files(&off, "socket:") + 2
+    });
+    let (ok, report) = on.end();
+    assert!(ok && !socket.exists(), "the control socket is removed at shutdown: {report}");
+    let (ok, report) = off.end();
+    assert!(ok && report.contains(" members=0 ") && report.contains(" letters=0 "), "{report}");
     let _ = fs::remove_dir_all(dir);
 }
 
 #[test]
-fn what_is_wrong_in_our_own_file_is_said_in_a_line() {
-    let dir = folder("members-file");
+fn errors_in_the_members_section_are_reported() {
+    let dir = test_folder("members-file");
     let file = dir.join("f.hcl");
-    let says = |text: &str| {
-        fs::write(&file, text).expect("a place for files");
+    let check_error = |text: &str| {
+        fs::write(&file, text).expect("cannot write the test's files");
         let out = run("{}", &["check", "--config", &file.display().to_string()]);
         assert!(!out.status.success());
         String::from_utf8_lossy(&out.stderr).into_owned()
     };
     let keys = dir.join("keys");
-    assert!(says(&format!("members {{ keys = {keys:?} }}")).contains("listen"));
-    assert!(says("members { listen = \"127.0.0.1:7\" }").contains("keys"));
-    assert!(says(&format!("members {{\n listen = \"0.0.0.0:7\"\n keys = {keys:?}\n}}"))
+    assert!(check_error(&format!("members {{ keys = {keys:?} }}")).contains("listen"));
+    assert!(check_error("members { listen = \"127.0.0.1:7\" }").contains("keys"));
+    assert!(check_error(&format!("members {{\n listen = \"0.0.0.0:7\"\n keys = {keys:?}\n}}"))
         .contains("cannot reach an unspecified address"));
-    assert!(says(&format!("members {{\n listen = \"127.0.0.1:7\"\n keys = {keys:?}\n seds = []\n}}"))
+    assert!(check_error(&format!("members {{\n listen = \"127.0.0.1:7\"\n keys = {keys:?}\n seds = []\n}}"))
         .contains("seds"));
-    assert!(says("members {\n listen = \"127.0.0.1:7\"\n keys = \"/nowhere\"\n}").contains("/nowhere"));
+    assert!(check_error("members {\n listen = \"127.0.0.1:7\"\n keys = \"/nowhere\"\n}").contains("/nowhere"));
     let _ = fs::remove_dir_all(dir);
 }
--- a/crates/sandstile-router/tests/rehearsal.rs
+++ b/crates/sandstile-router/tests/rehearsal.rs
@@ -1,11 +1,12 @@
-//! A small rehearsal from beginning to end: this program, emulated hosts, clients, a trace, and its audit.
+//! A small rehearsal from end to end: this program, emulated hosts, clients, a trace, and the audit of the
+//! trace.
 use sandstile_audit::{judge, Trace};
 use sandstile_lab::rehearse::{rehearse, Wanted};
 use sandstile_scenario::Script;
 use std::path::Path;
 
 const SCRIPT: &str = r#"
-title = "All at once, in little"
+title = "All faults at once, small"
 seconds = 8
 settle = 0
 machine "std" { cores = [1, 1] }
@@ -85,31 +86,37 @@
 "#;
 
 #[test]
-fn a_small_rehearsal_keeps_the_rules_and_its_audit_sees_what_is_planted() {
+fn a_small_rehearsal_breaks_no_rule_and_its_audit_finds_a_planted_violation() {
     let script = Script::read("little.hcl", SCRIPT).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-rehearsal-{}", std::process::id()));
     let router = Path::new(env!("CARGO_BIN_EXE_sandstile")).to_path_buf();
     let wanted = Wanted { script, quick: false, router, out: out.clone() };
-    let summary = rehearse(wanted).expect("a rehearsal");
-    let text = std::fs::read_to_string(out.join("trace.jsonl")).expect("a trace");
-    let trace = Trace::read(&text).expect("lines");
-    // On a machine that stands still for a while answers are seen late; nothing else may be found, ever.
-    let found = judge(&trace).expect("a whole trace");
-    let broken: Vec<_> =
-        found.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
-    assert!(broken.is_empty(), "{broken:?}\n{}", summary.text);
+    let summary = rehearse(wanted).expect("rehearsal failed");
+    let text = std::fs::read_to_string(out.join("trace.jsonl")).expect("no trace file");
+    let trace = Trace::read(&text).expect("malformed trace");
+    // If the machine stalls, clients see answers late, so late answers are ignored; any other finding is an
+    // error.
+    let findings = judge(&trace).expect("incomplete trace");
+    let violations: Vec<_> =
+        findings.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
+    assert!(violations.is_empty(), "{violations:?}\n{}", summary.text);
     assert!(trace.statements.len() > 500, "{}", trace.statements.len());
     assert!(trace.primaries.len() > 1 && trace.routers.len() >= 8, "{}", summary.text);
     let answered = trace.statements.values().filter(|s| !s.answered.is_empty()).count();
     assert!(answered * 10 > trace.statements.len() * 8, "{}", summary.text);
-    // The same trace with one execution more of a write that ran.
-    let ran =
-        text.lines().find(|l| l.contains("\"ran\"") && l.contains("\"save\"")).expect("a write that ran");
+    // The same trace with an additional execution of a write that ran.
+    let ran = text
+        .lines()
+        .find(|l| l.contains("\"ran\"") && l.contains("\"save\""))
+        .expect("no write in the trace ran");
     let planted = format!("{text}{ran}\n");
-    let found = judge(&Trace::read(&planted).expect("lines")).expect("a whole trace");
-    assert!(found.iter().any(|f| f.rule == sandstile_audit::Rule::Effect), "a planted execution is seen");
+    let findings = judge(&Trace::read(&planted).expect("malformed trace")).expect("incomplete trace");
+    assert!(
+        findings.iter().any(|f| f.rule == sandstile_audit::Rule::Effect),
+        "the planted execution is found"
+    );
     for name in ["summary.json", "summary.md", "router-0.log"] {
         assert!(out.join(name).is_file(), "{name}");
     }
-    std::fs::remove_dir_all(out).expect("our own folder");
+    std::fs::remove_dir_all(out).expect("cannot remove the test's folder");
 }
--- a/crates/sandstile-router/tests/replicated_state.rs
+++ b/crates/sandstile-router/tests/replicated_state.rs
@@ -1,4 +1,5 @@
-//! Several processes of this program that keep state together, and faults between them: short forms of the rehearsals of replication.
+//! Replicated state among several router processes, with faults between them: short forms of the replication
+//! rehearsals.
 use sandstile_audit::probing::Search;
 use sandstile_audit::{copies, judge, own_reads, searches, Copies, OwnReads, Trace};
 use sandstile_lab::rehearse::{rehearse, Wanted};
@@ -7,7 +8,7 @@
 use std::path::Path;
 
 const FLEET: &str = r#"
-title = "Kept state, in little"
+title = "Kept state, small"
 seconds = SECONDS
 settle = 1
 guards = false
@@ -50,34 +51,37 @@
 }
 "#;
 
-fn play(name: &str, seconds: u32, cues: &str) -> (Copies, OwnReads) {
-    let trace = played(name, &FLEET.replace("SECONDS", &seconds.to_string()), cues);
+fn copies_and_own_reads(name: &str, seconds: u32, cues: &str) -> (Copies, OwnReads) {
+    let trace = rehearse_fleet(name, &FLEET.replace("SECONDS", &seconds.to_string()), cues);
     (copies(&trace), own_reads(&trace))
 }
 
-fn played(name: &str, fleet: &str, cues: &str) -> Trace {
+fn rehearse_fleet(name: &str, fleet: &str, cues: &str) -> Trace {
     let text = fleet.to_string() + cues;
     let script = Script::read(name, &text).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
     let router = Path::new(env!("CARGO_BIN_EXE_sandstile")).to_path_buf();
-    rehearse(Wanted { script, quick: false, router, out: out.clone() }).expect("a rehearsal");
-    let trace = Trace::read(&fs::read_to_string(out.join("trace.jsonl")).expect("a trace")).expect("lines");
-    let found = judge(&trace).expect("a whole trace");
-    let broken: Vec<_> =
+    rehearse(Wanted { script, quick: false, router, out: out.clone() }).expect("rehearsal failed");
+    let trace = Trace::read(&fs::read_to_string(out.join("trace.jsonl")).expect("no trace file"))
+        .expect("malformed trace");
+    let found = judge(&trace).expect("incomplete trace");
+    let violations: Vec<_> =
         found.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(violations.is_empty(), "{violations:?}");
     let _ = fs::remove_dir_all(out);
     trace
 }
 
-fn came_to_one(found: &Copies, why: &str) -> f64 {
-    let epoch = found.epochs.iter().find(|e| e.why.contains(why)).unwrap_or_else(|| panic!("{why}: {found}"));
-    epoch.after.unwrap_or_else(|| panic!("{why}: {found}"))
+fn agreed_after_s(found: &Copies, cause: &str) -> f64 {
+    let epoch =
+        found.epochs.iter().find(|e| e.why.contains(cause)).unwrap_or_else(|| panic!("{cause}: {found}"));
+    epoch.after.unwrap_or_else(|| panic!("{cause}: {found}"))
 }
 
-/// A copy put back, and nothing at all: both are in step soon, and no own read is short.
+/// Guards against lost writes after a restart with an old copy of the state, or with none. Both routers are
+/// in step again soon, and no own read misses its session's write.
 #[test]
-fn whatever_is_found_on_the_disk_the_copies_come_to_one() {
+fn copies_agree_after_restarts_with_an_old_or_a_lost_copy() {
     let cues = r#"
 state "backup" {
   router = 1
@@ -98,8 +102,8 @@
   at = 11
 }
 "#;
-    let (found, own) = play("kept-disk", 17, cues);
-    assert!(own.checked > 300 && own.missed == 0, "{own:?}");
+    let (found, own_reads) = copies_and_own_reads("kept-disk", 17, cues);
+    assert!(own_reads.checked > 300 && own_reads.missed == 0, "{own_reads:?}");
     assert_eq!(found.starts.len(), 2);
     for start in &found.starts {
         assert!(start.in_step_after.is_some_and(|s| s < 4.0), "{found}");
@@ -108,9 +112,9 @@
     assert!(starts.iter().all(|e| e.after.is_some_and(|s| s < 5.0)), "{found}");
 }
 
-/// Cut off from each other both sides go on writing; after the heal each has what the other wrote.
+/// During a partition both sides go on writing; after it, each has what the other wrote.
 #[test]
-fn a_split_heals_and_the_copies_come_to_one() {
+fn copies_agree_after_a_partition() {
     let cues = r#"
 partition "split" {
   sides = ["router:0", "router:1-2"]
@@ -118,15 +122,16 @@
   for = 6
 }
 "#;
-    let (found, own) = play("kept-split", 16, cues);
-    assert!(own.checked > 300 && own.missed == 0, "{own:?}");
-    assert!(came_to_one(&found, "split heals") < 4.0, "{found}");
+    let (found, own_reads) = copies_and_own_reads("kept-split", 16, cues);
+    assert!(own_reads.checked > 300 && own_reads.missed == 0, "{own_reads:?}");
+    assert!(agreed_after_s(&found, "split heals") < 4.0, "{found}");
 }
 
-/// Nobody leads for long: routers that share the search probe each member far less than routers that do not, and while one of them is
-/// killed and another stands still no member goes unprobed for longer than was agreed.
+/// While a group has no primary for a long time, routers that share the search probe each of its hosts far
+/// less often than routers that do not. While one router is killed and another is stopped, no host goes
+/// unprobed for longer than allowed.
 #[test]
-fn a_search_that_is_shared_costs_less_and_leaves_no_gap() {
+fn a_shared_search_needs_fewer_probes_and_leaves_no_gap() {
     let cues = r#"
 fault "primary" {
   kind = "crash"
@@ -148,8 +153,8 @@
 "#;
     let fleet = FLEET.replace("SECONDS", "17").replace("ship_ms = 60", "ship_ms = 60\n  detect_s = 60");
     let search = |name: &str, sessions: &str| -> Search {
-        let trace = played(name, &fleet.replace("\"state\"", sessions), cues);
-        searches(&trace).first().cloned().expect("a search")
+        let trace = rehearse_fleet(name, &fleet.replace("\"state\"", sessions), cues);
+        searches(&trace).first().cloned().expect("no search in the trace")
     };
     let (alone, together) = (search("kept-alone", "\"state\""), search("kept-together", "\"together\""));
     assert!(together.rate.0 < 0.75 * alone.rate.0, "{together}; alone: {alone}");
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! Own reads over restarts and routers: this program before emulated hosts that check nothing themselves.
+//! Own reads across restarts and routers: runs this program in front of emulated hosts that do not check
+//! positions themselves.
 #[allow(dead_code)]
 mod stand_ins;
 
@@ -20,7 +21,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// A long way to the replicas: whoever reads there right after a write misses it.
+/// Replication is slow (700 ms), so a read from a replica right after a write misses it.
 const FLEET: &str = r#"
 title = "sessions"
 seconds = 60
@@ -49,10 +50,10 @@
 "#;
 
 const KEYS: &str = "1 00112233445566778899aabbccddeeff0123456789abcdef0123456789abcdef\n";
-static NEXT: AtomicU8 = AtomicU8::new(0);
-static IDS: AtomicUsize = AtomicUsize::new(1);
+static NEXT_FLEET: AtomicU8 = AtomicU8::new(0);
+static NEXT_STATEMENT_ID: AtomicUsize = AtomicUsize::new(1);
 
-struct Stage {
+struct TestFleet {
     script: Script,
     emulator: Handle,
     _records: Receiver<Record>,
@@ -75,47 +76,55 @@
 impl Router {
     fn end(mut self, signal: &str) {
         let kill = format!("kill -{signal} {}", self.child.id());
-        assert!(Command::new("/bin/sh").args(["-c", &kill]).status().expect("a shell").success());
-        let status = self.child.wait().expect("an end");
+        assert!(Command::new("/bin/sh").args(["-c", &kill]).status().expect("cannot run a shell").success());
+        let status = self.child.wait().expect("cannot wait for the process");
         assert!(signal == "KILL" || status.success(), "{status}");
     }
 }
 
-impl Stage {
-    fn new() -> Stage {
+impl TestFleet {
+    fn new() -> TestFleet {
         let script = Script::read("sessions.hcl", FLEET).unwrap_or_else(|p| panic!("{p:?}"));
         let (trace, records) = unbounded();
-        let n = NEXT.fetch_add(1, SeqCst);
+        let n = NEXT_FLEET.fetch_add(1, SeqCst);
         let net = (60 + (std::process::id() % 40) as u8, 1 + 2 * n);
-        let emulator = Emulator::new(&script, net, Clock::anchor(), trace, unbounded().0).expect("addresses");
+        let emulator = Emulator::new(&script, net, Clock::anchor(), trace, unbounded().0)
+            .expect("cannot bind loopback addresses");
         let dir = std::env::temp_dir().join(format!("sandstile-sessions-{}-{n}", std::process::id()));
-        fs::create_dir_all(&dir).expect("a place for files");
+        fs::create_dir_all(&dir).expect("cannot write the test's files");
         let keys = dir.join("keys");
-        fs::write(&keys, KEYS).expect("a place for files");
-        fs::set_permissions(&keys, fs::Permissions::from_mode(0o600)).expect("our own file");
-        Stage { script, emulator: emulator.spawn().expect("a thread"), _records: records, dir, net }
+        fs::write(&keys, KEYS).expect("cannot write the test's files");
+        fs::set_permissions(&keys, fs::Permissions::from_mode(0o600)).expect("cannot write the test's file");
+        TestFleet {
+            script,
+            emulator: emulator.spawn().expect("cannot start a thread"),
+            _records: records,
+            dir,
+            net,
+        }
     }
 
-    fn exchange(&self, n: usize) -> String {
+    fn exchange_address(&self, n: usize) -> String {
         format!("127.{}.{}.{}:7432", self.net.0, self.net.1 + 120, n + 1)
     }
 
-    /// A router with this in its own file, or none.
-    fn router(&self, n: usize, own: Option<&str>) -> Router {
+    /// Starts a router with these session settings in its local configuration file, or without the file.
+    fn router(&self, n: usize, settings: Option<&str>) -> Router {
         let address = SocketAddr::from(([127, self.net.0, self.net.1 + 100, n as u8 + 1], 6432));
         let known = self.emulator.known(0);
         let config = processes::config(&self.script, n, address, self.emulator.agents[n], &known);
         let file = self.dir.join(format!("config-{n}.json"));
-        fs::write(&file, config.to_string()).expect("a place for files");
+        fs::write(&file, config.to_string()).expect("cannot write the test's files");
         let mut command = Command::new(env!("CARGO_BIN_EXE_sandstile"));
         command.arg("serve").env("LB_CONFIG", file).stderr(Stdio::null());
-        if let Some(own) = own {
+        if let Some(settings) = settings {
             let path = self.dir.join(format!("own-{n}.hcl"));
-            fs::write(&path, format!("sessions {{\n{own}\n}}\n")).expect("a place for files");
+            fs::write(&path, format!("sessions {{\n{settings}\n}}\n"))
+                .expect("cannot write the test's files");
             command.arg("--config").arg(path);
         }
-        let router = Router { child: command.spawn().expect("the program"), address };
-        wait_for("a router", || TcpStream::connect(address).is_ok());
+        let router = Router { child: command.spawn().expect("cannot run the program"), address };
+        wait_for("the router to listen", || TcpStream::connect(address).is_ok());
         router
     }
 
@@ -128,24 +137,24 @@
     }
 }
 
-/// What came back: the host's name and the position it told, and the mark to carry.
-struct Got {
+/// The answer to a statement: the host's name, the position it reported, and the mark for later statements.
+struct StatementAnswer {
     host: String,
     position: f64,
     mark: Option<String>,
 }
 
-fn ask(router: &Router, class: &str, session: &str, mark: Option<&str>) -> Got {
-    let id = IDS.fetch_add(1, SeqCst);
+fn ask(router: &Router, class: &str, session: &str, mark: Option<&str>) -> StatementAnswer {
+    let id = NEXT_STATEMENT_ID.fetch_add(1, SeqCst);
     let mark = mark.map(|m| format!(",mark={m}")).unwrap_or_default();
     let text = format!(
         "/* id=s{id:08},c={class},d=1900,cluster=1{mark} */ SELECT clip FROM clips WHERE viewer = '{session}'"
     );
-    let mut stream = TcpStream::connect(router.address).expect("a router");
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a limit");
+    let mut stream = TcpStream::connect(router.address).expect("cannot connect to the router");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("cannot set the timeout");
     let mut bytes = pg::hello();
     pg::query(&mut bytes, text.as_bytes());
-    stream.write_all(&bytes).expect("a router that reads");
+    stream.write_all(&bytes).expect("the router closed the connection");
     let (mut buf, mut answer, mut greeted, mut token) = (Vec::new(), pg::Answer::default(), false, None);
     loop {
         let mut at = 0;
@@ -158,10 +167,10 @@
                 b'R' | b'K' => {}
                 b'Z' if !greeted => greeted = true,
                 _ => {
-                    if answer.take(tag, body).expect("an answer") {
+                    if answer.take(tag, body).expect("no valid answer") {
                         let (_, host, position) = protocol::made_for(answer.text().as_bytes())
                             .unwrap_or_else(|| panic!("{:?}", answer.stage));
-                        return Got { host: host.to_string(), position, mark: token };
+                        return StatementAnswer { host: host.to_string(), position, mark: token };
                     }
                 }
             }
@@ -169,13 +178,13 @@
         }
         buf.drain(..at);
         let mut piece = [0; 4096];
-        let n = stream.read(&mut piece).expect("an answer");
-        assert!(n > 0, "closed");
+        let n = stream.read(&mut piece).expect("no valid answer");
+        assert!(n > 0, "the router closed the connection");
         buf.extend_from_slice(&piece[..n]);
     }
 }
 
-/// A few of them, for routers begin their rotations anywhere.
+/// The hosts of four reads, because routers begin their rotation at any host.
 fn hosts(router: &Router, session: &str, mark: Option<&str>) -> Vec<String> {
     (0..4).map(|_| ask(router, "own", session, mark).host).collect()
 }
@@ -186,7 +195,7 @@
     hosts.iter().all(|h| h == PRIMARY)
 }
 
-/// Until replicas are known to be far enough, by probes and answers.
+/// Reads until a replica answers: the router first learns from probes and answers how far the replicas are.
 fn served_by_replicas(router: &Router, session: &str, mark: Option<&str>) -> bool {
     (0..100).any(|_| {
         thread::sleep(Duration::from_millis(20));
@@ -195,26 +204,27 @@
 }
 
 #[test]
-fn a_token_is_believed_by_every_router_and_nothing_else_is() {
-    let stage = Stage::new();
-    let routers = [stage.router(0, Some(&stage.keys())), stage.router(1, Some(&stage.keys()))];
-    let wrote = ask(&routers[0], "save", "ann", None);
-    let mark = wrote.mark.expect("a mark to carry");
+fn every_router_accepts_a_valid_token_and_nothing_else() {
+    let fleet = TestFleet::new();
+    let routers = [fleet.router(0, Some(&fleet.keys())), fleet.router(1, Some(&fleet.keys()))];
+    let written = ask(&routers[0], "save", "ann", None);
+    let mark = written.mark.expect("no mark in the answer");
     assert!(all_by_primary(&hosts(&routers[1], "ann", Some(&mark))));
-    // Once replicas have come so far they serve her, and no sooner.
+    // Replicas serve the session once they have reached its position, and no sooner.
     for _ in 0..100 {
-        let got = ask(&routers[1], "own", "ann", Some(&mark));
-        assert!(got.host == PRIMARY || got.position >= wrote.position);
+        let answer = ask(&routers[1], "own", "ann", Some(&mark));
+        assert!(answer.host == PRIMARY || answer.position >= written.position);
         thread::sleep(Duration::from_millis(15));
     }
     assert!(served_by_replicas(&routers[1], "ann", Some(&mark)));
-    // While clients learn to carry them, those without one go where they went before; those with one do not.
-    let lax = format!("{}\nwithout_mark = \"as-before\"", stage.keys());
-    let learning = stage.router(2, Some(&lax));
-    assert!(!all_by_primary(&hosts(&learning, "one without", None)));
-    let later = ask(&learning, "save", "dan", None).mark.expect("a mark to carry");
-    assert!(all_by_primary(&hosts(&learning, "dan", Some(&later))));
-    // Another's, a changed one, none: the primary, and never an error.
+    // With without_mark = "as-before", reads without a mark go to any host, and reads with a mark are still
+    // checked.
+    let lenient = format!("{}\nwithout_mark = \"as-before\"", fleet.keys());
+    let lenient_router = fleet.router(2, Some(&lenient));
+    assert!(!all_by_primary(&hosts(&lenient_router, "one without", None)));
+    let dan_mark = ask(&lenient_router, "save", "dan", None).mark.expect("no mark in the answer");
+    assert!(all_by_primary(&hosts(&lenient_router, "dan", Some(&dan_mark))));
+    // With another session's token, a changed one, or none, reads go to the primary, and never fail.
     let mut changed = mark.clone();
     let other = if changed.pop() == Some('A') { 'B' } else { 'A' };
     changed.push(other);
@@ -222,312 +232,327 @@
         assert!(all_by_primary(&hosts(&routers[1], "ann", bad)), "{bad:?}");
     }
     assert!(all_by_primary(&hosts(&routers[1], "bob", Some(&mark))));
-    // The primary's answer is as good a proof: with it, bob is served by replicas too.
-    let first = ask(&routers[1], "own", "bob", None).mark.expect("a mark to carry");
-    assert!(served_by_replicas(&routers[0], "bob", Some(&first)));
-    fs::remove_dir_all(&stage.dir).expect("our own folder");
+    // A mark from a read on the primary is valid too: with it, replicas serve bob.
+    let bob_mark = ask(&routers[1], "own", "bob", None).mark.expect("no mark in the answer");
+    assert!(served_by_replicas(&routers[0], "bob", Some(&bob_mark)));
+    fs::remove_dir_all(&fleet.dir).expect("cannot remove the test's folder");
 }
 
-/// A restart of any kind between a write and the read behind it; without our own file the read goes astray.
+/// Guards against a stale own read when the router restarts between a write and the read, in order or by a
+/// kill. Without a local configuration file the read is stale.
 #[test]
-fn a_journal_keeps_own_writes_over_restarts() {
-    let stage = Stage::new();
-    let own = format!("{}\ndurability = \"before-answer\"\nsessions_stay = true", stage.journal());
-    let mut router = stage.router(0, Some(&own));
+fn a_journal_preserves_sessions_across_restarts() {
+    let fleet = TestFleet::new();
+    let settings = format!("{}\ndurability = \"before-answer\"\nsessions_stay = true", fleet.journal());
+    let mut router = fleet.router(0, Some(&settings));
     for signal in ["TERM", "KILL", "TERM", "KILL"] {
         ask(&router, "save", "ann", None);
         router.end(signal);
-        router = stage.router(0, Some(&own));
+        router = fleet.router(0, Some(&settings));
         assert!(all_by_primary(&hosts(&router, "ann", None)), "{signal}");
     }
     thread::sleep(Duration::from_millis(800));
-    assert!(
-        served_by_replicas(&router, "ann", None),
-        "the journal was found whole: she is known, not unknown"
-    );
+    assert!(served_by_replicas(&router, "ann", None), "the journal was complete, so the session is known");
     router.end("TERM");
-    let marks = stage.dir.join("marks");
+    let marks = fleet.dir.join("marks");
     let inspect = |path: &Path| {
         let out = Command::new(env!("CARGO_BIN_EXE_sandstile"))
             .args(["sessions", "inspect"])
             .arg(path)
             .output()
-            .expect("the program");
+            .expect("cannot run the program");
         String::from_utf8_lossy(&out.stdout).into_owned()
     };
     assert!(inspect(&marks).contains("whole: true, ended in order: true"), "{}", inspect(&marks));
-    // One bit of it is wrong: what it does not say is unknown, and all own reads go to the primary.
-    let mut bytes = fs::read(&marks).expect("a journal");
+    // With one flipped bit the journal is incomplete: sessions that it lacks are unknown, and their reads go
+    // to the primary.
+    let mut bytes = fs::read(&marks).expect("no journal file");
     let last = bytes.len() - 30;
     bytes[last] ^= 4;
-    fs::write(&marks, bytes).expect("our own file");
-    let router = stage.router(0, Some(&own));
+    fs::write(&marks, bytes).expect("cannot write the test's file");
+    let router = fleet.router(0, Some(&settings));
     assert!(all_by_primary(&hosts(&router, "zoe", None)));
     router.end("TERM");
-    // The same without: a router that has just begun knows nothing, and shows old lists.
-    let router = stage.router(0, None);
+    // The same without a journal: a router that has just started knows no sessions, and serves stale reads.
+    let router = fleet.router(0, None);
     ask(&router, "save", "eve", None);
     router.end("KILL");
-    let router = stage.router(0, None);
-    assert!(!all_by_primary(&hosts(&router, "eve", None)), "or this test proves nothing");
+    let router = fleet.router(0, None);
+    assert!(
+        !all_by_primary(&hosts(&router, "eve", None)),
+        "without a journal the read should be stale, otherwise this test proves nothing"
+    );
     drop(router);
-    fs::remove_dir_all(&stage.dir).expect("our own folder");
+    fs::remove_dir_all(&fleet.dir).expect("cannot remove the test's folder");
 }
 
-/// What a router that ends in order has told its peers comes back to it; after a death it does not count as all.
+/// A router that shuts down in order hands its sessions to its peers and gets them back after the restart.
+/// After a kill, what the peers have does not count as complete.
 #[test]
-fn peers_hand_a_routers_sessions_back_to_it() {
-    let stage = Stage::new();
-    let own = |n: usize, other: usize| {
-        let (listen, peer) = (stage.exchange(n), stage.exchange(other));
+fn peers_return_a_routers_sessions_after_a_restart() {
+    let fleet = TestFleet::new();
+    let settings = |n: usize, other: usize| {
+        let (listen, peer) = (fleet.exchange_address(n), fleet.exchange_address(other));
         format!(
             "{}\nsessions_stay = true\nreplicas_lag_at_most_s = 60\nexchange {{\n listen = \"{listen}\"\n peers = [\"{peer}\"]\n}}",
-            stage.keys()
+            fleet.keys()
         )
     };
-    let _keeper = stage.router(1, Some(&own(1, 0)));
-    let router = stage.router(0, Some(&own(0, 1)));
+    let _peer = fleet.router(1, Some(&settings(1, 0)));
+    let router = fleet.router(0, Some(&settings(0, 1)));
     thread::sleep(Duration::from_millis(700));
     ask(&router, "save", "ann", None);
     router.end("TERM");
-    let router = stage.router(0, Some(&own(0, 1)));
+    let router = fleet.router(0, Some(&settings(0, 1)));
     assert!(all_by_primary(&hosts(&router, "ann", None)));
-    // Known by what was handed back, so replicas serve her once they have it; unknown would mean a minute of primary.
+    // The session is known again, so replicas serve it once they have its writes. An unknown session would be
+    // served by the primary for a minute.
     assert!(served_by_replicas(&router, "ann", None));
     assert!(served_by_replicas(&router, "one who never wrote", None));
     ask(&router, "save", "ann", None);
     router.end("KILL");
-    let router = stage.router(0, Some(&own(0, 1)));
+    let router = fleet.router(0, Some(&settings(0, 1)));
     thread::sleep(Duration::from_millis(1000));
     assert!(all_by_primary(&hosts(&router, "ann", None)));
     drop(router);
-    fs::remove_dir_all(&stage.dir).expect("our own folder");
+    fs::remove_dir_all(&fleet.dir).expect("cannot remove the test's folder");
 }
 
-/// One that keeps state and one that knows nothing of that, side by side: each tells the other what the first version tells.
+/// A router that replicates state and one that does not exchange marks with the first version of the
+/// protocol.
 #[test]
-fn one_that_keeps_state_and_one_that_does_not_understand_each_other() {
-    let stage = Stage::new();
-    let own = |n: usize, other: usize, state: &str| {
-        let (listen, peer) = (stage.exchange(n), stage.exchange(other));
+fn routers_with_and_without_replicated_state_exchange_marks() {
+    let fleet = TestFleet::new();
+    let settings = |n: usize, other: usize, state: &str| {
+        let (listen, peer) = (fleet.exchange_address(n), fleet.exchange_address(other));
         format!(
             "{}\nsessions_stay = true\nreplicas_lag_at_most_s = 60\nexchange {{\n listen = \"{listen}\"\n peers = [\"{peer}\"]\n}}\n{state}",
-            stage.keys()
+            fleet.keys()
         )
     };
-    for (keeps, other) in [("state {\n}", ""), ("", "state {\n}"), ("state {\n}", "state {\n}")] {
-        let _keeper = stage.router(1, Some(&own(1, 0, other)));
-        let router = stage.router(0, Some(&own(0, 1, keeps)));
+    for (state, other_state) in [("state {\n}", ""), ("", "state {\n}"), ("state {\n}", "state {\n}")] {
+        let _peer = fleet.router(1, Some(&settings(1, 0, other_state)));
+        let router = fleet.router(0, Some(&settings(0, 1, state)));
         thread::sleep(Duration::from_millis(700));
         ask(&router, "save", "ann", None);
         router.end("TERM");
-        let router = stage.router(0, Some(&own(0, 1, keeps)));
-        assert!(all_by_primary(&hosts(&router, "ann", None)), "{keeps} beside {other}");
-        assert!(served_by_replicas(&router, "one who never wrote", None), "{keeps} beside {other}");
+        let router = fleet.router(0, Some(&settings(0, 1, state)));
+        assert!(all_by_primary(&hosts(&router, "ann", None)), "{state} with {other_state}");
+        assert!(served_by_replicas(&router, "one who never wrote", None), "{state} with {other_state}");
     }
-    fs::remove_dir_all(&stage.dir).expect("our own folder");
+    fs::remove_dir_all(&fleet.dir).expect("cannot remove the test's folder");
 }
 
-/// The state in a folder, asked over a socket, compared with a file; a second process there is told so in a line and does not start.
+/// The state in a folder can be shown over a socket and compared with a file. A second process on the same
+/// folder fails to start, with an error of one line.
 #[test]
-fn kept_state_is_shown_and_compared_and_has_one_keeper() {
-    let stage = Stage::new();
-    let (dir, socket) = (stage.dir.join("state"), stage.dir.join("state.sock"));
-    let own = |n: usize| {
+fn replicated_state_can_be_shown_and_compared_and_has_one_owner() {
+    let fleet = TestFleet::new();
+    let (dir, socket) = (fleet.dir.join("state"), fleet.dir.join("state.sock"));
+    let settings = |n: usize| {
         format!(
             "{}\nsessions_stay = true\nexchange {{\n listen = \"{}\"\n}}\nstate {{\n dir = {:?}\n witness = {:?}\n control = {:?}\n}}",
-            stage.keys(),
-            stage.exchange(n),
+            fleet.keys(),
+            fleet.exchange_address(n),
             dir.display().to_string(),
-            stage.dir.join("witness").display().to_string(),
+            fleet.dir.join("witness").display().to_string(),
             socket.display().to_string()
         )
     };
-    let state = |words: &[&str]| {
+    let state = |arguments: &[&str]| {
         let out = Command::new(env!("CARGO_BIN_EXE_sandstile"))
             .arg("state")
-            .args(words)
+            .args(arguments)
             .output()
-            .expect("the program");
+            .expect("cannot run the program");
         let text =
             format!("{}{}", String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
         (out.status.success(), text)
     };
     let (file, socket) = (dir.join("state").display().to_string(), socket.display().to_string());
-    let router = stage.router(0, Some(&own(0)));
+    let router = fleet.router(0, Some(&settings(0)));
     ask(&router, "save", "ann", None);
     ask(&router, "save", "bob", None);
-    let same = || state(&["compare", &socket, &file]).0;
-    wait_for("all of it on the disk", same);
-    let before = dir.join("copy");
-    fs::copy(&file, &before).expect("room");
+    let is_saved = || state(&["compare", &socket, &file]).0;
+    wait_for("all of the state to be on the disk", is_saved);
+    let older_copy = dir.join("copy");
+    fs::copy(&file, &older_copy).expect("cannot write the test's files");
     ask(&router, "save", "cid", None);
-    wait_for("more of it on the disk", || !state(&["compare", &before.display().to_string(), &file]).0);
-    let (_, told) = state(&["compare", &before.display().to_string(), &socket]);
-    assert!(told.contains("only the second has it") && told.contains("mark "), "{told}");
-    let (well, told) = state(&["show", &socket]);
-    assert!(well && told.contains("\"mark\":3") && told.contains("\"disk\":true"), "{told}");
-    let config = stage.dir.join("own-second.hcl");
-    fs::write(&config, format!("sessions {{\n{}\n}}\n", own(1))).expect("room");
+    wait_for("the third write to be on the disk", || {
+        !state(&["compare", &older_copy.display().to_string(), &file]).0
+    });
+    let (_, output) = state(&["compare", &older_copy.display().to_string(), &socket]);
+    assert!(output.contains("only the second has it") && output.contains("mark "), "{output}");
+    let (ok, output) = state(&["show", &socket]);
+    assert!(ok && output.contains("\"mark\":3") && output.contains("\"disk\":true"), "{output}");
+    let config = fleet.dir.join("own-second.hcl");
+    fs::write(&config, format!("sessions {{\n{}\n}}\n", settings(1))).expect("cannot write the test's files");
     let second = Command::new(env!("CARGO_BIN_EXE_sandstile"))
         .args(["serve", "--config"])
         .arg(&config)
-        .env("LB_CONFIG", stage.dir.join("config-0.json"))
-        .env("LB_LISTEN", format!("127.{}.{}.99:6432", stage.net.0, stage.net.1 + 100))
+        .env("LB_CONFIG", fleet.dir.join("config-0.json"))
+        .env("LB_LISTEN", format!("127.{}.{}.99:6432", fleet.net.0, fleet.net.1 + 100))
         .output()
-        .expect("the program");
-    let told = String::from_utf8_lossy(&second.stderr).into_owned();
-    assert!(!second.status.success() && told.contains("another process keeps its state there"), "{told}");
+        .expect("cannot run the program");
+    let output = String::from_utf8_lossy(&second.stderr).into_owned();
+    assert!(!second.status.success() && output.contains("another process keeps its state there"), "{output}");
     router.end("TERM");
-    let (well, told) = state(&["show", &file]);
-    assert!(well && told.contains("ended in order: true"), "{told}");
-    // Its next life finds all of it: whoever is not there has not written.
-    let router = stage.router(0, Some(&own(0)));
+    let (ok, output) = state(&["show", &file]);
+    assert!(ok && output.contains("ended in order: true"), "{output}");
+    // The next process finds the complete state, so a session that it lacks has not written.
+    let router = fleet.router(0, Some(&settings(0)));
     assert!(!all_by_primary(&hosts(&router, "one who never wrote", None)));
     router.end("KILL");
-    // Killed, and the file of an orderly end put back: the witness knows better.
-    fs::copy(&before, &file).expect("room");
-    let router = stage.router(0, Some(&own(0)));
+    // Killed, and an older file of an orderly shutdown restored: the witness file shows that it is not the
+    // latest.
+    fs::copy(&older_copy, &file).expect("cannot write the test's files");
+    let router = fleet.router(0, Some(&settings(0)));
     assert!(all_by_primary(&hosts(&router, "one who never wrote", None)));
     drop(router);
-    fs::remove_dir_all(&stage.dir).expect("our own folder");
+    fs::remove_dir_all(&fleet.dir).expect("cannot remove the test's folder");
 }
 
-/// One with the key says again and again that every host refuses, and that it has just looked and nobody leads: reads and writes are served
-/// all the same, by replicas as well once it has been belied.
+/// Guards against false claims by a process that holds the key. It repeats that every host refuses
+/// connections, and that it has just probed them and none is a primary. Reads and writes are still served,
+/// also by replicas once their answers have disproved the claims.
 #[test]
-fn a_liar_with_the_key_costs_a_moment() {
-    let stage = Stage::new();
-    let own = format!(
+fn false_claims_by_a_key_holder_do_not_stop_service() {
+    let fleet = TestFleet::new();
+    let settings = format!(
         "{}\nsessions_stay = true\nexchange {{\n listen = \"{}\"\n}}\nstate {{\n learn_together = true\n}}",
-        stage.keys(),
-        stage.exchange(0)
+        fleet.keys(),
+        fleet.exchange_address(0)
     );
-    let router = stage.router(0, Some(&own));
+    let router = fleet.router(0, Some(&settings));
     assert!(
         served_by_replicas(&router, "one who never wrote", None)
             || all_by_primary(&hosts(&router, "x", None))
     );
-    let secrets = sandstile_router::keys::read_keys(&stage.dir.join("keys"))
-        .expect("keys")
+    let secrets = sandstile_router::keys::read_keys(&fleet.dir.join("keys"))
+        .expect("cannot read the keys")
         .derived(sandstile_router::exchange::CONTEXT);
-    let mut lies = TcpStream::connect(stage.exchange(0)).expect("an exchange");
+    let mut connection =
+        TcpStream::connect(fleet.exchange_address(0)).expect("cannot connect to the exchange");
     let (mut greeting, mut bytes) = (Vec::new(), [0; 128]);
     let nonce = loop {
-        let n = lies.read(&mut bytes).expect("a greeting");
+        let n = connection.read(&mut bytes).expect("no valid greeting");
         greeting.extend_from_slice(&bytes[..n]);
-        if let Some((nonce, ..)) = sandstile_exchange::read_greeting(&greeting).expect("a greeting") {
+        if let Some((nonce, ..)) = sandstile_exchange::read_greeting(&greeting).expect("no valid greeting") {
             break nonce;
         }
     };
     let mut teller = sandstile_exchange::Teller::new(&secrets[0], &nonce);
-    lies.write_all(&teller.who("liar#7~2")).expect("a listener");
-    let over = std::sync::Arc::new(AtomicUsize::new(0));
-    let ends = over.clone();
-    let liar = thread::spawn(move || {
+    connection.write_all(&teller.who("liar#7~2")).expect("the exchange closed the connection");
+    let stop = std::sync::Arc::new(AtomicUsize::new(0));
+    let stop_flag = stop.clone();
+    let sender_thread = thread::spawn(move || {
         let (clock, mut number) = (Clock::anchor(), 0);
-        while ends.load(SeqCst) == 0 {
+        while stop_flag.load(SeqCst) == 0 {
             let now = clock.now();
             let mut facts = Vec::new();
             for host in ["s-1-a", "s-1-b", "s-1-c"] {
                 for (kind, careful, body) in [(Kind::Refuses, 1, ""), (Kind::Probed, 0, "answers")] {
                     number += 1;
-                    let said = Said { life: 7, number, careful, body: body.into() };
-                    facts
-                        .push((Key::owned(kind, host, "liar"), Fact { value: Value::Said(said), born: now }));
+                    let claim = Said { life: 7, number, careful, body: body.into() };
+                    facts.push((
+                        Key::owned(kind, host, "liar"),
+                        Fact { value: Value::Said(claim), born: now },
+                    ));
                 }
             }
             let message = wire::write(&Message::Facts(facts), now);
-            if lies.write_all(&teller.state(&message)).is_err() {
+            if connection.write_all(&teller.state(&message)).is_err() {
                 return;
             }
             thread::sleep(Duration::from_millis(20));
         }
     });
-    let begin = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let mut by_replicas = 0;
     for n in 0..60 {
-        let asked = std::time::Instant::now();
+        let asked_at = std::time::Instant::now();
         if n % 6 == 0 {
             ask(&router, "save", "ann", None);
         }
         by_replicas += usize::from(ask(&router, "own", &format!("r{n}"), None).host != PRIMARY);
-        assert!(asked.elapsed() < Duration::from_secs(1), "each in its time");
+        assert!(asked_at.elapsed() < Duration::from_secs(1), "a statement took too long");
         thread::sleep(Duration::from_millis(50));
     }
-    assert!(begin.elapsed() < Duration::from_secs(20));
-    assert!(by_replicas > 10, "{by_replicas}: what is seen here counts");
-    over.store(1, SeqCst);
-    liar.join().expect("a liar");
+    assert!(started_at.elapsed() < Duration::from_secs(20));
+    assert!(by_replicas > 10, "only {by_replicas} reads were served by replicas");
+    stop.store(1, SeqCst);
+    sender_thread.join().expect("the sending thread panicked");
     drop(router);
-    fs::remove_dir_all(&stage.dir).expect("our own folder");
+    fs::remove_dir_all(&fleet.dir).expect("cannot remove the test's folder");
 }
 
-/// Keys rotate under SIGHUP without a token lost; a bad file keeps the former ones.
+/// SIGHUP rotates the keys without invalidating tokens; if the new file is bad, the former keys stay.
 #[test]
 fn keys_are_read_again_on_sighup() {
-    let stage = Stage::new();
-    let router = stage.router(0, Some(&stage.keys()));
-    let mark = ask(&router, "save", "ann", None).mark.expect("a mark");
-    let keys = stage.dir.join("keys");
+    let fleet = TestFleet::new();
+    let router = fleet.router(0, Some(&fleet.keys()));
+    let mark = ask(&router, "save", "ann", None).mark.expect("no mark in the answer");
+    let keys = fleet.dir.join("keys");
     let new = "2 ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100\n";
     let decode = |text: &str| {
         let out = Command::new(env!("CARGO_BIN_EXE_sandstile"))
             .args(["token", "decode", text, "--keys"])
             .arg(&keys)
             .output()
-            .expect("the program");
+            .expect("cannot run the program");
         out.status.success()
     };
     let reload = |text: &str, mode: u32| {
-        // The mode first: the signal before this one may have it read at any time, and what others may read is no key.
-        fs::set_permissions(&keys, fs::Permissions::from_mode(mode)).expect("our own file");
-        fs::write(&keys, text).expect("our own file");
+        // The mode is set first: the previous signal may cause the file to be read at any time, and a file
+        // that others may read is rejected.
+        fs::set_permissions(&keys, fs::Permissions::from_mode(mode)).expect("cannot write the test's file");
+        fs::write(&keys, text).expect("cannot write the test's file");
         let kill = format!("kill -HUP {}", router.child.id());
-        assert!(Command::new("/bin/sh").args(["-c", &kill]).status().expect("a shell").success());
+        assert!(Command::new("/bin/sh").args(["-c", &kill]).status().expect("cannot run a shell").success());
     };
     assert!(decode(&mark));
     reload("nonsense", 0o600);
     reload(&format!("{new}{KEYS}"), 0o644);
     thread::sleep(Duration::from_millis(300));
-    let same = ask(&router, "save", "bob", None).mark.expect("the former keys stay");
-    fs::set_permissions(&keys, fs::Permissions::from_mode(0o600)).expect("our own file");
-    fs::write(&keys, KEYS).expect("our own file");
-    assert!(decode(&same));
+    let former_mark =
+        ask(&router, "save", "bob", None).mark.expect("no mark, although the former keys should stay");
+    fs::set_permissions(&keys, fs::Permissions::from_mode(0o600)).expect("cannot write the test's file");
+    fs::write(&keys, KEYS).expect("cannot write the test's file");
+    assert!(decode(&former_mark));
     reload(&format!("{new}{KEYS}"), 0o600);
     wait_for("the new key", || {
-        let next = ask(&router, "save", "cid", None).mark.expect("a mark");
-        fs::write(&keys, new).expect("our own file");
+        let next = ask(&router, "save", "cid", None).mark.expect("no mark in the answer");
+        fs::write(&keys, new).expect("cannot write the test's file");
         let signed_by_new = decode(&next);
-        fs::write(&keys, format!("{new}{KEYS}")).expect("our own file");
+        fs::write(&keys, format!("{new}{KEYS}")).expect("cannot write the test's file");
         signed_by_new
     });
     thread::sleep(Duration::from_millis(800));
-    assert!(served_by_replicas(&router, "ann", Some(&mark)), "what the old key signed is believed");
+    assert!(served_by_replicas(&router, "ann", Some(&mark)), "a token of the old key is still accepted");
     drop(router);
-    fs::remove_dir_all(&stage.dir).expect("our own folder");
+    fs::remove_dir_all(&fleet.dir).expect("cannot remove the test's folder");
 }
 
 #[test]
-fn our_own_file_is_checked_with_line_and_column() {
+fn errors_in_the_local_config_have_line_and_column() {
     let dir = std::env::temp_dir().join(format!("sandstile-own-{}", std::process::id()));
-    fs::create_dir_all(&dir).expect("a place for files");
+    fs::create_dir_all(&dir).expect("cannot write the test's files");
     let path = dir.join("own.hcl");
     let check = |text: &str| {
-        fs::write(&path, text).expect("a place for files");
+        fs::write(&path, text).expect("cannot write the test's files");
         let out = Command::new(env!("CARGO_BIN_EXE_sandstile"))
             .args(["check", "--config"])
             .arg(&path)
             .env_remove("LB_CONFIG")
             .output()
-            .expect("the program");
+            .expect("cannot run the program");
         let text =
             format!("{}{}", String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
         (out.status.success(), text)
     };
     assert!(check("sessions {\n sessions_stay = true\n}\n").0);
     assert!(check("sessions {\n on = false\n}\n").1.contains("sessions off"));
-    for (text, says) in [
+    for (text, expected) in [
         ("sesions {}", "1:1: the file knows no sesions (did you mean sessions?)"),
         ("sessions {\n rememberd = 5\n}", "2:2: sessions knows no rememberd (did you mean remembered?)"),
         ("sessions {\n remembered = 5\n}", "2:15: remembered is 5 (wanted: 16 to 10000000)"),
@@ -540,13 +565,13 @@
         ("sessions {\n keys = \"/nowhere/keys\"\n}", "/nowhere/keys"),
         ("sessions {", "own.hcl:"),
     ] {
-        let (ok, told) = check(text);
-        assert!(!ok && told.contains(says), "{text}: {told}");
+        let (ok, output) = check(text);
+        assert!(!ok && output.contains(expected), "{text}: {output}");
     }
     let readable = dir.join("keys");
-    fs::write(&readable, KEYS).expect("a place for files");
-    fs::set_permissions(&readable, fs::Permissions::from_mode(0o640)).expect("our own file");
-    let (ok, told) = check(&format!("sessions {{\n keys = {:?}\n}}\n", readable.display().to_string()));
-    assert!(!ok && told.contains("others may read it") && !told.contains("0011223344"), "{told}");
-    fs::remove_dir_all(dir).expect("our own folder");
+    fs::write(&readable, KEYS).expect("cannot write the test's files");
+    fs::set_permissions(&readable, fs::Permissions::from_mode(0o640)).expect("cannot write the test's file");
+    let (ok, output) = check(&format!("sessions {{\n keys = {:?}\n}}\n", readable.display().to_string()));
+    assert!(!ok && output.contains("others may read it") && !output.contains("0011223344"), "{output}");
+    fs::remove_dir_all(dir).expect("cannot remove the test's folder");
 }
