--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -51,7 +51,7 @@
     /// members.
     own_address: Option<SocketAddr>,
     secret: [u8; 32],
-    desk: MailboxSender<SessionMessage>,
+    dispatcher: MailboxSender<SessionMessage>,
     log: Logger,
 }
 
@@ -80,13 +80,13 @@
                 continue;
             }
             let stop_flag = Arc::new(AtomicBool::new(false));
-            let (name, secret, desk, log) =
-                (self.name.clone(), self.secret, self.desk.clone(), self.log.clone());
+            let (name, secret, dispatcher, log) =
+                (self.name.clone(), self.secret, self.dispatcher.clone(), self.log.clone());
             let stop = stop_flag.clone();
             let spawned = threads::spawn_detached("tell", move || {
                 while !stop.load(SeqCst) {
                     // Every new connection begins with a snapshot, whatever ended the last one.
-                    if let Ok(true) = send_to_peer(peer, &name, &secret, &desk, &stop, &log) {
+                    if let Ok(true) = send_to_peer(peer, &name, &secret, &dispatcher, &stop, &log) {
                         return;
                     }
                     thread::sleep(RECONNECT_DELAY);
@@ -108,23 +108,23 @@
     generation: u64,
     replicates_state: bool,
     secrets: Vec<[u8; 32]>,
-    desk: MailboxSender<SessionMessage>,
+    dispatcher: MailboxSender<SessionMessage>,
     log: &Logger,
 ) -> Result<ExchangePeers, String> {
     let name = format!("{}#{generation}", name.chars().take(40).collect::<String>());
     let name = &if replicates_state { keeping(&name) } else { name };
     let listener =
         TcpListener::bind(config.listen).map_err(|e| format!("exchange: {}: {e}", config.listen))?;
-    let (own_name, keys, to_desk, thread_log) =
-        (name.to_string(), secrets.clone(), desk.clone(), log.clone());
-    threads::spawn_detached("exchange", move || accept(&listener, &own_name, &keys, &to_desk, &thread_log))?;
+    let (own_name, keys, to_dispatcher, thread_log) =
+        (name.to_string(), secrets.clone(), dispatcher.clone(), log.clone());
+    threads::spawn_detached("exchange", move || accept(&listener, &own_name, &keys, &to_dispatcher, &thread_log))?;
     let mut exchange_peers = ExchangePeers {
         configured: config.peers.iter().copied().collect(),
         stop_flags: BTreeMap::new(),
         name: name.to_string(),
         own_address: replicates_state.then_some(config.listen),
         secret: secrets[0],
-        desk,
+        dispatcher,
         log: log.clone(),
     };
     exchange_peers.update(&BTreeSet::new());
@@ -154,7 +154,7 @@
     listener: &TcpListener,
     name: &str,
     secrets: &[[u8; 32]],
-    desk: &MailboxSender<SessionMessage>,
+    dispatcher: &MailboxSender<SessionMessage>,
     log: &Logger,
 ) {
     let connections = Arc::new(AtomicUsize::new(0));
@@ -168,12 +168,12 @@
             continue;
         }
         let nonce = nonce(&secrets[0], number);
-        let (secrets, desk, log) = (secrets.to_vec(), desk.clone(), log.clone());
+        let (secrets, dispatcher, log) = (secrets.to_vec(), dispatcher.clone(), log.clone());
         let (greeting, open_connections) = (greeting(nonce, name), connections.clone());
         let receive = move || {
             let result = stream
                 .write_all(&greeting)
-                .and_then(|()| receive_from_peer(&mut stream, &secrets, &nonce, &desk));
+                .and_then(|()| receive_from_peer(&mut stream, &secrets, &nonce, &dispatcher));
             if let Err(e) = result {
                 info!(log, "exchange: a connection ended: {e}");
             }
@@ -190,7 +190,7 @@
     stream: &mut TcpStream,
     secrets: &[[u8; 32]],
     nonce: &[u8; 16],
-    desk: &MailboxSender<SessionMessage>,
+    dispatcher: &MailboxSender<SessionMessage>,
 ) -> io::Result<()> {
     let mut listener = Listener::new(secrets, nonce);
     let mut from = None;
@@ -212,11 +212,11 @@
             }
             // Backpressure: a peer that sends faster than the dispatcher reads is held back by its TCP
             // connection.
-            while desk.queued() > MAX_QUEUED_MESSAGES {
+            while dispatcher.queued() > MAX_QUEUED_MESSAGES {
                 thread::sleep(BACKPRESSURE_PAUSE);
             }
             if let Some(from) = &from {
-                desk.send(SessionMessage::FromPeer(from.clone(), heard));
+                dispatcher.send(SessionMessage::FromPeer(from.clone(), heard));
             }
         }
     }
@@ -228,14 +228,14 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    desk: &MailboxSender<SessionMessage>,
+    dispatcher: &MailboxSender<SessionMessage>,
     stop: &AtomicBool,
     log: &Logger,
 ) -> io::Result<bool> {
     let mut connected_to = None;
-    let result = run_connection(peer, name, secret, desk, stop, log, &mut connected_to);
+    let result = run_connection(peer, name, secret, dispatcher, stop, log, &mut connected_to);
     if let Some(peer_name) = connected_to {
-        desk.send(SessionMessage::PeerDisconnected(peer_name));
+        dispatcher.send(SessionMessage::PeerDisconnected(peer_name));
     }
     result
 }
@@ -246,7 +246,7 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    desk: &MailboxSender<SessionMessage>,
+    dispatcher: &MailboxSender<SessionMessage>,
     stop: &AtomicBool,
     log: &Logger,
     connected_to: &mut Option<String>,
@@ -271,7 +271,7 @@
     stream.write_all(&teller.who(name))?;
     let (sender, messages) = bounded_mailbox(MAX_QUEUED_MARKS);
     *connected_to = Some(peer_name.clone());
-    desk.send(SessionMessage::PeerConnected(peer_name.clone(), sender));
+    dispatcher.send(SessionMessage::PeerConnected(peer_name.clone(), sender));
     loop {
         let message = match messages.recv(Some(PEER_CHECK_INTERVAL)) {
             Ok(message) => message,
@@ -294,7 +294,7 @@
             PeerMessage::Whole { of_yours } => stream.write_all(&teller.whole(of_yours))?,
             PeerMessage::State(state) => {
                 stream.write_all(&teller.state(&state))?;
-                desk.send(SessionMessage::StateBytesWritten(peer_name.clone(), state.len()));
+                dispatcher.send(SessionMessage::StateBytesWritten(peer_name.clone(), state.len()));
             }
             PeerMessage::Seen(key, seen) => {
                 // Sends all queued marks in one frame.
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -86,9 +86,9 @@
 pub struct LocalConfig {
     pub sessions: Option<SessionsConfig>,
     pub recording: Option<RecordingConfig>,
-    pub limits: Option<sandstile_limits::Terms>,
+    pub limits: Option<sandstile_limits::Settings>,
     /// Pacing of dials and admissions after a restart.
-    pub restart_pacing: Option<sandstile_restart_pacing::Terms>,
+    pub restart_pacing: Option<sandstile_restart_pacing::Settings>,
     pub members: Option<MembersConfig>,
 }
 
@@ -129,44 +129,44 @@
     pub fn parse(name: &str, text: &str) -> Result<LocalConfig, String> {
         let source = Source::new(name, text);
         let local_config = source.parse().map(|parsed| {
-            let file = Section::of(&source, &parsed);
-            let sessions = file.only("sessions").map(|section| read_sessions(&section));
-            let recording = file.only("recording").and_then(|section| {
+            let file = Section::root(&source, &parsed);
+            let sessions = file.optional_block("sessions").map(|section| read_sessions(&section));
+            let recording = file.optional_block("recording").and_then(|section| {
                 let config = RecordingConfig {
-                    file: PathBuf::from(section.needed_text("file")),
+                    file: PathBuf::from(section.required_text("file")),
                     max_bytes: section.count("most_mb", 1.0..1_000_000.0, 256) as u64 * 1024 * 1024,
                 };
-                let on = section.yes("on", true);
+                let on = section.boolean("on", true);
                 section.finish();
                 on.then_some(config)
             });
-            let limits = file.only("limits").and_then(|section| {
-                let defaults = sandstile_limits::Terms::default();
-                let terms = sandstile_limits::Terms {
-                    later_tries: section.number("later_tries", 0.0..10.0, defaults.later_tries),
-                    false_alarms: section.number(
+            let limits = file.optional_block("limits").and_then(|section| {
+                let defaults = sandstile_limits::Settings::default();
+                let terms = sandstile_limits::Settings {
+                    retry_ratio: section.number("later_tries", 0.0..10.0, defaults.retry_ratio),
+                    false_alarms_per_day: section.number(
                         "false_alarms_a_day",
                         0.000_001..1000.0,
-                        defaults.false_alarms,
+                        defaults.false_alarms_per_day,
                     ),
-                    returning: section.number("returning", 0.01..1.0, defaults.returning),
+                    returning_share: section.number("returning", 0.01..1.0, defaults.returning_share),
                 };
-                let on = section.yes("on", true);
+                let on = section.boolean("on", true);
                 section.finish();
                 on.then_some(terms)
             });
-            let restart_pacing = file.only("return").and_then(|section| {
-                let defaults = sandstile_restart_pacing::Terms::default();
-                let terms = sandstile_restart_pacing::Terms {
-                    pace: section.word("pace", &sandstile_restart_pacing::PACES, Some(defaults.pace)),
-                    ramp: section.yes("ramp", defaults.ramp),
+            let restart_pacing = file.optional_block("return").and_then(|section| {
+                let defaults = sandstile_restart_pacing::Settings::default();
+                let terms = sandstile_restart_pacing::Settings {
+                    pace: section.choice("pace", &sandstile_restart_pacing::PACES, Some(defaults.pace)),
+                    ramp: section.boolean("ramp", defaults.ramp),
                     stall_s: section.ms("stall_ms", 0.0..60_000.0, defaults.stall_s),
                 };
-                let on = section.yes("on", true);
+                let on = section.boolean("on", true);
                 section.finish();
                 on.then_some(terms)
             });
-            let members = file.only("members").and_then(|section| read_members(&section));
+            let members = file.optional_block("members").and_then(|section| read_members(&section));
             file.finish();
             LocalConfig { sessions: sessions.flatten(), recording, limits, restart_pacing, members }
         });
@@ -181,75 +181,75 @@
 fn parse_address(section: &Section, key: &str, text: &str) -> Option<SocketAddr> {
     let address = text.parse().ok();
     if address.is_none() {
-        section.wrong(key, format!("\"{text}\" is not an address"), Some("ADDRESS:PORT".to_string()));
+        section.problem(key, format!("\"{text}\" is not an address"), Some("ADDRESS:PORT".to_string()));
     }
     address
 }
 
 fn read_members(section: &Section) -> Option<MembersConfig> {
-    let on = section.yes("on", true);
-    let listen = parse_address(section, "listen", &section.needed_text("listen"));
+    let on = section.boolean("on", true);
+    let listen = parse_address(section, "listen", &section.required_text("listen"));
     let advertise = section.text("advertise").and_then(|text| parse_address(section, "advertise", &text));
     if advertise.or(listen).is_some_and(|address| address.ip().is_unspecified()) {
         let hint = Some("advertise = \"ADDRESS:PORT\"".to_string());
-        section.wrong("listen", "other routers cannot reach an unspecified address", hint);
+        section.problem("listen", "other routers cannot reach an unspecified address", hint);
     }
     let seeds = section.texts("seeds").unwrap_or_default();
     let config = listen.map(|listen| MembersConfig {
         listen,
         advertise: advertise.unwrap_or(listen),
         seeds: seeds.iter().filter_map(|seed| parse_address(section, "seeds", seed)).collect(),
-        keys: PathBuf::from(section.needed_text("keys")),
+        keys: PathBuf::from(section.required_text("keys")),
         zone: section.text("zone").unwrap_or_default(),
         control: section.text("control").map(PathBuf::from),
-        share: section.yes("share", false),
+        share: section.boolean("share", false),
         period: section.ms("period_ms", 50.0..60_000.0, 0.25),
     });
     if config.as_ref().is_some_and(|config| config.zone.len() > sandstile_membership::wire::LONGEST_ZONE) {
-        section.wrong("zone", "a zone's name has at most 32 bytes", None);
+        section.problem("zone", "a zone's name has at most 32 bytes", None);
     }
     section.finish();
     config.filter(|_| on)
 }
 
 fn read_sessions(section: &Section) -> Option<SessionsConfig> {
-    let on = section.yes("on", true);
-    let exchange = section.only("exchange").map(|exchange_section| {
+    let on = section.boolean("on", true);
+    let exchange = section.optional_block("exchange").map(|exchange_section| {
         let address = |key: &str, text: &str| parse_address(&exchange_section, key, text);
-        let listen = address("listen", &exchange_section.needed_text("listen"));
+        let listen = address("listen", &exchange_section.required_text("listen"));
         let peers = exchange_section.texts("peers").unwrap_or_default();
         let peers = peers.iter().filter_map(|peer| address("peers", peer)).collect();
         exchange_section.finish();
         if !section.has("keys") {
-            section.source().wrong(
-                exchange_section.at,
+            section.source().problem(
+                exchange_section.offset,
                 "exchange requires keys",
                 Some("keys = \"FILE\"".to_string()),
             );
         }
         listen.map(|listen| ExchangeConfig { listen, peers })
     });
-    let state = section.only("state").and_then(|state_section| {
+    let state = section.optional_block("state").and_then(|state_section| {
         let config = StateConfig {
             dir: state_section.text("dir").map(PathBuf::from),
             witness: state_section.text("witness").map(PathBuf::from),
             control: state_section.text("control").map(PathBuf::from),
-            learn_together: state_section.yes("learn_together", false),
+            learn_together: state_section.boolean("learn_together", false),
         };
         if config.witness.is_some() && config.dir.is_none() {
-            state_section.wrong("witness", "witness requires dir", Some("dir = \"FOLDER\"".to_string()));
+            state_section.problem("witness", "witness requires dir", Some("dir = \"FOLDER\"".to_string()));
         }
         if exchange.is_none() {
-            section.source().wrong(
-                state_section.at,
+            section.source().problem(
+                state_section.offset,
                 "state requires exchange",
                 Some("exchange { }".to_string()),
             );
         }
         if section.has("journal") {
-            section.wrong("journal", "journal and state both keep marks: choose one of them", None);
+            section.problem("journal", "journal and state both keep marks: choose one of them", None);
         }
-        let on = state_section.yes("on", true);
+        let on = state_section.boolean("on", true);
         state_section.finish();
         on.then_some(config)
     });
@@ -260,8 +260,8 @@
         token_lifetime: section.number("token_lasts_s", 1.0..31_536_000.0, 86_400.0),
         max_clock_skew: section.ms("skew_ms", 0.0..600_000.0, 1.0),
         horizon: section.number("replicas_lag_at_most_s", 1.0..86_400.0, 300.0),
-        sessions_stay: section.yes("sessions_stay", false),
-        allow_unmarked: section.word("without_mark", &[("primary", false), ("as-before", true)], Some(false)),
+        sessions_stay: section.boolean("sessions_stay", false),
+        allow_unmarked: section.choice("without_mark", &[("primary", false), ("as-before", true)], Some(false)),
         max_sessions: section.count("remembered", 16.0..10_000_000.0, 1 << 16),
         sketch_cells: section.count("sketch_cells", 16.0..268_435_456.0, 1 << 18),
         journal: section.text("journal").map(PathBuf::from),
@@ -271,16 +271,16 @@
             Some("every") => Durability::Every(section.ms("every_ms", 1.0..60_000.0, 0.1)),
             Some(other) => {
                 let hint = Some("one of: before-answer, every, none".to_string());
-                section.wrong("durability", format!("durability = \"{other}\""), hint);
+                section.problem("durability", format!("durability = \"{other}\""), hint);
                 Durability::None
             }
         },
     };
     if section.has("every_ms") && !matches!(config.durability, Durability::Every(_)) {
-        section.wrong("every_ms", "every_ms requires durability = \"every\"", None);
+        section.problem("every_ms", "every_ms requires durability = \"every\"", None);
     }
     if section.has("durability") && config.journal.is_none() {
-        section.wrong("durability", "durability requires journal", Some("journal = \"FILE\"".to_string()));
+        section.problem("durability", "durability requires journal", Some("journal = \"FILE\"".to_string()));
     }
     section.finish();
     on.then_some(config)
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -6,7 +6,7 @@
 use crate::mailbox::{bounded_mailbox, Mailbox, MailboxSender};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_dispatcher::{Asked, Source};
+use sandstile_dispatcher::{StatementRequest, Source};
 use sandstile_recording::{Arrival, Head, Recorder};
 use slog::{info, warn, Logger};
 use std::fs::{File, OpenOptions};
@@ -34,13 +34,13 @@
 }
 
 impl Source for RecordingSource {
-    fn arrives(&mut self, now: f64, request: &Asked) {
+    fn statement_arrived(&mut self, now: f64, request: &StatementRequest) {
         let arrival = RecordedArrival {
             arrived_at: now,
             workload: request.workload,
             group: request.group.clone(),
             session: request.session.clone(),
-            time_left: request.until - now,
+            time_left: request.deadline - now,
             is_retry: request.retry,
         };
         if !self.sender.send(arrival) {
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -11,7 +11,7 @@
 use sandstile_dispatcher::{Ending, Outcome};
 use sandstile_durable_state::{Folder, Opened, Shelf};
 use sandstile_membership_view::{may, About, View, Way};
-use sandstile_policy::terms::Verdict;
+use sandstile_policy::terms::OutcomeClass;
 use sandstile_probe_sharing::{Duties, Told, Warnings};
 use sandstile_replicated_state::catchup::{believe, Belief, Standing};
 use sandstile_replicated_state::fact::Said;
@@ -271,7 +271,7 @@
         probe_sharing.probes(now, host)
     }
 
-    pub fn probed(&mut self, now: f64, host: &str, outcome: &Outcome) {
+    pub fn probe_ended(&mut self, now: f64, host: &str, outcome: &Outcome) {
         let Some(probe_sharing) = &mut self.probe_sharing else { return };
         let result = match (outcome.ending == Ending::Completed, outcome.note.primary) {
             (false, _) => Told::Silent,
@@ -288,7 +288,7 @@
 
     /// Called when an execution on this host has ended. Publishes refusals, so that other instances need not
     /// lose a statement to notice them.
-    pub fn met(&mut self, now: f64, host: &str, outcome: &Outcome) {
+    pub fn execution_ended_on_host(&mut self, now: f64, host: &str, outcome: &Outcome) {
         if self.probe_sharing.is_none() {
             return;
         }
@@ -296,7 +296,7 @@
             self.warnings.answered(now, host);
         }
         match outcome.ending.verdict() {
-            Verdict::ConnectFailed | Verdict::Reset | Verdict::Full => {
+            OutcomeClass::ConnectFailed | OutcomeClass::Reset | OutcomeClass::Full => {
                 if self.refused.len() >= MAX_REMEMBERED {
                     self.refused.clear();
                 }
@@ -306,7 +306,7 @@
                     self.replication.say(now, Kind::Refuses, host, 1, "");
                 }
             }
-            Verdict::Completed if self.refused.remove(host).is_some() => {
+            OutcomeClass::Completed if self.refused.remove(host).is_some() => {
                 self.replication.say(now, Kind::Refuses, host, 0, "");
             }
             _ => {}
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -8,11 +8,11 @@
 use crate::session_messages::{PeerMessage, SessionMessage};
 use crate::statement::Workload;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_dispatcher::{Answer, Asked, Ending, Fact, Given, Outcome, Source};
+use sandstile_dispatcher::{Answer, StatementRequest, Ending, DispatcherInput, FinalAnswer, Outcome, Source};
 use sandstile_exchange::Heard;
 use sandstile_journal::pace::Pace;
 use sandstile_journal::{Found, Journal, Wrong};
-use sandstile_policy::terms::Reach;
+use sandstile_policy::terms::ReadRequirement;
 use sandstile_sessions::floor::{Floor, Ground};
 use sandstile_sessions::mark::{Mark, Seen, Term};
 use sandstile_sessions::store::{Bounds, Key, Store};
@@ -35,11 +35,11 @@
 }
 
 impl SessionStatement {
-    fn reach(&self) -> Option<Reach> {
+    fn read_requirement(&self) -> Option<ReadRequirement> {
         self.floor.map(|floor| match floor {
-            Floor::Known(position) => Reach::Position(position),
-            Floor::Unknown(_) => Reach::Primary,
-            Floor::Nothing => Reach::Position(0.0),
+            Floor::Known(position) => ReadRequirement::Position(position),
+            Floor::Unknown(_) => ReadRequirement::Primary,
+            Floor::Nothing => ReadRequirement::Position(0.0),
         })
     }
 }
@@ -75,7 +75,7 @@
     /// The state replicated between instances, if the local configuration file turns it on.
     replicated: Option<Box<ReplicatedState>>,
     /// Warnings of other instances about hosts, for the dispatcher.
-    host_warnings: Vec<Fact>,
+    host_warnings: Vec<DispatcherInput>,
     last_expiry_at: f64,
     counts: Counts,
     last_logged_at: f64,
@@ -98,7 +98,7 @@
         config: SessionsConfig,
         workloads: &[Workload],
         messages: Mailbox<SessionMessage>,
-        answers: MailboxSender<Given>,
+        answers: MailboxSender<FinalAnswer>,
         replicated: Option<ReplicatedState>,
         clock: &Clock,
         log: &Logger,
@@ -166,7 +166,7 @@
 
     /// Works out what an arriving statement needs; `term` is the term that its group's hosts have reported,
     /// or 0 if none has.
-    fn track_statement(&mut self, now: f64, request: &Asked, term: u64) -> Option<SessionStatement> {
+    fn track_statement(&mut self, now: f64, request: &StatementRequest, term: u64) -> Option<SessionStatement> {
         let session = request.session.as_deref()?;
         if now > self.last_expiry_at + EXPIRY_INTERVAL_S {
             self.last_expiry_at = now;
@@ -276,7 +276,7 @@
 
     /// Queues a completed write for the journal. The journal's thread sends `answer`, if there is one, once
     /// the write is as durable as configured; otherwise the answer is returned.
-    fn append_to_journal(&mut self, key: Key, seen: Option<Seen>, answer: Option<Given>) -> Option<Given> {
+    fn append_to_journal(&mut self, key: Key, seen: Option<Seen>, answer: Option<FinalAnswer>) -> Option<FinalAnswer> {
         let (Some(journal), Some(seen)) = (&self.journal, seen) else { return answer };
         journal.send(Entry::Seen { key, seen, pending_answer: answer });
         None
@@ -348,7 +348,7 @@
         let changes = replicated.process(now, check_due, &self.log);
         changes.marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen));
         self.host_warnings
-            .extend(changes.host_warnings.into_iter().map(|(host, age)| Fact::Warned(host, age)));
+            .extend(changes.host_warnings.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)));
         if changes.old_copy && self.complete_since == f64::NEG_INFINITY {
             self.complete_since = now;
         } else if changes.all_received && self.config.sessions_stay {
@@ -396,7 +396,7 @@
         !self.messages.is_empty()
     }
 
-    fn facts(&mut self, now: f64) -> Vec<Fact> {
+    fn take_inputs(&mut self, now: f64) -> Vec<DispatcherInput> {
         while let Some(message) = self.messages.try_recv() {
             self.handle_message(now, message);
         }
@@ -407,32 +407,32 @@
         self.replicated.as_mut().is_none_or(|replicated| replicated.may_probe(now, host))
     }
 
-    fn probed(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        self.replicated.iter_mut().for_each(|replicated| replicated.probed(now, host, outcome));
+    fn probe_ended(&mut self, now: f64, host: &str, outcome: &Outcome) {
+        self.replicated.iter_mut().for_each(|replicated| replicated.probe_ended(now, host, outcome));
     }
 
-    fn met(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        self.replicated.iter_mut().for_each(|replicated| replicated.met(now, host, outcome));
+    fn execution_ended_on_host(&mut self, now: f64, host: &str, outcome: &Outcome) {
+        self.replicated.iter_mut().for_each(|replicated| replicated.execution_ended_on_host(now, host, outcome));
     }
 
-    fn reach(&mut self, now: f64, request: &Asked, term: u64) -> Option<Reach> {
+    fn read_requirement(&mut self, now: f64, request: &StatementRequest, term: u64) -> Option<ReadRequirement> {
         let statement = self.track_statement(now, request, term)?;
-        let reach = statement.reach();
-        self.statements.insert(request.stmt, statement);
-        reach
+        let read_requirement = statement.read_requirement();
+        self.statements.insert(request.statement_id, statement);
+        read_requirement
     }
 
-    fn ended(&mut self, _: f64, stmt: u64, outcome: &mut Outcome) {
-        if let Some(statement) = self.statements.remove(&stmt) {
+    fn execution_ended(&mut self, _: f64, statement_id: u64, outcome: &mut Outcome) {
+        if let Some(statement) = self.statements.remove(&statement_id) {
             self.verify(&statement, outcome);
-            self.statements.insert(stmt, statement);
+            self.statements.insert(statement_id, statement);
         }
     }
 
     /// Adds the session's new token to the answer, and holds the answer back until the write is as durable as
     /// configured.
-    fn completed(&mut self, now: f64, outcome: &Outcome, mut final_answer: Given) -> Option<Given> {
-        let Some(statement) = self.statements.remove(&final_answer.stmt) else { return Some(final_answer) };
+    fn completed(&mut self, now: f64, outcome: &Outcome, mut final_answer: FinalAnswer) -> Option<FinalAnswer> {
+        let Some(statement) = self.statements.remove(&final_answer.statement_id) else { return Some(final_answer) };
         let seen = self.record_write(now, &statement, outcome);
         if let Answer::Completed(_, token) = &mut final_answer.answer {
             *token = Self::session_mark(&statement, outcome).and_then(|mark| {
@@ -450,20 +450,20 @@
         }
         self.record_primary_position(now, &statement, outcome);
         let key = statement.key;
-        self.statements.insert(final_answer.stmt, statement);
+        self.statements.insert(final_answer.statement_id, statement);
         self.append_to_journal(key, seen, Some(final_answer))
     }
 
     /// Records a completed write whose client has disconnected, because the session may return and read.
-    fn unheard(&mut self, now: f64, stmt: u64, outcome: &Outcome) {
-        let Some(statement) = self.statements.remove(&stmt) else { return };
+    fn completed_without_client(&mut self, now: f64, statement_id: u64, outcome: &Outcome) {
+        let Some(statement) = self.statements.remove(&statement_id) else { return };
         let seen = self.record_write(now, &statement, outcome);
         self.append_to_journal(statement.key, seen, None);
-        self.statements.insert(stmt, statement);
+        self.statements.insert(statement_id, statement);
     }
 
-    fn over(&mut self, stmt: u64) {
-        self.statements.remove(&stmt);
+    fn statement_closed(&mut self, statement_id: u64) {
+        self.statements.remove(&statement_id);
     }
 }
 
@@ -487,7 +487,7 @@
 }
 
 enum Entry {
-    Seen { key: Key, seen: Seen, pending_answer: Option<Given> },
+    Seen { key: Key, seen: Seen, pending_answer: Option<FinalAnswer> },
     End(MailboxSender<()>),
 }
 
@@ -496,7 +496,7 @@
 struct JournalWriter {
     /// `None` after a failure of the disk.
     journal: Option<Journal>,
-    answers: MailboxSender<Given>,
+    answers: MailboxSender<FinalAnswer>,
     path: PathBuf,
     durability: Durability,
     clock: Clock,
@@ -556,7 +556,7 @@
         }
     }
 
-    fn send_answers(&self, answers: &mut Vec<Given>) {
+    fn send_answers(&self, answers: &mut Vec<FinalAnswer>) {
         for final_answer in answers.drain(..) {
             self.answers.send(final_answer);
         }
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -152,7 +152,7 @@
     );
     let mut stream = TcpStream::connect(router.address).expect("cannot connect to the router");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("cannot set the timeout");
-    let mut bytes = pg::hello();
+    let mut bytes = pg::startup_message();
     pg::query(&mut bytes, text.as_bytes());
     stream.write_all(&bytes).expect("the router closed the connection");
     let (mut buf, mut answer, mut greeted, mut token) = (Vec::new(), pg::Answer::default(), false, None);
