--- a/crates/sandstile-dispatcher/src/dispatcher.rs
+++ b/crates/sandstile-dispatcher/src/dispatcher.rs
@@ -1,16 +1,16 @@
 //! Takes mail and facts, lets the decisions say what follows, and says when they want to look again. It never touches a socket and
 //! knows no protocol.
-use crate::counters::Counts;
-use crate::messages::{Asked, Given, Mail, Order, Said, Update};
+use crate::counters::DispatcherCounters;
+use crate::messages::{Command, DispatcherMessage, FinalAnswer, HostListUpdate, LogEvent, StatementRequest};
 use crate::outcome::Ending;
-use crate::source::{Fact, Source};
-use crate::task::{Answer, Errand, Job, Parcel};
-use sandstile_deployment::host_list::List;
-use sandstile_deployment::interner::Names;
-use sandstile_limits::{Entry, Limits};
+use crate::source::{DispatcherInput, Source};
+use crate::task::{Answer, HostTask, StatementPayload, TaskKind};
+use sandstile_deployment::host_list::HostList;
+use sandstile_deployment::interner::Interner;
+use sandstile_limits::{Limits, RetryAdmission};
 use sandstile_policy::policy::Instance;
-use sandstile_policy::terms::{Arrival, Cause, Decision, Reach};
-use sandstile_restart_pacing::{Door, Ramp, Stall};
+use sandstile_policy::terms::{Arrival, Decision, FailureCause, ReadRequirement};
+use sandstile_restart_pacing::{Admission, AdmissionRamp, StallDetector};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -19,39 +19,39 @@
     id: String,
     taken_at: f64,
     group: usize,
-    parcel: Arc<dyn Parcel>,
+    payload: Arc<dyn StatementPayload>,
     /// Whom to answer; `None` once that is done, or its client has left.
-    line: Option<usize>,
+    client_connection: Option<usize>,
     /// The database host of each execution.
     hosts: Vec<usize>,
     workload: usize,
     retry: bool,
 }
 
-pub struct Desk {
+pub struct Dispatcher {
     policy: Instance,
-    pub counts: Arc<Counts>,
-    hosts: Names,
-    groups: Names,
-    sessions: Names,
-    list: List,
+    pub counts: Arc<DispatcherCounters>,
+    hosts: Interner,
+    groups: Interner,
+    sessions: Interner,
+    list: HostList,
     sources: Vec<Box<dyn Source>>,
-    orders: VecDeque<Order>,
-    answers: VecDeque<Given>,
-    said: Vec<Said>,
+    orders: VecDeque<Command>,
+    answers: VecDeque<FinalAnswer>,
+    said: Vec<LogEvent>,
     /// Storms and what is done in them, where our own file turns that on; with the longest time to return.
     pub limits: Option<(Limits, f64)>,
     /// What comes in right after the start, and whether this process stood still, where our own file turns that on.
-    pub ramp: Option<(Ramp, f64)>,
-    pub stall: Option<Stall>,
+    pub ramp: Option<(AdmissionRamp, f64)>,
+    pub stall: Option<StallDetector>,
     /// Seconds, as the settings have it.
-    pub longest_return: f64,
+    pub max_return_delay: f64,
     open: BTreeMap<u64, Open>,
     /// The ids of the open ones.
     ids: BTreeSet<String>,
     /// Final answers of this round. They go out behind its withdrawals, or a dial that comes up just then
     /// could still write a statement that has been answered.
-    given_up: Vec<Given>,
+    given_up: Vec<FinalAnswer>,
     /// Probes out at each database host that has any.
     probes: BTreeMap<usize, usize>,
     /// Statements that may be over once the decisions of this round are out.
@@ -61,7 +61,7 @@
     /// When it last said that a statement was refused unsent.
     unsent_said_at: f64,
     /// Whether each step of each statement is said, for a log of everything.
-    pub traces: bool,
+    pub trace_steps: bool,
 }
 
 /// Seconds between looks that nothing but the time calls for. Timers of the platform are no finer; a sleep of nothing
@@ -74,22 +74,22 @@
 /// is at worst kept from a replica that lags behind that.
 const MOST_SESSIONS: usize = 1 << 12;
 
-impl Desk {
-    pub fn new(policy: Instance, counts: Arc<Counts>) -> Self {
-        Desk {
+impl Dispatcher {
+    pub fn new(policy: Instance, counts: Arc<DispatcherCounters>) -> Self {
+        Dispatcher {
             policy,
             counts,
             limits: None,
             ramp: None,
             stall: None,
-            longest_return: 0.0,
+            max_return_delay: 0.0,
             decided: f64::NEG_INFINITY,
             unsent_said_at: f64::NEG_INFINITY,
-            traces: false,
-            hosts: Names::default(),
-            groups: Names::default(),
-            sessions: Names::bounded(MOST_SESSIONS),
-            list: List::default(),
+            trace_steps: false,
+            hosts: Interner::default(),
+            groups: Interner::default(),
+            sessions: Interner::with_limit(MOST_SESSIONS),
+            list: HostList::default(),
             sources: Vec::new(),
             orders: VecDeque::new(),
             answers: VecDeque::new(),
@@ -113,20 +113,20 @@
     }
 
     /// What the sources have to tell; `false` where nothing.
-    pub fn ask(&mut self, now: f64) -> bool {
-        let facts: Vec<Fact> = self.sources.iter_mut().flat_map(|s| s.facts(now)).collect();
+    pub fn poll_sources(&mut self, now: f64) -> bool {
+        let facts: Vec<DispatcherInput> = self.sources.iter_mut().flat_map(|s| s.take_inputs(now)).collect();
         let any = !facts.is_empty();
         for fact in facts {
             match fact {
-                Fact::List(update) => self.listed(now, update),
-                Fact::Sharers(n) => {
-                    self.policy.shared_by(n);
-                    self.orders.push_back(Order::Sharers(n));
-                    self.said.push(Said::Sharers(n));
+                DispatcherInput::HostList(update) => self.listed(now, update),
+                DispatcherInput::RouterCount(n) => {
+                    self.policy.set_router_count(n);
+                    self.orders.push_back(Command::RouterCount(n));
+                    self.said.push(LogEvent::RouterCount(n));
                 }
-                Fact::Warned(host, age) => {
+                DispatcherInput::RefusedElsewhere(host, age) => {
                     if let Some(host) = self.hosts.find(&host) {
-                        self.policy.warned(now, host, age);
+                        self.policy.failure_reported_by_peer(now, host, age);
                     }
                 }
             }
@@ -136,7 +136,7 @@
 
     /// Lets the decisions say what follows of what was taken, or where nothing was (`took` is `false`) looks whether they want to
     /// look again. `false` where there was nothing to do.
-    pub fn turn(&mut self, now: f64, took: bool) -> bool {
+    pub fn decide_if_due(&mut self, now: f64, took: bool) -> bool {
         if self.stall.as_ref().is_some_and(|s| s.holds(now)) {
             // What is known is of before a stop: the list is to come in first.
             return took;
@@ -159,215 +159,231 @@
     }
 
     /// Who drives it looks at the time: a look that comes much too late tells that this process stood still.
-    pub fn look(&mut self, now: f64) {
+    pub fn check_for_stall(&mut self, now: f64) {
         if let Some(stood) = self.stall.as_mut().and_then(|s| s.look(now)) {
-            self.said.push(Said::StoodStill(stood));
+            self.said.push(LogEvent::Stalled(stood));
             self.counts.stalls.add();
         }
     }
 
     /// What is to be done next. Orders go before answers.
-    pub fn next_order(&mut self) -> Option<Order> {
+    pub fn next_command(&mut self) -> Option<Command> {
         self.orders.pop_front()
     }
 
-    pub fn next_answer(&mut self) -> Option<Given> {
+    pub fn next_answer(&mut self) -> Option<FinalAnswer> {
         self.answers.pop_front()
     }
 
-    pub fn take_said(&mut self) -> Vec<Said> {
+    pub fn take_log_events(&mut self) -> Vec<LogEvent> {
         std::mem::take(&mut self.said)
     }
 
     /// Statements that are not over.
-    pub fn open(&self) -> usize {
+    pub fn open_statements(&self) -> usize {
         self.open.len()
     }
 
-    pub fn take(&mut self, now: f64, mail: Mail) {
+    pub fn handle(&mut self, now: f64, mail: DispatcherMessage) {
         match mail {
-            Mail::Asked(asked) => {
+            DispatcherMessage::StatementRequest(asked) => {
                 if !self.ids.insert(asked.id.clone()) {
                     return self.give(&asked, Answer::Unusable);
                 }
                 self.counts.taken.add();
-                self.sources.iter_mut().for_each(|s| s.arrives(now, &asked));
+                self.sources.iter_mut().for_each(|s| s.statement_arrived(now, &asked));
                 // Groups that no list has named share one that has no members, or clients could fill the
                 // memory with names.
-                let group = self.groups.find(&asked.group).unwrap_or_else(|| self.groups.of(""));
+                let group = self.groups.find(&asked.group).unwrap_or_else(|| self.groups.intern(""));
                 if let Some((limits, most)) = &mut self.limits {
-                    if limits.asked(now, asked.workload, group, asked.retry) == Entry::Later {
+                    if limits.asked(now, asked.workload, group, asked.retry) == RetryAdmission::TurnAway {
                         // It never reaches the decisions: nothing was sent, so trying again is harmless.
-                        let after = limits.return_after(now, *most);
+                        let after = limits.retry_after(now, *most);
                         self.counts.turned_away.add();
                         return self.turn_away(&asked, after);
                     }
                 }
                 // Came while this process stood still, nobody knows when: its time may be over, and nothing was sent.
                 let lost = self.stall.as_ref().map_or(0.0, |s| s.lost(now));
-                if lost > 0.0 && asked.until - lost <= now {
-                    return self.turn_away(&asked, self.longest_return);
+                if lost > 0.0 && asked.deadline - lost <= now {
+                    return self.turn_away(&asked, self.max_return_delay);
                 }
                 if let Some((ramp, most)) = &mut self.ramp {
-                    if ramp.asked(asked.stmt) == Door::Later {
+                    if ramp.asked(asked.statement_id) == Admission::TurnAway {
                         let most = *most;
-                        let after = self.limits.as_mut().map_or(most, |(l, most)| l.return_after(now, *most));
+                        let after = self.limits.as_mut().map_or(most, |(l, most)| l.retry_after(now, *most));
                         self.counts.ramped.add();
                         return self.turn_away(&asked, after);
                     }
                 }
                 let term = self.policy.term(group);
-                let reach =
-                    self.sources.iter_mut().filter_map(|s| s.reach(now, &asked, term)).reduce(further);
+                let read_requirement = self
+                    .sources
+                    .iter_mut()
+                    .filter_map(|s| s.read_requirement(now, &asked, term))
+                    .reduce(further);
                 let arrival = Arrival {
                     workload: asked.workload,
                     group,
                     // One that has written nothing needs nothing, and is not worth a name.
                     session: asked.session.and_then(|name| match asked.writes {
-                        true => Some(self.sessions.of(&name)),
+                        true => Some(self.sessions.intern(&name)),
                         false => self.sessions.find(&name),
                     }),
-                    time_left: asked.until - now,
+                    time_left: asked.deadline - now,
                     wait: asked.wait,
                     // Below 0 where the clock of whoever gave the position runs ahead: the position itself stands.
-                    token_age: asked.after.map(|at| now - at),
+                    token_age: asked.last_write_at.map(|at| now - at),
                     retry: asked.retry,
-                    reach,
+                    read_requirement,
                 };
                 let open = Open {
                     id: asked.id,
                     taken_at: now,
                     group: arrival.group,
-                    parcel: asked.parcel,
-                    line: Some(asked.line),
+                    payload: asked.payload,
+                    client_connection: Some(asked.client_connection),
                     hosts: Vec::new(),
                     workload: asked.workload,
                     retry: asked.retry,
                 };
-                self.open.insert(asked.stmt, open);
-                self.policy.arrived(now, asked.stmt, &arrival);
+                self.open.insert(asked.statement_id, open);
+                self.policy.statement_arrived(now, asked.statement_id, &arrival);
             }
-            Mail::ClientGone(stmt) => {
-                if let Some(open) = self.open.get_mut(&stmt).filter(|o| o.line.is_some()) {
+            DispatcherMessage::ClientGone(statement_id) => {
+                if let Some(open) = self.open.get_mut(&statement_id).filter(|o| o.client_connection.is_some())
+                {
                     self.counts.clients_gone.add();
-                    open.line = None;
-                    self.ending.push(stmt);
+                    open.client_connection = None;
+                    self.ending.push(statement_id);
                     if let Some((ramp, _)) = &mut self.ramp {
-                        ramp.ended(stmt, false);
+                        ramp.ended(statement_id, false);
                     }
-                    self.policy.client_gone(now, stmt);
-                    self.unsend(stmt);
+                    self.policy.client_gone(now, statement_id);
+                    self.unsend(statement_id);
                 }
             }
-            Mail::Ended { stmt, execution, mut outcome } => {
-                let Some(open) = self.open.get_mut(&stmt) else { return };
+            DispatcherMessage::Ended { statement_id, execution, mut outcome } => {
+                let Some(open) = self.open.get_mut(&statement_id) else { return };
                 if let (Some(term), Some(&host)) = (outcome.term, open.hosts.get(execution)) {
-                    if !self.policy.follows(host, term) {
+                    if !self.policy.record_term(host, term) {
                         // Of an older term than its group's: how far it is there says nothing.
                         outcome.note.position = None;
                     }
                 }
-                self.sources.iter_mut().for_each(|s| s.ended(now, stmt, &mut outcome));
+                self.sources.iter_mut().for_each(|s| s.execution_ended(now, statement_id, &mut outcome));
                 if let Some(&host) = open.hosts.get(execution) {
                     let name = self.hosts.name(host);
-                    self.sources.iter_mut().for_each(|s| s.met(now, name, &outcome));
+                    self.sources.iter_mut().for_each(|s| s.execution_ended_on_host(now, name, &outcome));
                 }
                 if outcome.ending == Ending::Completed {
-                    if let Some(line) = open.line.take() {
+                    if let Some(client_connection) = open.client_connection.take() {
                         self.counts.completed.add();
                         if let Some((ramp, _)) = &mut self.ramp {
-                            ramp.ended(stmt, true);
+                            ramp.ended(statement_id, true);
                         }
                         if let Some((limits, _)) = &mut self.limits {
                             limits.answered(now, open.workload, open.group, true, !open.retry);
                         }
                         let rows = std::mem::take(&mut outcome.rows);
-                        let given = Given { line, stmt, answer: Answer::Completed(rows, None) };
+                        let given = FinalAnswer {
+                            client_connection,
+                            statement_id,
+                            answer: Answer::Completed(rows, None),
+                        };
                         let mut sources = self.sources.iter_mut();
                         let given = sources.try_fold(given, |given, s| s.completed(now, &outcome, given));
                         self.answers.extend(given);
                     } else {
-                        self.sources.iter_mut().for_each(|s| s.unheard(now, stmt, &outcome));
+                        self.sources
+                            .iter_mut()
+                            .for_each(|s| s.completed_without_client(now, statement_id, &outcome));
                     }
                 }
-                let over = open.line.is_none();
-                self.ending.push(stmt);
-                self.trace(|| Said::Ended { stmt, execution, ending: outcome.ending });
-                self.policy.ended(now, stmt, execution, outcome.ending.verdict(), over, outcome.note);
+                let over = open.client_connection.is_none();
+                self.ending.push(statement_id);
+                self.trace(|| LogEvent::Ended { statement_id, execution, ending: outcome.ending });
+                self.policy.ended(now, statement_id, execution, outcome.ending.verdict(), over, outcome.note);
             }
-            Mail::Probed { host, mut outcome } => {
-                if outcome.term.is_some_and(|term| !self.policy.follows(host, term)) {
+            DispatcherMessage::Probed { host, mut outcome } => {
+                if outcome.term.is_some_and(|term| !self.policy.record_term(host, term)) {
                     outcome.note.position = None;
                 }
                 if let Some(out) = self.probes.get_mut(&host) {
                     *out = out.saturating_sub(1);
                 }
                 let name = self.hosts.name(host);
-                self.sources.iter_mut().for_each(|s| s.probed(now, name, &outcome));
+                self.sources.iter_mut().for_each(|s| s.probe_ended(now, name, &outcome));
                 self.policy.probed(now, host, outcome.ending == Ending::Completed, outcome.note);
             }
         }
     }
 
     /// Notes a step of one statement, where steps are logged.
-    fn trace(&mut self, step: impl FnOnce() -> Said) {
-        if self.traces {
+    fn trace(&mut self, step: impl FnOnce() -> LogEvent) {
+        if self.trace_steps {
             self.said.push(step());
         }
     }
 
     /// Counts and says what a statement waited for that is refused and was sent nowhere.
-    fn note_unsent(&mut self, now: f64, stmt: u64, cause: Cause) {
-        let Some(open) = self.open.get(&stmt).filter(|open| open.hosts.is_empty()) else { return };
-        let hold = self.policy.hold(stmt);
-        if let Some(hold) = hold {
-            self.counts.refused_unsent(hold);
+    fn note_unsent(&mut self, now: f64, statement_id: u64, cause: FailureCause) {
+        let Some(open) = self.open.get(&statement_id).filter(|open| open.hosts.is_empty()) else { return };
+        let wait_reason = self.policy.wait_reason(statement_id);
+        if let Some(wait_reason) = wait_reason {
+            self.counts.refused_unsent(wait_reason);
         }
-        if self.traces || now >= self.unsent_said_at + UNSENT_LOG_GAP {
+        if self.trace_steps || now >= self.unsent_said_at + UNSENT_LOG_GAP {
             self.unsent_said_at = now;
             let (id, group, waited) = (open.id.clone(), open.group, now - open.taken_at);
-            self.said.push(Said::RefusedUnsent { stmt, id, group, cause, hold, waited });
+            self.said.push(LogEvent::RefusedUnsent { statement_id, id, group, cause, wait_reason, waited });
         }
     }
 
-    fn give(&mut self, asked: &Asked, answer: Answer) {
-        self.answers.push_back(Given { line: asked.line, stmt: asked.stmt, answer });
+    fn give(&mut self, asked: &StatementRequest, answer: Answer) {
+        self.answers.push_back(FinalAnswer {
+            client_connection: asked.client_connection,
+            statement_id: asked.statement_id,
+            answer,
+        });
     }
 
     /// It never reaches the decisions: nothing was sent, so trying again is harmless.
-    fn turn_away(&mut self, asked: &Asked, after: f64) {
+    fn turn_away(&mut self, asked: &StatementRequest, after: f64) {
         self.ids.remove(&asked.id);
         self.counts.rejected.add();
         self.give(asked, Answer::Rejected(after));
     }
 
-    fn listed(&mut self, now: f64, update: Update) {
+    fn listed(&mut self, now: f64, update: HostListUpdate) {
         if let Some(stall) = &mut self.stall {
             stall.heard();
         }
         for (name, address) in update.addresses {
-            let host = self.hosts.of(&name);
-            self.orders.push_back(Order::Known { host, name, address });
+            let host = self.hosts.intern(&name);
+            self.orders.push_back(Command::UpdateHost { host, name, address });
         }
         for entry in &update.entries {
             if self.groups.find(&entry.group).is_none() {
-                self.said.push(Said::GroupIs(self.groups.of(&entry.group), entry.group.clone()));
+                self.said.push(LogEvent::GroupAdded(self.groups.intern(&entry.group), entry.group.clone()));
             }
         }
-        let list = self.list.merge(update.whole, &update.entries, &mut self.hosts, &mut self.groups);
-        self.policy.members(now, &list);
-        self.forget();
+        let list = self.list.merge(update.is_snapshot, &update.entries, &mut self.hosts, &mut self.groups);
+        self.policy.update_hosts(now, &list);
+        self.forget_host();
     }
 
     /// Lets go of hosts that have left for good, and of groups that have no host left. A host with a probe out
     /// stays until the next list, or its answer would count for whoever has the index by then.
-    fn forget(&mut self) {
+    fn forget_host(&mut self) {
         let (policy, probes) = (&mut self.policy, &mut self.probes);
         probes.retain(|_, out| *out > 0);
-        for (name, host) in self.list.drop_gone(|host| !probes.contains_key(&host) && policy.forget(host)) {
-            self.orders.push_back(Order::End(host));
+        for (name, host) in
+            self.list.drop_gone(|host| !probes.contains_key(&host) && policy.forget_host(host))
+        {
+            self.orders.push_back(Command::RemoveHost(host));
             self.hosts.release(&name);
-            self.said.push(Said::Forgotten(host, name));
+            self.said.push(LogEvent::HostRemoved(host, name));
         }
         let open = &self.open;
         let unused = |group: usize| !open.values().any(|open| open.group == group);
@@ -378,74 +394,77 @@
 
     fn decide(&mut self, now: f64) {
         self.decided = now;
-        self.policy.passed(now);
+        self.policy.advance_time(now);
         while let Some(decision) = self.policy.decide() {
             match decision {
-                Decision::Send { stmt, host, time_out } => {
-                    let Some(open) = self.open.get_mut(&stmt) else { continue };
-                    let errand =
-                        Errand::Statement { stmt, execution: open.hosts.len(), parcel: open.parcel.clone() };
+                Decision::Send { statement_id, host, timeout } => {
+                    let Some(open) = self.open.get_mut(&statement_id) else { continue };
+                    let kind = TaskKind::Statement {
+                        statement_id,
+                        execution: open.hosts.len(),
+                        payload: open.payload.clone(),
+                    };
                     let execution = open.hosts.len();
                     open.hosts.push(host);
                     if execution > 0 {
                         self.counts.further_executions.add();
                     }
-                    self.trace(|| Said::Sent { stmt, execution, host });
-                    self.orders.push_back(Order::Do(host, Job { errand, until: now + time_out }));
+                    self.trace(|| LogEvent::Sent { statement_id, execution, host });
+                    self.orders.push_back(Command::Start(host, HostTask { kind, deadline: now + timeout }));
                 }
-                Decision::Reject { stmt, return_after, cause } => {
+                Decision::Reject { statement_id, retry_after, cause } => {
                     self.counts.rejected.add();
                     self.counts.refused(cause);
-                    self.trace(|| Said::Refused { stmt, cause });
-                    self.note_unsent(now, stmt, cause);
+                    self.trace(|| LogEvent::Refused { statement_id, cause });
+                    self.note_unsent(now, statement_id, cause);
                     let after = match &mut self.limits {
-                        Some((limits, _)) => limits.return_after(now, return_after),
-                        None => return_after,
+                        Some((limits, _)) => limits.retry_after(now, retry_after),
+                        None => retry_after,
                     };
-                    self.answer(stmt, Answer::Rejected(after));
+                    self.answer(statement_id, Answer::Rejected(after));
                 }
-                Decision::Abort { stmt, cause } => {
+                Decision::Abort { statement_id, cause } => {
                     self.counts.aborted.add();
                     self.counts.refused(cause);
-                    self.trace(|| Said::Refused { stmt, cause });
-                    self.answer(stmt, Answer::Aborted);
+                    self.trace(|| LogEvent::Refused { statement_id, cause });
+                    self.answer(statement_id, Answer::Aborted);
                 }
-                Decision::Recall { stmt, execution } => {
-                    if let Some(&host) = self.open.get(&stmt).and_then(|o| o.hosts.get(execution)) {
-                        self.orders.push_back(Order::Recall { host, stmt, execution });
+                Decision::Cancel { statement_id, execution } => {
+                    if let Some(&host) = self.open.get(&statement_id).and_then(|o| o.hosts.get(execution)) {
+                        self.orders.push_back(Command::Cancel { host, statement_id, execution });
                     }
                 }
                 Decision::Probe { host } => {
                     let name = self.hosts.name(host);
                     // Who is primary can be heard of from others; how far a host has come has to be seen.
-                    if self.policy.leaderless(host)
+                    if self.policy.group_lacks_primary(host)
                         && !self.sources.iter_mut().all(|s| s.may_probe(now, name))
                     {
                         self.counts.probes_left.add();
                         continue;
                     }
                     *self.probes.entry(host).or_default() += 1;
-                    self.orders.push_back(Order::Probe(host));
+                    self.orders.push_back(Command::Probe(host));
                 }
                 // The watch stands from the start and reopens by itself.
                 Decision::Subscribe => {}
-                Decision::Log(line) => self.said.push(Said::Decisions(line)),
+                Decision::Log(text) => self.said.push(LogEvent::PolicyMessage(text)),
             }
         }
         if let Some((limits, _)) = &mut self.limits {
             for change in limits.changes() {
-                self.said.push(Said::Storm(change.begins, format!("{:?}", change.sign)));
+                self.said.push(LogEvent::Storm(change.begins, format!("{:?}", change.sign)));
                 if change.begins {
                     self.counts.storms.add();
                 }
             }
         }
         self.answers.extend(self.given_up.drain(..));
-        for stmt in self.ending.drain(..) {
-            if !self.policy.holds(stmt) {
-                if let Some(open) = self.open.remove(&stmt) {
+        for statement_id in self.ending.drain(..) {
+            if !self.policy.is_tracked(statement_id) {
+                if let Some(open) = self.open.remove(&statement_id) {
                     self.ids.remove(&open.id);
-                    self.sources.iter_mut().for_each(|s| s.over(stmt));
+                    self.sources.iter_mut().for_each(|s| s.statement_closed(statement_id));
                 }
             }
         }
@@ -453,33 +472,33 @@
 
     /// What waits for a connection is no withdrawal on any wire, and is not begun whether executions may be
     /// withdrawn or not.
-    fn unsend(&mut self, stmt: u64) {
-        let Some(hosts) = self.open.get(&stmt).map(|o| &o.hosts) else { return };
+    fn unsend(&mut self, statement_id: u64) {
+        let Some(hosts) = self.open.get(&statement_id).map(|o| &o.hosts) else { return };
         if let (Some(&host), execution) = (hosts.last(), hosts.len().saturating_sub(1)) {
-            self.orders.push_back(Order::Unsend { host, stmt, execution });
+            self.orders.push_back(Command::CancelUnsent { host, statement_id, execution });
         }
     }
 
-    fn answer(&mut self, stmt: u64, answer: Answer) {
-        self.ending.push(stmt);
-        self.unsend(stmt);
-        let Some(open) = self.open.get_mut(&stmt) else { return };
-        if let Some(line) = open.line.take() {
+    fn answer(&mut self, statement_id: u64, answer: Answer) {
+        self.ending.push(statement_id);
+        self.unsend(statement_id);
+        let Some(open) = self.open.get_mut(&statement_id) else { return };
+        if let Some(client_connection) = open.client_connection.take() {
             if let Some((ramp, _)) = &mut self.ramp {
-                ramp.ended(stmt, false);
+                ramp.ended(statement_id, false);
             }
             if let Some((limits, _)) = &mut self.limits {
                 limits.answered(self.decided, open.workload, open.group, false, !open.retry);
             }
-            self.given_up.push(Given { line, stmt, answer });
+            self.given_up.push(FinalAnswer { client_connection, statement_id, answer });
         }
     }
 }
 
 /// Of two sources the one that asks for more is heard.
-fn further(one: Reach, other: Reach) -> Reach {
+fn further(one: ReadRequirement, other: ReadRequirement) -> ReadRequirement {
     match (one, other) {
-        (Reach::Position(a), Reach::Position(b)) => Reach::Position(a.max(b)),
-        _ => Reach::Primary,
+        (ReadRequirement::Position(a), ReadRequirement::Position(b)) => ReadRequirement::Position(a.max(b)),
+        _ => ReadRequirement::Primary,
     }
 }
--- a/crates/sandstile-load/src/engine.rs
+++ b/crates/sandstile-load/src/engine.rs
@@ -152,7 +152,7 @@
         });
         match made {
             Ok(stream) => {
-                let (out, answer) = (pg::hello(), pg::Answer::default());
+                let (out, answer) = (pg::startup_message(), pg::Answer::default());
                 let buf = Vec::new();
                 self.conns[at] =
                     Some(Conn { stream, target, buf, out, sent: 0, greeted: false, answer, open: None });
@@ -340,7 +340,7 @@
                     }
                     let Some(open) = c.open.take() else { continue };
                     let end = match &c.answer.stage {
-                        pg::Stage::Whole => End::Completed,
+                        pg::Stage::Complete => End::Completed,
                         pg::Stage::Failed(code) if matches!(code.as_str(), "53300" | "57P03") => {
                             End::Rejected
                         }
--- a/crates/sandstile-router/src/lists.rs
+++ b/crates/sandstile-router/src/lists.rs
@@ -1,17 +1,17 @@
 //! Reads the lists of discovery and of the configuration.
 use crate::pg;
-use sandstile_deployment::host_list::{readiness, Entry};
-use sandstile_dispatcher::Update;
+use sandstile_deployment::host_list::{readiness, HostEntry};
+use sandstile_dispatcher::HostListUpdate;
 use sandstile_policy::terms::Readiness;
 use serde_json::Value;
 use std::net::SocketAddr;
 
 /// Reads discovery's form. What can't be read is left out; the message then names the first such thing.
-pub fn read(json: &Value) -> Result<(Update, Option<String>), String> {
+pub fn read(json: &Value) -> Result<(HostListUpdate, Option<String>), String> {
     let index = json["index"].as_u64().ok_or("a list without an index")?;
-    let whole = json["snapshot"].as_bool().ok_or("a list without snapshot")?;
+    let is_snapshot = json["snapshot"].as_bool().ok_or("a list without snapshot")?;
     let listed = json["endpoints"].as_array().ok_or("a list without endpoints")?;
-    let mut update = Update { index, whole, entries: Vec::new(), addresses: Vec::new() };
+    let mut update = HostListUpdate { index, is_snapshot, entries: Vec::new(), addresses: Vec::new() };
     let mut wrong = None;
     for item in listed {
         match entry(item) {
@@ -28,7 +28,7 @@
     Ok((update, wrong))
 }
 
-fn entry(item: &Value) -> Result<(Entry, Option<SocketAddr>), String> {
+fn entry(item: &Value) -> Result<(HostEntry, Option<SocketAddr>), String> {
     let host = item["name"].as_str().ok_or("an entry without a name")?.to_string();
     let word = item["status"].as_str().unwrap_or("");
     let readiness = readiness(word).ok_or_else(|| format!("{host}: status '{word}'"))?;
@@ -38,7 +38,7 @@
         Value::String(group) => group.clone(),
         other => other.to_string(),
     };
-    let entry = Entry {
+    let entry = HostEntry {
         host,
         group,
         zone: item["zone"].as_str().unwrap_or("").to_string(),
--- a/crates/sandstile-router/tests/waiting.rs
+++ b/crates/sandstile-router/tests/waiting.rs
@@ -25,7 +25,7 @@
     let busy: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = Client::connect(router.address);
-            client.send(&[sandstile_router::pg::hello(), query(&read(2000))].concat());
+            client.send(&[sandstile_router::pg::startup_message(), query(&read(2000))].concat());
             client
         })
         .collect();
@@ -35,7 +35,7 @@
             let address = router.address;
             thread::spawn(move || {
                 let mut client = Client::connect(address);
-                client.send(&[sandstile_router::pg::hello(), query(&read(400))].concat());
+                client.send(&[sandstile_router::pg::startup_message(), query(&read(400))].concat());
                 let begun = Instant::now();
                 let greeted = client.answer();
                 (greeted, client.answer(), begun.elapsed())
@@ -159,7 +159,7 @@
     let read = |text: &str| lists::read(&serde_json::from_str(text).expect("json")).expect("a list").0;
     let mut known = KnownList::default();
     let first = known.changes(read(&long_list(100)));
-    assert!(first.iter().all(|piece| piece.entries.len() <= 32 && !piece.whole));
+    assert!(first.iter().all(|piece| piece.entries.len() <= 32 && !piece.is_snapshot));
     assert_eq!(first.iter().map(|piece| piece.entries.len()).sum::<usize>(), 100);
     let same = known.changes(read(&long_list(100)));
     assert_eq!((same.len(), same[0].entries.len(), same[0].index), (1, 0, 42));
