--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -117,7 +117,9 @@
         TcpListener::bind(config.listen).map_err(|e| format!("exchange: {}: {e}", config.listen))?;
     let (own_name, keys, to_dispatcher, thread_log) =
         (name.to_string(), secrets.clone(), dispatcher.clone(), log.clone());
-    threads::spawn_detached("exchange", move || accept(&listener, &own_name, &keys, &to_dispatcher, &thread_log))?;
+    threads::spawn_detached("exchange", move || {
+        accept(&listener, &own_name, &keys, &to_dispatcher, &thread_log)
+    })?;
     let mut exchange_peers = ExchangePeers {
         configured: config.peers.iter().copied().collect(),
         stop_flags: BTreeMap::new(),
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -142,7 +142,7 @@
             });
             let limits = file.optional_block("limits").and_then(|section| {
                 let defaults = sandstile_limits::Settings::default();
-                let terms = sandstile_limits::Settings {
+                let settings = sandstile_limits::Settings {
                     retry_ratio: section.number("later_tries", 0.0..10.0, defaults.retry_ratio),
                     false_alarms_per_day: section.number(
                         "false_alarms_a_day",
@@ -153,18 +153,18 @@
                 };
                 let on = section.boolean("on", true);
                 section.finish();
-                on.then_some(terms)
+                on.then_some(settings)
             });
             let restart_pacing = file.optional_block("return").and_then(|section| {
                 let defaults = sandstile_restart_pacing::Settings::default();
-                let terms = sandstile_restart_pacing::Settings {
+                let settings = sandstile_restart_pacing::Settings {
                     pace: section.choice("pace", &sandstile_restart_pacing::PACES, Some(defaults.pace)),
                     ramp: section.boolean("ramp", defaults.ramp),
                     stall_s: section.ms("stall_ms", 0.0..60_000.0, defaults.stall_s),
                 };
                 let on = section.boolean("on", true);
                 section.finish();
-                on.then_some(terms)
+                on.then_some(settings)
             });
             let members = file.optional_block("members").and_then(|section| read_members(&section));
             file.finish();
@@ -261,7 +261,11 @@
         max_clock_skew: section.ms("skew_ms", 0.0..600_000.0, 1.0),
         horizon: section.number("replicas_lag_at_most_s", 1.0..86_400.0, 300.0),
         sessions_stay: section.boolean("sessions_stay", false),
-        allow_unmarked: section.choice("without_mark", &[("primary", false), ("as-before", true)], Some(false)),
+        allow_unmarked: section.choice(
+            "without_mark",
+            &[("primary", false), ("as-before", true)],
+            Some(false),
+        ),
         max_sessions: section.count("remembered", 16.0..10_000_000.0, 1 << 16),
         sketch_cells: section.count("sketch_cells", 16.0..268_435_456.0, 1 << 18),
         journal: section.text("journal").map(PathBuf::from),
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -6,7 +6,7 @@
 use crate::mailbox::{bounded_mailbox, Mailbox, MailboxSender};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_dispatcher::{StatementRequest, Source};
+use sandstile_dispatcher::{Source, StatementRequest};
 use sandstile_recording::{Arrival, Head, Recorder};
 use slog::{info, warn, Logger};
 use std::fs::{File, OpenOptions};
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -8,7 +8,7 @@
 use crate::session_messages::{PeerMessage, SessionMessage};
 use crate::statement::Workload;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_dispatcher::{Answer, StatementRequest, Ending, DispatcherInput, FinalAnswer, Outcome, Source};
+use sandstile_dispatcher::{Answer, DispatcherInput, Ending, FinalAnswer, Outcome, Source, StatementRequest};
 use sandstile_exchange::Heard;
 use sandstile_journal::pace::Pace;
 use sandstile_journal::{Found, Journal, Wrong};
@@ -166,7 +166,12 @@
 
     /// Works out what an arriving statement needs; `term` is the term that its group's hosts have reported,
     /// or 0 if none has.
-    fn track_statement(&mut self, now: f64, request: &StatementRequest, term: u64) -> Option<SessionStatement> {
+    fn track_statement(
+        &mut self,
+        now: f64,
+        request: &StatementRequest,
+        term: u64,
+    ) -> Option<SessionStatement> {
         let session = request.session.as_deref()?;
         if now > self.last_expiry_at + EXPIRY_INTERVAL_S {
             self.last_expiry_at = now;
@@ -276,7 +281,12 @@
 
     /// Queues a completed write for the journal. The journal's thread sends `answer`, if there is one, once
     /// the write is as durable as configured; otherwise the answer is returned.
-    fn append_to_journal(&mut self, key: Key, seen: Option<Seen>, answer: Option<FinalAnswer>) -> Option<FinalAnswer> {
+    fn append_to_journal(
+        &mut self,
+        key: Key,
+        seen: Option<Seen>,
+        answer: Option<FinalAnswer>,
+    ) -> Option<FinalAnswer> {
         let (Some(journal), Some(seen)) = (&self.journal, seen) else { return answer };
         journal.send(Entry::Seen { key, seen, pending_answer: answer });
         None
@@ -347,8 +357,9 @@
         let Some(replicated) = &mut self.replicated else { return };
         let changes = replicated.process(now, check_due, &self.log);
         changes.marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen));
-        self.host_warnings
-            .extend(changes.host_warnings.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)));
+        self.host_warnings.extend(
+            changes.host_warnings.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)),
+        );
         if changes.old_copy && self.complete_since == f64::NEG_INFINITY {
             self.complete_since = now;
         } else if changes.all_received && self.config.sessions_stay {
@@ -412,10 +423,17 @@
     }
 
     fn execution_ended_on_host(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        self.replicated.iter_mut().for_each(|replicated| replicated.execution_ended_on_host(now, host, outcome));
+        self.replicated
+            .iter_mut()
+            .for_each(|replicated| replicated.execution_ended_on_host(now, host, outcome));
     }
 
-    fn read_requirement(&mut self, now: f64, request: &StatementRequest, term: u64) -> Option<ReadRequirement> {
+    fn read_requirement(
+        &mut self,
+        now: f64,
+        request: &StatementRequest,
+        term: u64,
+    ) -> Option<ReadRequirement> {
         let statement = self.track_statement(now, request, term)?;
         let read_requirement = statement.read_requirement();
         self.statements.insert(request.statement_id, statement);
@@ -431,8 +449,15 @@
 
     /// Adds the session's new token to the answer, and holds the answer back until the write is as durable as
     /// configured.
-    fn completed(&mut self, now: f64, outcome: &Outcome, mut final_answer: FinalAnswer) -> Option<FinalAnswer> {
-        let Some(statement) = self.statements.remove(&final_answer.statement_id) else { return Some(final_answer) };
+    fn completed(
+        &mut self,
+        now: f64,
+        outcome: &Outcome,
+        mut final_answer: FinalAnswer,
+    ) -> Option<FinalAnswer> {
+        let Some(statement) = self.statements.remove(&final_answer.statement_id) else {
+            return Some(final_answer);
+        };
         let seen = self.record_write(now, &statement, outcome);
         if let Answer::Completed(_, token) = &mut final_answer.answer {
             *token = Self::session_mark(&statement, outcome).and_then(|mark| {
