--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -273,7 +273,7 @@
 
     pub fn probe_ended(&mut self, now: f64, host: &str, outcome: &Outcome) {
         let Some(probe_sharing) = &mut self.probe_sharing else { return };
-        let result = match (outcome.ending == Ending::Completed, outcome.note.primary) {
+        let result = match (outcome.ending == Ending::Completed, outcome.host_report.primary) {
             (false, _) => Told::Silent,
             (true, Some(true)) => Told::Primary,
             (true, _) => Told::Answers,
@@ -295,7 +295,7 @@
         if outcome.ending == Ending::Completed {
             self.warnings.answered(now, host);
         }
-        match outcome.ending.verdict() {
+        match outcome.ending.outcome_class() {
             OutcomeClass::ConnectFailed | OutcomeClass::Reset | OutcomeClass::Full => {
                 if self.refused.len() >= MAX_REMEMBERED {
                     self.refused.clear();
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -223,14 +223,14 @@
     /// Rejects an answer from a host that is behind what the read must see, so that another host serves it.
     /// This is not counted as the host's failure, because it may have been demoted while the statement ran.
     fn verify(&mut self, statement: &SessionStatement, outcome: &mut Outcome) {
-        if outcome.ending != Ending::Completed || outcome.note.primary == Some(true) {
+        if outcome.ending != Ending::Completed || outcome.host_report.primary == Some(true) {
             return;
         }
         let up_to_date = match statement.floor {
             None | Some(Floor::Nothing) => true,
             Some(Floor::Unknown(_)) => false,
             // Only positions are compared: hosts that report no term have none to compare.
-            Some(Floor::Known(position)) => outcome.note.position.is_some_and(|at| at >= position),
+            Some(Floor::Known(position)) => outcome.host_report.position.is_some_and(|at| at >= position),
         };
         if !up_to_date {
             self.counts.unserved += 1;
@@ -241,8 +241,8 @@
     /// The session's mark after an answer: the commit position after a write; after a read on the primary,
     /// the primary's position, which covers every earlier write of the session.
     fn session_mark(statement: &SessionStatement, outcome: &Outcome) -> Option<Mark> {
-        let at_primary = statement.writes || outcome.note.primary == Some(true);
-        let (term, position) = (outcome.term?, outcome.note.position?);
+        let at_primary = statement.writes || outcome.host_report.primary == Some(true);
+        let (term, position) = (outcome.term?, outcome.host_report.position?);
         at_primary.then_some(Mark { term: Term(term), position })
     }
 
