--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -8,7 +8,7 @@
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_exchange::{greeting, keeping, read_greeting, Heard, Listener, Teller, MOST_MARKS};
-use sandstile_replication::near;
+use sandstile_replication::select_neighbours;
 use slog::{info, warn, Logger};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
@@ -63,7 +63,7 @@
             // Identified by address, which is the same at every instance.
             let by_name: BTreeMap<String, SocketAddr> =
                 wanted.iter().map(|at| (at.to_string(), *at)).collect();
-            let neighbours = near(&own_address.to_string(), &by_name.keys().cloned().collect());
+            let neighbours = select_neighbours(&own_address.to_string(), &by_name.keys().cloned().collect());
             wanted = neighbours.iter().filter_map(|name| by_name.get(name).copied()).collect();
         }
         while wanted.len() > MAX_OUTGOING {
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -205,7 +205,7 @@
         share: section.boolean("share", false),
         period: section.ms("period_ms", 50.0..60_000.0, 0.25),
     });
-    if config.as_ref().is_some_and(|config| config.zone.len() > sandstile_membership::wire::LONGEST_ZONE) {
+    if config.as_ref().is_some_and(|config| config.zone.len() > sandstile_membership::wire::MAX_ZONE_BYTES) {
         section.problem("zone", "a zone's name has at most 32 bytes", None);
     }
     section.finish();
--- a/crates/sandstile-router/src/members.rs
+++ b/crates/sandstile-router/src/members.rs
@@ -7,9 +7,9 @@
 use crate::mailbox::MailboxSender;
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
-use sandstile_membership::wire::LONGEST_NAME;
+use sandstile_membership::wire::MAX_NAME_BYTES;
 use sandstile_membership::{Change, Meta, State};
-use sandstile_peers::{News, Peers, Report, Terms};
+use sandstile_peers::{PeerEvent, Peers, Report, Settings};
 use serde_json::{json, Value};
 use slog::{info, warn, Logger};
 use std::io;
@@ -34,7 +34,7 @@
     sharing_routers: Option<MailboxSender<f64>>,
     exchange_peers: Option<ExchangePeers>,
     pub control: Option<ControlSocket>,
-    published_counts: sandstile_peers::Counts,
+    published_counts: sandstile_peers::PeerCounters,
     log: Logger,
 }
 
@@ -61,19 +61,22 @@
         log: &Logger,
     ) -> Result<Members, String> {
         let with_address = |e: io::Error| format!("members: {}: {e}", config.listen);
-        if router.name.is_empty() || router.name.len() > LONGEST_NAME {
-            return Err(format!("members: a router's name has 1 to {LONGEST_NAME} bytes: '{}'", router.name));
+        if router.name.is_empty() || router.name.len() > MAX_NAME_BYTES {
+            return Err(format!(
+                "members: a router's name has 1 to {MAX_NAME_BYTES} bytes: '{}'",
+                router.name
+            ));
         }
         let socket = UdpSocket::bind(config.listen).map_err(with_address)?;
         let control = config.control.as_deref().map(ControlSocket::open).transpose()?;
-        let settings = Terms {
+        let settings = Settings {
             name: router.name,
-            life: router.generation,
-            at: config.advertise,
+            generation: router.generation,
+            address: config.advertise,
             seeds: config.seeds.clone(),
             meta: Meta { version: VERSION, zone: config.zone.clone(), exchange: router.exchange },
             period: config.period,
-            share: config.share.then_some(router.routers),
+            configured_routers: config.share.then_some(router.routers),
             keys: router.keys,
         };
         info!(log, "members"; "listen" => %config.listen, "found at" => %config.advertise,
@@ -85,7 +88,7 @@
             sharing_routers: router.sharing_routers,
             exchange_peers: router.exchange_peers,
             control,
-            published_counts: sandstile_peers::Counts::default(),
+            published_counts: sandstile_peers::PeerCounters::default(),
             log: log.clone(),
         })
     }
@@ -125,7 +128,7 @@
                 break;
             }
             match self.socket.recv_from(&mut bytes) {
-                Ok((n, _)) => self.peers.received(context.clock.now(), &bytes[..n]),
+                Ok((n, _)) => self.peers.handle_datagram(context.clock.now(), &bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.readable = false,
                 // An earlier datagram could not be delivered; the missing messages of that member show its
                 // death more reliably than this error.
@@ -134,7 +137,7 @@
         }
         let now = context.clock.now();
         if self.peers.due() <= now && !self.readable {
-            self.peers.woken(now);
+            self.peers.on_timer(now);
         }
         self.send(now);
         self.handle_events(context);
@@ -147,25 +150,27 @@
     /// Sends the queued messages. Datagrams that the socket does not accept now are dropped; the protocol
     /// tolerates loss.
     fn send(&mut self, now: f64) {
-        for (to, datagram) in self.peers.take_out(now) {
+        for (to, datagram) in self.peers.take_outgoing(now) {
             let _ = self.socket.send_to(&datagram, to);
         }
     }
 
     fn handle_events(&mut self, context: &LoopContext) {
-        for event in self.peers.take_news() {
+        for event in self.peers.take_events() {
             match event {
-                News::Change(Change::NameTaken(at)) => {
-                    warn!(self.log, "another process runs under this router's name"; "at" => %at);
+                PeerEvent::Change(Change::NameTaken(address)) => {
+                    warn!(self.log, "another process runs under this router's name"; "at" => %address);
                 }
-                News::Change(change) => info!(self.log, "member: {change:?}"),
-                News::View(view, summary) => {
+                PeerEvent::Change(change) => info!(self.log, "member: {change:?}"),
+                PeerEvent::View(view, summary) => {
                     context.counters.view_changes.add();
-                    info!(self.log, "view: {}", view.word(); "there" => summary.there, "suspects" => summary.suspects,
+                    info!(self.log, "view: {}", view.label(); "there" => summary.live, "suspects" => summary.suspects,
                         "dead" => summary.dead, "differing" => summary.differing);
                 }
-                News::Sharers(count) => drop(self.sharing_routers.as_ref().map(|sender| sender.send(count))),
-                News::Tell(addresses) => {
+                PeerEvent::SharingRouters(count) => {
+                    drop(self.sharing_routers.as_ref().map(|s| s.send(count)))
+                }
+                PeerEvent::ExchangePeers(addresses) => {
                     if let Some(exchange_peers) = &mut self.exchange_peers {
                         exchange_peers.update(&addresses);
                     }
@@ -176,7 +181,7 @@
         if counts != self.published_counts {
             self.published_counts = counts;
             let counters = &context.counters;
-            counters.letters.set(counts.letters);
+            counters.letters.set(counts.datagrams);
             counters
                 .letters_refused
                 .set(counts.unreadable + counts.forged + counts.replayed + counts.flooded);
@@ -212,20 +217,20 @@
         .members
         .iter()
         .map(|member| {
-            json!({"name": member.rumour.of.name, "life": member.rumour.of.life,
-                "state": state_text(member.rumour.state), "address": member.rumour.at.to_string(),
+            json!({"name": member.update.id.name, "life": member.update.id.life,
+                "state": state_text(member.update.state), "address": member.update.address.to_string(),
                 "since": member.since, "round_trip_ms": member.round_trip.map(|seconds| seconds * 1e3),
-                "version": member.rumour.meta.version, "zone": member.rumour.meta.zone, "agrees": member.agrees})
+                "version": member.update.meta.version, "zone": member.update.meta.zone, "agrees": member.agrees})
         })
         .collect();
     let counts = &report.counts;
-    json!({"name": report.name, "life": report.life, "address": report.at.to_string(),
+    json!({"name": report.name, "life": report.generation, "address": report.address.to_string(),
         "version": report.meta.version, "zone": report.meta.zone,
-        "view": report.view.word(), "holds_for_s": report.holds_for, "digest": format!("{:016x}", report.digest),
-        "there": report.look.there, "suspects": report.look.suspects, "dead": report.look.dead,
-        "differing": report.look.differing,
-        "health": report.health, "sharers": report.sharers, "members": members,
-        "letters": {"taken": counts.letters, "sent": report.sent.1, "bytes_sent": report.sent.0,
+        "view": report.view.label(), "holds_for_s": report.view_age, "digest": format!("{:016x}", report.digest),
+        "there": report.observation.live, "suspects": report.observation.suspects, "dead": report.observation.dead,
+        "differing": report.observation.differing,
+        "health": report.health, "sharers": report.sharing_routers, "members": members,
+        "letters": {"taken": counts.datagrams, "sent": report.sent.1, "bytes_sent": report.sent.0,
             "unreadable": counts.unreadable, "forged": counts.forged, "replayed": counts.replayed, "flooded": counts.flooded,
             "held_back": counts.held_back},
         "suspicions": counts.suspicions, "deaths": counts.deaths, "names_taken": counts.names_taken})
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -10,13 +10,13 @@
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Ending, Outcome};
 use sandstile_durable_state::{Folder, Opened, Shelf};
-use sandstile_membership_view::{may, About, View, Way};
+use sandstile_membership_view::{may_act, Direction, Topic, View};
 use sandstile_policy::terms::OutcomeClass;
-use sandstile_probe_sharing::{Duties, Told, Warnings};
-use sandstile_replicated_state::catchup::{believe, Belief, Standing};
-use sandstile_replicated_state::fact::Said;
+use sandstile_probe_sharing::{ProbeResult, ProbeSharing, Warnings};
+use sandstile_replicated_state::catchup::{assess_trust, SyncState, Trust};
+use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{stored, Fact, Kind, Snapshot, Value};
-use sandstile_replication::{Keeper, News};
+use sandstile_replication::{ReplicationEvent, ReplicationPeer};
 use sandstile_sessions::mark::{Mark, Seen};
 use sandstile_sessions::store::Key;
 use serde_json::json;
@@ -70,7 +70,7 @@
 }
 
 pub struct ReplicatedState {
-    replication: Keeper,
+    replication: ReplicationPeer,
     peers: BTreeMap<String, MailboxSender<PeerMessage>>,
     /// Peers that hold all that this instance's former generation knew.
     complete_peers: BTreeSet<String>,
@@ -80,24 +80,27 @@
     results: Mailbox<bool>,
     writing: bool,
     last_write_at: f64,
-    saved_number: u64,
+    saved_version: u64,
     /// When each group's log position was last published, and the term then.
     published_positions: BTreeMap<Arc<str>, (f64, u64)>,
     /// Which router probes which host, if the local configuration file turns sharing on.
-    probe_sharing: Option<Duties>,
+    probe_sharing: Option<ProbeSharing>,
     /// Hosts that refuse this router, and when that was last published.
     refused: BTreeMap<String, f64>,
     /// Which peers' claims about refusing hosts are trusted.
     warnings: Warnings,
-    believed: Belief,
+    trust: Trust,
     old_copy: bool,
     twins: u64,
     contradictions: u64,
 }
 
 /// The results of a probe, each with its degree of caution and its text in a fact.
-const PROBE_RESULTS: [(Told, u8, &str); 3] =
-    [(Told::Silent, 1, "silent"), (Told::Answers, 0, "answers"), (Told::Primary, 0, "primary")];
+const PROBE_RESULTS: [(ProbeResult, u8, &str); 3] = [
+    (ProbeResult::NoAnswer, 1, "silent"),
+    (ProbeResult::NotPrimary, 0, "answers"),
+    (ProbeResult::Primary, 0, "primary"),
+];
 
 /// A peer's name without its generation.
 fn name_of(peer: &str) -> &str {
@@ -127,16 +130,16 @@
         log: &Logger,
     ) -> Result<ReplicatedState, String> {
         let now = clock.now();
-        let (mut disk, mut believed, mut stored_life, mut facts) = (None, Belief::None, None, Vec::new());
+        let (mut disk, mut trust, mut stored_generation, mut facts) = (None, Trust::None, None, Vec::new());
         let (result_sender, result_mailbox) = mailbox();
         if let Some(dir) = &config.dir {
             let folder = Folder::open(dir, config.witness.as_deref())?;
             let Opened { found, stored, witness, shelf } =
                 sandstile_durable_state::open(Box::new(folder), settings.generation);
-            believed = believe(stored, witness);
+            trust = assess_trust(stored, witness);
             info!(log, "state: copy loaded from the disk"; "facts" => found.facts.len(),
-                "spoilt" => found.spoilt, "ended" => found.ended, "believed" => ?believed, "witness" => ?witness.file);
-            (stored_life, facts) = (found.life, found.facts);
+                "spoilt" => found.corrupt, "ended" => found.ended_cleanly, "believed" => ?trust, "witness" => ?witness.file);
+            (stored_generation, facts) = (found.generation, found.facts);
             match shelf {
                 Ok(shelf) => {
                     let (sender, tasks) = mailbox();
@@ -159,15 +162,15 @@
             let listener = open_socket(path)?;
             threads::spawn_detached("state asked", move || serve_requests(&listener, &messages))?;
         }
-        let replication = Keeper::new(
-            sandstile_replication::Terms {
+        let replication = ReplicationPeer::new(
+            sandstile_replication::ReplicationSettings {
                 name: settings.name.to_string(),
-                life: settings.generation,
+                generation: settings.generation,
                 horizon: settings.horizon,
                 seed: settings.seed ^ settings.generation,
                 stored: facts,
-                believed,
-                stored_life,
+                trust,
+                stored_generation,
             },
             now,
         );
@@ -179,14 +182,14 @@
             results: result_mailbox,
             writing: false,
             last_write_at: now,
-            saved_number: 0,
+            saved_version: 0,
             published_positions: BTreeMap::new(),
-            probe_sharing: config
-                .learn_together
-                .then(|| Duties::new(settings.name, sandstile_probe_sharing::Terms::default())),
+            probe_sharing: config.learn_together.then(|| {
+                ProbeSharing::new(settings.name, sandstile_probe_sharing::ProbeSharingSettings::default())
+            }),
             refused: BTreeMap::new(),
             warnings: Warnings::default(),
-            believed,
+            trust,
             old_copy: false,
             twins: 0,
             contradictions: 0,
@@ -200,7 +203,7 @@
 
     /// Whether the copy on the disk holds all that the former generation knew.
     pub fn found_all(&self) -> bool {
-        self.believed == Belief::All
+        self.trust == Trust::All
     }
 
     pub fn record_write(&mut self, now: f64, key: Key, seen: &Seen) {
@@ -222,9 +225,14 @@
         self.published_positions.insert(group.clone(), (now, term));
         // Names that are too long for a key are not published.
         if previous.is_none_or(|(_, published_term)| published_term != term) {
-            self.replication.say(now, Kind::Leads, group, 0, &format!("{term:016x}"));
+            self.replication.publish_report(now, Kind::Leader, group, 0, &format!("{term:016x}"));
         }
-        self.replication.learn(now, Kind::Floor, &format!("{term:016x}/{group}"), Value::Most(mark.position));
+        self.replication.learn(
+            now,
+            Kind::LogPosition,
+            &format!("{term:016x}/{group}"),
+            Value::Max(mark.position),
+        );
     }
 
     /// Starts sending to a peer; `of_yours` says that its former generation shut down in order and had sent
@@ -237,23 +245,23 @@
         of_yours: bool,
     ) {
         if sender.send(PeerMessage::Whole { of_yours }) {
-            self.replication.linked_with(now, &peer);
+            self.replication.peer_connected(now, &peer);
             self.peers.insert(peer, sender);
         }
     }
 
     pub fn peer_disconnected(&mut self, now: f64, peer: &str) {
         if self.peers.remove(peer).is_some() {
-            self.replication.parted_from(now, peer);
+            self.replication.peer_disconnected(now, peer);
         }
     }
 
     pub fn record_bytes_written(&mut self, peer: &str, bytes: usize) {
-        self.replication.written(peer, bytes);
+        self.replication.bytes_written(peer, bytes);
     }
 
     pub fn receive(&mut self, now: f64, from: &str, message: &[u8]) {
-        self.replication.heard(now, from, message);
+        self.replication.receive(now, from, message);
     }
 
     pub fn expect_all_from(&mut self, peer: &str) {
@@ -266,24 +274,24 @@
     /// Whether this router should probe a host whose group has no known primary.
     pub fn may_probe(&mut self, now: f64, host: &str) -> bool {
         let Some(probe_sharing) = &mut self.probe_sharing else { return true };
-        let connected = self.replication.linked().map(|peer| name_of(peer).to_string()).collect();
-        probe_sharing.there(now, &connected);
-        probe_sharing.probes(now, host)
+        let connected = self.replication.connected_peers().map(|peer| name_of(peer).to_string()).collect();
+        probe_sharing.set_reachable_peers(now, &connected);
+        probe_sharing.should_probe(now, host)
     }
 
     pub fn probe_ended(&mut self, now: f64, host: &str, outcome: &Outcome) {
         let Some(probe_sharing) = &mut self.probe_sharing else { return };
         let result = match (outcome.ending == Ending::Completed, outcome.host_report.primary) {
-            (false, _) => Told::Silent,
-            (true, Some(true)) => Told::Primary,
-            (true, _) => Told::Answers,
+            (false, _) => ProbeResult::NoAnswer,
+            (true, Some(true)) => ProbeResult::Primary,
+            (true, _) => ProbeResult::NotPrimary,
         };
-        probe_sharing.probed(now, host, result);
-        let (careful, body) = PROBE_RESULTS
+        probe_sharing.record_own_probe(now, host, result);
+        let (severity, body) = PROBE_RESULTS
             .iter()
             .find(|(known, ..)| *known == result)
-            .map_or((1, ""), |(_, careful, body)| (*careful, *body));
-        self.replication.say(now, Kind::Probed, host, careful, body);
+            .map_or((1, ""), |(_, severity, body)| (*severity, *body));
+        self.replication.publish_report(now, Kind::Probe, host, severity, body);
     }
 
     /// Called when an execution on this host has ended. Publishes refusals, so that other instances need not
@@ -303,11 +311,11 @@
                 if self.refused.get(host).is_none_or(|published_at| now >= published_at + REFUSAL_INTERVAL_S)
                 {
                     self.refused.insert(host.to_string(), now);
-                    self.replication.say(now, Kind::Refuses, host, 1, "");
+                    self.replication.publish_report(now, Kind::Refusal, host, 1, "");
                 }
             }
             OutcomeClass::Completed if self.refused.remove(host).is_some() => {
-                self.replication.say(now, Kind::Refuses, host, 0, "");
+                self.replication.publish_report(now, Kind::Refusal, host, 0, "");
             }
             _ => {}
         }
@@ -318,26 +326,36 @@
         &mut self,
         now: f64,
         key: &sandstile_replicated_state::Key,
-        claim: &Said,
+        claim: &Report,
         changes: &mut StateChanges,
     ) {
         let Some(probe_sharing) = &mut self.probe_sharing else { return };
-        let Some(born) = self.replication.replica().get(key).map(|fact| fact.born) else { return };
+        let Some(created_at) = self.replication.replica().get(key).map(|fact| fact.created_at) else {
+            return;
+        };
         match key.kind {
-            Kind::Probed => {
+            Kind::Probe => {
                 let Some((probe_result, ..)) =
                     PROBE_RESULTS.iter().find(|(_, _, body)| *body == &*claim.body)
                 else {
                     return;
                 };
-                probe_sharing.heard(&key.owner, claim.life, claim.number, &key.subject, born, *probe_result);
+                probe_sharing.record_peer_probe(
+                    &key.owner,
+                    claim.generation,
+                    claim.version,
+                    &key.subject,
+                    created_at,
+                    *probe_result,
+                );
             }
-            Kind::Refuses => {
+            Kind::Refusal => {
                 // A claim that asks for more caution is allowed in every membership view, even if this router
                 // is alone.
-                let allowed = claim.careful > 0 && may(View::Alone, About::Refusal, Way::MoreCareful, false);
-                if allowed && self.warnings.heed(now, &key.owner, &key.subject) {
-                    changes.host_warnings.push((key.subject.to_string(), now - born));
+                let allowed =
+                    claim.severity > 0 && may_act(View::Alone, Topic::Refusal, Direction::MoreCareful, false);
+                if allowed && self.warnings.accept(now, &key.owner, &key.subject) {
+                    changes.host_warnings.push((key.subject.to_string(), now - created_at));
                 }
             }
             _ => {}
@@ -345,10 +363,10 @@
     }
 
     fn send(&mut self, now: f64) {
-        for (peer, message) in self.replication.take_out(now) {
+        for (peer, message) in self.replication.take_outgoing(now) {
             if self.peers.get(&peer).is_some_and(|sender| !sender.send(PeerMessage::State(message))) {
                 self.peers.remove(&peer);
-                self.replication.parted_from(now, &peer);
+                self.replication.peer_disconnected(now, &peer);
             }
         }
     }
@@ -357,32 +375,36 @@
     /// each connection carries one message with new facts per run.
     pub fn process(&mut self, now: f64, check_due: bool, log: &Logger) -> StateChanges {
         if check_due {
-            self.replication.look(now);
+            self.replication.tick(now);
         }
         self.send(now);
         let mut changes = StateChanges::default();
-        for event in self.replication.take_news() {
+        for event in self.replication.take_events() {
             match event {
-                News::Learnt(key, Value::Seen(seen)) if key.kind == Kind::Mark => {
+                ReplicationEvent::FactLearned(key, Value::Seen(seen)) if key.kind == Kind::Mark => {
                     changes.marks.extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (Key(k), seen)));
                 }
-                News::Learnt(key, Value::Said(claim)) => self.apply_claim(now, &key, &claim, &mut changes),
-                News::Learnt(..) => {}
-                News::Standing(standing) => {
-                    info!(log, "state: {}", standing_text(standing); "facts" => self.replication.replica().len())
+                ReplicationEvent::FactLearned(key, Value::Report(claim)) => {
+                    self.apply_claim(now, &key, &claim, &mut changes)
+                }
+                ReplicationEvent::FactLearned(..) => {}
+                ReplicationEvent::SyncStateChanged(sync_state) => {
+                    info!(log, "state: {}", sync_state_text(sync_state); "facts" => self.replication.replica().len())
+                }
+                ReplicationEvent::PeerCompared(peer) => {
+                    changes.all_received |= self.complete_peers.remove(&peer)
                 }
-                News::Has(peer) => changes.all_received |= self.complete_peers.remove(&peer),
-                News::Contradicts(key) => {
+                ReplicationEvent::Contradiction(key) => {
                     self.contradictions += 1;
                     warn!(log, "state: contradiction: one member said two things under one number";
-                        "kind" => key.kind.word(), "of" => &*key.subject, "by" => &*key.owner);
+                        "kind" => key.kind.name(), "of" => &*key.subject, "by" => &*key.owner);
                 }
-                News::OldCopy { found, met } => {
+                ReplicationEvent::OldCopy { found, met } => {
                     (self.old_copy, changes.old_copy) = (true, true);
                     warn!(log, "state: the copy from the disk was an old one"; "its life" => found,
                         "a later one" => met);
                 }
-                News::Twin(generation) => {
+                ReplicationEvent::DuplicateName(generation) => {
                     self.twins += 1;
                     if self.twins == 1 {
                         warn!(log, "state: a process with this router's name and a later life is running";
@@ -402,25 +424,25 @@
                 warn!(log, "state: kept in memory only from now on");
             }
         }
-        let number = self.replication.replica().number();
+        let version = self.replication.replica().version();
         if self.writing
             || now < self.last_write_at + WRITE_INTERVAL_S
-            || (number == self.saved_number && self.saved_number > 0)
+            || (version == self.saved_version && self.saved_version > 0)
         {
             return;
         }
         if let Some(disk) = &self.disk {
             // Cheap: the snapshot shares its facts with the replica.
             self.writing = disk.send(DiskTask::Put(now, self.replication.replica().snapshot()));
-            (self.last_write_at, self.saved_number) = (now, number);
+            (self.last_write_at, self.saved_version) = (now, version);
         }
     }
 
     /// Sends all facts to all peers, and writes the final state to the disk.
     pub fn shut_down(&mut self, now: f64, done: &MailboxSender<()>) {
-        self.replication.look(now);
+        self.replication.tick(now);
         for (peer, sender) in std::mem::take(&mut self.peers) {
-            let Some(last_messages) = self.replication.last_words(now, &peer) else { continue };
+            let Some(last_messages) = self.replication.take_final_messages(now, &peer) else { continue };
             if last_messages.into_iter().all(|message| sender.send(PeerMessage::State(message))) {
                 sender.send(PeerMessage::End(done.clone()));
             }
@@ -434,15 +456,15 @@
     pub fn report(&self, now: f64) -> StateReport {
         let replica = self.replication.replica();
         let (counts, replica_counts) = (self.replication.counts(), replica.counts());
-        let summary = json!({"standing": standing_text(self.replication.standing()), "facts": replica.len(),
+        let summary = json!({"standing": sync_state_text(self.replication.sync_state()), "facts": replica.len(),
             "digest": format!("{:016x}", replica.digest()),
-            "linked": self.replication.linked().collect::<Vec<_>>(), "number": replica.number(),
-            "believed": format!("{:?}", self.believed).to_lowercase(), "old_copy": self.old_copy,
+            "linked": self.replication.connected_peers().collect::<Vec<_>>(), "number": replica.version(),
+            "believed": format!("{:?}", self.trust).to_lowercase(), "old_copy": self.old_copy,
             "disk": self.disk.is_some(), "twins": self.twins, "contradictions": self.contradictions,
             "bytes_in": counts.bytes_in, "bytes_out": counts.bytes_out, "messages_in": counts.messages_in,
             "messages_out": counts.messages_out, "rounds": counts.rounds, "rounds_lost": counts.rounds_lost,
             "unreadable": counts.unreadable, "refused": counts.refused, "shed": counts.shed,
-            "given_up": replica_counts.given_up, "forgotten": replica_counts.forgotten});
+            "given_up": replica_counts.evicted, "forgotten": replica_counts.expired});
         StateReport { at: now, summary, facts: replica.snapshot() }
     }
 }
@@ -451,7 +473,7 @@
 fn summary_line(report: StateReport, at: f64) -> Vec<u8> {
     let StateReport { mut summary, facts, .. } = report;
     let mut kinds: BTreeMap<&str, u64> = BTreeMap::new();
-    facts.iter().for_each(|(key, _)| *kinds.entry(key.kind.word()).or_default() += 1);
+    facts.iter().for_each(|(key, _)| *kinds.entry(key.kind.name()).or_default() += 1);
     summary["kinds"] = json!(kinds);
     summary["as_of"] = json!(at);
     summary["digest_as_of"] = json!(format!("{:016x}", facts.digest_as_of(at)));
@@ -460,19 +482,19 @@
 
 /// All facts in the format of the state file, so that a router and a file can be compared.
 fn all_facts(report: &StateReport) -> Vec<u8> {
-    let mut out = stored::head(1);
-    report.facts.iter().for_each(|(key, fact)| stored::put(&mut out, 1, report.at, key, fact));
-    stored::ended(&mut out, 1, report.facts.number());
+    let mut out = stored::header(1);
+    report.facts.iter().for_each(|(key, fact)| stored::write_fact(&mut out, 1, report.at, key, fact));
+    stored::write_end(&mut out, 1, report.facts.version());
     out
 }
 
-fn standing_text(standing: Standing) -> &'static str {
-    match standing {
-        Standing::New => "new",
-        Standing::CatchingUp => "catching up",
-        Standing::InStep => "in step",
-        Standing::InStepAsOf(_) => "in step as of before",
-        Standing::Careful => "careful",
+fn sync_state_text(sync_state: SyncState) -> &'static str {
+    match sync_state {
+        SyncState::NotStarted => "new",
+        SyncState::CatchingUp => "catching up",
+        SyncState::InSync => "in step",
+        SyncState::InSyncAsOf(_) => "in step as of before",
+        SyncState::Isolated => "careful",
     }
 }
 
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -6,7 +6,7 @@
 use sandstile_audit::agreement::Agreement;
 use sandstile_audit::{agreement, judge, Trace};
 use sandstile_lab::rehearse::{rehearse, Wanted};
-use sandstile_membership::{Letter, Life, Message, Meta, Rumour, State};
+use sandstile_membership::{Datagram, MemberId, MemberUpdate, Message, Meta, State};
 use sandstile_peers::Sealer;
 use sandstile_router::members::CONTEXT;
 use sandstile_router::{control_client, keys};
@@ -214,21 +214,21 @@
     let secret = keys::read_keys(&dir.join("keys")).expect("cannot read the keys").derived(CONTEXT);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("no address");
     let own_address = socket.local_addr().expect("no address");
-    let rumour = |name: &str, life: u64, at, incarnation, state| Rumour {
-        of: Life { name: name.to_string(), life },
-        at,
+    let update = |name: &str, life: u64, address, incarnation, state| MemberUpdate {
+        id: MemberId { name: name.to_string(), life },
+        address,
         incarnation,
         state,
-        by: 0,
+        accuser: 0,
         meta: Meta::default(),
     };
     let generations: Vec<u64> =
         (0..3).map(|n| report_of(n)["life"].as_u64().expect("no life in the report")).collect();
     let mut sealer = Sealer::new(secret, 1);
-    let mut send = |to: usize, rumours: Vec<Rumour>| {
-        let from = rumour("liar", 1, own_address, 0, State::Alive);
-        let letter = Letter { from, message: Message::Known, rumours, digest: 7 }.write();
-        let sealed = sealer.seal(addresses[to], &letter);
+    let mut send = |to: usize, updates: Vec<MemberUpdate>| {
+        let from = update("liar", 1, own_address, 0, State::Alive);
+        let datagram = Datagram { from, message: Message::Gossip, updates, digest: 7 }.write();
+        let sealed = sealer.seal(addresses[to], &datagram);
         let _ = socket.send_to(&sealed, addresses[to]);
         sealed
     };
@@ -239,7 +239,7 @@
             let incarnation = if round % 5 == 4 { u32::MAX } else { round };
             let sealed = send(
                 to,
-                vec![rumour(
+                vec![update(
                     &format!("r{target}"),
                     generations[target],
                     addresses[target],
@@ -251,7 +251,7 @@
             // Replays the first message, and announces names that do not exist.
             let _ = socket.send_to(first.as_ref().expect("nothing was sent yet"), addresses[0]);
             let names = (0..8).map(|n| {
-                rumour(&format!("x{}", round * 24 + to as u32 * 8 + n), 1, own_address, 0, State::Alive)
+                update(&format!("x{}", round * 24 + to as u32 * 8 + n), 1, own_address, 0, State::Alive)
             });
             send(to, names.collect());
         }
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -7,7 +7,7 @@
 use sandstile_emulator::{protocol, Clock, Emulator, Handle, Record};
 use sandstile_lab::processes;
 use sandstile_pgwire as pg;
-use sandstile_replicated_state::fact::Said;
+use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{wire, Fact, Key, Kind, Message, Value};
 use sandstile_scenario::Script;
 use stand_ins::{wait_for, TEST_TIMEOUT};
@@ -446,21 +446,21 @@
     let stop = std::sync::Arc::new(AtomicUsize::new(0));
     let stop_flag = stop.clone();
     let sender_thread = thread::spawn(move || {
-        let (clock, mut number) = (Clock::anchor(), 0);
+        let (clock, mut version) = (Clock::anchor(), 0);
         while stop_flag.load(SeqCst) == 0 {
             let now = clock.now();
             let mut facts = Vec::new();
             for host in ["s-1-a", "s-1-b", "s-1-c"] {
-                for (kind, careful, body) in [(Kind::Refuses, 1, ""), (Kind::Probed, 0, "answers")] {
-                    number += 1;
-                    let claim = Said { life: 7, number, careful, body: body.into() };
+                for (kind, severity, body) in [(Kind::Refusal, 1, ""), (Kind::Probe, 0, "answers")] {
+                    version += 1;
+                    let claim = Report { generation: 7, version, severity, body: body.into() };
                     facts.push((
                         Key::owned(kind, host, "liar"),
-                        Fact { value: Value::Said(claim), born: now },
+                        Fact { value: Value::Report(claim), created_at: now },
                     ));
                 }
             }
-            let message = wire::write(&Message::Facts(facts), now);
+            let message = wire::encode(&Message::Facts(facts), now);
             if connection.write_all(&teller.state(&message)).is_err() {
                 return;
             }
