--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -7,7 +7,9 @@
 use crate::session_messages::{PeerMessage, SessionMessage};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
-use sandstile_exchange::{greeting, keeping, read_greeting, Heard, Listener, Teller, MOST_MARKS};
+use sandstile_exchange::{
+    greeting, read_greeting, replicating_name, Frame, FrameDecoder, FrameEncoder, MAX_MARKS_PER_FRAME,
+};
 use sandstile_replication::select_neighbours;
 use slog::{info, warn, Logger};
 use std::collections::{BTreeMap, BTreeSet};
@@ -112,7 +114,7 @@
     log: &Logger,
 ) -> Result<ExchangePeers, String> {
     let name = format!("{}#{generation}", name.chars().take(40).collect::<String>());
-    let name = &if replicates_state { keeping(&name) } else { name };
+    let name = &if replicates_state { replicating_name(&name) } else { name };
     let listener =
         TcpListener::bind(config.listen).map_err(|e| format!("exchange: {}: {e}", config.listen))?;
     let (own_name, keys, to_dispatcher, thread_log) =
@@ -194,7 +196,7 @@
     nonce: &[u8; 16],
     dispatcher: &MailboxSender<SessionMessage>,
 ) -> io::Result<()> {
-    let mut listener = Listener::new(secrets, nonce);
+    let mut listener = FrameDecoder::new(secrets, nonce);
     let mut from = None;
     let mut bytes = [0; 8192];
     // An unauthenticated peer must prove itself within the timeout; an authenticated one is silent while
@@ -205,10 +207,10 @@
         if n == 0 {
             return Ok(());
         }
-        listener.hear(&bytes[..n]);
+        listener.push_bytes(&bytes[..n]);
         let to_io_error = |w| io::Error::other(format!("{w:?}"));
-        while let Some(heard) = listener.next_heard().map_err(to_io_error)? {
-            if let Heard::Who(name) = &heard {
+        while let Some(heard) = listener.next_frame().map_err(to_io_error)? {
+            if let Frame::Introduction(name) = &heard {
                 from = Some(name.clone());
                 stream.set_read_timeout(None)?;
             }
@@ -269,8 +271,8 @@
         }
         buf.extend_from_slice(&bytes[..n]);
     };
-    let mut teller = Teller::new(secret, &nonce);
-    stream.write_all(&teller.who(name))?;
+    let mut encoder = FrameEncoder::new(secret, &nonce);
+    stream.write_all(&encoder.introduction(name))?;
     let (sender, messages) = bounded_mailbox(MAX_QUEUED_MARKS);
     *connected_to = Some(peer_name.clone());
     dispatcher.send(SessionMessage::PeerConnected(peer_name.clone(), sender));
@@ -285,26 +287,28 @@
             Err(RecvTimeoutError::Disconnected) => break,
         };
         match message {
-            PeerMessage::Snapshot { exact, of_yours } => {
+            PeerMessage::Snapshot { exact, covers_receiver } => {
                 let all: Vec<_> = exact.iter().collect();
-                for chunk in all.chunks(MOST_MARKS / 4) {
-                    stream.write_all(&teller.marks(chunk.iter().map(|(key, seen)| (**key, *seen))))?;
+                for chunk in all.chunks(MAX_MARKS_PER_FRAME / 4) {
+                    stream.write_all(&encoder.marks(chunk.iter().map(|(key, seen)| (**key, *seen))))?;
                 }
-                stream.write_all(&teller.whole(of_yours))?;
+                stream.write_all(&encoder.snapshot_complete(covers_receiver))?;
                 info!(log, "exchange: all marks sent"; "instance" => &peer_name, "marks" => all.len());
             }
-            PeerMessage::Whole { of_yours } => stream.write_all(&teller.whole(of_yours))?,
+            PeerMessage::SnapshotComplete { covers_receiver } => {
+                stream.write_all(&encoder.snapshot_complete(covers_receiver))?
+            }
             PeerMessage::State(state) => {
-                stream.write_all(&teller.state(&state))?;
+                stream.write_all(&encoder.state(&state))?;
                 dispatcher.send(SessionMessage::StateBytesWritten(peer_name.clone(), state.len()));
             }
-            PeerMessage::Seen(key, seen) => {
+            PeerMessage::SessionMarks(key, seen) => {
                 // Sends all queued marks in one frame.
                 let mut marks = vec![(key, seen)];
                 let mut other_message = None;
-                while marks.len() < MOST_MARKS / 4 {
+                while marks.len() < MAX_MARKS_PER_FRAME / 4 {
                     match messages.try_recv() {
-                        Some(PeerMessage::Seen(key, seen)) => marks.push((key, seen)),
+                        Some(PeerMessage::SessionMarks(key, seen)) => marks.push((key, seen)),
                         Some(other) => {
                             other_message = Some(other);
                             break;
@@ -312,15 +316,15 @@
                         None => break,
                     }
                 }
-                stream.write_all(&teller.marks(marks.iter().map(|(key, seen)| (*key, seen))))?;
+                stream.write_all(&encoder.marks(marks.iter().map(|(key, seen)| (*key, seen))))?;
                 if let Some(PeerMessage::End(done)) = other_message {
-                    stream.write_all(&teller.farewell())?;
+                    stream.write_all(&encoder.goodbye())?;
                     drop(done);
                     return Ok(true);
                 }
             }
             PeerMessage::End(done) => {
-                stream.write_all(&teller.farewell())?;
+                stream.write_all(&encoder.goodbye())?;
                 drop(done);
                 return Ok(true);
             }
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -9,7 +9,7 @@
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Ending, Outcome};
-use sandstile_durable_state::{Folder, Opened, Shelf};
+use sandstile_durable_state::{OpenedState, StateDirectory, StateFile};
 use sandstile_membership_view::{may_act, Direction, Topic, View};
 use sandstile_policy::terms::OutcomeClass;
 use sandstile_probe_sharing::{ProbeResult, ProbeSharing, Warnings};
@@ -17,8 +17,8 @@
 use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{stored, Fact, Kind, Snapshot, Value};
 use sandstile_replication::{ReplicationEvent, ReplicationPeer};
-use sandstile_sessions::mark::{Mark, Seen};
-use sandstile_sessions::store::Key;
+use sandstile_sessions::mark::{Mark, SessionMarks};
+use sandstile_sessions::store::SessionKey;
 use serde_json::json;
 use slog::{info, warn, Logger};
 use std::collections::{BTreeMap, BTreeSet};
@@ -54,7 +54,7 @@
 /// What processing the received facts has brought.
 #[derive(Default)]
 pub struct StateChanges {
-    pub marks: Vec<(Key, Seen)>,
+    pub marks: Vec<(SessionKey, SessionMarks)>,
     /// The copy from the disk was outdated, so writes may be missing from it.
     pub old_copy: bool,
     /// A peer that had received all of this instance's facts before its restart has sent everything it has.
@@ -107,14 +107,14 @@
     peer.split_once('#').map_or(peer, |(name, _)| name)
 }
 
-fn subject(key: Key) -> String {
+fn subject(key: SessionKey) -> String {
     format!("{:016x}", key.0)
 }
 
-fn to_mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(Key, Seen)> {
+fn to_mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(SessionKey, SessionMarks)> {
     match (key.kind, &fact.value) {
-        (Kind::Mark, Value::Seen(seen)) => {
-            Some((Key(u64::from_str_radix(&key.subject, 16).ok()?), seen.clone()))
+        (Kind::Mark, Value::SessionMarks(seen)) => {
+            Some((SessionKey(u64::from_str_radix(&key.subject, 16).ok()?), seen.clone()))
         }
         _ => None,
     }
@@ -133,19 +133,19 @@
         let (mut disk, mut trust, mut stored_generation, mut facts) = (None, Trust::None, None, Vec::new());
         let (result_sender, result_mailbox) = mailbox();
         if let Some(dir) = &config.dir {
-            let folder = Folder::open(dir, config.witness.as_deref())?;
-            let Opened { found, stored, witness, shelf } =
+            let folder = StateDirectory::open(dir, config.witness.as_deref())?;
+            let OpenedState { found, stored, witness, state_file } =
                 sandstile_durable_state::open(Box::new(folder), settings.generation);
             trust = assess_trust(stored, witness);
             info!(log, "state: copy loaded from the disk"; "facts" => found.facts.len(),
                 "spoilt" => found.corrupt, "ended" => found.ended_cleanly, "believed" => ?trust, "witness" => ?witness.file);
             (stored_generation, facts) = (found.generation, found.facts);
-            match shelf {
-                Ok(shelf) => {
+            match state_file {
+                Ok(state_file) => {
                     let (sender, tasks) = mailbox();
                     let thread_log = log.clone();
                     threads::spawn_joinable("state", threads::STACK, move || {
-                        run_disk(shelf, &tasks, &result_sender, &thread_log)
+                        run_disk(state_file, &tasks, &result_sender, &thread_log)
                     })?;
                     disk = Some(sender);
                 }
@@ -197,7 +197,7 @@
     }
 
     /// Marks loaded from the disk.
-    pub fn marks(&self) -> impl Iterator<Item = (Key, Seen)> + '_ {
+    pub fn marks(&self) -> impl Iterator<Item = (SessionKey, SessionMarks)> + '_ {
         self.replication.replica().iter().filter_map(to_mark)
     }
 
@@ -206,8 +206,8 @@
         self.trust == Trust::All
     }
 
-    pub fn record_write(&mut self, now: f64, key: Key, seen: &Seen) {
-        self.replication.learn(now, Kind::Mark, &subject(key), Value::Seen(seen.clone()));
+    pub fn record_write(&mut self, now: f64, key: SessionKey, seen: &SessionMarks) {
+        self.replication.learn(now, Kind::Mark, &subject(key), Value::SessionMarks(seen.clone()));
     }
 
     /// Publishes the log position that a group's primary has reported.
@@ -235,16 +235,16 @@
         );
     }
 
-    /// Starts sending to a peer; `of_yours` says that its former generation shut down in order and had sent
+    /// Starts sending to a peer; `covers_receiver` says that its former generation shut down in order and had sent
     /// all its facts here.
     pub fn peer_connected(
         &mut self,
         now: f64,
         peer: String,
         sender: MailboxSender<PeerMessage>,
-        of_yours: bool,
+        covers_receiver: bool,
     ) {
-        if sender.send(PeerMessage::Whole { of_yours }) {
+        if sender.send(PeerMessage::SnapshotComplete { covers_receiver }) {
             self.replication.peer_connected(now, &peer);
             self.peers.insert(peer, sender);
         }
@@ -381,8 +381,10 @@
         let mut changes = StateChanges::default();
         for event in self.replication.take_events() {
             match event {
-                ReplicationEvent::FactLearned(key, Value::Seen(seen)) if key.kind == Kind::Mark => {
-                    changes.marks.extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (Key(k), seen)));
+                ReplicationEvent::FactLearned(key, Value::SessionMarks(seen)) if key.kind == Kind::Mark => {
+                    changes
+                        .marks
+                        .extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (SessionKey(k), seen)));
                 }
                 ReplicationEvent::FactLearned(key, Value::Report(claim)) => {
                     self.apply_claim(now, &key, &claim, &mut changes)
@@ -499,11 +501,16 @@
 }
 
 /// The disk's thread: runs one task at a time, however slow the disk is.
-fn run_disk(mut shelf: Shelf, tasks: &Mailbox<DiskTask>, results: &MailboxSender<bool>, log: &Logger) {
+fn run_disk(
+    mut state_file: StateFile,
+    tasks: &Mailbox<DiskTask>,
+    results: &MailboxSender<bool>,
+    log: &Logger,
+) {
     loop {
         match tasks.recv(None) {
             Ok(DiskTask::Put(now, snapshot)) => {
-                let put = shelf.put(now, &snapshot);
+                let put = state_file.put(now, &snapshot);
                 results.send(put.is_ok());
                 if let Err(e) = put {
                     warn!(log, "state: write to the disk failed, no more will follow: {e}");
@@ -511,7 +518,7 @@
                 }
             }
             Ok(DiskTask::End(now, snapshot, done)) => {
-                if let Err(e) = shelf.end(now, &snapshot) {
+                if let Err(e) = state_file.end(now, &snapshot) {
                     warn!(log, "state: final write failed, not all of it is on the disk: {e}");
                 }
                 drop(done);
--- a/crates/sandstile-router/src/session_messages.rs
+++ b/crates/sandstile-router/src/session_messages.rs
@@ -1,9 +1,9 @@
 //! Messages to the dispatcher's sessions, and from them to other instances.
 use crate::mailbox::MailboxSender;
-use sandstile_exchange::Heard;
+use sandstile_exchange::Frame;
 use sandstile_replicated_state::Snapshot;
-use sandstile_sessions::mark::Seen;
-use sandstile_sessions::store::{Exact, Key};
+use sandstile_sessions::mark::SessionMarks;
+use sandstile_sessions::store::{ExactMarks, SessionKey};
 use sandstile_sessions::token::KeyRing;
 
 /// The replicated state for an operator: a summary, and a snapshot that shares its facts and is evaluated on
@@ -20,7 +20,7 @@
     /// A connection to the instance of this name is open; it is to receive all marks.
     PeerConnected(String, MailboxSender<PeerMessage>),
     /// A message from the instance of this name.
-    FromPeer(String, Heard),
+    FromPeer(String, Frame),
     /// The connection to the instance of this name has ended.
     PeerDisconnected(String),
     /// A message of replicated state with this many bytes was written to the instance of this name.
@@ -36,15 +36,15 @@
 
 /// Message to another instance.
 pub enum PeerMessage {
-    /// All marks; `of_yours` says whether they include all that the peer knew when it last shut down.
+    /// All marks; `covers_receiver` says whether they include all that the peer knew when it last shut down.
     Snapshot {
-        exact: Exact,
-        of_yours: bool,
+        exact: ExactMarks,
+        covers_receiver: bool,
     },
-    Seen(Key, Seen),
+    SessionMarks(SessionKey, SessionMarks),
     /// Replaces the snapshot for a peer that replicates state.
-    Whole {
-        of_yours: bool,
+    SnapshotComplete {
+        covers_receiver: bool,
     },
     State(Vec<u8>),
     End(MailboxSender<()>),
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -9,13 +9,13 @@
 use crate::statement::Workload;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Answer, DispatcherInput, Ending, FinalAnswer, Outcome, Source, StatementRequest};
-use sandstile_exchange::Heard;
-use sandstile_journal::pace::Pace;
-use sandstile_journal::{Found, Journal, Wrong};
+use sandstile_exchange::Frame;
+use sandstile_journal::pace::SyncSchedule;
+use sandstile_journal::{Journal, JournalContents, JournalError};
 use sandstile_policy::terms::ReadRequirement;
-use sandstile_sessions::floor::{Floor, Ground};
-use sandstile_sessions::mark::{Mark, Seen, Term};
-use sandstile_sessions::store::{Bounds, Key, Store};
+use sandstile_sessions::floor::{ReadContext, RequiredPosition};
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
+use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use sandstile_sessions::token::{KeyRing, Token};
 use slog::{info, warn, Logger};
 use std::collections::BTreeMap;
@@ -26,20 +26,20 @@
 
 /// A statement that belongs to a session, from its arrival until it is over.
 struct SessionStatement {
-    key: Key,
+    key: SessionKey,
     /// Shared, because there are few group names and many statements.
     group: Arc<str>,
     writes: bool,
     /// For an own read, what its answer must include.
-    floor: Option<Floor>,
+    required_position: Option<RequiredPosition>,
 }
 
 impl SessionStatement {
     fn read_requirement(&self) -> Option<ReadRequirement> {
-        self.floor.map(|floor| match floor {
-            Floor::Known(position) => ReadRequirement::Position(position),
-            Floor::Unknown(_) => ReadRequirement::Primary,
-            Floor::Nothing => ReadRequirement::Position(0.0),
+        self.required_position.map(|required_position| match required_position {
+            RequiredPosition::Known(position) => ReadRequirement::Position(position),
+            RequiredPosition::Unknown(_) => ReadRequirement::Primary,
+            RequiredPosition::Nothing => ReadRequirement::Position(0.0),
         })
     }
 }
@@ -105,8 +105,8 @@
     ) -> Result<Sessions, String> {
         let now = clock.now();
         let key_ring = config.read_keys()?;
-        let bounds = Bounds { exact: config.max_sessions, cells: config.sketch_cells, terms: 4 };
-        let mut store = Store::new(bounds);
+        let limits = StoreLimits { exact: config.max_sessions, cells: config.sketch_cells, terms: 4 };
+        let mut store = Store::new(limits);
         // Without a complete journal, writes before this start are unknown.
         let mut complete_since = now;
         let mut journal = None;
@@ -116,12 +116,12 @@
             found.marks.iter().for_each(|(key, seen)| store.merge(*key, seen));
             // The journal is complete if each write was on the disk before its answer was sent, or if the
             // last writer shut down in order. A new, empty journal says nothing about earlier writes.
-            let complete = config.durability == Durability::BeforeAnswer || found.ended;
-            if found.whole && complete && found.bytes > 0 {
+            let complete = config.durability == Durability::BeforeAnswer || found.closed_cleanly;
+            if found.intact && complete && found.bytes > 0 {
                 complete_since = f64::NEG_INFINITY;
             }
-            info!(log, "sessions: journal loaded"; "marks" => found.marks.len(), "whole" => found.whole,
-                "ended" => found.ended, "spoilt" => found.spoilt);
+            info!(log, "sessions: journal loaded"; "marks" => found.marks.len(), "whole" => found.intact,
+                "ended" => found.closed_cleanly, "spoilt" => found.damaged_records);
             let (sender, entries) = mailbox();
             let (file, durability, log) = (path.clone(), config.durability, log.clone());
             let writer =
@@ -175,19 +175,19 @@
         let session = request.session.as_deref()?;
         if now > self.last_expiry_at + EXPIRY_INTERVAL_S {
             self.last_expiry_at = now;
-            self.store.age_out(now, self.config.horizon);
+            self.store.remove_expired(now, self.config.horizon);
         }
         if now > self.last_logged_at + LOG_INTERVAL_S {
             self.last_logged_at = now;
             info!(self.log, "sessions: {:?}", self.counts; "remembered" => self.store.len(),
                 "sketch_fill" => self.store.fill(), "pushed_out" => self.store.counts().pushed_out);
         }
-        let key = Key::of(&request.group, session);
-        let begun = self.first_marks.get_key_value(request.group.as_str());
-        let group = begun.map_or_else(|| Arc::from(request.group.as_str()), |(name, _)| name.clone());
-        let begun = begun.map(|(_, mark)| *mark);
+        let key = SessionKey::of(&request.group, session);
+        let startup_mark = self.first_marks.get_key_value(request.group.as_str());
+        let group = startup_mark.map_or_else(|| Arc::from(request.group.as_str()), |(name, _)| name.clone());
+        let startup_mark = startup_mark.map(|(_, mark)| *mark);
         let is_own_read = self.own_reads.get(request.workload).copied().unwrap_or(false);
-        let floor = is_own_read.then(|| {
+        let required_position = is_own_read.then(|| {
             let token_mark = request.mark.as_deref().and_then(|text| {
                 let checked = self.key_ring.check(
                     text,
@@ -199,25 +199,27 @@
                 self.counts.refused += u64::from(checked.is_err());
                 checked.ok().map(|token| token.mark)
             });
-            let ground = Ground {
+            let context = ReadContext {
                 now,
                 term: (term > 0).then_some(Term(term)),
                 horizon: self.config.horizon,
                 skew: self.config.max_clock_skew,
-                heard_since: self.complete_since,
-                begun,
+                complete_since: self.complete_since,
+                startup_mark,
             };
-            let floor = self.store.floor(key, token_mark, &ground);
-            match floor {
-                Floor::Known(_) => self.counts.known += 1,
-                Floor::Unknown(_) => self.counts.unknown += 1,
-                Floor::Nothing => self.counts.nothing += 1,
+            let required_position = self.store.required_position(key, token_mark, &context);
+            match required_position {
+                RequiredPosition::Known(_) => self.counts.known += 1,
+                RequiredPosition::Unknown(_) => self.counts.unknown += 1,
+                RequiredPosition::Nothing => self.counts.nothing += 1,
             }
-            floor
+            required_position
         });
         let lenient = self.config.allow_unmarked && request.mark.is_none();
-        let floor = floor.filter(|floor| !(lenient && matches!(floor, Floor::Unknown(_))));
-        Some(SessionStatement { key, group, writes: request.writes, floor })
+        let required_position = required_position.filter(|required_position| {
+            !(lenient && matches!(required_position, RequiredPosition::Unknown(_)))
+        });
+        Some(SessionStatement { key, group, writes: request.writes, required_position })
     }
 
     /// Rejects an answer from a host that is behind what the read must see, so that another host serves it.
@@ -226,11 +228,13 @@
         if outcome.ending != Ending::Completed || outcome.host_report.primary == Some(true) {
             return;
         }
-        let up_to_date = match statement.floor {
-            None | Some(Floor::Nothing) => true,
-            Some(Floor::Unknown(_)) => false,
+        let up_to_date = match statement.required_position {
+            None | Some(RequiredPosition::Nothing) => true,
+            Some(RequiredPosition::Unknown(_)) => false,
             // Only positions are compared: hosts that report no term have none to compare.
-            Some(Floor::Known(position)) => outcome.host_report.position.is_some_and(|at| at >= position),
+            Some(RequiredPosition::Known(position)) => {
+                outcome.host_report.position.is_some_and(|at| at >= position)
+            }
         };
         if !up_to_date {
             self.counts.unserved += 1;
@@ -262,20 +266,25 @@
         }
     }
 
-    fn record_write(&mut self, now: f64, statement: &SessionStatement, outcome: &Outcome) -> Option<Seen> {
+    fn record_write(
+        &mut self,
+        now: f64,
+        statement: &SessionStatement,
+        outcome: &Outcome,
+    ) -> Option<SessionMarks> {
         if !statement.writes {
             return None;
         }
         let seen = match Self::session_mark(statement, outcome) {
-            Some(mark) => Seen::of(mark),
-            None => Seen::Lost(now),
+            Some(mark) => SessionMarks::of(mark),
+            None => SessionMarks::Lost(now),
         };
         self.store.merge(statement.key, &seen);
         if let Some(replicated) = &mut self.replicated {
             replicated.record_write(now, statement.key, &seen);
         }
         // A peer whose queue is full is dropped; it gets a new snapshot when it is connected again.
-        self.peers.retain(|peer| peer.send(PeerMessage::Seen(statement.key, seen.clone())));
+        self.peers.retain(|peer| peer.send(PeerMessage::SessionMarks(statement.key, seen.clone())));
         Some(seen)
     }
 
@@ -283,12 +292,12 @@
     /// the write is as durable as configured; otherwise the answer is returned.
     fn append_to_journal(
         &mut self,
-        key: Key,
-        seen: Option<Seen>,
+        key: SessionKey,
+        seen: Option<SessionMarks>,
         answer: Option<FinalAnswer>,
     ) -> Option<FinalAnswer> {
         let (Some(journal), Some(seen)) = (&self.journal, seen) else { return answer };
-        journal.send(Entry::Seen { key, seen, pending_answer: answer });
+        journal.send(Entry::SessionMarks { key, seen, pending_answer: answer });
         None
     }
 
@@ -296,14 +305,14 @@
         match message {
             SessionMessage::Keys(key_ring) => self.key_ring = key_ring,
             SessionMessage::PeerConnected(peer_name, peer) => {
-                let of_yours = self.holds_all_of(now, &peer_name);
+                let covers_receiver = self.holds_all_of(now, &peer_name);
                 if let Some(replicated) =
-                    self.replicated.as_mut().filter(|_| sandstile_exchange::keeps(&peer_name))
+                    self.replicated.as_mut().filter(|_| sandstile_exchange::replicates_state(&peer_name))
                 {
-                    replicated.peer_connected(now, peer_name, peer, of_yours);
+                    replicated.peer_connected(now, peer_name, peer, covers_receiver);
                     return;
                 }
-                if peer.send(PeerMessage::Snapshot { exact: self.store.snapshot(), of_yours }) {
+                if peer.send(PeerMessage::Snapshot { exact: self.store.snapshot(), covers_receiver }) {
                     self.peers.push(peer);
                 }
             }
@@ -367,33 +376,35 @@
         }
     }
 
-    fn apply_peer_message(&mut self, now: f64, from: &str, peer_message: Heard) {
+    fn apply_peer_message(&mut self, now: f64, from: &str, peer_message: Frame) {
         match peer_message {
-            Heard::State(message) => {
+            Frame::State(message) => {
                 if let Some(replicated) = &mut self.replicated {
                     replicated.receive(now, from, &message);
                     self.update_replicated_state(now, false);
                 }
             }
-            Heard::Whole { of_yours } if self.replicated.is_some() && sandstile_exchange::keeps(from) => {
+            Frame::SnapshotComplete { covers_receiver }
+                if self.replicated.is_some() && sandstile_exchange::replicates_state(from) =>
+            {
                 // Trusted only once all of the peer's facts have been received.
                 self.replicated
                     .iter_mut()
-                    .filter(|_| of_yours)
+                    .filter(|_| covers_receiver)
                     .for_each(|replicated| replicated.expect_all_from(from));
             }
             // A new generation of the peer ends the handover of an earlier one, which may be incomplete by
             // now.
-            Heard::Who(_) => drop(self.holds_all_of(now, from)),
-            Heard::Marks(marks) => marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen)),
-            Heard::Whole { of_yours } => {
-                info!(self.log, "sessions: all marks received"; "by" => from, "all_of_ours" => of_yours,
+            Frame::Introduction(_) => drop(self.holds_all_of(now, from)),
+            Frame::Marks(marks) => marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen)),
+            Frame::SnapshotComplete { covers_receiver } => {
+                info!(self.log, "sessions: all marks received"; "by" => from, "all_of_ours" => covers_receiver,
                     "remembered" => self.store.len());
-                if of_yours && self.config.sessions_stay {
+                if covers_receiver && self.config.sessions_stay {
                     self.complete_since = f64::NEG_INFINITY;
                 }
             }
-            Heard::Farewell => {
+            Frame::Goodbye => {
                 info!(self.log, "sessions: an instance has handed over its marks"; "instance" => from);
                 let name = from.split_once('#').map_or(from, |(name, _)| name);
                 self.handovers.insert(name.to_string(), (now, None));
@@ -495,15 +506,19 @@
 /// Opens the journal at `path`. A disk that accepts no writes at the moment must not keep the router from
 /// serving: the journal's marks are loaded, and the file is invalidated, so that no later start takes it for
 /// complete although it lacks the writes of this generation.
-fn open_journal(path: &Path, since: f64, log: &Logger) -> Result<(Option<Journal>, Found), Wrong> {
+fn open_journal(
+    path: &Path,
+    since: f64,
+    log: &Logger,
+) -> Result<(Option<Journal>, JournalContents), JournalError> {
     let error = match Journal::open(path, since) {
         Ok((journal, found)) => return Ok((Some(journal), found)),
-        Err(Wrong::Io(error)) => error,
+        Err(JournalError::Io(error)) => error,
         Err(wrong) => return Err(wrong),
     };
     let found = match std::fs::read(path) {
         Ok(bytes) => sandstile_journal::read(&bytes)?,
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Found::default(),
+        Err(e) if e.kind() == std::io::ErrorKind::NotFound => JournalContents::default(),
         Err(e) => return Err(e.into()),
     };
     sandstile_journal::invalidate(path)?;
@@ -512,7 +527,7 @@
 }
 
 enum Entry {
-    Seen { key: Key, seen: Seen, pending_answer: Option<FinalAnswer> },
+    SessionMarks { key: SessionKey, seen: SessionMarks, pending_answer: Option<FinalAnswer> },
     End(MailboxSender<()>),
 }
 
@@ -537,7 +552,7 @@
 impl JournalWriter {
     fn run(mut self, entries: &Mailbox<Entry>) {
         let mut pace = match self.durability {
-            Durability::Every(s) => Some(Pace::new(s)),
+            Durability::Every(s) => Some(SyncSchedule::new(s)),
             _ => None,
         };
         loop {
@@ -551,7 +566,7 @@
             let mut next = first;
             while let Some(entry) = next {
                 match entry {
-                    Entry::Seen { key, seen, pending_answer } => {
+                    Entry::SessionMarks { key, seen, pending_answer } => {
                         self.try_journal(|journal| journal.append(key, &seen));
                         if let Some(pace) = &mut pace {
                             pace.wrote(self.clock.now());
@@ -615,7 +630,7 @@
         self.try_journal(Journal::sync);
         let read = std::fs::read(&self.path).ok().and_then(|bytes| sandstile_journal::read(&bytes).ok());
         let Some(found) = read else { return };
-        let mut merged = std::collections::BTreeMap::<Key, Seen>::new();
+        let mut merged = std::collections::BTreeMap::<SessionKey, SessionMarks>::new();
         found.marks.iter().for_each(|(key, seen)| merged.entry(*key).or_default().merge(seen));
         match Journal::replace(&self.path, merged.iter().map(|(key, seen)| (*key, seen))) {
             Ok(journal) => self.journal = Some(journal),
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -211,7 +211,7 @@
     let report_of = |n: usize| control_client::members(&files[n].1).unwrap_or(Value::Null);
     let all_alive = || (0..3).all(|n| count(&report_of(n), "alive") >= 2);
     wait_for("all members to be alive", all_alive);
-    let secret = keys::read_keys(&dir.join("keys")).expect("cannot read the keys").derived(CONTEXT);
+    let secret = keys::read_keys(&dir.join("keys")).expect("cannot read the keys").derive_secrets(CONTEXT);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("no address");
     let own_address = socket.local_addr().expect("no address");
     let update = |name: &str, life: u64, address, incarnation, state| MemberUpdate {
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -430,7 +430,7 @@
     );
     let secrets = sandstile_router::keys::read_keys(&fleet.dir.join("keys"))
         .expect("cannot read the keys")
-        .derived(sandstile_router::exchange::CONTEXT);
+        .derive_secrets(sandstile_router::exchange::CONTEXT);
     let mut connection =
         TcpStream::connect(fleet.exchange_address(0)).expect("cannot connect to the exchange");
     let (mut greeting, mut bytes) = (Vec::new(), [0; 128]);
@@ -441,8 +441,8 @@
             break nonce;
         }
     };
-    let mut teller = sandstile_exchange::Teller::new(&secrets[0], &nonce);
-    connection.write_all(&teller.who("liar#7~2")).expect("the exchange closed the connection");
+    let mut encoder = sandstile_exchange::FrameEncoder::new(&secrets[0], &nonce);
+    connection.write_all(&encoder.introduction("liar#7~2")).expect("the exchange closed the connection");
     let stop = std::sync::Arc::new(AtomicUsize::new(0));
     let stop_flag = stop.clone();
     let sender_thread = thread::spawn(move || {
@@ -461,7 +461,7 @@
                 }
             }
             let message = wire::encode(&Message::Facts(facts), now);
-            if connection.write_all(&teller.state(&message)).is_err() {
+            if connection.write_all(&encoder.state(&message)).is_err() {
                 return;
             }
             thread::sleep(Duration::from_millis(20));
