--- a/crates/sandstile-limits/src/lib.rs
+++ b/crates/sandstile-limits/src/lib.rs
@@ -1,24 +1,26 @@
-//! What a front does about a storm of returning clients: whether there is one (`storm`), which later tries come in
-//! (`budget`), and when the others are to come back (`slots`). `Limits` puts the three together. The decisions of
-//! `sandstile-policy` stay what they are: what is let in, they decide on; what they reject, this only gives a time.
+//! Limits for storms of returning clients: detects a storm (`storm`), budgets retries (`budget`) and assigns
+//! times to return (`slots`). `Limits` combines the three. It leaves the decisions of `sandstile-policy`
+//! unchanged: the policy decides on admitted statements, and for those that it rejects only the retry delay
+//! is set here.
 //!
-//! Times are Unix seconds handed in; nothing here reads a clock. `docs/design/limits.md` weighs the options.
+//! Times are Unix seconds supplied by the caller; no clock is read here. `docs/design/limits.md` compares the
+//! alternatives.
 pub mod budget;
 pub mod slots;
 pub mod storm;
 
-use budget::Budgets;
-use slots::Slots;
-use storm::{Change, Storm, Watch};
+use budget::RetryBudgets;
+use slots::ReturnSlots;
+use storm::{Storm, StormChange, StormDetector};
 
-/// What our own file says. Shares are of 1, times in seconds.
+/// Settings from the local configuration file. Shares are fractions of 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Later tries that each completed first try earns, while there is a storm.
+    /// Retries that each completed first try earns during a storm.
     pub retry_ratio: f64,
-    /// False alarms that a day of ordinary traffic may have.
+    /// Accepted number of false alarms per day of ordinary traffic.
     pub false_alarms_per_day: f64,
-    /// The share of what completes that returning clients may fill.
+    /// The share of the completion rate that returning clients may use.
     pub returning_share: f64,
 }
 
@@ -28,73 +30,82 @@
     }
 }
 
-/// What becomes of a statement at the door.
+/// Whether a statement is admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryAdmission {
     Admit,
-    /// Turned away at once: it has not run, and trying again is harmless.
+    /// Rejected at once. It has not run, so a retry is harmless.
     TurnAway,
 }
 
-/// One router's limits.
+/// The limits of one router.
 pub struct Limits {
-    watch: Watch,
-    budgets: Budgets,
-    slots: Slots,
-    /// Completions a second, over the last seconds.
-    rate: storm::Rate,
+    detector: StormDetector,
+    budgets: RetryBudgets,
+    slots: ReturnSlots,
+    /// Completions per second, averaged over the last seconds.
+    completions: storm::Rate,
 }
 
 impl Limits {
-    pub fn new(terms: &Settings, seed: u64, now: f64) -> Self {
+    pub fn new(settings: &Settings, seed: u64, now: f64) -> Self {
         Limits {
-            watch: Watch::new(terms.false_alarms_per_day, now),
-            budgets: Budgets::new(terms.retry_ratio),
-            slots: Slots::new(terms.returning_share, seed),
-            rate: storm::Rate::new(2.0, now),
+            detector: StormDetector::new(settings.false_alarms_per_day, now),
+            budgets: RetryBudgets::new(settings.retry_ratio),
+            slots: ReturnSlots::new(settings.returning_share, seed),
+            completions: storm::Rate::new(2.0, now),
         }
     }
 
-    /// A statement asks to come in: a first try always does, a later one in a storm only by its budget.
-    pub fn asked(&mut self, now: f64, workload: usize, group: usize, later: bool) -> RetryAdmission {
-        self.watch.asked(now, later);
-        if later && self.watch.storm().is_some() && !self.budgets.spend(workload, group) {
+    /// Decides whether a statement is admitted: first tries always are, retries during a storm only within
+    /// the budget.
+    pub fn admit(&mut self, now: f64, workload: usize, group: usize, is_retry: bool) -> RetryAdmission {
+        self.detector.record_request(now, is_retry);
+        if is_retry && self.detector.storm().is_some() && !self.budgets.spend(workload, group) {
             return RetryAdmission::TurnAway;
         }
         RetryAdmission::Admit
     }
 
-    /// A statement was answered; `first` says that it was no later try.
-    pub fn answered(&mut self, now: f64, workload: usize, group: usize, completed: bool, first: bool) {
-        self.watch.answered(now, completed);
+    /// Records the answer to a statement; `first_try` is false for a retry.
+    pub fn record_answer(
+        &mut self,
+        now: f64,
+        workload: usize,
+        group: usize,
+        completed: bool,
+        first_try: bool,
+    ) {
+        self.detector.record_answer(now, completed);
         if completed {
-            self.rate.note(now);
-            if first {
+            self.completions.record(now);
+            if first_try {
                 self.budgets.earn(workload, group);
             }
         }
     }
 
-    /// When one that is turned away is to come back: seconds from now, `most` at the most. Outside a storm that is
-    /// `most`, as the decisions have it; in one, a place of its own in what is likely to be free.
-    pub fn retry_after(&mut self, now: f64, most: f64) -> f64 {
-        match self.watch.storm() {
-            Some(_) if most > 0.0 => self.slots.hand_out(now, most, self.rate.at(now)),
-            _ => most,
+    /// The delay in seconds after which a rejected client is to return, at most `max_delay`. Outside a storm
+    /// it is `max_delay`, as the policy decided. During a storm each client gets its own part of the capacity
+    /// that is expected to be free.
+    pub fn retry_after(&mut self, now: f64, max_delay: f64) -> f64 {
+        match self.detector.storm() {
+            Some(_) if max_delay > 0.0 => self.slots.assign(now, max_delay, self.completions.per_second(now)),
+            _ => max_delay,
         }
     }
 
     pub fn storm(&self) -> Option<Storm> {
-        self.watch.storm()
+        self.detector.storm()
     }
 
-    /// Storms that began or ended since this was asked last, for the log.
-    pub fn changes(&mut self) -> Vec<Change> {
-        self.watch.changes()
+    /// Storms that began or ended since the last call, for the log.
+    pub fn take_changes(&mut self) -> Vec<StormChange> {
+        self.detector.take_changes()
     }
 
-    /// Entries of state, which has a bound whatever names come.
-    pub fn held(&self) -> usize {
-        self.budgets.held() + self.slots.held()
+    /// The number of entries held, which is bounded for any input.
+    pub fn entry_count(&self) -> usize {
+        self.budgets.entry_count() + self.slots.entry_count()
     }
 }
