--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -196,7 +196,7 @@
     nonce: &[u8; 16],
     dispatcher: &MailboxSender<SessionMessage>,
 ) -> io::Result<()> {
-    let mut listener = FrameDecoder::new(secrets, nonce);
+    let mut decoder = FrameDecoder::new(secrets, nonce);
     let mut from = None;
     let mut bytes = [0; 8192];
     // An unauthenticated peer must prove itself within the timeout; an authenticated one is silent while
@@ -207,10 +207,10 @@
         if n == 0 {
             return Ok(());
         }
-        listener.push_bytes(&bytes[..n]);
+        decoder.push_bytes(&bytes[..n]);
         let to_io_error = |w| io::Error::other(format!("{w:?}"));
-        while let Some(heard) = listener.next_frame().map_err(to_io_error)? {
-            if let Frame::Introduction(name) = &heard {
+        while let Some(frame) = decoder.next_frame().map_err(to_io_error)? {
+            if let Frame::Introduction(name) = &frame {
                 from = Some(name.clone());
                 stream.set_read_timeout(None)?;
             }
@@ -220,7 +220,7 @@
                 thread::sleep(BACKPRESSURE_PAUSE);
             }
             if let Some(from) = &from {
-                dispatcher.send(SessionMessage::FromPeer(from.clone(), heard));
+                dispatcher.send(SessionMessage::FromPeer(from.clone(), frame));
             }
         }
     }
--- a/crates/sandstile-router/src/members.rs
+++ b/crates/sandstile-router/src/members.rs
@@ -167,9 +167,7 @@
                     info!(self.log, "view: {}", view.label(); "there" => summary.live, "suspects" => summary.suspects,
                         "dead" => summary.dead, "differing" => summary.differing);
                 }
-                PeerEvent::SharingRouters(count) => {
-                    drop(self.sharing_routers.as_ref().map(|s| s.send(count)))
-                }
+                PeerEvent::SharingRouters(n) => drop(self.sharing_routers.as_ref().map(|s| s.send(n))),
                 PeerEvent::ExchangePeers(addresses) => {
                     if let Some(exchange_peers) = &mut self.exchange_peers {
                         exchange_peers.update(&addresses);
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -71,7 +71,7 @@
     handovers: BTreeMap<String, (f64, Option<String>)>,
     complete_since: f64,
     /// Each group's log position when its primary first answered this instance.
-    first_marks: BTreeMap<Arc<str>, Mark>,
+    startup_marks: BTreeMap<Arc<str>, Mark>,
     /// The state replicated between instances, if the local configuration file turns it on.
     replicated: Option<Box<ReplicatedState>>,
     /// Warnings of other instances about hosts, for the dispatcher.
@@ -87,7 +87,7 @@
 /// Seconds for which a handover is valid. A restart takes no longer; afterwards the instance may have written
 /// marks that nobody here knows of.
 const HANDOVER_VALID_S: f64 = 15.0;
-/// Limit on the groups whose first mark is stored.
+/// Limit on the groups whose startup mark is stored.
 const MAX_GROUPS: usize = 4096;
 /// Seconds between log lines with the counters.
 const LOG_INTERVAL_S: f64 = 60.0;
@@ -154,7 +154,7 @@
             peers: Vec::new(),
             handovers: BTreeMap::new(),
             complete_since,
-            first_marks: BTreeMap::new(),
+            startup_marks: BTreeMap::new(),
             replicated: replicated.map(Box::new),
             host_warnings: Vec::new(),
             last_expiry_at: now,
@@ -183,7 +183,7 @@
                 "sketch_fill" => self.store.fill(), "pushed_out" => self.store.counts().pushed_out);
         }
         let key = SessionKey::of(&request.group, session);
-        let startup_mark = self.first_marks.get_key_value(request.group.as_str());
+        let startup_mark = self.startup_marks.get_key_value(request.group.as_str());
         let group = startup_mark.map_or_else(|| Arc::from(request.group.as_str()), |(name, _)| name.clone());
         let startup_mark = startup_mark.map(|(_, mark)| *mark);
         let is_own_read = self.own_reads.get(request.workload).copied().unwrap_or(false);
@@ -254,12 +254,12 @@
     /// term.
     fn record_primary_position(&mut self, now: f64, statement: &SessionStatement, outcome: &Outcome) {
         let Some(mark) = Self::session_mark(statement, outcome) else { return };
-        if self.first_marks.len() >= MAX_GROUPS && !self.first_marks.contains_key(&statement.group) {
-            // Without a first mark, unknown sessions of this group only go to the primary for longer.
+        if self.startup_marks.len() >= MAX_GROUPS && !self.startup_marks.contains_key(&statement.group) {
+            // Without a startup mark, unknown sessions of this group only go to the primary for longer.
             return;
         }
-        if self.first_marks.get(&statement.group).is_none_or(|b| b.term != mark.term) {
-            self.first_marks.insert(statement.group.clone(), mark);
+        if self.startup_marks.get(&statement.group).is_none_or(|b| b.term != mark.term) {
+            self.startup_marks.insert(statement.group.clone(), mark);
         }
         if let Some(replicated) = &mut self.replicated {
             replicated.record_primary_position(now, &statement.group, mark);
@@ -316,7 +316,7 @@
                     self.peers.push(peer);
                 }
             }
-            SessionMessage::FromPeer(from, peer_message) => self.apply_peer_message(now, &from, peer_message),
+            SessionMessage::FromPeer(from, frame) => self.apply_peer_message(now, &from, frame),
             SessionMessage::PeerDisconnected(peer_name) => self
                 .replicated
                 .iter_mut()
@@ -376,8 +376,8 @@
         }
     }
 
-    fn apply_peer_message(&mut self, now: f64, from: &str, peer_message: Frame) {
-        match peer_message {
+    fn apply_peer_message(&mut self, now: f64, from: &str, frame: Frame) {
+        match frame {
             Frame::State(message) => {
                 if let Some(replicated) = &mut self.replicated {
                     replicated.receive(now, from, &message);
