--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -180,7 +180,8 @@
         if now > self.last_logged_at + LOG_INTERVAL_S {
             self.last_logged_at = now;
             info!(self.log, "sessions: {:?}", self.counts; "remembered" => self.store.len(),
-                "sketch_fill" => self.store.fill(), "pushed_out" => self.store.counts().pushed_out);
+                "sketch_fill" => self.store.max_sketch_fill(),
+                "pushed_out" => self.store.counts().pushed_out);
         }
         let key = SessionKey::of(&request.group, session);
         let startup_mark = self.startup_marks.get_key_value(request.group.as_str());
@@ -474,7 +475,7 @@
             *token = Self::session_mark(&statement, outcome).and_then(|mark| {
                 // Covers all known writes of the session, not only this one: other routers may have served
                 // later ones.
-                let known = self.store.seen(statement.key);
+                let known = self.store.session_marks(statement.key);
                 let positions = known.marks().filter(|m| m.term == mark.term).map(|m| m.position);
                 let position = positions.fold(mark.position, f64::max);
                 self.key_ring.issue(&Token {
@@ -569,7 +570,7 @@
                     Entry::SessionMarks { key, seen, pending_answer } => {
                         self.try_journal(|journal| journal.append(key, &seen));
                         if let Some(pace) = &mut pace {
-                            pace.wrote(self.clock.now());
+                            pace.record_write(self.clock.now());
                         }
                         answers.extend(pending_answer);
                     }
--- a/crates/sandstile-router/tests/agreement.rs
+++ b/crates/sandstile-router/tests/agreement.rs
@@ -220,8 +220,8 @@
     let emulator =
         Emulator::new(&script, net, Clock::anchor(), trace, notes).expect("cannot bind loopback addresses");
     let handle: Handle = emulator.spawn().expect("cannot start a thread");
-    let router = Router::start(&config(handle.agents[0], &handle.known(0)));
-    handle.begin(Clock::anchor().now());
+    let router = Router::start(&config(handle.agents[0], &handle.discovery_list(0)));
+    handle.start_script(Clock::anchor().now());
     let mut active_faults = 0;
     while active_faults < scenario.faults_before_start {
         let record = records.recv_timeout(TEST_TIMEOUT).expect("no fault has begun in time");
@@ -229,7 +229,7 @@
         active_faults += usize::from(line.contains("FaultBegins"));
     }
     let final_answers = final_answers(&router, &scenario.steps, |value| {
-        let (_, host, _) = protocol::made_for(value).expect("malformed value");
+        let (_, host, _) = protocol::parse_value(value).expect("malformed value");
         if host == "s-3-0" { "primary" } else { "replica" }.to_string()
     });
     drop(router);
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -111,7 +111,7 @@
     /// Starts a router with these session settings in its local configuration file, or without the file.
     fn router(&self, n: usize, settings: Option<&str>) -> Router {
         let address = SocketAddr::from(([127, self.net.0, self.net.1 + 100, n as u8 + 1], 6432));
-        let known = self.emulator.known(0);
+        let known = self.emulator.discovery_list(0);
         let config = processes::config(&self.script, n, address, self.emulator.agents[n], &known);
         let file = self.dir.join(format!("config-{n}.json"));
         fs::write(&file, config.to_string()).expect("cannot write the test's files");
@@ -168,7 +168,7 @@
                 b'Z' if !greeted => greeted = true,
                 _ => {
                     if answer.take(tag, body).expect("no valid answer") {
-                        let (_, host, position) = protocol::made_for(answer.text().as_bytes())
+                        let (_, host, position) = protocol::parse_value(answer.text().as_bytes())
                             .unwrap_or_else(|| panic!("{:?}", answer.stage));
                         return StatementAnswer { host: host.to_string(), position, mark: token };
                     }
