--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -7,7 +7,7 @@
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Source, StatementRequest};
-use sandstile_recording::{Arrival, Head, Recorder};
+use sandstile_recording::{Arrival, Header, RecordingWriter};
 use slog::{info, warn, Logger};
 use std::fs::{File, OpenOptions};
 use std::io::{self, BufWriter, Read, Write};
@@ -72,12 +72,12 @@
     groups.dedup();
     // The empty name stands for groups that no host list has named yet.
     groups.push(String::new());
-    let head = Head { salt, workloads, groups };
+    let header = Header { salt, workloads, groups };
     let out = CountingWriter { out: BufWriter::new(file), written: 0 };
-    let recorder = Recorder::begin(out, &head).map_err(with_path)?;
+    let recorder = RecordingWriter::begin(out, &header).map_err(with_path)?;
     let (sender, mailbox) = bounded_mailbox(MAX_QUEUED_ARRIVALS);
     let (max_bytes, thread_log) = (config.max_bytes, log.clone());
-    let run = move || match write(recorder, &head, &mailbox, now, max_bytes) {
+    let run = move || match write(recorder, &header, &mailbox, now, max_bytes) {
         Ok((written, true)) => info!(thread_log, "the recording is whole"; "arrivals" => written),
         Ok((written, false)) => {
             warn!(thread_log, "the recording has reached its size limit and ends"; "arrivals" => written)
@@ -110,25 +110,25 @@
 /// Writes arrivals until the source is dropped or the size limit is reached. Returns the number of arrivals,
 /// and `false` if the limit ended the recording.
 fn write(
-    mut recorder: Recorder<CountingWriter<BufWriter<File>>>,
-    head: &Head,
+    mut recorder: RecordingWriter<CountingWriter<BufWriter<File>>>,
+    header: &Header,
     mailbox: &Mailbox<RecordedArrival>,
     started_at: f64,
     max_bytes: u64,
 ) -> io::Result<(u64, bool)> {
-    let unnamed_group = head.groups.len() - 1;
+    let unnamed_group = header.groups.len() - 1;
     loop {
         match mailbox.recv(Some(SYNC_INTERVAL)) {
             Ok(arrival) => {
                 let group =
-                    head.groups[..unnamed_group].binary_search(&arrival.group).unwrap_or(unnamed_group);
+                    header.groups[..unnamed_group].binary_search(&arrival.group).unwrap_or(unnamed_group);
                 recorder.add(&Arrival {
                     at_us: ((arrival.arrived_at - started_at).max(0.0) * 1e6) as u64,
                     workload: arrival.workload as u32,
                     group: group as u32,
-                    session: arrival.session.map_or(0, |name| head.session(&name)),
+                    session: arrival.session.map_or(0, |name| header.session(&name)),
                     wait_ms: (arrival.time_left * 1e3) as u32,
-                    again: arrival.is_retry,
+                    is_retry: arrival.is_retry,
                 })?;
                 if recorder.out().written >= max_bytes {
                     let written = recorder.written;
--- a/crates/sandstile-router/tests/recorder.rs
+++ b/crates/sandstile-router/tests/recorder.rs
@@ -2,7 +2,7 @@
 #[allow(dead_code)]
 mod stand_ins;
 
-use sandstile_recording::Player;
+use sandstile_recording::RecordingReader;
 use stand_ins::*;
 use std::collections::BTreeSet;
 use std::fs;
@@ -37,17 +37,18 @@
     assert!(!["INSERT", "payload", "SELECT"]
         .iter()
         .any(|w| bytes.windows(w.len()).any(|b| b == w.as_bytes())));
-    let mut player = Player::open(&bytes[..]).expect("no readable recording");
+    let mut reader = RecordingReader::open(&bytes[..]).expect("no readable recording");
     let mut arrivals = Vec::new();
-    while let Some(arrival) = player.next_arrival().expect("incomplete recording") {
+    while let Some(arrival) = reader.next_arrival().expect("incomplete recording") {
         arrivals.push(arrival);
     }
-    let name = |n: u32| player.head.workloads[n as usize].as_str();
+    let name = |n: u32| reader.header.workloads[n as usize].as_str();
     assert_eq!(
         arrivals.iter().map(|a| name(a.workload)).collect::<Vec<_>>(),
         ["look", "look", "book", "look", "look", "look"]
     );
-    let groups: Vec<&str> = arrivals.iter().map(|a| player.head.groups[a.group as usize].as_str()).collect();
+    let groups: Vec<&str> =
+        arrivals.iter().map(|a| reader.header.groups[a.group as usize].as_str()).collect();
     assert_eq!(groups, ["3", "3", "3", "3", "3", ""]);
     assert!(arrivals[2].session != 0 && arrivals[2].wait_ms <= 800 && arrivals.is_sorted_by_key(|a| a.at_us));
 
