--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -1,10 +1,11 @@
-//! The state that is kept together with other instances, beside the desk's sessions. What is told to whom and believed when stands in
-//! `sandstile-replication`; here it meets outlets to other instances, the disk's thread and whoever asks over a socket. Off without our own file.
+//! The state that is replicated between instances, used by the dispatcher's sessions. `sandstile-replication`
+//! decides what is sent to which peer and when a copy is trusted; this module connects it to the peers'
+//! connections, the disk's thread and the control socket. Off without a local configuration file.
 use crate::clock::Clock;
 use crate::control::is_abandoned;
-use crate::local_config::State as Plan;
+use crate::local_config::StateConfig;
 use crate::mailbox::{mailbox, Mailbox, MailboxSender};
-use crate::session_messages::{SessionMessage, Shown, Telling};
+use crate::session_messages::{PeerMessage, SessionMessage, StateReport};
 use crate::threads;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Ending, Outcome};
@@ -27,21 +28,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of the periodic work.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Seconds between writes to the disk.
-const WRITES: f64 = 0.25;
-/// Seconds between two words on how far one group's log has come.
-const FLOORS: f64 = 1.0;
-/// For whoever asks over the socket to say what, and to read it.
-const PATIENCE: Duration = Duration::from_secs(2);
-
-/// Hosts and groups that are remembered as spoken of.
-const MOST_HOSTS: usize = 4096;
-/// Seconds between two words on one host that refuses.
-const REFUSALS: f64 = 0.5;
-
-/// What is known of this router besides its plan.
+const WRITE_INTERVAL_S: f64 = 0.25;
+/// Seconds between two facts about the log position of one group.
+const FLOOR_INTERVAL_S: f64 = 1.0;
+/// Timeout for reading a request from the control socket, and for writing the answer.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Limit on the hosts, and on the groups, whose last published fact is remembered.
+const MAX_REMEMBERED: usize = 4096;
+/// Seconds between two facts that the same host refuses.
+const REFUSAL_INTERVAL_S: f64 = 0.5;
+
+/// Settings from outside the `state` section of the local configuration file.
 pub struct RouterSettings<'a> {
     pub name: &'a str,
     pub generation: u64,
@@ -50,43 +51,43 @@
     pub horizon: f64,
 }
 
-/// What a turn brought.
+/// What processing the received facts has brought.
 #[derive(Default)]
-pub struct Learnt {
+pub struct StateChanges {
     pub marks: Vec<(SessionKey, SessionMarks)>,
-    /// The copy from the disk was an old one: what it lacks may have been written.
+    /// The copy from the disk was outdated, so writes may be missing from it.
     pub old_copy: bool,
-    /// One that was handed all of ours told all that it has.
-    pub vouched: bool,
-    /// Hosts that refused another, and how long ago.
-    pub warned: Vec<(String, f64)>,
+    /// A peer that had received all of this instance's facts before its restart has sent everything it has.
+    pub all_received: bool,
+    /// Hosts that refused another instance, and how many seconds ago.
+    pub host_warnings: Vec<(String, f64)>,
 }
 
-/// For the disk's thread.
-enum Chore {
+/// Task of the disk's thread.
+enum DiskTask {
     Put(f64, Snapshot),
     End(f64, Snapshot, MailboxSender<()>),
 }
 
 pub struct ReplicatedState {
     replication: ReplicationPeer,
-    outlets: BTreeMap<String, MailboxSender<Telling>>,
-    /// Those that were handed all that our former life knew.
-    vouchers: BTreeSet<String>,
-    /// Where the disk takes what has changed; `None` in memory alone, and once it has failed.
-    disk: Option<MailboxSender<Chore>>,
-    /// The disk's thread has done what it was given.
-    idle: Mailbox<bool>,
-    busy: bool,
-    wrote_at: f64,
-    put: u64,
-    /// When each group's log was spoken of last, and the term it was under.
-    led: BTreeMap<Arc<str>, (f64, u64)>,
-    /// Who probes which host, where our own file has it shared.
+    peers: BTreeMap<String, MailboxSender<PeerMessage>>,
+    /// Peers that hold all that this instance's former generation knew.
+    complete_peers: BTreeSet<String>,
+    /// Mailbox of the disk's thread; `None` if the state is in memory only, or after the disk has failed.
+    disk: Option<MailboxSender<DiskTask>>,
+    /// Results of the disk's thread, one for each finished task.
+    results: Mailbox<bool>,
+    writing: bool,
+    last_write_at: f64,
+    saved_version: u64,
+    /// When each group's log position was last published, and the term then.
+    published_positions: BTreeMap<Arc<str>, (f64, u64)>,
+    /// Which router probes which host, if the local configuration file turns sharing on.
     probe_sharing: Option<ProbeSharing>,
-    /// Hosts that refused this router: when it said so last.
+    /// Hosts that refuse this router, and when that was last published.
     refused: BTreeMap<String, f64>,
-    /// Whose word on hosts that refuse is heeded.
+    /// Which peers' claims about refusing hosts are trusted.
     warnings: Warnings,
     trust: Trust,
     old_copy: bool,
@@ -94,15 +95,15 @@
     contradictions: u64,
 }
 
-/// What a probe told, how careful that makes, and its word among facts.
-const TOLD: [(ProbeResult, u8, &str); 3] = [
+/// The results of a probe, each with its degree of caution and its text in a fact.
+const PROBE_RESULTS: [(ProbeResult, u8, &str); 3] = [
     (ProbeResult::NoAnswer, 1, "silent"),
     (ProbeResult::NotPrimary, 0, "answers"),
     (ProbeResult::Primary, 0, "primary"),
 ];
 
-/// A peer's name without its life.
-fn bare(peer: &str) -> &str {
+/// A peer's name without its generation.
+fn name_of(peer: &str) -> &str {
     peer.split_once('#').map_or(peer, |(name, _)| name)
 }
 
@@ -110,7 +111,7 @@
     format!("{:016x}", key.0)
 }
 
-fn mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(SessionKey, SessionMarks)> {
+fn to_mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(SessionKey, SessionMarks)> {
     match (key.kind, &fact.value) {
         (Kind::Mark, Value::SessionMarks(seen)) => {
             Some((SessionKey(u64::from_str_radix(&key.subject, 16).ok()?), seen.clone()))
@@ -120,53 +121,53 @@
 }
 
 impl ReplicatedState {
-    /// Takes up what the disk holds, and begins what runs beside. The message is one line.
+    /// Loads the state from the disk and starts the threads. The error message is one line.
     pub fn begin(
-        plan: &Plan,
-        terms: &RouterSettings,
-        words: MailboxSender<SessionMessage>,
+        config: &StateConfig,
+        settings: &RouterSettings,
+        messages: MailboxSender<SessionMessage>,
         clock: &Clock,
         log: &Logger,
     ) -> Result<ReplicatedState, String> {
         let now = clock.now();
         let (mut disk, mut trust, mut stored_generation, mut facts) = (None, Trust::None, None, Vec::new());
-        let (idle, done) = mailbox();
-        if let Some(dir) = &plan.dir {
-            let folder = StateDirectory::open(dir, plan.witness.as_deref())?;
+        let (result_sender, result_mailbox) = mailbox();
+        if let Some(dir) = &config.dir {
+            let folder = StateDirectory::open(dir, config.witness.as_deref())?;
             let OpenedState { found, stored, witness, state_file } =
-                sandstile_durable_state::open(Box::new(folder), terms.generation);
+                sandstile_durable_state::open(Box::new(folder), settings.generation);
             trust = assess_trust(stored, witness);
-            info!(log, "state is taken up"; "facts" => found.facts.len(), "spoilt" => found.corrupt,
-                "ended" => found.ended_cleanly, "believed" => ?trust, "witness" => ?witness.file);
+            info!(log, "state: copy loaded from the disk"; "facts" => found.facts.len(),
+                "spoilt" => found.corrupt, "ended" => found.ended_cleanly, "believed" => ?trust, "witness" => ?witness.file);
             (stored_generation, facts) = (found.generation, found.facts);
             match state_file {
                 Ok(state_file) => {
-                    let (post, chores) = mailbox();
-                    let own = log.clone();
+                    let (sender, tasks) = mailbox();
+                    let thread_log = log.clone();
                     threads::spawn_joinable("state", threads::STACK, move || {
-                        keep(state_file, &chores, &idle, &own)
+                        run_disk(state_file, &tasks, &result_sender, &thread_log)
                     })?;
-                    disk = Some(post);
+                    disk = Some(sender);
                 }
-                Err(e) => warn!(log, "state is kept in memory alone: {e}"),
+                Err(e) => warn!(log, "state: kept in memory only: {e}"),
             }
         }
-        let ticks = words.clone();
+        let ticks = messages.clone();
         threads::spawn_detached("ticks", move || {
             while ticks.send(SessionMessage::Tick) {
-                std::thread::sleep(TICK);
+                std::thread::sleep(TICK_INTERVAL);
             }
         })?;
-        if let Some(path) = &plan.control {
-            let listener = door(path)?;
-            threads::spawn_detached("state asked", move || answer(&listener, &words))?;
+        if let Some(path) = &config.control {
+            let listener = open_socket(path)?;
+            threads::spawn_detached("state asked", move || serve_requests(&listener, &messages))?;
         }
         let replication = ReplicationPeer::new(
             sandstile_replication::ReplicationSettings {
-                name: terms.name.to_string(),
-                generation: terms.generation,
-                horizon: terms.horizon,
-                seed: terms.seed ^ terms.generation,
+                name: settings.name.to_string(),
+                generation: settings.generation,
+                horizon: settings.horizon,
+                seed: settings.seed ^ settings.generation,
                 stored: facts,
                 trust,
                 stored_generation,
@@ -175,16 +176,16 @@
         );
         Ok(ReplicatedState {
             replication,
-            outlets: BTreeMap::new(),
-            vouchers: BTreeSet::new(),
+            peers: BTreeMap::new(),
+            complete_peers: BTreeSet::new(),
             disk,
-            idle: done,
-            busy: false,
-            wrote_at: now,
-            put: 0,
-            led: BTreeMap::new(),
-            probe_sharing: plan.together.then(|| {
-                ProbeSharing::new(terms.name, sandstile_probe_sharing::ProbeSharingSettings::default())
+            results: result_mailbox,
+            writing: false,
+            last_write_at: now,
+            saved_version: 0,
+            published_positions: BTreeMap::new(),
+            probe_sharing: config.learn_together.then(|| {
+                ProbeSharing::new(settings.name, sandstile_probe_sharing::ProbeSharingSettings::default())
             }),
             refused: BTreeMap::new(),
             warnings: Warnings::default(),
@@ -195,33 +196,35 @@
         })
     }
 
-    /// Marks that were found on the disk.
+    /// Marks loaded from the disk.
     pub fn marks(&self) -> impl Iterator<Item = (SessionKey, SessionMarks)> + '_ {
-        self.replication.replica().iter().filter_map(mark)
+        self.replication.replica().iter().filter_map(to_mark)
     }
 
-    /// Whether what was found is all that the former life knew.
+    /// Whether the copy on the disk holds all that the former generation knew.
     pub fn found_all(&self) -> bool {
         self.trust == Trust::All
     }
 
-    pub fn wrote(&mut self, now: f64, key: SessionKey, seen: &SessionMarks) {
+    pub fn record_write(&mut self, now: f64, key: SessionKey, seen: &SessionMarks) {
         self.replication.learn(now, Kind::Mark, &subject(key), Value::SessionMarks(seen.clone()));
     }
 
-    /// A group's primary has told how far its log is.
-    pub fn led(&mut self, now: f64, group: &Arc<str>, mark: Mark) {
+    /// Publishes the log position that a group's primary has reported.
+    pub fn record_primary_position(&mut self, now: f64, group: &Arc<str>, mark: Mark) {
         let term = mark.term.0;
-        let before = self.led.get(group).copied();
-        if before.is_some_and(|(at, of)| of == term && now < at + FLOORS) {
+        let previous = self.published_positions.get(group).copied();
+        if previous.is_some_and(|(published_at, published_term)| {
+            published_term == term && now < published_at + FLOOR_INTERVAL_S
+        }) {
             return;
         }
-        if self.led.len() >= MOST_HOSTS {
-            self.led.clear();
+        if self.published_positions.len() >= MAX_REMEMBERED {
+            self.published_positions.clear();
         }
-        self.led.insert(group.clone(), (now, term));
-        // Names that are too long for a key are told of nowhere.
-        if before.is_none_or(|(_, of)| of != term) {
+        self.published_positions.insert(group.clone(), (now, term));
+        // Names that are too long for a key are not published.
+        if previous.is_none_or(|(_, published_term)| published_term != term) {
             self.replication.publish_report(now, Kind::Leader, group, 0, &format!("{term:016x}"));
         }
         self.replication.learn(
@@ -232,57 +235,68 @@
         );
     }
 
-    /// This one hears us from now on; `covers_receiver` says that it ended in order and left us all that it knew.
-    pub fn linked(&mut self, now: f64, peer: String, outlet: MailboxSender<Telling>, covers_receiver: bool) {
-        if outlet.send(Telling::SnapshotComplete { covers_receiver }) {
+    /// Starts sending to a peer; `covers_receiver` says that its former generation shut down in order and had sent
+    /// all its facts here.
+    pub fn peer_connected(
+        &mut self,
+        now: f64,
+        peer: String,
+        sender: MailboxSender<PeerMessage>,
+        covers_receiver: bool,
+    ) {
+        if sender.send(PeerMessage::SnapshotComplete { covers_receiver }) {
             self.replication.peer_connected(now, &peer);
-            self.outlets.insert(peer, outlet);
+            self.peers.insert(peer, sender);
         }
     }
 
-    pub fn parted(&mut self, now: f64, peer: &str) {
-        if self.outlets.remove(peer).is_some() {
+    pub fn peer_disconnected(&mut self, now: f64, peer: &str) {
+        if self.peers.remove(peer).is_some() {
             self.replication.peer_disconnected(now, peer);
         }
     }
 
-    pub fn written(&mut self, peer: &str, bytes: usize) {
+    pub fn record_bytes_written(&mut self, peer: &str, bytes: usize) {
         self.replication.bytes_written(peer, bytes);
     }
 
-    pub fn heard(&mut self, now: f64, from: &str, message: &[u8]) {
+    pub fn receive(&mut self, now: f64, from: &str, message: &[u8]) {
         self.replication.receive(now, from, message);
     }
 
-    pub fn vouches(&mut self, peer: &str) {
-        // Few were told by our former life.
-        if self.vouchers.len() < 64 {
-            self.vouchers.insert(peer.to_string());
+    pub fn expect_all_from(&mut self, peer: &str) {
+        // The former generation was connected to far fewer peers than this limit.
+        if self.complete_peers.len() < 64 {
+            self.complete_peers.insert(peer.to_string());
         }
     }
 
-    /// Whether this router is to probe a host whose group lacks a primary.
+    /// Whether this router should probe a host whose group has no known primary.
     pub fn may_probe(&mut self, now: f64, host: &str) -> bool {
         let Some(probe_sharing) = &mut self.probe_sharing else { return true };
-        let there = self.replication.connected_peers().map(|peer| bare(peer).to_string()).collect();
-        probe_sharing.set_reachable_peers(now, &there);
+        let connected = self.replication.connected_peers().map(|peer| name_of(peer).to_string()).collect();
+        probe_sharing.set_reachable_peers(now, &connected);
         probe_sharing.should_probe(now, host)
     }
 
-    pub fn probed(&mut self, now: f64, host: &str, outcome: &Outcome) {
+    pub fn probe_ended(&mut self, now: f64, host: &str, outcome: &Outcome) {
         let Some(probe_sharing) = &mut self.probe_sharing else { return };
-        let told = match (outcome.ending == Ending::Completed, outcome.host_report.primary) {
+        let result = match (outcome.ending == Ending::Completed, outcome.host_report.primary) {
             (false, _) => ProbeResult::NoAnswer,
             (true, Some(true)) => ProbeResult::Primary,
             (true, _) => ProbeResult::NotPrimary,
         };
-        probe_sharing.record_own_probe(now, host, told);
-        let (severity, body) = TOLD.iter().find(|(t, ..)| *t == told).map_or((1, ""), |(_, c, b)| (*c, *b));
+        probe_sharing.record_own_probe(now, host, result);
+        let (severity, body) = PROBE_RESULTS
+            .iter()
+            .find(|(known, ..)| *known == result)
+            .map_or((1, ""), |(_, severity, body)| (*severity, *body));
         self.replication.publish_report(now, Kind::Probe, host, severity, body);
     }
 
-    /// An execution at this host has ended: what others would lose a statement to learn is told to them.
-    pub fn met(&mut self, now: f64, host: &str, outcome: &Outcome) {
+    /// Called when an execution on this host has ended. Publishes refusals, so that other instances need not
+    /// lose a statement to notice them.
+    pub fn execution_ended_on_host(&mut self, now: f64, host: &str, outcome: &Outcome) {
         if self.probe_sharing.is_none() {
             return;
         }
@@ -291,10 +305,11 @@
         }
         match outcome.ending.outcome_class() {
             OutcomeClass::ConnectFailed | OutcomeClass::Reset | OutcomeClass::Full => {
-                if self.refused.len() >= MOST_HOSTS {
+                if self.refused.len() >= MAX_REMEMBERED {
                     self.refused.clear();
                 }
-                if self.refused.get(host).is_none_or(|said| now >= said + REFUSALS) {
+                if self.refused.get(host).is_none_or(|published_at| now >= published_at + REFUSAL_INTERVAL_S)
+                {
                     self.refused.insert(host.to_string(), now);
                     self.replication.publish_report(now, Kind::Refusal, host, 1, "");
                 }
@@ -306,30 +321,41 @@
         }
     }
 
-    /// Another's word on a host.
-    fn told(&mut self, now: f64, key: &sandstile_replicated_state::Key, said: &Report, learnt: &mut Learnt) {
+    /// Applies a peer's claim about a host.
+    fn apply_claim(
+        &mut self,
+        now: f64,
+        key: &sandstile_replicated_state::Key,
+        claim: &Report,
+        changes: &mut StateChanges,
+    ) {
         let Some(probe_sharing) = &mut self.probe_sharing else { return };
         let Some(created_at) = self.replication.replica().get(key).map(|fact| fact.created_at) else {
             return;
         };
         match key.kind {
             Kind::Probe => {
-                let Some((told, ..)) = TOLD.iter().find(|(_, _, body)| *body == &*said.body) else { return };
+                let Some((probe_result, ..)) =
+                    PROBE_RESULTS.iter().find(|(_, _, body)| *body == &*claim.body)
+                else {
+                    return;
+                };
                 probe_sharing.record_peer_probe(
                     &key.owner,
-                    said.generation,
-                    said.version,
+                    claim.generation,
+                    claim.version,
                     &key.subject,
                     created_at,
-                    *told,
+                    *probe_result,
                 );
             }
             Kind::Refusal => {
-                // More care is allowed in every view, alone as well.
-                let may_act =
-                    said.severity > 0 && may_act(View::Alone, Topic::Refusal, Direction::MoreCareful, false);
-                if may_act && self.warnings.accept(now, &key.owner, &key.subject) {
-                    learnt.warned.push((key.subject.to_string(), now - created_at));
+                // A claim that asks for more caution is allowed in every membership view, even if this router
+                // is alone.
+                let allowed =
+                    claim.severity > 0 && may_act(View::Alone, Topic::Refusal, Direction::MoreCareful, false);
+                if allowed && self.warnings.accept(now, &key.owner, &key.subject) {
+                    changes.host_warnings.push((key.subject.to_string(), now - created_at));
                 }
             }
             _ => {}
@@ -338,126 +364,133 @@
 
     fn send(&mut self, now: f64) {
         for (peer, message) in self.replication.take_outgoing(now) {
-            if self.outlets.get(&peer).is_some_and(|o| !o.send(Telling::State(message))) {
-                self.outlets.remove(&peer);
+            if self.peers.get(&peer).is_some_and(|sender| !sender.send(PeerMessage::State(message))) {
+                self.peers.remove(&peer);
                 self.replication.peer_disconnected(now, &peer);
             }
         }
     }
 
-    /// Answers go out at once, news with the next look: so many facts share a message, and a message a look is all that a link carries
-    /// of them.
-    pub fn turn(&mut self, now: f64, looks: bool, log: &Logger) -> Learnt {
-        if looks {
+    /// Sends replies to peers at once, and new facts with the next periodic run, so that facts are batched:
+    /// each connection carries one message with new facts per run.
+    pub fn process(&mut self, now: f64, check_due: bool, log: &Logger) -> StateChanges {
+        if check_due {
             self.replication.tick(now);
         }
         self.send(now);
-        let mut learnt = Learnt::default();
+        let mut changes = StateChanges::default();
         for event in self.replication.take_events() {
             match event {
                 ReplicationEvent::FactLearned(key, Value::SessionMarks(seen)) if key.kind == Kind::Mark => {
-                    learnt
+                    changes
                         .marks
                         .extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (SessionKey(k), seen)));
                 }
-                ReplicationEvent::FactLearned(key, Value::Report(said)) => {
-                    self.told(now, &key, &said, &mut learnt)
+                ReplicationEvent::FactLearned(key, Value::Report(claim)) => {
+                    self.apply_claim(now, &key, &claim, &mut changes)
                 }
                 ReplicationEvent::FactLearned(..) => {}
                 ReplicationEvent::SyncStateChanged(sync_state) => {
-                    info!(log, "state: {}", word(sync_state); "facts" => self.replication.replica().len())
+                    info!(log, "state: {}", sync_state_text(sync_state); "facts" => self.replication.replica().len())
+                }
+                ReplicationEvent::PeerCompared(peer) => {
+                    changes.all_received |= self.complete_peers.remove(&peer)
                 }
-                ReplicationEvent::PeerCompared(peer) => learnt.vouched |= self.vouchers.remove(&peer),
                 ReplicationEvent::Contradiction(key) => {
                     self.contradictions += 1;
-                    warn!(log, "state: one under one number said two things"; "kind" => key.kind.name(),
-                        "of" => &*key.subject, "by" => &*key.owner);
+                    warn!(log, "state: contradiction: one member said two things under one number";
+                        "kind" => key.kind.name(), "of" => &*key.subject, "by" => &*key.owner);
                 }
                 ReplicationEvent::OldCopy { found, met } => {
-                    (self.old_copy, learnt.old_copy) = (true, true);
-                    warn!(log, "state: the copy on the disk was an old one"; "its life" => found, "a later one" => met);
+                    (self.old_copy, changes.old_copy) = (true, true);
+                    warn!(log, "state: the copy from the disk was an old one"; "its life" => found,
+                        "a later one" => met);
                 }
                 ReplicationEvent::DuplicateName(generation) => {
                     self.twins += 1;
                     if self.twins == 1 {
-                        warn!(log, "state: a later life of this name is about"; "life" => generation);
+                        warn!(log, "state: a process with this router's name and a later life is running";
+                            "life" => generation);
                     }
                 }
             }
         }
-        self.put_by(now, log);
-        learnt
+        self.save_if_due(now, log);
+        changes
     }
 
-    fn put_by(&mut self, now: f64, log: &Logger) {
-        while let Some(well) = self.idle.try_recv() {
-            self.busy = false;
-            if !well && self.disk.take().is_some() {
-                warn!(log, "state is kept in memory alone from now on");
+    fn save_if_due(&mut self, now: f64, log: &Logger) {
+        while let Some(succeeded) = self.results.try_recv() {
+            self.writing = false;
+            if !succeeded && self.disk.take().is_some() {
+                warn!(log, "state: kept in memory only from now on");
             }
         }
         let version = self.replication.replica().version();
-        if self.busy || now < self.wrote_at + WRITES || (version == self.put && self.put > 0) {
+        if self.writing
+            || now < self.last_write_at + WRITE_INTERVAL_S
+            || (version == self.saved_version && self.saved_version > 0)
+        {
             return;
         }
         if let Some(disk) = &self.disk {
-            // A copy shares its facts with ours.
-            self.busy = disk.send(Chore::Put(now, self.replication.replica().snapshot()));
-            (self.wrote_at, self.put) = (now, version);
+            // Cheap: the snapshot shares its facts with the replica.
+            self.writing = disk.send(DiskTask::Put(now, self.replication.replica().snapshot()));
+            (self.last_write_at, self.saved_version) = (now, version);
         }
     }
 
-    /// All is told to all, and put down as that.
-    pub fn end(&mut self, now: f64, done: &MailboxSender<()>) {
+    /// Sends all facts to all peers, and writes the final state to the disk.
+    pub fn shut_down(&mut self, now: f64, done: &MailboxSender<()>) {
         self.replication.tick(now);
-        for (peer, outlet) in std::mem::take(&mut self.outlets) {
-            let Some(words) = self.replication.take_final_messages(now, &peer) else { continue };
-            if words.into_iter().all(|w| outlet.send(Telling::State(w))) {
-                outlet.send(Telling::End(done.clone()));
+        for (peer, sender) in std::mem::take(&mut self.peers) {
+            let Some(last_messages) = self.replication.take_final_messages(now, &peer) else { continue };
+            if last_messages.into_iter().all(|message| sender.send(PeerMessage::State(message))) {
+                sender.send(PeerMessage::End(done.clone()));
             }
         }
         if let Some(disk) = self.disk.take() {
-            disk.send(Chore::End(now, self.replication.replica().snapshot(), done.clone()));
+            disk.send(DiskTask::End(now, self.replication.replica().snapshot(), done.clone()));
         }
     }
 
-    /// What an operator is told, but for what takes a look at every fact.
-    pub fn show(&self, now: f64) -> Shown {
+    /// The report for operators, without the parts that need a pass over all facts.
+    pub fn report(&self, now: f64) -> StateReport {
         let replica = self.replication.replica();
-        let (c, r) = (self.replication.counts(), replica.counts());
-        let about = json!({"standing": word(self.replication.sync_state()), "facts": replica.len(),
+        let (counts, replica_counts) = (self.replication.counts(), replica.counts());
+        let summary = json!({"standing": sync_state_text(self.replication.sync_state()), "facts": replica.len(),
             "digest": format!("{:016x}", replica.digest()),
             "linked": self.replication.connected_peers().collect::<Vec<_>>(), "number": replica.version(),
             "believed": format!("{:?}", self.trust).to_lowercase(), "old_copy": self.old_copy,
             "disk": self.disk.is_some(), "twins": self.twins, "contradictions": self.contradictions,
-            "bytes_in": c.bytes_in, "bytes_out": c.bytes_out, "messages_in": c.messages_in,
-            "messages_out": c.messages_out, "rounds": c.rounds, "rounds_lost": c.rounds_lost,
-            "unreadable": c.unreadable, "refused": c.refused, "shed": c.shed,
-            "given_up": r.evicted, "forgotten": r.expired});
-        Shown { at: now, about, held: replica.snapshot() }
+            "bytes_in": counts.bytes_in, "bytes_out": counts.bytes_out, "messages_in": counts.messages_in,
+            "messages_out": counts.messages_out, "rounds": counts.rounds, "rounds_lost": counts.rounds_lost,
+            "unreadable": counts.unreadable, "refused": counts.refused, "shed": counts.shed,
+            "given_up": replica_counts.evicted, "forgotten": replica_counts.expired});
+        StateReport { at: now, summary, facts: replica.snapshot() }
     }
 }
 
-/// How it stands, with the sum of what is older than this.
-fn summary(shown: Shown, at: f64) -> Vec<u8> {
-    let Shown { mut about, held, .. } = shown;
+/// The report as one JSON line, with counts by kind and the digest of the facts older than `at`.
+fn summary_line(report: StateReport, at: f64) -> Vec<u8> {
+    let StateReport { mut summary, facts, .. } = report;
     let mut kinds: BTreeMap<&str, u64> = BTreeMap::new();
-    held.iter().for_each(|(key, _)| *kinds.entry(key.kind.name()).or_default() += 1);
-    about["kinds"] = json!(kinds);
-    about["as_of"] = json!(at);
-    about["digest_as_of"] = json!(format!("{:016x}", held.digest_as_of(at)));
-    format!("{about}\n").into_bytes()
+    facts.iter().for_each(|(key, _)| *kinds.entry(key.kind.name()).or_default() += 1);
+    summary["kinds"] = json!(kinds);
+    summary["as_of"] = json!(at);
+    summary["digest_as_of"] = json!(format!("{:016x}", facts.digest_as_of(at)));
+    format!("{summary}\n").into_bytes()
 }
 
-/// All facts in the form of a file, so that a router and a file compare alike.
-fn facts(shown: &Shown) -> Vec<u8> {
+/// All facts in the format of the state file, so that a router and a file can be compared.
+fn all_facts(report: &StateReport) -> Vec<u8> {
     let mut out = stored::header(1);
-    shown.held.iter().for_each(|(key, fact)| stored::write_fact(&mut out, 1, shown.at, key, fact));
-    stored::write_end(&mut out, 1, shown.held.version());
+    report.facts.iter().for_each(|(key, fact)| stored::write_fact(&mut out, 1, report.at, key, fact));
+    stored::write_end(&mut out, 1, report.facts.version());
     out
 }
 
-fn word(sync_state: SyncState) -> &'static str {
+fn sync_state_text(sync_state: SyncState) -> &'static str {
     match sync_state {
         SyncState::NotStarted => "new",
         SyncState::CatchingUp => "catching up",
@@ -467,21 +500,26 @@
     }
 }
 
-/// The disk's thread: one chore at a time, however slow it is.
-fn keep(mut state_file: StateFile, chores: &Mailbox<Chore>, idle: &MailboxSender<bool>, log: &Logger) {
+/// The disk's thread: runs one task at a time, however slow the disk is.
+fn run_disk(
+    mut state_file: StateFile,
+    tasks: &Mailbox<DiskTask>,
+    results: &MailboxSender<bool>,
+    log: &Logger,
+) {
     loop {
-        match chores.recv(None) {
-            Ok(Chore::Put(now, held)) => {
-                let put = state_file.put(now, &held);
-                idle.send(put.is_ok());
+        match tasks.recv(None) {
+            Ok(DiskTask::Put(now, snapshot)) => {
+                let put = state_file.put(now, &snapshot);
+                results.send(put.is_ok());
                 if let Err(e) = put {
-                    warn!(log, "state: the disk takes no more: {e}");
+                    warn!(log, "state: write to the disk failed, no more will follow: {e}");
                     return;
                 }
             }
-            Ok(Chore::End(now, held, done)) => {
-                if let Err(e) = state_file.end(now, &held) {
-                    warn!(log, "state: not all of it is on the disk: {e}");
+            Ok(DiskTask::End(now, snapshot, done)) => {
+                if let Err(e) = state_file.end(now, &snapshot) {
+                    warn!(log, "state: final write failed, not all of it is on the disk: {e}");
                 }
                 drop(done);
                 return;
@@ -492,46 +530,49 @@
     }
 }
 
-/// A socket that a former process left is taken away; one that somebody listens at is not.
-fn door(path: &Path) -> Result<UnixListener, String> {
-    let told = |e: std::io::Error| format!("state: {}: {e}", path.display());
+/// Opens the control socket. A stale socket file of an earlier process is replaced; one with a listener is an
+/// error.
+fn open_socket(path: &Path) -> Result<UnixListener, String> {
+    let with_path = |e: std::io::Error| format!("state: {}: {e}", path.display());
     if std::fs::symlink_metadata(path).is_ok() {
         if !is_abandoned(path) {
-            return Err(format!("state: {}: another process may listen there", path.display()));
+            return Err(format!("state: {}: another process may listen on this socket", path.display()));
         }
-        std::fs::remove_file(path).map_err(told)?;
+        std::fs::remove_file(path).map_err(with_path)?;
     }
-    let listener = UnixListener::bind(path).map_err(told)?;
-    std::fs::set_permissions(path, std::os::unix::fs::PermissionsExt::from_mode(0o600)).map_err(told)?;
+    let listener = UnixListener::bind(path).map_err(with_path)?;
+    std::fs::set_permissions(path, std::os::unix::fs::PermissionsExt::from_mode(0o600)).map_err(with_path)?;
     Ok(listener)
 }
 
-/// Answers one after the other: `summary SECONDS` or `facts`, a line.
-fn answer(listener: &UnixListener, words: &MailboxSender<SessionMessage>) {
+/// Serves requests one after the other. A request is one line: `summary SECONDS` or `facts`.
+fn serve_requests(listener: &UnixListener, messages: &MailboxSender<SessionMessage>) {
     for stream in listener.incoming() {
         let Ok(mut stream) = stream else {
-            std::thread::sleep(TICK);
+            std::thread::sleep(TICK_INTERVAL);
             continue;
         };
-        let patient = stream.set_read_timeout(Some(PATIENCE)).and(stream.set_write_timeout(Some(PATIENCE)));
+        let timeouts_set = stream
+            .set_read_timeout(Some(CONTROL_TIMEOUT))
+            .and(stream.set_write_timeout(Some(CONTROL_TIMEOUT)));
         let mut line = String::new();
         let read = BufReader::new((&stream).take(64)).read_line(&mut line);
-        if patient.is_err() || read.is_err() {
+        if timeouts_set.is_err() || read.is_err() {
             continue;
         }
         let at = line.strip_prefix("summary ").and_then(|at| at.trim().parse::<f64>().ok());
         if at.is_none_or(|at| !at.is_finite()) && line.trim() != "facts" {
             continue;
         }
-        let (post, told) = crate::mailbox::single_slot_mailbox();
-        if !words.send(SessionMessage::Show(post)) {
+        let (sender, receiver) = crate::mailbox::single_slot_mailbox();
+        if !messages.send(SessionMessage::Report(sender)) {
             return;
         }
-        // Looked through here, and not where statements wait.
-        if let Ok(shown) = told.recv(Some(PATIENCE)) {
+        // The pass over all facts happens on this thread, so that statements do not wait for it.
+        if let Ok(report) = receiver.recv(Some(CONTROL_TIMEOUT)) {
             let bytes = match at {
-                Some(at) => summary(shown, at),
-                None => facts(&shown),
+                Some(at) => summary_line(report, at),
+                None => all_facts(&report),
             };
             let _ = stream.write_all(&bytes);
         }
