--- a/crates/sandstile-audit/src/agreement.rs
+++ b/crates/sandstile-audit/src/agreement.rs
@@ -1,12 +1,12 @@
 //! Whether routers that know each other agreed on who is there, judged over the sights of all of them: after each fault, crash, stop,
 //! return and heal, how long until each living one holds just those for there whom it can reach, by whatever way;
 //! one that reaches nobody, or is not heard, is to say so.
-use crate::trace::{RouterState, Sight, Trace};
+use crate::trace::{MembershipSample, RouterState, Trace};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// Seconds into an epoch for which a death may be the verdict on what was before.
-pub const OLD: f64 = 3.0;
+pub const OLD_VERDICT_S: f64 = 3.0;
 /// Changes closer together than this are one.
 const TOGETHER: f64 = 0.15;
 
@@ -16,7 +16,7 @@
     /// Seconds since the beginning.
     pub from: f64,
     pub to: f64,
-    pub why: String,
+    pub change: String,
     /// Those that run, by who reaches whom.
     pub sides: Vec<BTreeSet<usize>>,
     /// Seconds until all agreed, and stayed so to the end of it; `None` where they did not.
@@ -31,7 +31,7 @@
     /// How often each view was entered, over all routers.
     pub views: BTreeMap<String, usize>,
     /// The least and the most that any router took for the number that share the hosts.
-    pub sharers: Option<(f64, f64)>,
+    pub router_counts: Option<(f64, f64)>,
 }
 
 impl Agreement {
@@ -40,7 +40,7 @@
         self.epochs.iter().skip(1).filter_map(|e| e.agreed_after).reduce(f64::max)
     }
 
-    pub fn never(&self) -> usize {
+    pub fn not_agreed(&self) -> usize {
         self.epochs.iter().filter(|e| e.agreed_after.is_none()).count()
     }
 
@@ -102,7 +102,7 @@
         };
         events.push((*t, word.to_string(), Event::Router(*n, state.clone())));
     }
-    for (n, link) in trace.links.iter().enumerate().filter(|(_, l)| !l.severs.is_empty()) {
+    for (n, link) in trace.link_faults.iter().enumerate().filter(|(_, l)| !l.severs.is_empty()) {
         events.push((link.begin, format!("{} begins", link.name), Event::Cut(n, true)));
         if link.end.is_finite() {
             events.push((link.end, format!("{} heals", link.name), Event::Cut(n, false)));
@@ -121,7 +121,7 @@
                 standing.up.remove(&n);
                 standing.still.remove(&n);
             }
-            Event::Cut(n, true) => drop(standing.cuts.insert(n, trace.links[n].severs.clone())),
+            Event::Cut(n, true) => drop(standing.cuts.insert(n, trace.link_faults[n].severs.clone())),
             Event::Cut(n, false) => drop(standing.cuts.remove(&n)),
         }
         if t > end {
@@ -131,20 +131,27 @@
         if sides == before && !out.is_empty() {
             continue;
         }
-        let (from, why) = (t - begin, format!("1 {word}"));
+        let (from, change) = (t - begin, format!("1 {word}"));
         match out.last_mut() {
             // What strikes many within a moment, or before the evening begins, is one change.
             Some(last) if from - last.to < TOGETHER || from < 0.0 => {
-                let count = last.why.split_once(' ').filter(|(_, w)| *w == word);
+                let count = last.change.split_once(' ').filter(|(_, w)| *w == word);
                 let count = count.and_then(|(n, _)| n.parse::<usize>().ok());
-                last.why = match count {
+                last.change = match count {
                     Some(n) => format!("{} {word}", n + 1),
-                    None if from < 0.0 => why,
-                    None => format!("{}, {word}", last.why),
+                    None if from < 0.0 => change,
+                    None => format!("{}, {word}", last.change),
                 };
                 (last.from, last.to, last.sides) = (from, from, sides);
             }
-            _ => out.push(Epoch { from, to: from, why, sides, agreed_after: None, false_deaths: Vec::new() }),
+            _ => out.push(Epoch {
+                from,
+                to: from,
+                change,
+                sides,
+                agreed_after: None,
+                false_deaths: Vec::new(),
+            }),
         }
     }
     let ends: Vec<f64> = out.iter().skip(1).map(|e| e.from).chain([end - begin]).collect();
@@ -161,21 +168,21 @@
 
 /// Looks at a whole trace; nothing where no router told whom it sees.
 pub fn agreement(trace: &Trace) -> Agreement {
-    let Some(terms) = trace.terms.as_ref().filter(|_| !trace.sights.is_empty()) else {
+    let Some(terms) = trace.settings.as_ref().filter(|_| !trace.membership_samples.is_empty()) else {
         return Agreement::default();
     };
     let end = end_of(trace, terms.end);
     let mut out = Agreement { epochs: epochs(trace, terms.begin, end), ..Agreement::default() };
-    let mut sights: Vec<_> = trace.sights.iter().collect();
-    sights.sort_by(|a, b| a.t.total_cmp(&b.t));
+    let mut membership_samples: Vec<_> = trace.membership_samples.iter().collect();
+    membership_samples.sort_by(|a, b| a.t.total_cmp(&b.t));
     let mut views: BTreeMap<usize, &str> = BTreeMap::new();
-    for s in &sights {
+    for s in &membership_samples {
         if views.insert(s.router, &s.view) != Some(&s.view) {
             *out.views.entry(s.view.clone()).or_default() += 1;
         }
-        if let Some(n) = s.sharers {
-            let (least, most) = out.sharers.unwrap_or((n, n));
-            out.sharers = Some((least.min(n), most.max(n)));
+        if let Some(n) = s.router_counts {
+            let (least, most) = out.router_counts.unwrap_or((n, n));
+            out.router_counts = Some((least.min(n), most.max(n)));
         }
     }
     for epoch in &mut out.epochs {
@@ -188,7 +195,7 @@
     let side: BTreeMap<usize, &BTreeSet<usize>> =
         epoch.sides.iter().flat_map(|side| side.iter().map(move |n| (*n, side))).collect();
     // What each sees as the epoch goes on; one that has just started knows nobody.
-    let mut held: BTreeMap<usize, &Sight> = BTreeMap::new();
+    let mut held: BTreeMap<usize, &MembershipSample> = BTreeMap::new();
     let started: Vec<(f64, usize)> = trace
         .routers
         .iter()
@@ -196,18 +203,19 @@
         .map(|(t, n, _)| (*t - begin, *n))
         .collect();
     let nobody = BTreeSet::new();
-    let whole = |held: &BTreeMap<usize, &Sight>| {
+    let whole = |held: &BTreeMap<usize, &MembershipSample>| {
         side.iter().all(|(n, side)| {
             let there = held.get(n).map_or(&nobody, |s| &s.there);
             let just = there.len() + 1 == side.len() && there.iter().all(|m| m != n && side.contains(m));
             // Whoever reaches nobody need not hold the others for dead, so long as it says what it is.
-            let knows = |s: &&Sight| matches!(s.view.as_str(), "alone" | "cut off from some");
+            let knows = |s: &&MembershipSample| matches!(s.view.as_str(), "alone" | "cut off from some");
             just || (side.len() == 1 && held.get(n).is_some_and(knows))
         })
     };
     // Starts and sights in the order of their times: whatever a former life saw is gone with it.
-    let mut events: Vec<(f64, usize, Option<&Sight>)> = started.iter().map(|(t, n)| (*t, *n, None)).collect();
-    events.extend(trace.sights.iter().map(|s| (s.t - begin, s.router, Some(s))));
+    let mut events: Vec<(f64, usize, Option<&MembershipSample>)> =
+        started.iter().map(|(t, n)| (*t, *n, None)).collect();
+    events.extend(trace.membership_samples.iter().map(|s| (s.t - begin, s.router, Some(s))));
     events.sort_by(|a, b| a.0.total_cmp(&b.0));
     let (mut agreed, mut since) = (false, epoch.from);
     let mut looked = false;
@@ -236,7 +244,7 @@
         }
         if let (Some(former), Some(side)) = (former, side.get(&router)) {
             let lost = former.there.difference(&sight.there);
-            let lost = lost.filter(|n| side.contains(n) && t > epoch.from + OLD);
+            let lost = lost.filter(|n| side.contains(n) && t > epoch.from + OLD_VERDICT_S);
             epoch.false_deaths.extend(lost.map(|n| (t, router, *n)));
         }
         let now = whole(&held);
@@ -265,14 +273,14 @@
                 f,
                 "| {:.2} | {} | {} | {after} | {} |",
                 e.from,
-                e.why,
+                e.change,
                 sides.join(" + "),
                 e.false_deaths.len()
             )?;
         }
         let views: Vec<String> = self.views.iter().map(|(view, n)| format!("{view} {n}")).collect();
         writeln!(f, "\nviews entered, all routers together: {}", views.join(", "))?;
-        if let Some((least, most)) = self.sharers {
+        if let Some((least, most)) = self.router_counts {
             writeln!(f, "routers reckoned to share the hosts: {least:.0} to {most:.0}")?;
         }
         Ok(())
--- a/crates/sandstile-audit/src/copies.rs
+++ b/crates/sandstile-audit/src/copies.rs
@@ -1,7 +1,7 @@
 //! Whether the copies of the kept state came to one: after each fault, crash, stop, return and heal, how long until all that live and
 //! can reach each other hold the same, how long each that starts takes to be in step, and what it costs.
 use crate::agreement::{end_of, epochs};
-use crate::trace::{Copy, RouterState, Trace};
+use crate::trace::{RouterState, StateSample, Trace};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -12,19 +12,19 @@
 const LOOKS: f64 = 1.2;
 
 #[derive(Clone, Debug)]
-pub struct Alike {
+pub struct ConvergenceEpoch {
     /// Seconds since the beginning.
     pub from: f64,
     pub to: f64,
-    pub why: String,
+    pub change: String,
     pub sides: Vec<usize>,
     /// Seconds until all copies of each side were the same and stayed so; `None` where they were not to the end of it.
-    pub after: Option<f64>,
+    pub after_s: Option<f64>,
 }
 
 /// One start, the first ones left out.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct RestartRecovery {
     pub at: f64,
     pub router: usize,
     /// Seconds from its first answer to its copy being in step; `None` where it was not before the next fault of its own.
@@ -34,27 +34,27 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Copies {
-    pub epochs: Vec<Alike>,
-    pub starts: Vec<Start>,
+pub struct Convergence {
+    pub epochs: Vec<ConvergenceEpoch>,
+    pub starts: Vec<RestartRecovery>,
     /// Bytes a second that a router told others: the mean and the most over all routers.
-    pub bytes: (f64, f64),
-    pub facts: f64,
-    pub contradictions: f64,
+    pub bytes_per_s: (f64, f64),
+    pub max_facts: f64,
+    pub max_contradictions: f64,
 }
 
-impl Copies {
+impl Convergence {
     pub fn is_empty(&self) -> bool {
         self.epochs.is_empty()
     }
 
     /// The longest time to one copy after a change, the first left out: that is the start.
     pub fn slowest(&self) -> Option<f64> {
-        self.epochs.iter().skip(1).filter_map(|e| e.after).reduce(f64::max)
+        self.epochs.iter().skip(1).filter_map(|e| e.after_s).reduce(f64::max)
     }
 
-    pub fn never(&self) -> usize {
-        self.epochs.iter().filter(|e| e.after.is_none()).count()
+    pub fn not_converged(&self) -> usize {
+        self.epochs.iter().filter(|e| e.after_s.is_none()).count()
     }
 
     pub fn slowest_start(&self) -> Option<f64> {
@@ -63,18 +63,18 @@
 }
 
 /// Looks at a whole trace; nothing where no router keeps state.
-pub fn copies(trace: &Trace) -> Copies {
-    let Some(terms) = trace.terms.as_ref().filter(|_| !trace.copies.is_empty()) else {
-        return Copies::default();
+pub fn state_convergence(trace: &Trace) -> Convergence {
+    let Some(terms) = trace.settings.as_ref().filter(|_| !trace.state_samples.is_empty()) else {
+        return Convergence::default();
     };
     let end = end_of(trace, terms.end);
-    let mut looks: Vec<&Copy> = trace.copies.iter().filter(|c| c.t < end).collect();
+    let mut looks: Vec<&StateSample> = trace.state_samples.iter().filter(|c| c.t < end).collect();
     looks.sort_by(|a, b| a.t.total_cmp(&b.t));
-    let mut out = Copies::default();
+    let mut out = Convergence::default();
     for epoch in epochs(trace, terms.begin, end) {
         let (from, to) = (terms.begin + epoch.from, terms.begin + epoch.to);
         // By the time for which copies are compared: each side's routers, with what they said.
-        let mut rounds: BTreeMap<u64, BTreeMap<usize, &Copy>> = BTreeMap::new();
+        let mut rounds: BTreeMap<u64, BTreeMap<usize, &StateSample>> = BTreeMap::new();
         for look in looks.iter().filter(|c| c.t >= from && c.t < to && c.t < c.as_of + LOOKS + 1.0) {
             rounds.entry((look.as_of * 1e3) as u64).or_default().insert(look.router, look);
         }
@@ -102,12 +102,12 @@
                 alike = None;
             }
         }
-        out.epochs.push(Alike {
+        out.epochs.push(ConvergenceEpoch {
             from: epoch.from,
             to: epoch.to,
-            why: epoch.why,
+            change: epoch.change,
             sides: epoch.sides.iter().map(|s| s.len()).collect(),
-            after: alike,
+            after_s: alike,
         });
     }
     for (at, router, state) in &trace.routers {
@@ -118,7 +118,7 @@
         let struck = trace.routers.iter().filter(|(t, n, s)| t > at && n == router && gone(s));
         let until = struck.map(|(t, ..)| *t).fold(end, f64::min);
         let mut of = looks.iter().filter(|c| c.router == *router && c.t > *at && c.t < until);
-        out.starts.push(Start {
+        out.starts.push(RestartRecovery {
             at: at - terms.begin,
             router: *router,
             in_step_after: of.clone().find(|c| c.standing == "in step").map(|c| c.t - at),
@@ -131,8 +131,8 @@
         // A new life counts from nothing.
         *bytes += if look.bytes_out >= *last { look.bytes_out - *last } else { look.bytes_out };
         *last = look.bytes_out;
-        out.facts = out.facts.max(look.facts);
-        out.contradictions = out.contradictions.max(look.contradictions);
+        out.max_facts = out.max_facts.max(look.facts);
+        out.max_contradictions = out.max_contradictions.max(look.contradictions);
     }
     let rates: Vec<f64> = told
         .values()
@@ -140,11 +140,11 @@
         .filter(|r| r.is_finite())
         .collect();
     let mean = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
-    out.bytes = (mean, rates.iter().copied().fold(0.0, f64::max));
+    out.bytes_per_s = (mean, rates.iter().copied().fold(0.0, f64::max));
     out
 }
 
-impl fmt::Display for Copies {
+impl fmt::Display for Convergence {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         if self.is_empty() {
             return Ok(());
@@ -153,8 +153,8 @@
         writeln!(f, "| --- | --- | --- | --- |")?;
         for e in &self.epochs {
             let sides: Vec<String> = e.sides.iter().map(ToString::to_string).collect();
-            let after = e.after.map_or(format!("not in {:.1}", e.to - e.from), |s| format!("{s:.2}"));
-            writeln!(f, "| {:.2} | {} | {} | {after} |", e.from, e.why, sides.join(" + "))?;
+            let after = e.after_s.map_or(format!("not in {:.1}", e.to - e.from), |s| format!("{s:.2}"));
+            writeln!(f, "| {:.2} | {} | {} | {after} |", e.from, e.change, sides.join(" + "))?;
         }
         for s in &self.starts {
             let after =
@@ -165,7 +165,7 @@
         writeln!(
             f,
             "{:.0} facts at the most; told {:.0} bytes a second a router, {:.0} at the most; {:.0} contradictions",
-            self.facts, self.bytes.0, self.bytes.1, self.contradictions
+            self.max_facts, self.bytes_per_s.0, self.bytes_per_s.1, self.max_contradictions
         )
     }
 }
--- a/crates/sandstile-audit/src/judge.rs
+++ b/crates/sandstile-audit/src/judge.rs
@@ -1,5 +1,5 @@
 //! The rules, each judged from the trace alone.
-use crate::trace::{Answered, Effect, RouterState, Statement, Trace};
+use crate::trace::{Effect, FinalAnswer, RouterState, Statement, Trace};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -25,11 +25,11 @@
 
 impl Rule {
     /// Whether it is a broken rule; the others are findings.
-    pub fn binds(self) -> bool {
+    pub fn is_violation(self) -> bool {
         !matches!(self, Rule::LostWrite | Rule::Silence)
     }
 
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Rule::Answer => "answer",
             Rule::Effect => "effect",
@@ -59,13 +59,13 @@
 pub struct Finding {
     pub rule: Rule,
     pub t: f64,
-    pub what: String,
+    pub description: String,
     pub story: Vec<String>,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        writeln!(f, "{} at {:.3}: {}", self.rule.word(), self.t, self.what)?;
+        writeln!(f, "{} at {:.3}: {}", self.rule.label(), self.t, self.description)?;
         self.story.iter().try_for_each(|line| writeln!(f, "    {line}"))
     }
 }
@@ -79,19 +79,19 @@
 
 /// All that is wrong, in the order of its time. The message says why nothing can be judged.
 pub fn judge(trace: &Trace) -> Result<Vec<Finding>, String> {
-    let Some(terms) = &trace.terms else { return Err("the trace has no beginning (run)".to_string()) };
-    if !trace.whole {
+    let Some(terms) = &trace.settings else { return Err("the trace has no beginning (run)".to_string()) };
+    if !trace.complete {
         return Err("the trace has no end: the run was cut off".to_string());
     }
     let mut found = Vec::new();
     let marks = marks(trace);
     for (id, s) in &trace.statements {
-        let mut say = |rule: Rule, t: f64, what: String| {
+        let mut say = |rule: Rule, t: f64, description: String| {
             let story = s.lines.iter().map(|(_, line)| line.clone()).collect();
-            found.push(Finding { rule, t, what, story });
+            found.push(Finding { rule, t, description, story });
         };
-        let Some(asked) = &s.asked else {
-            if let Some(taken) = s.taken.first() {
+        let Some(asked) = &s.request else {
+            if let Some(taken) = s.received.first() {
                 say(Rule::Effect, taken.t, format!("{id}: a host was sent what no client asked"));
             }
             continue;
@@ -104,12 +104,12 @@
         drains(trace, id, s, &mut say);
         // What a router did not pass on misled nobody.
         let passed_on = |host: &str| {
-            s.answered.iter().any(|(_, a)| match a {
-                Answered::Completed { by, .. } => by.as_deref().is_none_or(|by| by == host),
+            s.answers.iter().any(|(_, a)| match a {
+                FinalAnswer::Completed { by, .. } => by.as_deref().is_none_or(|by| by == host),
                 _ => false,
             })
         };
-        for ran in s.ran.iter().filter(|r| r.commit.is_none() && passed_on(&r.host)) {
+        for ran in s.executions.iter().filter(|r| r.commit.is_none() && passed_on(&r.host)) {
             let own = match workload.consistency.as_str() {
                 "session" => own_need(&marks, &asked.group, &asked.session, asked.t),
                 _ => 0.0,
@@ -121,9 +121,10 @@
             }
         }
     }
-    for (t, host, multiple, most) in &trace.tipped {
-        let what = format!("{host} fell over: offered {multiple:.1} times what it could, {most:.1} at most");
-        found.push(Finding { rule: Rule::Cold, t: *t, what, story: Vec::new() });
+    for (t, host, multiple, most) in &trace.overloaded_hosts {
+        let description =
+            format!("{host} fell over: offered {multiple:.1} times what it could, {most:.1} at most");
+        found.push(Finding { rule: Rule::Cold, t: *t, description, story: Vec::new() });
     }
     crashes(trace, &mut found);
     lost_writes(trace, &mut found);
@@ -132,28 +133,28 @@
 }
 
 fn answers(trace: &Trace, id: &str, s: &Statement, say: &mut impl FnMut(Rule, f64, String)) {
-    let (Some(terms), Some(asked)) = (&trace.terms, &s.asked) else { return };
-    for (t, _) in s.answered.iter().skip(1) {
-        say(Rule::Answer, *t, format!("{id}: answered {} times", s.answered.len()));
+    let (Some(terms), Some(asked)) = (&trace.settings, &s.request) else { return };
+    for (t, _) in s.answers.iter().skip(1) {
+        say(Rule::Answer, *t, format!("{id}: answered {} times", s.answers.len()));
     }
     let until = asked.t + asked.wait;
     // What a link in trouble holds up is not the router's doing, nor what a process that is stopped leaves unsaid.
     let excused = |t: f64| trace.clients_cut_off(asked.t, t);
-    let still = |t: f64| trace.stood_still(asked.router, asked.t, t);
+    let still = |t: f64| trace.was_stopped(asked.router, asked.t, t);
     let late = |t: f64| t > until + terms.slack && !excused(t) && !still(t);
-    if let Some((t, _)) = s.answered.iter().find(|(t, _)| late(*t)) {
+    if let Some((t, _)) = s.answers.iter().find(|(t, _)| late(*t)) {
         let late = (t - until) * 1000.0;
         say(Rule::Answer, *t, format!("{id}: answered {late:.0} ms after its time was over"));
     }
-    for (t, answer) in &s.answered {
+    for (t, answer) in &s.answers {
         match answer {
-            Answered::Completed { made_for: Some(other), .. } if other != id => {
+            FinalAnswer::Completed { made_for: Some(other), .. } if other != id => {
                 say(Rule::Answer, *t, format!("{id}: got the value made for {other}"));
             }
-            Answered::Completed { made_for: None, .. } => {
+            FinalAnswer::Completed { made_for: None, .. } => {
                 say(Rule::Answer, *t, format!("{id}: got a value that no host made"));
             }
-            Answered::Completed { .. } if s.ran.is_empty() => {
+            FinalAnswer::Completed { .. } if s.executions.is_empty() => {
                 let again = s.lines.iter().any(|(_, line)| line.contains("\"repeated\""));
                 if !again {
                     say(Rule::Answer, *t, format!("{id}: completed, and ran nowhere"));
@@ -163,16 +164,16 @@
         }
     }
     let Some((t, how)) = &s.unanswered else {
-        if s.answered.is_empty() {
+        if s.answers.is_empty() {
             say(Rule::Silence, until, format!("{id}: the trace has no end for it"));
         }
         return;
     };
-    if !s.answered.is_empty() {
+    if !s.answers.is_empty() {
         return;
     }
     let ended = matches!(how.as_str(), "closed" | "reset");
-    if ended && !excused(*t) && !trace.killed(asked.router, asked.t - 1.0, *t + 0.5) {
+    if ended && !excused(*t) && !trace.was_killed(asked.router, asked.t - 1.0, *t + 0.5) {
         say(
             Rule::Answer,
             *t,
@@ -184,20 +185,20 @@
 }
 
 fn effects(id: &str, s: &Statement, effect: Effect, say: &mut impl FnMut(Rule, f64, String)) {
-    let commits: Vec<f64> = s.ran.iter().filter(|r| r.commit.is_some()).map(|r| r.t).collect();
+    let commits: Vec<f64> = s.executions.iter().filter(|r| r.commit.is_some()).map(|r| r.t).collect();
     if effect != Effect::Idempotent && commits.len() > 1 {
         say(Rule::Effect, commits[1], format!("{id}: ran {} times", commits.len()));
     }
     if effect != Effect::NonIdempotent {
         return;
     }
-    let untouched = s.said.iter().filter(|(_, _, code)| UNTOUCHED.contains(&code.as_str())).count();
-    let open = s.taken.len().saturating_sub(untouched);
-    let last = s.taken.last().map_or(0.0, |t| t.t);
+    let untouched = s.responses.iter().filter(|(_, _, code)| UNTOUCHED.contains(&code.as_str())).count();
+    let open = s.received.len().saturating_sub(untouched);
+    let last = s.received.last().map_or(0.0, |t| t.t);
     if open > 1 && commits.len() <= 1 {
         say(Rule::Effect, last, format!("{id}: sent again though an earlier execution may have run"));
     }
-    let rejected = s.answered.iter().find(|(_, a)| *a == Answered::Rejected);
+    let rejected = s.answers.iter().find(|(_, a)| *a == FinalAnswer::Rejected);
     if let (Some((t, _)), true) = (rejected, open > 0) {
         let ran = if commits.is_empty() { "may have run" } else { "has run" };
         say(Rule::Effect, *t, format!("{id}: rejected though it {ran}"));
@@ -205,16 +206,16 @@
 }
 
 fn drains(trace: &Trace, id: &str, s: &Statement, say: &mut impl FnMut(Rule, f64, String)) {
-    let (Some(terms), Some(asked)) = (&trace.terms, &s.asked) else { return };
-    for taken in &s.taken {
+    let (Some(terms), Some(asked)) = (&trace.settings, &s.request) else { return };
+    for taken in &s.received {
         let Some(told) = trace.leaving.get(&(asked.router, taken.host.clone())) else { continue };
         // A host that stood still reads late what was sent before: when, nobody can say.
-        let stood_still = trace.faults.iter().any(|(kind, host, begin, end)| {
+        let was_stopped = trace.faults.iter().any(|(kind, host, begin, end)| {
             kind == "pause" && *host == taken.host && *begin <= taken.t && taken.t <= end + MOMENT
         });
         let late = taken.t - told;
         let late_news = trace.routers_cut_off(asked.router, *told, taken.t);
-        if late > terms.grace + terms.slack && !stood_still && !late_news {
+        if late > terms.grace + terms.slack && !was_stopped && !late_news {
             let host = &taken.host;
             say(Rule::Drain, taken.t, format!("{id}: sent to {host} {late:.2} s after it was told to leave"));
         }
@@ -227,13 +228,13 @@
 fn marks(trace: &Trace) -> Marks<'_> {
     let mut marks: Marks = BTreeMap::new();
     for (id, s) in &trace.statements {
-        let Some(asked) = &s.asked else { continue };
+        let Some(asked) = &s.request else { continue };
         // What was lost with a primary can't be read any more; that is on record on its own.
-        if trace.lost.iter().any(|(_, _, lost, _)| lost == id) {
+        if trace.lost_commits.iter().any(|(_, _, lost, _)| lost == id) {
             continue;
         }
-        let commit = s.ran.iter().find_map(|r| r.commit);
-        let answered = s.answered.iter().find(|(_, a)| matches!(a, Answered::Completed { .. }));
+        let commit = s.executions.iter().find_map(|r| r.commit);
+        let answered = s.answers.iter().find(|(_, a)| matches!(a, FinalAnswer::Completed { .. }));
         if let (Some(commit), Some((t, _))) = (commit, answered) {
             marks.entry((&asked.group, &asked.session)).or_default().push((*t, commit));
         }
@@ -254,22 +255,22 @@
     /// Of those checked, by hosts that were not primary then.
     pub by_replicas: usize,
     /// The same of those that a router took within 10 s of its start, the first start left out.
-    pub soon: usize,
-    pub soon_by_replicas: usize,
+    pub after_restart: usize,
+    pub after_restart_by_replicas: usize,
 }
 
 pub fn own_reads(trace: &Trace) -> OwnReads {
     let marks = marks(trace);
     let mut counts = OwnReads::default();
-    let Some(terms) = &trace.terms else { return counts };
+    let Some(terms) = &trace.settings else { return counts };
     for s in trace.statements.values() {
-        let Some(asked) = &s.asked else { continue };
+        let Some(asked) = &s.request else { continue };
         if terms.workloads.get(&asked.workload).is_none_or(|w| w.consistency != "session") {
             continue;
         }
         // What was passed on: the last execution before the answer.
-        let Some((t, Answered::Completed { by, .. })) = s.answered.first() else { continue };
-        let served = s.ran.iter().rev().find(|r| r.t <= *t && Some(&r.host) == by.as_ref());
+        let Some((t, FinalAnswer::Completed { by, .. })) = s.answers.first() else { continue };
+        let served = s.executions.iter().rev().find(|r| r.t <= *t && Some(&r.host) == by.as_ref());
         let need = own_need(&marks, &asked.group, &asked.session, asked.t);
         let (Some(ran), true) = (served, need > 0.0) else { continue };
         counts.checked += 1;
@@ -281,8 +282,8 @@
             anew && *number == asked.router && *at <= asked.t && asked.t < at + 10.0
         });
         counts.by_replicas += usize::from(by_replica);
-        counts.soon += usize::from(started);
-        counts.soon_by_replicas += usize::from(started && by_replica);
+        counts.after_restart += usize::from(started);
+        counts.after_restart_by_replicas += usize::from(started && by_replica);
     }
     counts
 }
@@ -300,19 +301,20 @@
         let asked = before.is_some_and(|(_, _, s)| told(s));
         let killed = before.is_some_and(|(_, _, s)| *s == RouterState::Killed);
         if !asked || (!killed && *code != Some(0)) {
-            let what = format!("router {number} ended {}with {code:?}", if asked { "" } else { "unasked " });
-            found.push(Finding { rule: Rule::Crash, t: *t, what, story: Vec::new() });
+            let description =
+                format!("router {number} ended {}with {code:?}", if asked { "" } else { "unasked " });
+            found.push(Finding { rule: Rule::Crash, t: *t, description, story: Vec::new() });
         }
     }
 }
 
 fn lost_writes(trace: &Trace, found: &mut Vec<Finding>) {
-    for (t, group, id, _) in &trace.lost {
+    for (t, group, id, _) in &trace.lost_commits {
         let Some(s) = trace.statements.get(id) else { continue };
-        if s.answered.iter().any(|(_, a)| matches!(a, Answered::Completed { .. })) {
-            let what = format!("{id}: acknowledged, and lost with the primary of group {group}");
+        if s.answers.iter().any(|(_, a)| matches!(a, FinalAnswer::Completed { .. })) {
+            let description = format!("{id}: acknowledged, and lost with the primary of group {group}");
             let story = s.lines.iter().map(|(_, line)| line.clone()).collect();
-            found.push(Finding { rule: Rule::LostWrite, t: *t, what, story });
+            found.push(Finding { rule: Rule::LostWrite, t: *t, description, story });
         }
     }
 }
--- a/crates/sandstile-audit/src/lib.rs
+++ b/crates/sandstile-audit/src/lib.rs
@@ -9,9 +9,9 @@
 pub mod trace;
 
 pub use agreement::{agreement, Agreement};
-pub use copies::{copies, Copies};
+pub use copies::{state_convergence, Convergence};
 pub use judge::{judge, own_reads, Finding, OwnReads, Rule};
 pub use probing::searches;
-pub use returning::{returning, Returning};
+pub use returning::{recovery, Recovery};
 pub use service::{service, Service};
 pub use trace::Trace;
--- a/crates/sandstile-audit/src/probing.rs
+++ b/crates/sandstile-audit/src/probing.rs
@@ -24,7 +24,7 @@
 
 /// All searches of a run, those of the start left out.
 pub fn searches(trace: &Trace) -> Vec<Search> {
-    let Some(terms) = &trace.terms else { return Vec::new() };
+    let Some(terms) = &trace.settings else { return Vec::new() };
     let mut out = Vec::new();
     for (_, host, begin, end) in trace.faults.iter().filter(|f| f.2 > terms.begin) {
         let led = |at: f64| trace.primaries.iter().rev().find(|(t, _, h)| *t <= at && h == host);
@@ -40,7 +40,7 @@
         }
         let mut probes: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         let of_group = |name: &str| name.starts_with(&format!("s-{group}-")) && name != host;
-        for (t, name, what) in &trace.asked_of_hosts {
+        for (t, name, what) in &trace.host_contacts {
             if *what == "probes" && *t >= from && *t < to && of_group(name) {
                 probes.entry(name).or_default().push(*t);
             }
--- a/crates/sandstile-audit/src/service.rs
+++ b/crates/sandstile-audit/src/service.rs
@@ -1,12 +1,12 @@
 //! What clients got: by workload, and by workload and second. A wish counts from when it was meant to be asked,
 //! over all its tries.
-use crate::trace::{Answered, Trace};
+use crate::trace::{FinalAnswer, Trace};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
-    pub wishes: u64,
+pub struct OutcomeCounts {
+    pub requests: u64,
     /// Completed within the SLO time.
     pub in_time: u64,
     /// Completed after it.
@@ -18,35 +18,35 @@
     pub tries: u64,
 }
 
-impl Tally {
+impl OutcomeCounts {
     /// The share in time; 1 where nobody asked.
     pub fn service(&self) -> f64 {
-        if self.wishes == 0 {
+        if self.requests == 0 {
             return 1.0;
         }
-        self.in_time as f64 / self.wishes as f64
+        self.in_time as f64 / self.requests as f64
     }
 }
 
-pub struct OfWorkload {
+pub struct WorkloadService {
     pub name: String,
     pub importance: f64,
-    pub tally: Tally,
+    pub tally: OutcomeCounts,
     /// Microseconds from when a wish was meant to be asked to its value, those completed alone.
     pub latency: Histogram<u64>,
     /// By whole seconds since the beginning.
-    pub seconds: Vec<Tally>,
+    pub seconds: Vec<OutcomeCounts>,
 }
 
 pub struct Service {
-    pub workloads: Vec<OfWorkload>,
+    pub workloads: Vec<WorkloadService>,
 }
 
 impl Service {
     /// Weighed by importance.
     pub fn overall(&self) -> f64 {
-        let worth = |w: &OfWorkload, n: u64| w.importance * n as f64;
-        let all: f64 = self.workloads.iter().map(|w| worth(w, w.tally.wishes)).sum();
+        let worth = |w: &WorkloadService, n: u64| w.importance * n as f64;
+        let all: f64 = self.workloads.iter().map(|w| worth(w, w.tally.requests)).sum();
         let good: f64 = self.workloads.iter().map(|w| worth(w, w.tally.in_time)).sum();
         if all > 0.0 {
             good / all
@@ -65,25 +65,31 @@
 
 /// The service of a trace that has its beginning; what falls into the time to settle is left out of the totals.
 pub fn service(trace: &Trace) -> Option<Service> {
-    let terms = trace.terms.as_ref()?;
+    let terms = trace.settings.as_ref()?;
     // Tries of one wish, by the first one's id.
-    let mut wishes: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
+    let mut requests: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for (id, s) in &trace.statements {
-        if let Some(asked) = &s.asked {
-            wishes.entry(&asked.first).or_default().push(id);
+        if let Some(asked) = &s.request {
+            requests.entry(&asked.first).or_default().push(id);
         }
     }
-    let mut workloads: BTreeMap<&str, OfWorkload> = BTreeMap::new();
+    let mut workloads: BTreeMap<&str, WorkloadService> = BTreeMap::new();
     for (name, w) in &terms.workloads {
         let latency = Histogram::new_with_bounds(1, 600_000_000, 3).ok()?;
         let (name, importance) = (name.clone(), w.importance);
-        let of = OfWorkload { name, importance, tally: Tally::default(), latency, seconds: Vec::new() };
+        let of = WorkloadService {
+            name,
+            importance,
+            tally: OutcomeCounts::default(),
+            latency,
+            seconds: Vec::new(),
+        };
         workloads.insert(terms.workloads.get_key_value(&of.name)?.0, of);
     }
-    for tries in wishes.values() {
+    for tries in requests.values() {
         let all: Vec<_> = tries.iter().filter_map(|id| trace.statements.get(*id)).collect();
         let Some(first) =
-            all.iter().filter_map(|s| s.asked.as_ref()).min_by(|a, b| a.intended.total_cmp(&b.intended))
+            all.iter().filter_map(|s| s.request.as_ref()).min_by(|a, b| a.due.total_cmp(&b.due))
         else {
             continue;
         };
@@ -91,29 +97,29 @@
         let slo = terms.workloads[&first.workload].slo;
         let mut end = End::Nothing;
         for s in &all {
-            end = match (s.answered.first(), end) {
-                (Some((t, Answered::Completed { .. })), End::Completed(before)) => {
+            end = match (s.answers.first(), end) {
+                (Some((t, FinalAnswer::Completed { .. })), End::Completed(before)) => {
                     End::Completed(before.min(*t))
                 }
-                (Some((t, Answered::Completed { .. })), _) => End::Completed(*t),
+                (Some((t, FinalAnswer::Completed { .. })), _) => End::Completed(*t),
                 (_, End::Completed(t)) => End::Completed(t),
-                (Some((_, Answered::Failed { .. })), _) | (_, End::Failed) => End::Failed,
-                (Some((_, Answered::Rejected)), _) | (_, End::Rejected) => End::Rejected,
+                (Some((_, FinalAnswer::Failed { .. })), _) | (_, End::Failed) => End::Failed,
+                (Some((_, FinalAnswer::Rejected)), _) | (_, End::Rejected) => End::Rejected,
                 (None, End::Nothing) => End::Nothing,
             };
         }
-        let mut one = Tally { wishes: 1, tries: all.len() as u64, ..Tally::default() };
+        let mut one = OutcomeCounts { requests: 1, tries: all.len() as u64, ..OutcomeCounts::default() };
         match end {
-            End::Completed(t) if t - first.intended <= slo => one.in_time = 1,
+            End::Completed(t) if t - first.due <= slo => one.in_time = 1,
             End::Completed(_) => one.late = 1,
             End::Rejected => one.rejected = 1,
             End::Failed => one.failed = 1,
             End::Nothing => one.unanswered = 1,
         }
-        let since = first.intended - terms.begin;
+        let since = first.due - terms.begin;
         let second = since.max(0.0) as usize;
         if of.seconds.len() <= second {
-            of.seconds.resize(second + 1, Tally::default());
+            of.seconds.resize(second + 1, OutcomeCounts::default());
         }
         add(&mut of.seconds[second], &one);
         if since < terms.settle {
@@ -121,14 +127,14 @@
         }
         add(&mut of.tally, &one);
         if let End::Completed(t) = end {
-            of.latency.saturating_record(((t - first.intended).max(0.0) * 1e6) as u64);
+            of.latency.saturating_record(((t - first.due).max(0.0) * 1e6) as u64);
         }
     }
     Some(Service { workloads: workloads.into_values().collect() })
 }
 
-fn add(to: &mut Tally, one: &Tally) {
-    to.wishes += one.wishes;
+fn add(to: &mut OutcomeCounts, one: &OutcomeCounts) {
+    to.requests += one.requests;
     to.in_time += one.in_time;
     to.late += one.late;
     to.rejected += one.rejected;
--- a/crates/sandstile-audit/src/trace.rs
+++ b/crates/sandstile-audit/src/trace.rs
@@ -4,7 +4,7 @@
 
 /// What the run held its parts to.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct RunSettings {
     pub title: String,
     pub seed: u64,
     pub begin: f64,
@@ -36,10 +36,10 @@
 
 /// One try of a client.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
     pub t: f64,
     /// When it was meant to be asked.
-    pub intended: f64,
+    pub due: f64,
     /// The id of the first try of the same wish.
     pub first: String,
     pub workload: String,
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answered {
+pub enum FinalAnswer {
     /// The value's own words: for which statement, by which host, at which position.
     Completed {
         made_for: Option<String>,
@@ -65,13 +65,13 @@
 
 /// A host read a statement whole.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct ReceivedStatement {
     pub t: f64,
     pub host: String,
 }
 
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct Execution {
     pub t: f64,
     pub host: String,
     pub commit: Option<f64>,
@@ -82,14 +82,14 @@
 /// All that is on record of one statement.
 #[derive(Clone, Debug, Default)]
 pub struct Statement {
-    pub asked: Option<Asked>,
-    pub answered: Vec<(f64, Answered)>,
+    pub request: Option<ClientRequest>,
+    pub answers: Vec<(f64, FinalAnswer)>,
     /// When and how a try ended without an answer.
     pub unanswered: Option<(f64, String)>,
-    pub taken: Vec<Taken>,
-    pub ran: Vec<Ran>,
+    pub received: Vec<ReceivedStatement>,
+    pub executions: Vec<Execution>,
     /// Hosts' own words: host and code.
-    pub said: Vec<(f64, String, String)>,
+    pub responses: Vec<(f64, String, String)>,
     pub lines: Vec<(f64, String)>,
 }
 
@@ -111,7 +111,7 @@
 
 /// What a router process holds at one time.
 #[derive(Clone, Copy, Debug)]
-pub struct Weight {
+pub struct ProcessSample {
     pub t: f64,
     pub router: usize,
     pub rss_kb: f64,
@@ -135,18 +135,18 @@
 
 /// Whom a router held for there, from this time on.
 #[derive(Clone, Debug)]
-pub struct Sight {
+pub struct MembershipSample {
     pub t: f64,
     pub router: usize,
     /// In its own words: agreed, settling, cut off from some, alone.
     pub view: String,
     pub there: BTreeSet<usize>,
-    pub sharers: Option<f64>,
+    pub router_counts: Option<f64>,
 }
 
 /// How the state stood that a router keeps with others.
 #[derive(Clone, Debug)]
-pub struct Copy {
+pub struct StateSample {
     pub t: f64,
     pub router: usize,
     pub standing: String,
@@ -164,35 +164,35 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Trace {
-    pub terms: Option<Terms>,
+    pub settings: Option<RunSettings>,
     /// It ended as it should, not in the middle.
-    pub whole: bool,
+    pub complete: bool,
     pub statements: BTreeMap<String, Statement>,
     /// When a router was first told that a host leaves.
     pub leaving: BTreeMap<(usize, String), f64>,
     pub routers: Vec<(f64, usize, RouterState)>,
     /// Faults that stood: kind, host, begin, end.
     pub faults: Vec<(String, String, f64, f64)>,
-    pub tipped: Vec<(f64, String, f64, f64)>,
+    pub overloaded_hosts: Vec<(f64, String, f64, f64)>,
     /// The greatest multiple that a cold host was offered, and what it bears.
-    pub pushed: BTreeMap<String, (f64, f64)>,
+    pub cold_host_load: BTreeMap<String, (f64, f64)>,
     /// Commits that no host has any more: when, group, statement, position.
-    pub lost: Vec<(f64, String, String, f64)>,
+    pub lost_commits: Vec<(f64, String, String, f64)>,
     pub primaries: Vec<(f64, String, String)>,
     /// Cues that were carried out.
     pub cues: Vec<(f64, String)>,
-    pub links: Vec<LinkFault>,
-    pub sights: Vec<Sight>,
-    pub copies: Vec<Copy>,
+    pub link_faults: Vec<LinkFault>,
+    pub membership_samples: Vec<MembershipSample>,
+    pub state_samples: Vec<StateSample>,
     /// Dials, handshakes and probes at hosts.
-    pub asked_of_hosts: Vec<(f64, String, &'static str)>,
+    pub host_contacts: Vec<(f64, String, &'static str)>,
     /// When routers asked for lists.
     pub lists: Vec<(f64, usize)>,
     /// When a router was told, last, that a host is primary.
-    pub told_primary: BTreeMap<(usize, String), f64>,
+    pub notified_primary: BTreeMap<(usize, String), f64>,
     /// When hosts left for good.
     pub left: BTreeMap<String, f64>,
-    pub held: Vec<Weight>,
+    pub process_samples: Vec<ProcessSample>,
     /// Why the run itself says little, where it does.
     pub unsound: Option<String>,
     pub lines: usize,
@@ -212,9 +212,9 @@
         }
         for statement in trace.statements.values_mut() {
             statement.lines.sort_by(|a, b| a.0.total_cmp(&b.0));
-            statement.answered.sort_by(|a, b| a.0.total_cmp(&b.0));
-            statement.taken.sort_by(|a, b| a.t.total_cmp(&b.t));
-            statement.ran.sort_by(|a, b| a.t.total_cmp(&b.t));
+            statement.answers.sort_by(|a, b| a.0.total_cmp(&b.0));
+            statement.received.sort_by(|a, b| a.t.total_cmp(&b.t));
+            statement.executions.sort_by(|a, b| a.t.total_cmp(&b.t));
         }
         trace.primaries.sort_by(|a, b| a.0.total_cmp(&b.0));
         trace.routers.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -232,18 +232,18 @@
             of.lines.push((t, line.to_string()));
         }
         match what {
-            "run" => self.terms = Some(terms(json, t)?),
+            "run" => self.settings = Some(terms(json, t)?),
             "end" => {
-                self.whole = true;
-                if let Some(terms) = &mut self.terms {
+                self.complete = true;
+                if let Some(terms) = &mut self.settings {
                     terms.end = t;
                 }
                 self.unsound = json["unsound"].as_str().map(str::to_string);
             }
             "asked" => {
-                let asked = Asked {
+                let asked = ClientRequest {
                     t,
-                    intended: json["intended"].as_f64().unwrap_or(t),
+                    due: json["intended"].as_f64().unwrap_or(t),
                     first: text("first")?,
                     workload: text("workload")?,
                     group: text("group")?,
@@ -252,36 +252,36 @@
                     wait: number("wait")?,
                 };
                 let of = self.of(&text("id")?);
-                if of.asked.is_none() {
-                    of.asked = Some(asked);
+                if of.request.is_none() {
+                    of.request = Some(asked);
                 }
             }
             "answered" => {
                 let word = |key: &str| json[key].as_str().map(str::to_string);
                 let how = match json["how"].as_str() {
-                    Some("completed") => Answered::Completed {
+                    Some("completed") => FinalAnswer::Completed {
                         made_for: word("made_for"),
                         by: word("by"),
                         position: json["position"].as_f64(),
                     },
-                    Some("rejected") => Answered::Rejected,
-                    _ => Answered::Failed { code: word("code").unwrap_or_default() },
+                    Some("rejected") => FinalAnswer::Rejected,
+                    _ => FinalAnswer::Failed { code: word("code").unwrap_or_default() },
                 };
-                self.of(&text("id")?).answered.push((t, how));
+                self.of(&text("id")?).answers.push((t, how));
             }
             "unanswered" => self.of(&text("id")?).unanswered = Some((t, text("how")?)),
             "taken" => {
                 let host = text("host")?;
-                self.of(&text("id")?).taken.push(Taken { t, host });
+                self.of(&text("id")?).received.push(ReceivedStatement { t, host });
             }
             "ran" => {
                 let (host, commit) = (text("host")?, json["commit"].as_f64());
                 let (reached, need) = (number("reached")?, number("need")?);
-                self.of(&text("id")?).ran.push(Ran { t, host, commit, reached, need });
+                self.of(&text("id")?).executions.push(Execution { t, host, commit, reached, need });
             }
             "said" => {
                 let (host, how) = (text("host")?, text("how")?);
-                self.of(&text("id")?).said.push((t, host, how));
+                self.of(&text("id")?).responses.push((t, host, how));
             }
             "told" => {
                 if matches!(json["readiness"].as_str(), Some("leaving" | "left")) {
@@ -290,14 +290,14 @@
                     *at = at.min(t);
                 }
                 if json["primary"] == true {
-                    self.told_primary.insert((number("router")? as usize, text("host")?), t);
+                    self.notified_primary.insert((number("router")? as usize, text("host")?), t);
                 }
             }
             "cue" => self.cues.push((t, text("name")?)),
             "link_begins" => {
                 let touches =
                     |what: &str| json["on"].as_array().is_some_and(|on| on.iter().any(|w| w == what));
-                self.links.push(LinkFault {
+                self.link_faults.push(LinkFault {
                     name: text("name")?,
                     clients: touches("clients"),
                     hosts: touches("hosts"),
@@ -309,25 +309,27 @@
             }
             "link_ends" => {
                 let name = text("name")?;
-                if let Some(link) = self.links.iter_mut().find(|l| l.name == name && l.end.is_infinite()) {
+                if let Some(link) =
+                    self.link_faults.iter_mut().find(|l| l.name == name && l.end.is_infinite())
+                {
                     link.end = t;
                 }
             }
-            "dialled" => self.asked_of_hosts.push((t, text("host")?, "dials")),
-            "greeted" => self.asked_of_hosts.push((t, text("host")?, "handshakes")),
-            "probed" => self.asked_of_hosts.push((t, text("host")?, "probes")),
+            "dialled" => self.host_contacts.push((t, text("host")?, "dials")),
+            "greeted" => self.host_contacts.push((t, text("host")?, "handshakes")),
+            "probed" => self.host_contacts.push((t, text("host")?, "probes")),
             "list_asked" => self.lists.push((t, number("router")? as usize)),
             "listed" if json["readiness"] == "left" => {
                 self.left.insert(text("host")?, t);
             }
-            "sight" => self.sights.push(Sight {
+            "sight" => self.membership_samples.push(MembershipSample {
                 t,
                 router: number("number")? as usize,
                 view: text("view")?,
                 there: numbers(&json["there"]).collect(),
-                sharers: json["sharers"].as_f64(),
+                router_counts: json["sharers"].as_f64(),
             }),
-            "kept" => self.copies.push(Copy {
+            "kept" => self.state_samples.push(StateSample {
                 t,
                 router: number("number")? as usize,
                 standing: text("standing")?,
@@ -338,7 +340,7 @@
                 contradictions: number("contradictions")?,
                 old_copy: json["old_copy"].as_bool().unwrap_or(false),
             }),
-            "held" => self.held.push(Weight {
+            "held" => self.process_samples.push(ProcessSample {
                 t,
                 router: number("number")? as usize,
                 rss_kb: number("rss_kb")?,
@@ -368,11 +370,11 @@
                     open.3 = t;
                 }
             }
-            "tipped" => self.tipped.push((t, text("host")?, number("multiple")?, number("most")?)),
+            "tipped" => self.overloaded_hosts.push((t, text("host")?, number("multiple")?, number("most")?)),
             "pushed" => {
-                self.pushed.insert(text("host")?, (number("multiple")?, number("most")?));
+                self.cold_host_load.insert(text("host")?, (number("multiple")?, number("most")?));
             }
-            "lost_commit" => self.lost.push((t, text("group")?, text("id")?, number("commit")?)),
+            "lost_commit" => self.lost_commits.push((t, text("group")?, text("id")?, number("commit")?)),
             "primary" => self.primaries.push((t, text("group")?, text("host")?)),
             _ => {}
         }
@@ -384,7 +386,7 @@
     }
 
     fn link(&self, which: impl Fn(&LinkFault) -> bool, from: f64, to: f64) -> bool {
-        self.links.iter().any(|l| which(l) && l.begin <= to && from <= l.end + SETTLES)
+        self.link_faults.iter().any(|l| which(l) && l.begin <= to && from <= l.end + SETTLES)
     }
 
     /// Whether a link between clients and routers was in trouble between these times.
@@ -394,11 +396,11 @@
 
     /// Whether news could be late for a router, or what it sent for a host, between these times.
     pub fn routers_cut_off(&self, router: usize, from: f64, to: f64) -> bool {
-        self.link(|l| l.hosts || l.agents, from, to) || self.stood_still(router, from, to)
+        self.link(|l| l.hosts || l.agents, from, to) || self.was_stopped(router, from, to)
     }
 
     /// Whether a router stood still at some time between these.
-    pub fn stood_still(&self, router: usize, from: f64, to: f64) -> bool {
+    pub fn was_stopped(&self, router: usize, from: f64, to: f64) -> bool {
         let mut stopped = None;
         for (t, _, state) in self.routers.iter().filter(|(_, n, _)| *n == router) {
             match state {
@@ -415,7 +417,7 @@
     }
 
     /// Whether what this host read now may have been sent long before: it stood still, or a link held it back.
-    pub fn held_back(&self, host: &str, t: f64) -> bool {
+    pub fn may_be_delayed(&self, host: &str, t: f64) -> bool {
         let still = |(kind, on, begin, end): &(String, String, f64, f64)| {
             kind == "pause" && on == host && *begin <= t && t <= end + SETTLES
         };
@@ -423,14 +425,14 @@
     }
 
     /// Whether a router was killed, or had ended, between these times.
-    pub fn killed(&self, router: usize, from: f64, to: f64) -> bool {
+    pub fn was_killed(&self, router: usize, from: f64, to: f64) -> bool {
         self.routers
             .iter()
             .any(|(t, n, s)| *n == router && *s == RouterState::Killed && *t >= from && *t <= to)
     }
 }
 
-fn terms(json: &Value, t: f64) -> Result<Terms, String> {
+fn terms(json: &Value, t: f64) -> Result<RunSettings, String> {
     let number = |key: &str| json[key].as_f64().ok_or_else(|| format!("run lacks {key}"));
     let mut workloads = BTreeMap::new();
     for w in json["workloads"].as_array().ok_or("run lacks workloads")? {
@@ -451,7 +453,7 @@
         };
         workloads.insert(name.to_string(), workload);
     }
-    Ok(Terms {
+    Ok(RunSettings {
         title: json["title"].as_str().unwrap_or("").to_string(),
         seed: json["seed"].as_u64().unwrap_or(0),
         begin: t,
--- a/crates/sandstile-audit/tests/agreement.rs
+++ b/crates/sandstile-audit/tests/agreement.rs
@@ -107,7 +107,7 @@
     let after: Vec<Option<f64>> =
         found.epochs.iter().map(|e| e.agreed_after.map(|s| (s * 10.0).round() / 10.0)).collect();
     assert_eq!(after[1..], [Some(1.4), Some(0.4), None], "{found}");
-    assert_eq!((found.never(), found.false_deaths()), (1, 0));
+    assert_eq!((found.not_agreed(), found.false_deaths()), (1, 0));
 }
 
 /// One that is back before anybody missed it knows nobody all the same, until it says otherwise.
@@ -155,15 +155,15 @@
             }
             at += 0.25;
         }
-        sandstile_audit::copies(&trace(&lines))
+        sandstile_audit::state_convergence(&trace(&lines))
     };
     let found = play(false);
     let after: Vec<Option<f64>> =
-        found.epochs.iter().map(|e| e.after.map(|s| (s * 4.0).round() / 4.0)).collect();
+        found.epochs.iter().map(|e| e.after_s.map(|s| (s * 4.0).round() / 4.0)).collect();
     assert_eq!(after, [Some(1.75), Some(0.0), Some(1.5)], "{found}");
-    assert!((900.0..1100.0).contains(&found.bytes.0), "{found}");
+    assert!((900.0..1100.0).contains(&found.bytes_per_s.0), "{found}");
     let found = play(true);
-    assert_eq!(found.epochs[2].after, None, "{found}");
+    assert_eq!(found.epochs[2].after_s, None, "{found}");
 }
 
 /// The longest time for which a member was looked at by nobody, and how often it was, while nobody led.
--- a/crates/sandstile-audit/tests/planted_faults.rs
+++ b/crates/sandstile-audit/tests/planted_faults.rs
@@ -242,7 +242,7 @@
     assert_eq!(judge(&trace).expect("whole").len(), 0);
     let service = service(&trace).expect("terms");
     let save = service.workloads.iter().find(|w| w.name == "save").expect("a workload");
-    assert_eq!((save.tally.wishes, save.tally.in_time, save.tally.late, save.tally.tries), (2, 1, 1, 3));
+    assert_eq!((save.tally.requests, save.tally.in_time, save.tally.late, save.tally.tries), (2, 1, 1, 3));
     // 2 in time of importance 2 and 1, of 2 + 2 + 1.
     assert!((service.overall() - 3.0 / 5.0).abs() < 1e-9);
     assert_eq!(save.seconds.len(), 2);
--- a/crates/sandstile-audit/tests/returns.rs
+++ b/crates/sandstile-audit/tests/returns.rs
@@ -1,6 +1,6 @@
 //! The judge of returns on traces whose truth is known.
-use sandstile_audit::returning::Wrong;
-use sandstile_audit::{judge, returning, Trace};
+use sandstile_audit::returning::StaleReason;
+use sandstile_audit::{judge, recovery, Trace};
 use std::fmt::Write;
 
 const RUN: &str = r#"{"t":100.0,"what":"run","title":"t","seed":1,"settle":1.0,"grace":1.0,"slack":0.05,"routers":2,"workloads":[{"name":"save","effect":"non-idempotent","consistency":"write","slo":0.2,"timeout":0.8,"importance":2.0},{"name":"look","effect":"idempotent","consistency":"any","slo":0.2,"timeout":0.8,"importance":1.0}]}"#;
@@ -35,18 +35,18 @@
 
 #[test]
 fn time_to_full_service_is_from_the_cue_to_the_first_whole_second() {
-    let back = returning(&trace((10.0, 13.0), CUE));
-    let all = &back.full[0];
-    assert_eq!((all.before, all.least), (1.0, 0.0));
+    let back = recovery(&trace((10.0, 13.0), CUE));
+    let all = &back.services[0];
+    assert_eq!((all.baseline, all.lowest), (1.0, 0.0));
     // The second that begins 0.05 s before the end of the loss has one lost wish in it, which is chance.
-    assert!((2.75..=3.0).contains(&all.after.unwrap()), "{all:?}");
-    assert_eq!(back.whole_after(), all.after);
+    assert!((2.75..=3.0).contains(&all.after_s.unwrap()), "{all:?}");
+    assert_eq!(back.service_recovery_s(), all.after_s);
     // A relapse within five seconds: it was not whole before that.
     let relapse = trace((10.0, 11.0), CUE);
-    assert!(returning(&relapse).whole_after().unwrap() <= 1.0);
-    let never = returning(&trace((10.0, 99.0), CUE));
-    assert_eq!(never.whole_after(), Some(f64::INFINITY));
-    assert!(returning(&trace((10.0, 13.0), "")).full.is_empty(), "no cue, nothing to come back from");
+    assert!(recovery(&relapse).service_recovery_s().unwrap() <= 1.0);
+    let never = recovery(&trace((10.0, 99.0), CUE));
+    assert_eq!(never.service_recovery_s(), Some(f64::INFINITY));
+    assert!(recovery(&trace((10.0, 13.0), "")).services.is_empty(), "no cue, nothing to come back from");
 }
 
 #[test]
@@ -66,11 +66,11 @@
         more,
         r#"{{"t":129.5,"what":"held","number":0,"rss_kb":4096,"descriptors":30,"cpu_ms":90}}"#
     );
-    let back = returning(&trace((10.0, 13.0), &more));
+    let back = recovery(&trace((10.0, 13.0), &more));
     let dials = back.worst("dials").unwrap();
-    assert_eq!((dials.usual, dials.most, dials.times()), (2.0, 30.0, 15.0));
-    assert_eq!(back.worst("statements").unwrap().times(), 1.0);
-    assert_eq!((back.held[0].rss_mb, back.held[1].descriptors), (2.0, 30.0));
+    assert_eq!((dials.baseline, dials.max, dials.ratio()), (2.0, 30.0, 15.0));
+    assert_eq!(back.worst("statements").unwrap().ratio(), 1.0);
+    assert_eq!((back.totals[0].rss_mb, back.totals[1].descriptors), (2.0, 30.0));
 }
 
 #[test]
@@ -105,15 +105,19 @@
         asked("late", "look", 118.0),
         taken("late", "new", 121.0),
     ];
-    let back = returning(&trace((10.0, 10.1), &(lines.join("\n") + "\n")));
-    let found: Vec<(Wrong, &str)> = back.stale.iter().map(|s| (s.wrong, s.id.as_str())).collect();
-    assert_eq!(found, [(Wrong::Primary, "w2"), (Wrong::Gone, "g"), (Wrong::TimeOver, "late")]);
-    let told = back.stale[0].told.expect("its agent had told it");
-    assert!((told - 1.6).abs() < 1e-6 && (back.stale[0].age - 2.1).abs() < 1e-6);
+    let back = recovery(&trace((10.0, 10.1), &(lines.join("\n") + "\n")));
+    let found: Vec<(StaleReason, &str)> =
+        back.stale_decisions.iter().map(|s| (s.reason, s.id.as_str())).collect();
+    assert_eq!(
+        found,
+        [(StaleReason::Primary, "w2"), (StaleReason::Gone, "g"), (StaleReason::TimeOver, "late")]
+    );
+    let told = back.stale_decisions[0].notified_before_s.expect("its agent had told it");
+    assert!((told - 1.6).abs() < 1e-6 && (back.stale_decisions[0].age_s - 2.1).abs() < 1e-6);
     // What a link held back was decided before.
     let cut = r#"{"t":113.0,"what":"link_begins","name":"cut","on":["hosts"]}"#;
-    let back = returning(&trace((10.0, 10.1), &(lines.join("\n") + "\n" + cut + "\n")));
-    assert!(back.stale.is_empty());
+    let back = recovery(&trace((10.0, 10.1), &(lines.join("\n") + "\n" + cut + "\n")));
+    assert!(back.stale_decisions.is_empty());
 }
 
 /// A reset of clients' links, a cut of agents and a stop excuse just what they can do.
@@ -122,8 +126,9 @@
     let closed = r#"{"t":120.0,"what":"asked","id":"x","first":"x","intended":120.0,"workload":"look","group":"1","session":"s","router":1,"wait":0.8}
 {"t":120.1,"what":"unanswered","id":"x","how":"reset"}
 "#;
-    let answer =
-        |more: &str| judge(&trace((0.0, 0.0), more)).unwrap().iter().filter(|f| f.rule.binds()).count();
+    let answer = |more: &str| {
+        judge(&trace((0.0, 0.0), more)).unwrap().iter().filter(|f| f.rule.is_violation()).count()
+    };
     let ran = answer("");
     assert_eq!(answer(closed), ran + 1);
     let link = |on: &str| {
--- a/crates/sandstile-experiment/src/lib.rs
+++ b/crates/sandstile-experiment/src/lib.rs
@@ -5,6 +5,6 @@
 pub mod plan;
 pub mod rows;
 
-pub use analysis::{weigh, Weighed};
+pub use analysis::{compare_arms, ArmResult};
 pub use plan::{Arm, Experiment};
 pub use rows::{Row, Rows};
--- a/crates/sandstile-experiment/src/plan.rs
+++ b/crates/sandstile-experiment/src/plan.rs
@@ -28,7 +28,7 @@
 
 impl Arm {
     /// The script as this arm plays it.
-    pub fn of(&self, script: &Script, seed: u64) -> Script {
+    pub fn apply_to(&self, script: &Script, seed: u64) -> Script {
         let mut script = script.clone();
         script.plan.seed = seed;
         script.allowed.max_executions = self.executions.unwrap_or(script.allowed.max_executions);
@@ -57,7 +57,7 @@
     pub quick_pairs: usize,
     pub level: f64,
     /// Differences of service smaller than this are of no interest.
-    pub matters: f64,
+    pub min_relevant_difference: f64,
     /// Of the file as it was read: rows of another are not this experiment's.
     pub hash: String,
 }
@@ -74,17 +74,17 @@
     }
 
     /// When it is looked at, and what each look may spend.
-    pub fn looks(&self, pairs: usize) -> Plan {
-        Plan { level: self.level, first: 6.min(pairs), step: 2, most: pairs }
+    pub fn analysis_plan(&self, pairs: usize) -> Plan {
+        Plan { level: self.level, first_at: 6.min(pairs), step: 2, max_pairs: pairs }
     }
 
     /// The seed of a pair: both arms play the same evening.
-    pub fn seed_of(&self, pair: usize) -> u64 {
+    pub fn pair_seed(&self, pair: usize) -> u64 {
         self.seed + pair as u64
     }
 
     /// The order in which a pair's arms are played, drawn anew for each, or a machine that grows warm would favour one.
-    pub fn order(&self, pair: usize) -> Vec<usize> {
+    pub fn arm_order(&self, pair: usize) -> Vec<usize> {
         let mut rng = Rng::new(self.seed, &format!("order {pair}"));
         let mut left: Vec<usize> = (0..self.arms.len()).collect();
         let mut order = Vec::new();
@@ -138,7 +138,7 @@
         pairs,
         quick_pairs: file.count("quick_pairs", 1.0..1000.0, pairs.min(2)),
         level: file.number("level", 0.0001..0.5, 0.05),
-        matters: file.number("matters", 0.0..1.0, 0.005),
+        min_relevant_difference: file.number("matters", 0.0..1.0, 0.005),
         hash: blake3::hash(text.as_bytes()).to_hex()[..16].to_string(),
     };
     file.finish();
--- a/crates/sandstile-experiment/src/rows.rs
+++ b/crates/sandstile-experiment/src/rows.rs
@@ -54,17 +54,17 @@
     }
 
     /// The run of this pair and arm; one that was not sound does not count, and is run again.
-    pub fn of(&self, pair: usize, arm: &str) -> Option<&Row> {
+    pub fn sound_run(&self, pair: usize, arm: &str) -> Option<&Row> {
         self.rows.iter().rev().find(|r| r.pair == pair && r.arm == arm && r.unsound.is_none())
     }
 
     /// How often a pair's arm was tried without a sound run.
-    pub fn unsound(&self, pair: usize, arm: &str) -> usize {
+    pub fn unsound_runs(&self, pair: usize, arm: &str) -> usize {
         self.rows.iter().filter(|r| r.pair == pair && r.arm == arm && r.unsound.is_some()).count()
     }
 
     /// Pairs whole in all arms, from the first on.
-    pub fn pairs(&self, arms: &[String]) -> usize {
-        (0..).take_while(|pair| arms.iter().all(|arm| self.of(*pair, arm).is_some())).count()
+    pub fn complete_pairs(&self, arms: &[String]) -> usize {
+        (0..).take_while(|pair| arms.iter().all(|arm| self.sound_run(*pair, arm).is_some())).count()
     }
 }
--- a/crates/sandstile-experiment/tests/resume.rs
+++ b/crates/sandstile-experiment/tests/resume.rs
@@ -1,5 +1,5 @@
 //! Orders, rows that were cut off, and verdicts.
-use sandstile_experiment::{weigh, Experiment, Row, Rows};
+use sandstile_experiment::{compare_arms, Experiment, Row, Rows};
 use sandstile_stats::Verdict;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
         experiment: e.hash.clone(),
         pair,
         arm: arm.to_string(),
-        seed: e.seed_of(pair),
+        seed: e.pair_seed(pair),
         quick: false,
         program: "p".to_string(),
         machine: "m".to_string(),
@@ -49,9 +49,9 @@
 #[test]
 fn both_arms_come_first_about_as_often_and_always_alike() {
     let e = Experiment::read("e.hcl", FILE).expect("a good file");
-    let first = (0..1000).filter(|pair| e.order(*pair) == [0, 1]).count();
+    let first = (0..1000).filter(|pair| e.arm_order(*pair) == [0, 1]).count();
     assert!((430..570).contains(&first), "{first}");
-    assert!((0..50).all(|pair| e.order(pair) == e.order(pair)));
+    assert!((0..50).all(|pair| e.arm_order(pair) == e.arm_order(pair)));
 }
 
 /// A kill leaves half a line; a later version's lines are left alone; an unsound run is not a run.
@@ -69,8 +69,8 @@
         assert!(read.rows.len() <= 4 && read.skipped <= 1, "{cut}");
     }
     let read = Rows::read(&whole, &e.hash, false);
-    assert_eq!((read.pairs(&names), read.unsound(1, "now")), (1, 1));
-    assert!(read.of(1, "now").is_none() && read.of(1, "fewer").is_some());
+    assert_eq!((read.complete_pairs(&names), read.unsound_runs(1, "now")), (1, 1));
+    assert!(read.sound_run(1, "now").is_none() && read.sound_run(1, "fewer").is_some());
     assert_eq!(Rows::read(&whole, "another", false).rows.len(), 0);
     assert_eq!(Rows::read(&whole, &e.hash, true).rows.len(), 0);
     let later = whole.replace("\"version\":1", "\"version\":2");
@@ -91,12 +91,12 @@
         rows.push(row(&e, pair, "fewer", 0.79 + noise(pair) - 0.001 * (pair % 3) as f64));
     }
     rows[3].broken = 1;
-    let weighed = weigh(&e, &Rows::read(&lines(&rows), &e.hash, false), 0.05);
-    assert_eq!((weighed[0].broken, weighed[1].broken, weighed[0].judged.len()), (0, 1, 0));
+    let weighed = compare_arms(&e, &Rows::read(&lines(&rows), &e.hash, false), 0.05);
+    assert_eq!((weighed[0].broken, weighed[1].broken, weighed[0].results.len()), (0, 1, 0));
     let words: Vec<(String, Verdict)> =
-        weighed[1].judged.iter().map(|j| (j.name.clone(), j.verdict)).collect();
+        weighed[1].results.iter().map(|j| (j.name.clone(), j.verdict)).collect();
     assert_eq!(words[0], ("by importance".to_string(), Verdict::Worse));
     assert_eq!(words[2], ("b".to_string(), Verdict::NoDifference));
-    let interval = weighed[1].judged[0].interval;
+    let interval = weighed[1].results[0].interval;
     assert!(interval.low <= -0.011 && interval.high >= -0.011 && interval.high < 0.0, "{interval:?}");
 }
--- a/crates/sandstile-lab/src/capacity.rs
+++ b/crates/sandstile-lab/src/capacity.rs
@@ -141,7 +141,14 @@
 }
 
 fn load(targets: Vec<SocketAddr>, connections: usize, seconds: f64) -> Load {
-    Load { targets, connections, patience: 2.0, warm_up: (seconds / 4.0).min(2.0), closed: false, seconds }
+    Load {
+        targets,
+        connections,
+        timeout_s: 2.0,
+        warm_up_s: (seconds / 4.0).min(2.0),
+        closed_loop: false,
+        seconds,
+    }
 }
 
 /// Three in five reads of any host, one own read, one write.
@@ -227,7 +234,7 @@
             let report = play(&load, *rate, &mixed)?;
             let (cpu, now, took) =
                 (ticks(router.id()) - at, used(router.id()), begun.elapsed().as_secs_f64());
-            let at = |q: f64| report.meant.value_at_quantile(q) as f64 / 1000.0;
+            let at = |q: f64| report.latency_from_due_us.value_at_quantile(q) as f64 / 1000.0;
             let all = (rate * wanted.seconds).max(1.0);
             let note = report.unsound().unwrap_or_default();
             if !note.is_empty() {
@@ -263,7 +270,7 @@
         let _ = write!(direct, "| {connections} | {rate:.0} |");
         for q in [0.5, 0.99, 0.999] {
             let [with, without] =
-                [&by_router, &by_hosts].map(|r| r.meant.value_at_quantile(q) as f64 / 1000.0);
+                [&by_router, &by_hosts].map(|r| r.latency_from_due_us.value_at_quantile(q) as f64 / 1000.0);
             let _ = write!(direct, " {with:.2} - {without:.2} = {:.2} |", with - without);
         }
         direct.push('\n');
--- a/crates/sandstile-lab/src/experiment.rs
+++ b/crates/sandstile-lab/src/experiment.rs
@@ -2,9 +2,9 @@
 use crate::charts;
 use crate::rehearse::{self, Wanted as Rehearsal};
 use sandstile_experiment::rows::VERSION;
-use sandstile_experiment::{weigh, Experiment, Row, Rows};
+use sandstile_experiment::{compare_arms, Experiment, Row, Rows};
 use sandstile_scenario::Script;
-use sandstile_stats::{Looks, Verdict};
+use sandstile_stats::{InterimAnalyses, Verdict};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -44,22 +44,22 @@
     fs::write(wanted.out.join("experiment.json"), note(wanted, pairs).to_string()).map_err(told)?;
     let store = wanted.out.join("rows.jsonl");
     let names: Vec<String> = experiment.arms.iter().map(|a| a.name.clone()).collect();
-    let mut looks = Looks::new(experiment.looks(pairs));
-    let before = rows(&store, &experiment, wanted.quick).pairs(&names);
+    let mut looks = InterimAnalyses::new(experiment.analysis_plan(pairs));
+    let before = rows(&store, &experiment, wanted.quick).complete_pairs(&names);
     looks.resume(before);
     if before > 0 {
         info!(pairs = before, "goes on where it was stopped");
     }
     for pair in before..pairs {
-        for arm in experiment.order(pair) {
+        for arm in experiment.arm_order(pair) {
             one(wanted, &experiment, &script, &store, pair, arm)?;
         }
         let rows = rows(&store, &experiment, wanted.quick);
-        if let Some(level) = looks.look(rows.pairs(&names)) {
-            let claims = |w: &sandstile_experiment::Weighed| {
-                w.judged.first().is_some_and(|j| matches!(j.verdict, Verdict::Better | Verdict::Worse))
+        if let Some(level) = looks.level_at(rows.complete_pairs(&names)) {
+            let claims = |w: &sandstile_experiment::ArmResult| {
+                w.results.first().is_some_and(|j| matches!(j.verdict, Verdict::Better | Verdict::Worse))
             };
-            let weighed = weigh(&experiment, &rows, level);
+            let weighed = compare_arms(&experiment, &rows, level);
             if weighed.iter().skip(1).all(claims) && pair + 1 < pairs {
                 info!(pairs = pair + 1, "all arms are told apart: stopping early");
                 break;
@@ -85,10 +85,10 @@
     let arm = &experiment.arms[arm];
     loop {
         let so_far = rows(store, experiment, wanted.quick);
-        if so_far.of(pair, &arm.name).is_some() {
+        if so_far.sound_run(pair, &arm.name).is_some() {
             return Ok(());
         }
-        if so_far.unsound(pair, &arm.name) >= TRIES {
+        if so_far.unsound_runs(pair, &arm.name) >= TRIES {
             return Err(format!(
                 "pair {pair}, arm {}: not one sound run in {TRIES}; idle cores are needed",
                 arm.name
@@ -96,11 +96,11 @@
         }
         let router = arm.router.as_ref().map_or(wanted.router.clone(), PathBuf::from);
         let program = fs::read(&router).map_err(|e| format!("{}: {e}", router.display()))?;
-        let seed = experiment.seed_of(pair);
+        let seed = experiment.pair_seed(pair);
         let out = wanted.out.join(format!("run-{}", arm.name));
         info!(pair, arm = arm.name, seed, "plays");
         let rehearsal =
-            Rehearsal { script: arm.of(script, seed), quick: wanted.quick, router, out: out.clone() };
+            Rehearsal { script: arm.apply_to(script, seed), quick: wanted.quick, router, out: out.clone() };
         let summary = rehearse::rehearse(rehearsal)?;
         let text = fs::read_to_string(out.join("summary.json")).map_err(|e| e.to_string())?;
         let json: Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
@@ -151,7 +151,7 @@
 
 /// What returns came to, by arm: means, with the interval of the mean over pairs and the least and the most.
 fn returns(rows: &Rows, names: &[String], pairs: usize) -> String {
-    let of = |arm: &str| -> Vec<&Row> { (0..pairs).filter_map(|p| rows.of(p, arm)).collect() };
+    let of = |arm: &str| -> Vec<&Row> { (0..pairs).filter_map(|p| rows.sound_run(p, arm)).collect() };
     let measures: BTreeSet<&String> =
         names.iter().flat_map(|arm| of(arm)).flat_map(|row| row.returning.keys()).collect();
     if measures.is_empty() {
@@ -210,12 +210,12 @@
     let quick = note["quick"].as_bool().unwrap_or(false);
     let rows = rows(&dir.join("rows.jsonl"), &experiment, quick);
     let names: Vec<String> = experiment.arms.iter().map(|a| a.name.clone()).collect();
-    let pairs = rows.pairs(&names);
+    let pairs = rows.complete_pairs(&names);
     let planned = note["pairs"].as_u64().unwrap_or(0) as usize;
     // What looks up to here may spend, the one at these pairs alone: the earlier ones have spent theirs.
-    let mut looks = Looks::new(experiment.looks(planned.max(1)));
-    let level = (1..=pairs).filter_map(|n| looks.look(n)).last().unwrap_or(experiment.level / 2.0);
-    let weighed = weigh(&experiment, &rows, level);
+    let mut looks = InterimAnalyses::new(experiment.analysis_plan(planned.max(1)));
+    let level = (1..=pairs).filter_map(|n| looks.level_at(n)).last().unwrap_or(experiment.level / 2.0);
+    let weighed = compare_arms(&experiment, &rows, level);
     let mut out = String::new();
     let mode = if quick { ", quick" } else { "" };
     let _ = writeln!(out, "# {}\n", experiment.title);
@@ -231,24 +231,24 @@
     out.push_str("| --- | --- | --- | --- | --- | --- |\n");
     for w in &weighed {
         let _ = write!(out, "| {} | {:.4} | {} |", w.arm, w.service, w.broken);
-        match w.judged.first() {
+        match w.results.first() {
             None => out.push_str(" | | |\n"),
             Some(j) => {
-                let word = if w.broken > 0 { "failed: a rule is broken" } else { j.verdict.word() };
+                let word = if w.broken > 0 { "failed: a rule is broken" } else { j.verdict.label() };
                 let i = j.interval;
                 let _ = writeln!(out, " {word} | {:+.4} | {} to {} |", i.mean, end(i.low), end(i.high));
             }
         }
     }
-    for w in weighed.iter().filter(|w| !w.judged.is_empty()) {
+    for w in weighed.iter().filter(|w| !w.results.is_empty()) {
         let _ = writeln!(out, "\n{} against {}:\n\n| workload | verdict | difference | interval | p |\n| --- | --- | --- | --- | --- |", w.arm, names[0]);
-        for j in &w.judged {
+        for j in &w.results {
             let i = j.interval;
             let _ = writeln!(
                 out,
                 "| {} | {} | {:+.4} | {} to {} | {:.4} |",
                 j.name,
-                j.verdict.word(),
+                j.verdict.label(),
                 i.mean,
                 end(i.low),
                 end(i.high),
@@ -267,7 +267,7 @@
     let differences: Vec<charts::Bar> = weighed
         .iter()
         .flat_map(|w| {
-            w.judged.iter().map(|j| charts::Bar {
+            w.results.iter().map(|j| charts::Bar {
                 name: format!("{}: {}", w.arm, j.name),
                 low: j.interval.low,
                 mean: j.interval.mean,
@@ -291,7 +291,7 @@
 }
 
 fn average(rows: &Rows, arm: &str, pairs: usize) -> Vec<f64> {
-    let runs: Vec<&Row> = (0..pairs).filter_map(|p| rows.of(p, arm)).collect();
+    let runs: Vec<&Row> = (0..pairs).filter_map(|p| rows.sound_run(p, arm)).collect();
     let most = runs.iter().map(|r| r.seconds.len()).max().unwrap_or(0);
     let at = |n: usize| {
         let there: Vec<f64> = runs.iter().filter_map(|r| r.seconds.get(n).copied()).collect();
--- a/crates/sandstile-lab/src/hunt.rs
+++ b/crates/sandstile-lab/src/hunt.rs
@@ -2,7 +2,7 @@
 //! the least that still fails and kept as a script of its own.
 use crate::rehearse::{self, Wanted as Rehearsal};
 use crate::report;
-use sandstile_audit::returning;
+use sandstile_audit::recovery;
 use sandstile_faults::draw::{self, FaultTargets, ScheduledFault};
 use sandstile_faults::shrink::Shrinker;
 use sandstile_scenario::Script;
@@ -41,7 +41,7 @@
     /// Broken rules by word, and what else is wrong.
     wrong: Vec<String>,
     service: f64,
-    whole_after: Option<f64>,
+    service_recovery_s: Option<f64>,
     unsound: Option<String>,
 }
 
@@ -76,17 +76,17 @@
     })?;
     let trace = report::read(&out)?;
     let mut wrong: Vec<String> = Vec::new();
-    for finding in sandstile_audit::judge(&trace)?.iter().filter(|f| f.rule.binds()) {
-        wrong.push(format!("{}: {}", finding.rule.word(), finding.what));
+    for finding in sandstile_audit::judge(&trace)?.iter().filter(|f| f.rule.is_violation()) {
+        wrong.push(format!("{}: {}", finding.rule.label(), finding.description));
     }
-    let back = returning(&trace);
+    let back = recovery(&trace);
     if let Some(service) = sandstile_audit::service(&trace) {
         // The last two seconds but one, by which the last wishes have their end.
         let (mut good, mut all) = (0, 0);
         for w in &service.workloads {
             let n = w.seconds.len().saturating_sub(1);
             for second in &w.seconds[n.saturating_sub(2)..n] {
-                (good, all) = (good + second.in_time, all + second.wishes);
+                (good, all) = (good + second.in_time, all + second.requests);
             }
         }
         if (good as f64) < LOST * all as f64 {
@@ -96,10 +96,15 @@
     // Whoever is there when the last fault is over: all of them are to see just each other, soon.
     if let Some(last) = sandstile_audit::agreement(&trace).epochs.last() {
         if last.agreed_after.is_none() && last.to - last.from > AGREES - 4.0 {
-            wrong.push(format!("members: no agreement {:.1} s after {}", last.to - last.from, last.why));
+            wrong.push(format!("members: no agreement {:.1} s after {}", last.to - last.from, last.change));
         }
     }
-    Ok(Played { wrong, service: summary.service, whole_after: back.whole_after(), unsound: summary.unsound })
+    Ok(Played {
+        wrong,
+        service: summary.service,
+        service_recovery_s: back.service_recovery_s(),
+        unsound: summary.unsound,
+    })
 }
 
 /// Whether it fails, asked more than once where it seems not to.
@@ -138,7 +143,7 @@
         let faults = draw::draw_schedule(&field, wanted.size, seed);
         let text = text_of(wanted, &base, &faults, seed);
         let played = play(wanted, &text, seed)?;
-        let whole = match played.whole_after {
+        let whole = match played.service_recovery_s {
             Some(after) if after.is_finite() => format!("{after:.2}"),
             Some(_) => "not before the end".to_string(),
             None => String::new(),
--- a/crates/sandstile-lab/src/main.rs
+++ b/crates/sandstile-lab/src/main.rs
@@ -509,13 +509,13 @@
     let findings = sandstile_audit::judge(&trace)?;
     for rule in sandstile_audit::judge::RULES {
         let of: Vec<_> = findings.iter().filter(|f| f.rule == rule).collect();
-        let kind = if rule.binds() { "rule" } else { "finding" };
-        println!("{:<10} {:<8} {}", rule.word(), kind, of.len());
+        let kind = if rule.is_violation() { "rule" } else { "finding" };
+        println!("{:<10} {:<8} {}", rule.label(), kind, of.len());
     }
-    for finding in findings.iter().filter(|f| strict || f.rule.binds()).take(stories) {
+    for finding in findings.iter().filter(|f| strict || f.rule.is_violation()).take(stories) {
         println!("\n{finding}");
     }
-    for (host, (multiple, most)) in &trace.pushed {
+    for (host, (multiple, most)) in &trace.cold_host_load {
         println!("cold {host}: offered {multiple:.1} times what it could, {most:.1} at most");
     }
     if let Some(why) = &trace.unsound {
@@ -523,12 +523,15 @@
     }
     let own = sandstile_audit::own_reads(&trace);
     println!("own reads: {} checked, {} missed, {} by replicas", own.checked, own.missed, own.by_replicas);
-    println!("within 10 s of a restart: {} checked, {} by replicas", own.soon, own.soon_by_replicas);
-    println!("\n{}", sandstile_audit::returning(&trace));
+    println!(
+        "within 10 s of a restart: {} checked, {} by replicas",
+        own.after_restart, own.after_restart_by_replicas
+    );
+    println!("\n{}", sandstile_audit::recovery(&trace));
     println!("{}", sandstile_audit::agreement(&trace));
-    print!("{}", sandstile_audit::copies(&trace));
+    print!("{}", sandstile_audit::state_convergence(&trace));
     sandstile_audit::searches(&trace).iter().for_each(|search| println!("{search}"));
-    let broken = findings.iter().filter(|f| strict || f.rule.binds()).count();
+    let broken = findings.iter().filter(|f| strict || f.rule.is_violation()).count();
     println!("{} statements, {} lines, {broken} broken", trace.statements.len(), trace.lines);
     Ok(ExitCode::from(u8::from(broken > 0)))
 }
--- a/crates/sandstile-lab/src/recordings.rs
+++ b/crates/sandstile-lab/src/recordings.rs
@@ -29,10 +29,10 @@
 /// First tries of a rehearsal's trace, at the times at which they were meant to be asked.
 pub fn from_trace(dir: &Path, out: &Path) -> Result<u64, String> {
     let trace = report::read(dir)?;
-    let terms = trace.terms.as_ref().ok_or("the trace has no beginning")?;
+    let terms = trace.settings.as_ref().ok_or("the trace has no beginning")?;
     let mut asked: Vec<_> =
-        trace.statements.iter().filter_map(|(id, s)| s.asked.as_ref().filter(|a| a.first == *id)).collect();
-    asked.sort_by(|a, b| a.intended.total_cmp(&b.intended));
+        trace.statements.iter().filter_map(|(id, s)| s.request.as_ref().filter(|a| a.first == *id)).collect();
+    asked.sort_by(|a, b| a.due.total_cmp(&b.due));
     let mut groups: Vec<String> = asked.iter().map(|a| a.group.clone()).collect();
     groups.sort();
     groups.dedup();
@@ -46,7 +46,7 @@
     let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
     for a in asked {
         let arrival = Arrival {
-            at_us: ((a.intended - terms.begin).max(0.0) * 1e6) as u64,
+            at_us: ((a.due - terms.begin).max(0.0) * 1e6) as u64,
             workload: place(&header.workloads, &a.workload),
             group: place(&header.groups, &a.group),
             session: header.session(&a.session),
@@ -137,9 +137,9 @@
     let load = Load {
         targets: vec![wanted.target],
         connections: wanted.connections,
-        patience: wanted.patience,
-        warm_up: 0.0,
-        closed: wanted.closed,
+        timeout_s: wanted.patience,
+        warm_up_s: 0.0,
+        closed_loop: wanted.closed,
         seconds,
     };
     let report = run(&load, arrivals, &mut |n, ms| {
@@ -167,7 +167,10 @@
     let at = |h: &hdrhistogram::Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
     let mut out =
         String::from("| ms | p50 | p90 | p99 | p99.9 | most |\n| --- | --- | --- | --- | --- | --- |\n");
-    for (name, h) in [("from when it was meant", &r.meant), ("from when it was written", &r.written)] {
+    for (name, h) in [
+        ("from when it was meant", &r.latency_from_due_us),
+        ("from when it was written", &r.latency_from_send_us),
+    ] {
         let most = h.max() as f64 / 1e3;
         let _ = writeln!(
             out,
@@ -187,7 +190,7 @@
         r.rejected,
         r.failed,
         r.unanswered,
-        r.broken
+        r.broken_connections
     );
     if let Some(why) = r.unsound() {
         let _ = writeln!(out, "**Unsound: {why}.**");
--- a/crates/sandstile-lab/src/report.rs
+++ b/crates/sandstile-lab/src/report.rs
@@ -3,7 +3,8 @@
 use hdrhistogram::Histogram;
 use sandstile_audit::judge::RULES;
 use sandstile_audit::{
-    agreement, copies, judge, own_reads, returning, searches, service, Finding, Returning, Service, Trace,
+    agreement, judge, own_reads, recovery, searches, service, state_convergence, Finding, Recovery, Service,
+    Trace,
 };
 use sandstile_emulator::Summary as Emulated;
 use sandstile_scenario::Script;
@@ -36,7 +37,7 @@
     let trace = read(dir)?;
     let findings = judge(&trace)?;
     let service = service(&trace).ok_or("no terms in the trace")?;
-    let back = returning(&trace);
+    let back = recovery(&trace);
     let mut json = as_json(played, &trace, &findings, &service, &back);
     let agreed = agreement(&trace);
     if !agreed.epochs.is_empty() {
@@ -47,10 +48,10 @@
         if let Some(slowest) = agreed.slowest() {
             measures["all agree after s"] = slowest.into();
         }
-        measures["agreement not reached"] = agreed.never().into();
+        measures["agreement not reached"] = agreed.not_agreed().into();
         measures["false deaths"] = agreed.false_deaths().into();
     }
-    if let Some(us) = sandstile_audit::returning::cpu(&trace) {
+    if let Some(us) = sandstile_audit::returning::cpu_us_per_statement(&trace) {
         if !json["returning"].is_object() {
             json["returning"] = json!({});
         }
@@ -67,7 +68,7 @@
         measures["probes a second at a host, no primary"] = most(|s| s.rate.0).into();
         measures["longest gap of probes s"] = most(|s| s.gap).into();
     }
-    let kept = copies(&trace);
+    let kept = state_convergence(&trace);
     if !kept.is_empty() {
         let own = own_reads(&trace);
         let measures = &mut json["returning"];
@@ -80,19 +81,19 @@
         if let Some(slowest) = kept.slowest_start() {
             measures["in step after s"] = slowest.into();
         }
-        measures["copies never the same"] = kept.never().into();
-        measures["told bytes a second a router"] = kept.bytes.0.into();
+        measures["copies never the same"] = kept.not_converged().into();
+        measures["told bytes a second a router"] = kept.bytes_per_s.0.into();
         measures["own reads checked"] = own.checked.into();
         measures["own reads missed"] = own.missed.into();
-        measures["own reads soon after a restart"] = own.soon.into();
-        measures["of these by the primary"] = (own.soon - own.soon_by_replicas).into();
+        measures["own reads soon after a restart"] = own.after_restart.into();
+        measures["of these by the primary"] = (own.after_restart - own.after_restart_by_replicas).into();
     }
     let text = as_markdown(played, &trace, &findings, &service, &back);
     let put =
         |name: &str, text: &str| std::fs::write(dir.join(name), text).map_err(|e| format!("{name}: {e}"));
     put("summary.json", &format!("{json:#}\n"))?;
     put("summary.md", &text)?;
-    let broken = findings.iter().filter(|f| f.rule.binds()).count();
+    let broken = findings.iter().filter(|f| f.rule.is_violation()).count();
     Ok(Summary { text, broken, service: service.overall(), unsound: trace.unsound })
 }
 
@@ -105,32 +106,32 @@
     let of = |rule| findings.iter().filter(|f| f.rule == rule).count();
     RULES
         .iter()
-        .map(|rule| (rule.word().to_string(), Value::from(of(*rule))))
+        .map(|rule| (rule.label().to_string(), Value::from(of(*rule))))
         .collect::<serde_json::Map<_, _>>()
         .into()
 }
 
 /// What comparisons of returns are made of; times that were not reached are left out, and counted.
-pub fn measures(back: &Returning) -> Value {
+pub fn measures(back: &Recovery) -> Value {
     let mut out = serde_json::Map::new();
     if back.cues.is_empty() {
         return out.into();
     }
-    let all = || back.full.iter().filter(|f| f.workload.is_none());
-    out.insert("not whole".to_string(), all().filter(|f| f.after.is_none()).count().into());
-    if let Some(after) = all().filter_map(|f| f.after).reduce(f64::max) {
+    let all = || back.services.iter().filter(|f| f.workload.is_none());
+    out.insert("not whole".to_string(), all().filter(|f| f.after_s.is_none()).count().into());
+    if let Some(after) = all().filter_map(|f| f.after_s).reduce(f64::max) {
         out.insert("whole after s".to_string(), after.into());
     }
-    if let Some(least) = all().map(|f| f.least).reduce(f64::min) {
+    if let Some(least) = all().map(|f| f.lowest).reduce(f64::min) {
         out.insert("least second".to_string(), least.into());
     }
-    for what in sandstile_audit::returning::ASKED {
+    for what in sandstile_audit::returning::CONTACT_KINDS {
         if let Some(peak) = back.worst(what) {
-            out.insert(format!("{what} at a host in 100 ms"), peak.most.into());
-            out.insert(format!("{what}, times usual"), peak.times().into());
+            out.insert(format!("{what} at a host in 100 ms"), peak.max.into());
+            out.insert(format!("{what}, times usual"), peak.ratio().into());
         }
     }
-    out.insert("stale decisions".to_string(), back.stale.len().into());
+    out.insert("stale decisions".to_string(), back.stale_decisions.len().into());
     out.into()
 }
 
@@ -139,15 +140,15 @@
     trace: &Trace,
     findings: &[Finding],
     service: &Service,
-    back: &Returning,
+    back: &Recovery,
 ) -> Value {
     let workloads: Vec<Value> = service
         .workloads
         .iter()
         .map(|w| {
             let at = |q: f64| w.latency.value_at_quantile(q) as f64 / 1e3;
-            let seconds: Vec<Value> = w.seconds.iter().map(|t| json!([t.wishes, t.in_time])).collect();
-            json!({"name": w.name, "wishes": w.tally.wishes, "service": w.tally.service(), "late": w.tally.late,
+            let seconds: Vec<Value> = w.seconds.iter().map(|t| json!([t.requests, t.in_time])).collect();
+            json!({"name": w.name, "wishes": w.tally.requests, "service": w.tally.service(), "late": w.tally.late,
                 "rejected": w.tally.rejected, "failed": w.tally.failed, "unanswered": w.tally.unanswered,
                 "tries": w.tally.tries, "p50_ms": at(0.5), "p99_ms": at(0.99), "by_second": seconds})
         })
@@ -159,7 +160,7 @@
         "clients_late": quantiles(&played.clients_late_us), "most_connections": played.emulator.max_connections,
         "own_reads": {"checked": own.checked, "missed": own.missed, "by_replicas": own.by_replicas},
         "returning": measures(back),
-        "unsound": trace.unsound, "missed_cues": played.emulator.missed, "lost_commits": trace.lost.len(),
+        "unsound": trace.unsound, "missed_cues": played.emulator.missed, "lost_commits": trace.lost_commits.len(),
         "version": env!("CARGO_PKG_VERSION"), "trace_lines": trace.lines})
 }
 
@@ -168,7 +169,7 @@
     trace: &Trace,
     findings: &[Finding],
     service: &Service,
-    back: &Returning,
+    back: &Recovery,
 ) -> String {
     let mut out = String::new();
     let script = &played.script;
@@ -192,7 +193,7 @@
             out,
             "| {} | {} | {:.3} | {} | {} | {} | {} | {} | {:.1} | {:.1} |",
             w.name,
-            t.wishes,
+            t.requests,
             t.service(),
             t.late,
             t.rejected,
@@ -206,8 +207,8 @@
     out.push_str("\n| found | times |\n| --- | --- |\n");
     for rule in RULES {
         let n = findings.iter().filter(|f| f.rule == rule).count();
-        let kind = if rule.binds() { "rule" } else { "finding" };
-        let _ = writeln!(out, "| {} ({kind}) | {n} |", rule.word());
+        let kind = if rule.is_violation() { "rule" } else { "finding" };
+        let _ = writeln!(out, "| {} ({kind}) | {n} |", rule.label());
     }
     let own = own_reads(trace);
     let _ = writeln!(
@@ -217,8 +218,8 @@
     );
     let _ = writeln!(out, "\n{back}");
     let _ = write!(out, "{}", agreement(trace));
-    let _ = write!(out, "{}", copies(trace));
-    let begin = trace.terms.as_ref().map_or(0.0, |t| t.begin);
+    let _ = write!(out, "{}", state_convergence(trace));
+    let begin = trace.settings.as_ref().map_or(0.0, |t| t.begin);
     out.push_str("\n| fault | host | from s | to s |\n| --- | --- | --- | --- |\n");
     for (kind, host, from, to) in &trace.faults {
         let to = if to.is_finite() { format!("{:.2}", to - begin) } else { "the end".to_string() };
@@ -239,8 +240,8 @@
     for second in 0..seconds {
         let _ = write!(out, "| {second} |");
         for w in &service.workloads {
-            match w.seconds.get(second).filter(|t| t.wishes > 0) {
-                Some(t) => out.push_str(&format!(" {:.2} of {} |", t.service(), t.wishes)),
+            match w.seconds.get(second).filter(|t| t.requests > 0) {
+                Some(t) => out.push_str(&format!(" {:.2} of {} |", t.service(), t.requests)),
                 None => out.push_str(" |"),
             }
         }
@@ -257,7 +258,7 @@
     if !played.emulator.missed.is_empty() {
         let _ = writeln!(out, "\nCues whose event never came: {}.", played.emulator.missed.join(", "));
     }
-    if let Some(first) = findings.iter().find(|f| f.rule.binds()) {
+    if let Some(first) = findings.iter().find(|f| f.rule.is_violation()) {
         let _ = writeln!(out, "\nThe first broken rule:\n\n```\n{first}```");
     }
     out
--- a/crates/sandstile-lab/src/scale_out.rs
+++ b/crates/sandstile-lab/src/scale_out.rs
@@ -289,9 +289,9 @@
         let load = Load {
             targets: vec![address],
             connections: *workers,
-            patience: e.wait,
-            warm_up: 2.0,
-            closed: true,
+            timeout_s: e.wait,
+            warm_up_s: 2.0,
+            closed_loop: true,
             seconds: seconds + 2.0,
         };
         let mut rng = sandstile_fleet::random::Rng::new(e.seed, "sockets");
@@ -316,9 +316,9 @@
         let at = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
         points.push(Point {
             workers: *workers,
-            mean_ms: report.written.mean() / 1e3,
-            p90_ms: at(&report.written, 0.9),
-            p99_ms: at(&report.written, 0.99),
+            mean_ms: report.latency_from_send_us.mean() / 1e3,
+            p90_ms: at(&report.latency_from_send_us, 0.9),
+            p99_ms: at(&report.latency_from_send_us, 0.99),
             rate: report.rate(),
             rejected: report.rejected,
             aborted: report.failed + report.unanswered,
--- a/crates/sandstile-load/src/engine.rs
+++ b/crates/sandstile-load/src/engine.rs
@@ -11,28 +11,28 @@
 use std::time::{Duration, Instant};
 
 /// The text of the n-th statement, for a client that waits so many milliseconds from now.
-pub type Wording<'a> = dyn FnMut(u64, u64) -> String + 'a;
+pub type StatementText<'a> = dyn FnMut(u64, u64) -> String + 'a;
 
 pub struct Load {
     /// Connections are spread over these evenly.
     pub targets: Vec<SocketAddr>,
     pub connections: usize,
     /// Seconds that a client waits for an answer.
-    pub patience: f64,
+    pub timeout_s: f64,
     /// Seconds at the start whose statements are not counted.
-    pub warm_up: f64,
+    pub warm_up_s: f64,
     /// Each connection asks again as soon as it is answered, and arrivals say nothing.
-    pub closed: bool,
+    pub closed_loop: bool,
     pub seconds: f64,
 }
 
 pub struct Report {
     /// Microseconds from when statements were meant to be asked to their last byte.
-    pub meant: Histogram<u64>,
+    pub latency_from_due_us: Histogram<u64>,
     /// From when they were written.
-    pub written: Histogram<u64>,
+    pub latency_from_send_us: Histogram<u64>,
     /// By which this tool was itself late in noticing that one was due.
-    pub own_late: Histogram<u64>,
+    pub scheduling_delay_us: Histogram<u64>,
     pub asked: u64,
     pub completed: u64,
     pub rejected: u64,
@@ -40,20 +40,21 @@
     /// Not answered in their time, those that never found a connection among them.
     pub unanswered: u64,
     /// Connections that ended or could not be made.
-    pub broken: u64,
+    pub broken_connections: u64,
     pub seconds: f64,
     /// The share of the time in which this tool's thread had something to do.
-    pub busy: f64,
+    pub busy_share: f64,
 }
 
 impl Report {
     /// Why these figures are the tool's and not its target's, if they are.
     pub fn unsound(&self) -> Option<String> {
-        let late = self.own_late.value_at_quantile(0.99);
+        let late = self.scheduling_delay_us.value_at_quantile(0.99);
         if late > 5_000 {
             return Some(format!("the load tool noticed what was due {late} us late at p99"));
         }
-        (self.busy > 0.9).then(|| format!("the load tool was busy {:.0}% of the time", 100.0 * self.busy))
+        (self.busy_share > 0.9)
+            .then(|| format!("the load tool was busy {:.0}% of the time", 100.0 * self.busy_share))
     }
 
     /// Completed a second of the counted time.
@@ -88,7 +89,7 @@
 
 struct Engine<'a, 'b> {
     load: &'a Load,
-    wording: &'a mut Wording<'b>,
+    wording: &'a mut StatementText<'b>,
     poll: Poll,
     begun: Instant,
     conns: Vec<Option<Conn>>,
@@ -105,19 +106,19 @@
 }
 
 /// Plays a load until its time is up and all that was asked is answered or out of time.
-pub fn run(load: &Load, arrivals: Arrivals, wording: &mut Wording) -> io::Result<Report> {
+pub fn run(load: &Load, arrivals: Arrivals, wording: &mut StatementText) -> io::Result<Report> {
     let report = Report {
-        meant: histogram(),
-        written: histogram(),
-        own_late: histogram(),
+        latency_from_due_us: histogram(),
+        latency_from_send_us: histogram(),
+        scheduling_delay_us: histogram(),
         asked: 0,
         completed: 0,
         rejected: 0,
         failed: 0,
         unanswered: 0,
-        broken: 0,
-        seconds: (load.seconds - load.warm_up).max(0.0),
-        busy: 0.0,
+        broken_connections: 0,
+        seconds: (load.seconds - load.warm_up_s).max(0.0),
+        busy_share: 0.0,
     };
     let mut engine = Engine {
         load,
@@ -157,7 +158,7 @@
                 self.conns[at] =
                     Some(Conn { stream, target, buf, out, sent: 0, greeted: false, answer, open: None });
             }
-            Err(_) => self.report.broken += 1,
+            Err(_) => self.report.broken_connections += 1,
         }
     }
 
@@ -175,12 +176,12 @@
         let mut swept = 0.0;
         loop {
             let now = self.now();
-            while let Some(due) = arrivals.next_if(|at| !self.load.closed && *at <= now) {
+            while let Some(due) = arrivals.next_if(|at| !self.load.closed_loop && *at <= now) {
                 let late = ((now - due) * 1e6) as u64;
-                self.report.own_late.saturating_record(late);
+                self.report.scheduling_delay_us.saturating_record(late);
                 self.waiting.push_back(due);
             }
-            if self.load.closed && now < self.load.seconds {
+            if self.load.closed_loop && now < self.load.seconds {
                 self.waiting.extend(std::iter::repeat_n(now, self.idle.len()));
             }
             self.hand_out(now);
@@ -190,11 +191,15 @@
             }
             let over = now >= self.load.seconds;
             let open = self.conns.iter().flatten().any(|c| c.open.is_some());
-            if over && !open && self.waiting.is_empty() && (self.load.closed || arrivals.peek().is_none()) {
-                self.report.busy = 1.0 - idle_time.as_secs_f64() / now;
+            if over
+                && !open
+                && self.waiting.is_empty()
+                && (self.load.closed_loop || arrivals.peek().is_none())
+            {
+                self.report.busy_share = 1.0 - idle_time.as_secs_f64() / now;
                 return Ok(());
             }
-            let next = if self.load.closed { None } else { arrivals.peek().copied() };
+            let next = if self.load.closed_loop { None } else { arrivals.peek().copied() };
             let sleep = next.map_or(0.02, |at| (at - self.now()).clamp(0.0, 0.02));
             let slept = Instant::now();
             match self.poll.poll(&mut events, Some(Duration::from_secs_f64(sleep))) {
@@ -211,8 +216,8 @@
             let Some(at) = self.idle.pop() else { return };
             let Some(conn) = self.conns[at].as_mut() else { continue };
             self.waiting.pop_front();
-            let until = meant + self.load.patience;
-            let counted = meant >= self.load.warm_up;
+            let until = meant + self.load.timeout_s;
+            let counted = meant >= self.load.warm_up_s;
             self.report.asked += u64::from(counted);
             if until <= now {
                 self.report.unanswered += u64::from(counted);
@@ -238,8 +243,8 @@
                 self.again(at);
             }
         }
-        while self.waiting.front().is_some_and(|meant| meant + self.load.patience <= now) {
-            let counted = self.waiting.pop_front().is_some_and(|meant| meant >= self.load.warm_up);
+        while self.waiting.front().is_some_and(|meant| meant + self.load.timeout_s <= now) {
+            let counted = self.waiting.pop_front().is_some_and(|meant| meant >= self.load.warm_up_s);
             self.report.asked += u64::from(counted);
             self.report.unanswered += u64::from(counted);
         }
@@ -253,7 +258,7 @@
     }
 
     fn lost(&mut self, at: usize) {
-        self.report.broken += 1;
+        self.report.broken_connections += 1;
         if let Some(c) = self.conns[at].as_mut() {
             // Closed while it rested, and the statement crossed that: asked once more, as clients do. Its time runs on.
             let crossed = c.greeted && c.buf.is_empty() && c.answer.stage == pg::Stage::Nothing;
@@ -354,8 +359,8 @@
                         End::Completed => {
                             self.report.completed += 1;
                             let us = |since: f64| ((now - since).max(0.0) * 1e6) as u64;
-                            self.report.meant.saturating_record(us(open.meant));
-                            self.report.written.saturating_record(us(open.written));
+                            self.report.latency_from_due_us.saturating_record(us(open.meant));
+                            self.report.latency_from_send_us.saturating_record(us(open.written));
                         }
                         End::Rejected => self.report.rejected += 1,
                         End::Failed => self.report.failed += 1,
--- a/crates/sandstile-load/src/lib.rs
+++ b/crates/sandstile-load/src/lib.rs
@@ -5,4 +5,4 @@
 pub mod engine;
 
 pub use arrivals::{Arrivals, Shape};
-pub use engine::{run, Load, Report, Wording};
+pub use engine::{run, Load, Report, StatementText};
--- a/crates/sandstile-load/tests/latency.rs
+++ b/crates/sandstile-load/tests/latency.rs
@@ -48,7 +48,7 @@
 }
 
 fn load(targets: Vec<SocketAddr>, connections: usize, seconds: f64) -> Load {
-    Load { targets, connections, patience: 5.0, warm_up: 0.0, closed: false, seconds }
+    Load { targets, connections, timeout_s: 5.0, warm_up_s: 0.0, closed_loop: false, seconds }
 }
 
 /// Delays of 20 to 119 ms, each as often as every other: percentiles are known.
@@ -57,9 +57,9 @@
     let address = host(|n| Duration::from_millis(20 + (n * 37) % 100));
     let arrivals = Arrivals::new(Shape::Constant(500.0), 4.0, 1);
     let report = run(&load(vec![address], 200, 4.0), arrivals, &mut |n, _| format!("q{n}")).expect("a load");
-    assert_eq!((report.asked, report.completed, report.broken), (2001, 2001, 0));
+    assert_eq!((report.asked, report.completed, report.broken_connections), (2001, 2001, 0));
     for (share, truth) in [(0.1, 29.5), (0.5, 69.5), (0.9, 109.5), (0.99, 118.5)] {
-        let seen = report.written.value_at_quantile(share) as f64 / 1000.0;
+        let seen = report.latency_from_send_us.value_at_quantile(share) as f64 / 1000.0;
         // Whole milliseconds of the scripted delays lie one apart; the rest is the machine's.
         assert!((seen - truth).abs() < 0.02 * truth + 1.5, "p{share}: {seen} of {truth}");
     }
@@ -79,28 +79,31 @@
     let arrivals = Arrivals::new(Shape::Constant(300.0), 3.0, 1);
     let report = run(&load(vec![address], 2, 3.0), arrivals, &mut |n, _| format!("q{n}")).expect("a load");
     assert_eq!(report.completed, 901);
-    let (meant, written) = (report.meant.value_at_quantile(0.97), report.written.value_at_quantile(0.97));
+    let (meant, written) = (
+        report.latency_from_due_us.value_at_quantile(0.97),
+        report.latency_from_send_us.value_at_quantile(0.97),
+    );
     assert!(meant > 60_000, "{meant} us");
     assert!(written < 20_000, "{written} us");
-    assert!(report.meant.max() > 150_000);
+    assert!(report.latency_from_due_us.max() > 150_000);
 }
 
 #[test]
 fn what_is_not_answered_in_time_is_counted_and_holds_up_nobody() {
     let address = host(|n| Duration::from_millis(if n % 10 == 0 { 1500 } else { 1 }));
-    let load = Load { patience: 0.3, ..load(vec![address], 50, 2.0) };
+    let load = Load { timeout_s: 0.3, ..load(vec![address], 50, 2.0) };
     let arrivals = Arrivals::new(Shape::Poisson(200.0), 2.0, 3);
     let report = run(&load, arrivals, &mut |n, ms| format!("q{n} {ms}")).expect("a load");
     assert_eq!(report.completed + report.unanswered, report.asked);
     let share = report.unanswered as f64 / report.asked as f64;
     assert!((0.07..0.14).contains(&share), "{share}: one in ten is slow");
-    assert!(report.meant.value_at_quantile(0.9) < 50_000);
+    assert!(report.latency_from_due_us.value_at_quantile(0.9) < 50_000);
 }
 
 #[test]
 fn a_closed_loop_asks_as_fast_as_it_is_answered() {
     let address = host(|_| Duration::from_millis(10));
-    let load = Load { closed: true, ..load(vec![address], 8, 2.0) };
+    let load = Load { closed_loop: true, ..load(vec![address], 8, 2.0) };
     let report =
         run(&load, Arrivals::new(Shape::Poisson(1.0), 2.0, 1), &mut |n, _| format!("q{n}")).expect("a load");
     let rate = report.rate();
@@ -111,7 +114,7 @@
         run(&self::load(vec![nobody], 2, 0.2), Arrivals::new(Shape::Constant(20.0), 0.2, 1), &mut |_, _| {
             String::new()
         });
-    assert!(report.is_ok_and(|r| r.completed == 0 && r.broken > 0));
+    assert!(report.is_ok_and(|r| r.completed == 0 && r.broken_connections > 0));
 }
 
 #[test]
--- a/crates/sandstile-router/tests/many_hosts.rs
+++ b/crates/sandstile-router/tests/many_hosts.rs
@@ -60,7 +60,7 @@
     let plan = Plan { sockets: 160, clients, asks_each: Some(2), pause_ms: 0, ..few_requests };
     let outcome = outcome(&plan);
     let refused = |code: &Option<String>| code.as_deref() == Some("53300");
-    let refused_early = outcome.seen.requests.iter().filter(|request| match &request.end {
+    let refused_early = outcome.observations.requests.iter().filter(|request| match &request.end {
         End::Answered { code, at } => refused(code) && *at < request.written_at + 0.5 * request.wait,
         _ => false,
     });
@@ -83,12 +83,12 @@
     let little = Event::LittleProcessor { router: 0, ms: 6_500 };
     let events = vec![(Duration::from_secs(1), little), (Duration::from_secs(1), changes)];
     let outcome = outcome(&Plan { clients: 60, events, ..large_plan(length) });
-    let lost = outcome.seen.requests.iter().filter(|request| request.end == End::Silent).count();
+    let lost = outcome.observations.requests.iter().filter(|request| request.end == End::Silent).count();
     assert_eq!(lost, 0, "lost requests");
     let is_late_read =
         |r: &&sandstile_soak::record::Request| r.written_at > 7.0 && r.effect == Effect::Idempotent;
     assert!(
-        outcome.seen.requests.iter().any(|r| is_late_read(&r)),
+        outcome.observations.requests.iter().any(|r| is_late_read(&r)),
         "connections are still accepted at the end"
     );
     assert_clean(&outcome);
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -55,8 +55,10 @@
     let trace = Trace::read(&fs::read_to_string(out.join("trace.jsonl")).expect("no trace file"))
         .expect("malformed trace");
     let found = judge(&trace).expect("incomplete trace");
-    let violations: Vec<_> =
-        found.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
+    let violations: Vec<_> = found
+        .iter()
+        .filter(|f| f.rule.is_violation() && !f.description.contains("after its time was over"))
+        .collect();
     assert!(violations.is_empty(), "{violations:?}");
     let _ = fs::remove_dir_all(out);
     (agreement(&trace), trace)
@@ -64,7 +66,7 @@
 
 fn agreed_after_s(found: &Agreement, cause: &str) -> f64 {
     let epoch =
-        found.epochs.iter().find(|e| e.why.contains(cause)).unwrap_or_else(|| panic!("{cause}: {found}"));
+        found.epochs.iter().find(|e| e.change.contains(cause)).unwrap_or_else(|| panic!("{cause}: {found}"));
     epoch.agreed_after.unwrap_or_else(|| panic!("{cause}: {found}"))
 }
 
@@ -84,8 +86,8 @@
     );
     assert_eq!(found.false_deaths(), 0, "{found}");
     // While cut off, no router takes a larger share of the hosts.
-    assert_eq!(found.sharers, Some((4.0, 4.0)));
-    assert!(trace.sights.iter().any(|s| s.view == "cut off from some"));
+    assert_eq!(found.router_counts, Some((4.0, 4.0)));
+    assert!(trace.membership_samples.iter().any(|s| s.view == "cut off from some"));
 }
 
 #[test]
@@ -107,7 +109,7 @@
     assert!(agreed_after_s(&found, "killed") < 8.0, "{found}");
     assert!(agreed_after_s(&found, "stopped") < 8.0 && agreed_after_s(&found, "went on") < 4.0, "{found}");
     let back =
-        found.epochs.iter().skip(1).find(|e| e.why.contains("started")).expect("no return in the trace");
+        found.epochs.iter().skip(1).find(|e| e.change.contains("started")).expect("no return in the trace");
     assert!(back.agreed_after.is_some_and(|s| s < 4.0), "{found}");
     assert_eq!(found.false_deaths(), 0, "{found}");
 }
--- a/crates/sandstile-router/tests/rehearsal.rs
+++ b/crates/sandstile-router/tests/rehearsal.rs
@@ -97,12 +97,14 @@
     // If the machine stalls, clients see answers late, so late answers are ignored; any other finding is an
     // error.
     let findings = judge(&trace).expect("incomplete trace");
-    let violations: Vec<_> =
-        findings.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
+    let violations: Vec<_> = findings
+        .iter()
+        .filter(|f| f.rule.is_violation() && !f.description.contains("after its time was over"))
+        .collect();
     assert!(violations.is_empty(), "{violations:?}\n{}", summary.text);
     assert!(trace.statements.len() > 500, "{}", trace.statements.len());
     assert!(trace.primaries.len() > 1 && trace.routers.len() >= 8, "{}", summary.text);
-    let answered = trace.statements.values().filter(|s| !s.answered.is_empty()).count();
+    let answered = trace.statements.values().filter(|s| !s.answers.is_empty()).count();
     assert!(answered * 10 > trace.statements.len() * 8, "{}", summary.text);
     // The same trace with an additional execution of a write that ran.
     let ran = text
--- a/crates/sandstile-router/tests/replicated_state.rs
+++ b/crates/sandstile-router/tests/replicated_state.rs
@@ -1,7 +1,7 @@
 //! Replicated state among several router processes, with faults between them: short forms of the replication
 //! rehearsals.
 use sandstile_audit::probing::Search;
-use sandstile_audit::{copies, judge, own_reads, searches, Copies, OwnReads, Trace};
+use sandstile_audit::{judge, own_reads, searches, state_convergence, Convergence, OwnReads, Trace};
 use sandstile_lab::rehearse::{rehearse, Wanted};
 use sandstile_scenario::Script;
 use std::fs;
@@ -51,9 +51,9 @@
 }
 "#;
 
-fn copies_and_own_reads(name: &str, seconds: u32, cues: &str) -> (Copies, OwnReads) {
+fn copies_and_own_reads(name: &str, seconds: u32, cues: &str) -> (Convergence, OwnReads) {
     let trace = rehearse_fleet(name, &FLEET.replace("SECONDS", &seconds.to_string()), cues);
-    (copies(&trace), own_reads(&trace))
+    (state_convergence(&trace), own_reads(&trace))
 }
 
 fn rehearse_fleet(name: &str, fleet: &str, cues: &str) -> Trace {
@@ -65,17 +65,19 @@
     let trace = Trace::read(&fs::read_to_string(out.join("trace.jsonl")).expect("no trace file"))
         .expect("malformed trace");
     let found = judge(&trace).expect("incomplete trace");
-    let violations: Vec<_> =
-        found.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
+    let violations: Vec<_> = found
+        .iter()
+        .filter(|f| f.rule.is_violation() && !f.description.contains("after its time was over"))
+        .collect();
     assert!(violations.is_empty(), "{violations:?}");
     let _ = fs::remove_dir_all(out);
     trace
 }
 
-fn agreed_after_s(found: &Copies, cause: &str) -> f64 {
+fn agreed_after_s(found: &Convergence, cause: &str) -> f64 {
     let epoch =
-        found.epochs.iter().find(|e| e.why.contains(cause)).unwrap_or_else(|| panic!("{cause}: {found}"));
-    epoch.after.unwrap_or_else(|| panic!("{cause}: {found}"))
+        found.epochs.iter().find(|e| e.change.contains(cause)).unwrap_or_else(|| panic!("{cause}: {found}"));
+    epoch.after_s.unwrap_or_else(|| panic!("{cause}: {found}"))
 }
 
 /// Guards against lost writes after a restart with an old copy of the state, or with none. Both routers are
@@ -108,8 +110,8 @@
     for start in &found.starts {
         assert!(start.in_step_after.is_some_and(|s| s < 4.0), "{found}");
     }
-    let starts: Vec<_> = found.epochs.iter().skip(1).filter(|e| e.why.contains("started")).collect();
-    assert!(starts.iter().all(|e| e.after.is_some_and(|s| s < 5.0)), "{found}");
+    let starts: Vec<_> = found.epochs.iter().skip(1).filter(|e| e.change.contains("started")).collect();
+    assert!(starts.iter().all(|e| e.after_s.is_some_and(|s| s < 5.0)), "{found}");
 }
 
 /// During a partition both sides go on writing; after it, each has what the other wrote.
--- a/crates/sandstile-router/tests/returns.rs
+++ b/crates/sandstile-router/tests/returns.rs
@@ -1,6 +1,6 @@
 //! Several router processes with faults between them: short forms of the rehearsals of restarts.
-use sandstile_audit::returning::Returning;
-use sandstile_audit::{judge, returning, Trace};
+use sandstile_audit::returning::Recovery;
+use sandstile_audit::{judge, recovery, Trace};
 use sandstile_lab::rehearse::{rehearse, Wanted};
 use sandstile_scenario::Script;
 use std::path::{Path, PathBuf};
@@ -59,7 +59,7 @@
 
 struct Rehearsal {
     trace: Trace,
-    back: Returning,
+    back: Recovery,
     text: String,
     out: PathBuf,
 }
@@ -81,10 +81,12 @@
         Trace::read(&std::fs::read_to_string(out.join("trace.jsonl")).expect("a trace")).expect("lines");
     // On a machine that stalls for a while answers are seen late; no other finding is allowed.
     let found = judge(&trace).expect("a whole trace");
-    let broken: Vec<_> =
-        found.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
+    let broken: Vec<_> = found
+        .iter()
+        .filter(|f| f.rule.is_violation() && !f.description.contains("after its time was over"))
+        .collect();
     assert!(broken.is_empty(), "{broken:?}\n{}", summary.text);
-    let back = returning(&trace);
+    let back = recovery(&trace);
     Rehearsal { trace, back, text: summary.text, out }
 }
 
@@ -103,11 +105,11 @@
     let rehearsal = play("all", "10", "answers", cues);
     let starts = rehearsal.trace.routers.iter().filter(|(_, _, s)| format!("{s:?}") == "Started").count();
     assert_eq!(starts, 8, "{}", rehearsal.text);
-    let recovery_time = rehearsal.back.whole_after().expect("a cue");
+    let recovery_time = rehearsal.back.service_recovery_s().expect("a cue");
     assert!(recovery_time < 6.0, "{recovery_time}\n{}", rehearsal.text);
     let log = std::fs::read_to_string(rehearsal.out.join("router-0.log")).expect("its log");
     assert!(log.contains(" dials_held=") && !log.contains(" dials_held=0 "), "no dial waited: {log}");
-    let dials = rehearsal.back.worst("dials").expect("dials").most;
+    let dials = rehearsal.back.worst("dials").expect("dials").max;
     assert!(dials <= 16.0, "{dials} dials at a host in 100 ms\n{}", rehearsal.text);
 }
 
@@ -131,13 +133,12 @@
 "#;
     let paced = play("paced", "80", "answers", cues);
     let completed_share = |p: &Rehearsal| {
-        let begin = p.trace.terms.as_ref().expect("terms").begin;
-        let asked_late = |s: &&sandstile_audit::trace::Statement| {
-            s.asked.as_ref().is_some_and(|a| a.intended > begin + 9.0)
-        };
+        let begin = p.trace.settings.as_ref().expect("terms").begin;
+        let asked_late =
+            |s: &&sandstile_audit::trace::Statement| s.request.as_ref().is_some_and(|a| a.due > begin + 9.0);
         let all: Vec<_> = p.trace.statements.values().filter(asked_late).collect();
         let completed = all.iter().filter(|s| {
-            s.answered.iter().any(|(_, a)| matches!(a, sandstile_audit::trace::Answered::Completed { .. }))
+            s.answers.iter().any(|(_, a)| matches!(a, sandstile_audit::trace::FinalAnswer::Completed { .. }))
         });
         completed.count() as f64 / all.len().max(1) as f64
     };
@@ -173,8 +174,13 @@
 }
 "#;
     let rehearsal = play("still", "1", "answers", cues);
-    assert!(rehearsal.trace.stood_still(2, 0.0, f64::INFINITY) && !rehearsal.trace.links.is_empty());
-    assert!(rehearsal.back.stale.is_empty(), "{:?}\n{}", rehearsal.back.stale, rehearsal.text);
+    assert!(rehearsal.trace.was_stopped(2, 0.0, f64::INFINITY) && !rehearsal.trace.link_faults.is_empty());
+    assert!(
+        rehearsal.back.stale_decisions.is_empty(),
+        "{:?}\n{}",
+        rehearsal.back.stale_decisions,
+        rehearsal.text
+    );
     let log = std::fs::read_to_string(rehearsal.out.join("router-2.log")).expect("its log");
     // At least once: a stall of the machine itself is detected too.
     assert!(log.contains("stood still for") && !log.contains(" stalls=0 "), "{log}");
--- a/crates/sandstile-router/tests/system_calls.rs
+++ b/crates/sandstile-router/tests/system_calls.rs
@@ -67,11 +67,11 @@
     answered_under(
         "interrupted",
         &[
-            Rule::fails(Call::Recv, EINTR).chance(0.5),
-            Rule::fails(Call::Send, EINTR).chance(0.5),
-            Rule::fails(Call::Peek, EINTR).chance(0.5),
-            Rule::fails(Call::EpollWait, EINTR).chance(0.5),
-            Rule::fails(Call::Poll, EINTR).chance(0.3),
+            Rule::fails(Call::Recv, EINTR).probability(0.5),
+            Rule::fails(Call::Send, EINTR).probability(0.5),
+            Rule::fails(Call::Peek, EINTR).probability(0.5),
+            Rule::fails(Call::EpollWait, EINTR).probability(0.5),
+            Rule::fails(Call::Poll, EINTR).probability(0.3),
         ],
     );
 }
@@ -79,16 +79,16 @@
 /// A read that returns EAGAIN although bytes are there is repeated within a bounded time.
 #[test]
 fn spurious_would_block_results_are_rechecked() {
-    answered_under("reads", &[Rule::fails(Call::Recv, EAGAIN).chance(0.4)]);
-    answered_under("writes", &[Rule::fails(Call::Send, EAGAIN).chance(0.4)]);
-    answered_under("accepts", &[Rule::fails(Call::Accept, EAGAIN).chance(0.6)]);
+    answered_under("reads", &[Rule::fails(Call::Recv, EAGAIN).probability(0.4)]);
+    answered_under("writes", &[Rule::fails(Call::Send, EAGAIN).probability(0.4)]);
+    answered_under("accepts", &[Rule::fails(Call::Accept, EAGAIN).probability(0.6)]);
 }
 
 /// A call that fails for lack of memory closes no connection.
 #[test]
 fn out_of_memory_errors_of_reads_and_writes_close_no_connection() {
-    let reads = Rule::fails(Call::Recv, ENOMEM).chance(0.3);
-    answered_under("short", &[reads, Rule::fails(Call::Send, ENOBUFS).chance(0.3)]);
+    let reads = Rule::fails(Call::Recv, ENOMEM).probability(0.3);
+    answered_under("short", &[reads, Rule::fails(Call::Send, ENOBUFS).probability(0.3)]);
 }
 
 /// No error of `accept` proves that the listen queue is empty.
@@ -100,7 +100,7 @@
     for (errno, probability) in transient.into_iter().chain(out_of_memory) {
         let log = answered_under(
             &format!("accept {errno}"),
-            &[Rule::fails(Call::Accept, errno).chance(probability)],
+            &[Rule::fails(Call::Accept, errno).probability(probability)],
         );
         assert!(count(&log, "accept_errors") > 0, "{errno}: no call failed: {log}");
     }
@@ -122,7 +122,7 @@
         statement_survives(format!("connect {errno}"), rule, &primary);
     }
     for errno in [ENOBUFS, ENFILE, EMFILE, ENOMEM] {
-        let rule = Rule::fails(Call::Socket, errno).chance(0.7);
+        let rule = Rule::fails(Call::Socket, errno).probability(0.7);
         statement_survives(format!("socket {errno}"), rule, &Host::start(true));
     }
 }
@@ -144,7 +144,7 @@
 #[test]
 fn a_connection_that_cannot_be_set_up_at_once_is_not_dropped() {
     answered_under("registration", &[Rule::fails(Call::EpollAdd, ENOMEM).after(3).times(4)]);
-    answered_under("options", &[Rule::fails(Call::SetSockOpt, ENOBUFS).chance(0.8)]);
+    answered_under("options", &[Rule::fails(Call::SetSockOpt, ENOBUFS).probability(0.8)]);
 }
 
 /// A write that breaks before its last byte never ran; one whose last byte was accepted may have run.
@@ -194,8 +194,8 @@
 /// A failed wake-up between threads is repeated.
 #[test]
 fn a_failed_wake_up_ends_no_router() {
-    answered_under("interrupted", &[Rule::fails(Call::WakeWrite, EINTR).chance(0.7)]);
-    answered_under("short of memory", &[Rule::fails(Call::WakeWrite, ENOMEM).chance(0.3)]);
+    answered_under("interrupted", &[Rule::fails(Call::WakeWrite, EINTR).probability(0.7)]);
+    answered_under("short of memory", &[Rule::fails(Call::WakeWrite, ENOMEM).probability(0.3)]);
 }
 
 /// An address that is still in use, or a machine that is short of sockets, delays a start but doesn't fail it.
--- a/crates/sandstile-shim/src/lib.rs
+++ b/crates/sandstile-shim/src/lib.rs
@@ -7,7 +7,7 @@
 use std::process::Command;
 
 /// The variable in which the preloaded library finds its rules.
-pub const RULES: &str = "SANDSTILE_SHIM";
+pub const RULES_VARIABLE: &str = "SANDSTILE_SHIM";
 const LIBRARY: &str = "libsandstile_shim.so";
 
 /// A system call that rules can name.
@@ -130,7 +130,7 @@
     }
 
     /// Applies with this probability, 0 to 1.
-    pub fn chance(self, chance: f64) -> Rule {
+    pub fn probability(self, chance: f64) -> Rule {
         Rule { chance, ..self }
     }
 
@@ -180,7 +180,7 @@
 impl Plan {
     /// Has `command` start its program under these rules, with the library at `library`.
     pub fn apply(&self, command: &mut Command, library: &Path) {
-        command.env("LD_PRELOAD", library).env(RULES, self.to_string());
+        command.env("LD_PRELOAD", library).env(RULES_VARIABLE, self.to_string());
     }
 }
 
--- a/crates/sandstile-soak/src/client.rs
+++ b/crates/sandstile-soak/src/client.rs
@@ -22,7 +22,7 @@
     pub address: SocketAddr,
     /// New connections come only while this holds.
     pub open: AtomicBool,
-    pub life: AtomicUsize,
+    pub generation: AtomicUsize,
 }
 
 /// Where a session's last write in each group stands in that group's log.
@@ -31,7 +31,7 @@
 struct Connection {
     stream: TcpStream,
     router: usize,
-    life: usize,
+    generation: usize,
     fresh: bool,
     buf: Vec<u8>,
 }
@@ -86,7 +86,13 @@
         }
         let stream = TcpStream::connect_timeout(&endpoint.address, Duration::from_millis(500)).ok()?;
         stream.set_nodelay(true).ok()?;
-        Some(Connection { stream, router, life: endpoint.life.load(SeqCst), fresh: true, buf: Vec::new() })
+        Some(Connection {
+            stream,
+            router,
+            generation: endpoint.generation.load(SeqCst),
+            fresh: true,
+            buf: Vec::new(),
+        })
     }
 
     /// One statement; `true` where the connection goes on.
@@ -123,7 +129,7 @@
             *last = position.max(*last);
         }
         let goes_on = matches!(&end, End::Answered { .. });
-        let (router, life, fresh) = (open.router, open.life, open.fresh);
+        let (router, life, fresh) = (open.router, open.generation, open.fresh);
         open.fresh = false;
         let id = id.to_string();
         self.recorder.request(Request {
--- a/crates/sandstile-soak/src/host.rs
+++ b/crates/sandstile-soak/src/host.rs
@@ -27,7 +27,7 @@
 }
 
 /// What all members of a group share: which deduplicated statements ran when.
-pub type Repeats = Arc<Mutex<BTreeMap<String, f64>>>;
+pub type ExecutedStatements = Arc<Mutex<BTreeMap<String, f64>>>;
 
 struct Inner {
     number: usize,
@@ -38,7 +38,7 @@
     work: Duration,
     pieces: bool,
     faults: Mutex<ActiveFaults>,
-    repeats: Repeats,
+    repeats: ExecutedStatements,
     recorder: Recorder,
 }
 
@@ -52,7 +52,7 @@
         number: usize,
         address: SocketAddr,
         plan: &Plan,
-        repeats: Repeats,
+        repeats: ExecutedStatements,
         recorder: Recorder,
     ) -> Host {
         Host(Arc::new(Inner {
--- a/crates/sandstile-soak/src/judge.rs
+++ b/crates/sandstile-soak/src/judge.rs
@@ -1,7 +1,7 @@
 //! Holds what was seen against the rules. Pure: it reads records and says which rule was broken by what.
 use crate::client::GRACE_S;
-use crate::plan::{Event, Plan, COLD_FROM, COLD_S, KILL_AFTER};
-use crate::record::{Arrival, Effect, End, Happened, Request, Seen};
+use crate::plan::{Event, Plan, COLD_INITIAL_SHARE, COLD_S, KILL_AFTER};
+use crate::record::{Arrival, Effect, End, Happened, Observations, Request};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -74,9 +74,9 @@
 
 type Lives = BTreeMap<(usize, usize), Life>;
 
-fn lives(seen: &Seen) -> Lives {
+fn lives(observations: &Observations) -> Lives {
     let mut lives = Lives::new();
-    for (at, what) in &seen.happened {
+    for (at, what) in &observations.happened {
         match what {
             Happened::Terminated { router, life } => {
                 lives.entry((*router, *life)).or_default().terminated_at = Some(*at)
@@ -91,26 +91,26 @@
 }
 
 /// All breaches of a run.
-pub fn judge(plan: &Plan, seen: &Seen) -> Vec<Finding> {
-    let lives = lives(seen);
+pub fn judge(plan: &Plan, observations: &Observations) -> Vec<Finding> {
+    let lives = lives(observations);
     let mut arrivals: BTreeMap<&str, Vec<&Arrival>> = BTreeMap::new();
-    for arrival in &seen.arrivals {
+    for arrival in &observations.arrivals {
         arrivals.entry(&arrival.id).or_default().push(arrival);
     }
     let mut found = Vec::new();
-    for request in &seen.requests {
+    for request in &observations.requests {
         let attempts = arrivals.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
-        found.extend(lost(request, attempts.len(), &lives, seen));
-        found.extend(after_leaving(request, attempts, seen));
-        found.extend(deadline(request, attempts, seen));
+        found.extend(lost(request, attempts.len(), &lives, observations));
+        found.extend(after_leaving(request, attempts, observations));
+        found.extend(deadline(request, attempts, observations));
         found.extend(duplicate(request, attempts));
         found.extend(stale(request));
-        found.extend(unattempted(plan, request, attempts.len(), seen));
+        found.extend(unattempted(plan, request, attempts.len(), observations));
     }
-    found.extend(drain(seen));
-    found.extend(slow_start(plan, seen));
-    found.extend(processes(seen, &lives));
-    found.extend(service(seen));
+    found.extend(drain(observations));
+    found.extend(slow_start(plan, observations));
+    found.extend(processes(observations, &lives));
+    found.extend(service(observations));
     found
 }
 
@@ -119,8 +119,8 @@
 }
 
 /// The slack of what went on between two times: where this process itself woke late, so much more.
-fn slack(seen: &Seen, from: f64, until: f64) -> f64 {
-    let near = seen.stalls.iter().filter(|(at, _)| (from - NEAR_S..until + NEAR_S).contains(at));
+fn slack(observations: &Observations, from: f64, until: f64) -> f64 {
+    let near = observations.stalls.iter().filter(|(at, _)| (from - NEAR_S..until + NEAR_S).contains(at));
     SLACK_S + near.map(|(_, late)| *late).fold(0.0, f64::max)
 }
 
@@ -133,8 +133,8 @@
         && killed >= request.written_at - SLACK_S
 }
 
-fn crowded(request: &Request, seen: &Seen) -> bool {
-    seen.happened.iter().any(|(at, what)| match what {
+fn crowded(request: &Request, observations: &Observations) -> bool {
+    observations.happened.iter().any(|(at, what)| match what {
         Happened::Applied(Event::Crowd { router, .. }) => {
             *router == request.router && (*at..at + 4.0).contains(&request.written_at)
         }
@@ -142,15 +142,15 @@
     })
 }
 
-fn lost(request: &Request, attempts: usize, lives: &Lives, seen: &Seen) -> Option<Finding> {
+fn lost(request: &Request, attempts: usize, lives: &Lives, observations: &Observations) -> Option<Finding> {
     let due = request.written_at + request.wait + GRACE_S;
-    let slack = slack(seen, request.written_at, due);
+    let slack = slack(observations, request.written_at, due);
     let (ended_at, how) = match &request.end {
         End::Left { .. } => return None,
         End::Answered { at, .. } if *at <= due + slack => return None,
         End::Answered { at, .. } => (*at, "answered too late"),
         End::Closed { at } if !request.fresh && *at < request.written_at + CROSSING_S => return None,
-        End::Closed { at } if request.fresh && crowded(request, seen) => {
+        End::Closed { at } if request.fresh && crowded(request, observations) => {
             // New connections may be shut unread while a crowd fills the descriptors.
             let _ = at;
             return None;
@@ -165,9 +165,14 @@
     finding(Rule::Lost, format!("{how} at {ended_at:.3}, {attempts} attempts: {request:?}"))
 }
 
-fn unattempted(plan: &Plan, request: &Request, attempts: usize, seen: &Seen) -> Option<Finding> {
+fn unattempted(
+    plan: &Plan,
+    request: &Request,
+    attempts: usize,
+    observations: &Observations,
+) -> Option<Finding> {
     let End::Answered { code: Some(code), at } = &request.end else { return None };
-    let woke_late = slack(seen, request.written_at, *at) - SLACK_S;
+    let woke_late = slack(observations, request.written_at, *at) - SLACK_S;
     let waited = at - request.written_at - woke_late;
     if !plan.is_healthy() || attempts > 0 || waited <= request.wait / 2.0 {
         return None;
@@ -175,21 +180,22 @@
     finding(Rule::Unattempted, format!("{code} after {waited:.3} s with no attempt: {request:?}"))
 }
 
-fn after_leaving(request: &Request, attempts: &[&Arrival], seen: &Seen) -> Option<Finding> {
+fn after_leaving(request: &Request, attempts: &[&Arrival], observations: &Observations) -> Option<Finding> {
     let End::Left { at } = request.end else { return None };
-    let late = attempts.iter().find(|a| a.at > at + AFTER_LEAVING_S + slack(seen, at, a.at))?;
+    let late = attempts.iter().find(|a| a.at > at + AFTER_LEAVING_S + slack(observations, at, a.at))?;
     finding(
         Rule::AfterLeaving,
         format!("at host {} {:.3} s after its client left: {request:?}", late.host, late.at - at),
     )
 }
 
-fn deadline(request: &Request, attempts: &[&Arrival], seen: &Seen) -> Option<Finding> {
+fn deadline(request: &Request, attempts: &[&Arrival], observations: &Observations) -> Option<Finding> {
     let end = request.written_at + request.wait;
     let over = attempts.iter().find_map(|a| {
         let told = a.told?;
         let left = (end - a.at).max(0.0);
-        let most = left + DEADLINE_SLACK_S + HOLD_UP_S + slack(seen, request.written_at, a.at) - SLACK_S;
+        let most =
+            left + DEADLINE_SLACK_S + HOLD_UP_S + slack(observations, request.written_at, a.at) - SLACK_S;
         (told > most).then_some((told, left))
     });
     let (told, left) = over?;
@@ -221,24 +227,27 @@
 }
 
 /// From when a drain has to be heeded by all.
-fn heeded_at(told: f64, seen: &Seen) -> f64 {
-    let troubled = seen.happened.iter().any(|(at, what)| {
+fn heeded_at(told: f64, observations: &Observations) -> f64 {
+    let troubled = observations.happened.iter().any(|(at, what)| {
         let trouble = matches!(what, Happened::Applied(Event::AgentSilent { .. } | Event::AgentReset));
         let starts = matches!(what, Happened::Started { .. });
         (trouble || starts) && (at - told).abs() < TOLD_S
     });
-    told + if troubled { TOLD_S } else { HOLD_UP_S } + SLACK_S + slack(seen, told, told)
+    told + if troubled { TOLD_S } else { HOLD_UP_S } + SLACK_S + slack(observations, told, told)
 }
 
-fn drain(seen: &Seen) -> Vec<Finding> {
+fn drain(observations: &Observations) -> Vec<Finding> {
     let mut found = Vec::new();
-    for (told, what) in &seen.happened {
+    for (told, what) in &observations.happened {
         let Happened::HostDrains { host } = what else { continue };
-        let back = seen.happened.iter().find(|(at, w)| at > told && *w == Happened::HostCold { host: *host });
+        let back = observations
+            .happened
+            .iter()
+            .find(|(at, w)| at > told && *w == Happened::HostCold { host: *host });
         let until = back.map_or(f64::INFINITY, |(at, _)| *at);
-        let from = heeded_at(*told, seen);
+        let from = heeded_at(*told, observations);
         let sent = |a: &&Arrival| a.host == *host && a.at > from && a.at < until;
-        if let Some(arrival) = seen.arrivals.iter().find(sent) {
+        if let Some(arrival) = observations.arrivals.iter().find(sent) {
             let what = format!("{:.3} s after host {host} was told to drain: {arrival:?}", arrival.at - told);
             found.push(Finding { rule: Rule::Drain, what });
         }
@@ -246,17 +255,18 @@
     found
 }
 
-fn slow_start(plan: &Plan, seen: &Seen) -> Vec<Finding> {
+fn slow_start(plan: &Plan, observations: &Observations) -> Vec<Finding> {
     let mut found = Vec::new();
-    for (told, what) in &seen.happened {
+    for (told, what) in &observations.happened {
         let Happened::HostCold { host } = what else { continue };
         let span = *told..told + COLD_S;
-        let arrived =
-            |h: usize| seen.arrivals.iter().filter(|a| a.host == h && span.contains(&a.at)).count() as f64;
+        let arrived = |h: usize| {
+            observations.arrivals.iter().filter(|a| a.host == h && span.contains(&a.at)).count() as f64
+        };
         // A cold host falls at twice what it can do; a warm one can do at least what the busiest was sent, which is
         // the primary where other replicas are out.
         let busiest = (0..plan.hosts).filter(|h| h != host).map(arrived).fold(0.0, f64::max);
-        let share = (1.0 + COLD_FROM) / 2.0;
+        let share = (1.0 + COLD_INITIAL_SHARE) / 2.0;
         let n = (2.0 * share * busiest).max(1.0);
         let most = n + if n < 30.0 { 3.0 * n.sqrt() + 3.0 } else { 2.0 * n.sqrt() + 2.0 };
         let got = arrived(*host);
@@ -268,9 +278,9 @@
     found
 }
 
-fn processes(seen: &Seen, lives: &Lives) -> Vec<Finding> {
+fn processes(observations: &Observations, lives: &Lives) -> Vec<Finding> {
     let mut found = Vec::new();
-    for (at, what) in &seen.happened {
+    for (at, what) in &observations.happened {
         let broken = match what {
             Happened::Ended { router, life, code } => {
                 let told = lives.get(&(*router, *life)).and_then(|l| l.terminated_at);
@@ -289,8 +299,8 @@
     found
 }
 
-fn service(seen: &Seen) -> Option<Finding> {
-    let reads = || seen.requests.iter().filter(|r| r.effect == Effect::Idempotent);
+fn service(observations: &Observations) -> Option<Finding> {
+    let reads = || observations.requests.iter().filter(|r| r.effect == Effect::Idempotent);
     let served = reads().filter(|r| matches!(r.end, End::Answered { code: None, .. })).count();
     let all = reads().count();
     if all > 0 && served as f64 >= LEAST_SERVED * all as f64 {
--- a/crates/sandstile-soak/src/plan.rs
+++ b/crates/sandstile-soak/src/plan.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 /// The longest deadline that clients of a soak give, in milliseconds.
-pub const LONGEST_DEADLINE_MS: u64 = 1000;
+pub const MAX_DEADLINE_MS: u64 = 1000;
 /// SIGKILL comes so long after SIGTERM: the longest deadline and 0.7 s.
-pub const KILL_AFTER: Duration = Duration::from_millis(LONGEST_DEADLINE_MS + 700);
+pub const KILL_AFTER: Duration = Duration::from_millis(MAX_DEADLINE_MS + 700);
 /// The port of database hosts, and of nobody else that a router dials.
 pub const HOST_PORT: u16 = 5433;
 /// Seconds in which a start counts as cold, and the share of its capacity that a host has right after it.
 pub const COLD_S: f64 = 2.0;
-pub const COLD_FROM: f64 = 0.2;
+pub const COLD_INITIAL_SHARE: f64 = 0.2;
 
 /// What happens to a host, discovery or a router.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -278,13 +278,13 @@
         rules.push(Rule::new(Call::WallClock, Fault::StepMs(ms)).between(from, u64::MAX));
     }
     if draw.one_in(3) {
-        rules.push(Rule::new(Call::Send, Fault::HoldMs(draw.between(20, 150))).chance(0.002));
+        rules.push(Rule::new(Call::Send, Fault::HoldMs(draw.between(20, 150))).probability(0.002));
     }
     if draw.one_in(2) {
         // On links to hosts alone: a client whose connection dies like that waits for no answer.
         let errno = draw.pick(&[ETIMEDOUT, EHOSTUNREACH, ECONNRESET]);
         let call = draw.pick(&[Call::Recv, Call::Send]);
-        rules.push(Rule::fails(call, errno).chance(0.01).port(HOST_PORT));
+        rules.push(Rule::fails(call, errno).probability(0.01).port(HOST_PORT));
     }
     if lasting {
         rules.extend(disk(draw, length_ms));
@@ -311,7 +311,7 @@
         13 => Rule::fails(Call::EpollAdd, draw.pick(&[ENOMEM, ENOSPC])),
         _ => Rule::fails(Call::LogWrite, draw.pick(&[ENOSPC, EIO])),
     };
-    plain.chance(chance)
+    plain.probability(chance)
 }
 
 /// A disk that takes nothing for a while.
--- a/crates/sandstile-soak/src/process.rs
+++ b/crates/sandstile-soak/src/process.rs
@@ -1,6 +1,6 @@
 //! One router as a process of its own, under a shim, in one life after the other.
 use crate::host::DEDUP_WINDOW_S;
-use crate::plan::{Plan, COLD_FROM, COLD_S, LONGEST_DEADLINE_MS};
+use crate::plan::{Plan, COLD_INITIAL_SHARE, COLD_S, MAX_DEADLINE_MS};
 use crate::record::{Happened, Recorder};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -22,7 +22,7 @@
 /// A router's process.
 pub struct Router {
     number: usize,
-    pub life: usize,
+    pub generation: usize,
     pub address: SocketAddr,
     child: Child,
     log: PathBuf,
@@ -34,14 +34,14 @@
     let guards = if plan.lasting { "off" } else { "reject" };
     let class = |name: &str, effect: &str| {
         format!(
-            r#"{{"name":"{name}","aimMs":300,"deadlineMs":{LONGEST_DEADLINE_MS},"credit":1.0,"lateWorth":0.3,"effect":"{effect}","dedupScope":"group","windowMs":{}}}"#,
+            r#"{{"name":"{name}","aimMs":300,"deadlineMs":{MAX_DEADLINE_MS},"credit":1.0,"lateWorth":0.3,"effect":"{effect}","dedupScope":"group","windowMs":{}}}"#,
             DEDUP_WINDOW_S * 1e3
         )
     };
     format!(
         r#"{{"classes":[{},{},{},{}],"peersTotal":{},"tickMs":5.0,"discovery":"pushed",
         "allowed":{{"mostTries":4,"mayCancel":true,"probes":true,"retryAfter":true,"maxRetryAfterMs":200.0,"dialTimeoutMs":250.0,"idleCloseMs":30000.0}},
-        "rules":{{"coldFrom":{COLD_FROM},"coldMs":{},"tipMultiple":2.0}},
+        "rules":{{"coldFrom":{COLD_INITIAL_SHARE},"coldMs":{},"tipMultiple":2.0}},
         "specifics":{{"consistency":["loose","update","update","own_writes"],"maxAgeMs":[0.0,0.0,0.0,0.0],"guards":"{guards}","answersStamped":true,"tokens":"router"}}}}"#,
         class("look", "idempotent"),
         class("book", "at_most_once"),
@@ -82,7 +82,7 @@
         plan.shims[number].apply(&mut command, &programs.shim);
         let child = command.spawn()?;
         recorder.happened(Happened::Started { router: number, life });
-        Ok(Router { number, life, address, child, log, recorder: recorder.clone() })
+        Ok(Router { number, generation: life, address, child, log, recorder: recorder.clone() })
     }
 
     /// Sends a signal to the process, if it is still there.
@@ -91,7 +91,7 @@
     }
 
     pub fn terminate(&self) {
-        self.recorder.happened(Happened::Terminated { router: self.number, life: self.life });
+        self.recorder.happened(Happened::Terminated { router: self.number, life: self.generation });
         self.signal(Signal::SIGTERM);
     }
 
@@ -99,7 +99,7 @@
     pub fn has_ended(&mut self) -> bool {
         match self.child.try_wait() {
             Ok(Some(status)) => {
-                let (router, life, code) = (self.number, self.life, status.code());
+                let (router, life, code) = (self.number, self.generation, status.code());
                 self.recorder.happened(Happened::Ended { router, life, code });
                 true
             }
@@ -109,7 +109,7 @@
 
     /// SIGKILL.
     pub fn kill(&mut self) {
-        let (router, life) = (self.number, self.life);
+        let (router, life) = (self.number, self.generation);
         self.recorder.happened(Happened::Killed { router, life });
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -121,7 +121,7 @@
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kilobytes = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
         if let Some(kilobytes) = kilobytes {
-            let (router, life) = (self.number, self.life);
+            let (router, life) = (self.number, self.generation);
             self.recorder.happened(Happened::Memory { router, life, kilobytes });
         }
     }
@@ -131,7 +131,7 @@
         let text = fs::read(&self.log).unwrap_or_default();
         let text = String::from_utf8_lossy(&text).into_owned();
         if let Some(line) = text.lines().find(|line| line.contains("panicked at")) {
-            let (router, life) = (self.number, self.life);
+            let (router, life) = (self.number, self.generation);
             self.recorder.happened(Happened::Panicked { router, life, line: line.to_string() });
         }
     }
--- a/crates/sandstile-soak/src/record.rs
+++ b/crates/sandstile-soak/src/record.rs
@@ -110,7 +110,7 @@
 
 /// All that was seen.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     pub requests: Vec<Request>,
     pub arrivals: Vec<Arrival>,
     pub happened: Vec<(f64, Happened)>,
@@ -122,13 +122,13 @@
 #[derive(Clone)]
 pub struct Recorder {
     began: Instant,
-    seen: Arc<Mutex<Seen>>,
+    observations: Arc<Mutex<Observations>>,
     over: Arc<AtomicBool>,
 }
 
 impl Recorder {
     pub fn begin() -> Recorder {
-        Recorder { began: Instant::now(), seen: Arc::default(), over: Arc::default() }
+        Recorder { began: Instant::now(), observations: Arc::default(), over: Arc::default() }
     }
 
     /// Seconds since the run began.
@@ -136,21 +136,21 @@
         self.began.elapsed().as_secs_f64()
     }
 
-    fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().expect("no thread panics under the lock")
+    fn observations(&self) -> MutexGuard<'_, Observations> {
+        self.observations.lock().expect("no thread panics under the lock")
     }
 
     pub fn request(&self, request: Request) {
-        self.seen().requests.push(request);
+        self.observations().requests.push(request);
     }
 
     pub fn arrival(&self, arrival: Arrival) {
-        self.seen().arrivals.push(arrival);
+        self.observations().arrivals.push(arrival);
     }
 
     pub fn happened(&self, what: Happened) {
         let at = self.now();
-        self.seen().happened.push((at, what));
+        self.observations().happened.push((at, what));
     }
 
     /// Notes how late this process wakes, until the run is over.
@@ -161,7 +161,7 @@
             let late = self.now() - due;
             if late > LEAST_STALL_S {
                 let at = self.now();
-                self.seen().stalls.push((at, late));
+                self.observations().stalls.push((at, late));
             }
         }
     }
@@ -176,7 +176,7 @@
     }
 
     /// Takes all that was seen.
-    pub fn take(&self) -> Seen {
-        std::mem::take(&mut *self.seen())
+    pub fn take(&self) -> Observations {
+        std::mem::take(&mut *self.observations())
     }
 }
--- a/crates/sandstile-soak/src/run.rs
+++ b/crates/sandstile-soak/src/run.rs
@@ -2,11 +2,11 @@
 use crate::acceptor::Acceptor;
 use crate::agent::Agent;
 use crate::client::{Client, Endpoint};
-use crate::host::{Host, Repeats};
+use crate::host::{ExecutedStatements, Host};
 use crate::judge::{judge, Finding};
 use crate::plan::{Event, Plan, HOST_PORT, KILL_AFTER};
 use crate::process::{Programs, Router};
-use crate::record::{Effect, End, Happened, Recorder, Request, Seen};
+use crate::record::{Effect, End, Happened, Observations, Recorder, Request};
 use nix::sys::signal::Signal;
 use sandstile_pgwire as pg;
 use std::io::{self, Read, Write};
@@ -31,16 +31,17 @@
 /// What a run came to.
 #[derive(Debug)]
 pub struct Outcome {
-    pub seen: Seen,
+    pub observations: Observations,
     pub findings: Vec<Finding>,
 }
 
 impl Outcome {
     /// What happened to processes and hosts, and each request that was not served, in the order of their times.
     pub fn timeline(&self) -> String {
-        let happened = self.seen.happened.iter().map(|(at, what)| (*at, format!("{what:?}")));
+        let happened = self.observations.happened.iter().map(|(at, what)| (*at, format!("{what:?}")));
         let unserved = |r: &&Request| !matches!(r.end, End::Answered { code: None, .. });
-        let requests = self.seen.requests.iter().filter(unserved).map(|r| (r.written_at, format!("{r:?}")));
+        let requests =
+            self.observations.requests.iter().filter(unserved).map(|r| (r.written_at, format!("{r:?}")));
         let mut lines: Vec<(f64, String)> = happened.chain(requests).collect();
         lines.sort_by(|one, other| one.0.total_cmp(&other.0));
         lines.iter().map(|(at, line)| format!("{at:.3} {line}\n")).collect()
@@ -48,16 +49,17 @@
 
     /// One line of counts.
     pub fn summary(&self) -> String {
-        let count = |is: fn(&End) -> bool| self.seen.requests.iter().filter(|r| is(&r.end)).count();
+        let count = |is: fn(&End) -> bool| self.observations.requests.iter().filter(|r| is(&r.end)).count();
         let served = count(|e| matches!(e, End::Answered { code: None, .. }));
         let refused = count(|e| matches!(e, End::Answered { code: Some(_), .. }));
         let crossed = count(|e| matches!(e, End::Closed { .. }));
-        let writes = self.seen.requests.iter().filter(|r| r.effect != Effect::Idempotent).count();
-        let lives = self.seen.happened.iter().filter(|(_, w)| matches!(w, Happened::Started { .. })).count();
+        let writes = self.observations.requests.iter().filter(|r| r.effect != Effect::Idempotent).count();
+        let lives =
+            self.observations.happened.iter().filter(|(_, w)| matches!(w, Happened::Started { .. })).count();
         format!(
             "{} requests ({writes} writes), {served} served, {refused} refused or failed, {crossed} closed, {} executions, {lives} lives, {} broken",
-            self.seen.requests.len(),
-            self.seen.arrivals.len(),
+            self.observations.requests.len(),
+            self.observations.arrivals.len(),
             self.findings.len(),
         )
     }
@@ -141,15 +143,15 @@
     (0..plan.routers).for_each(|number| fleet.end(number));
     fleet.recorder.end();
     thread::sleep(LET_GO);
-    let seen = fleet.recorder.take();
-    let findings = judge(plan, &seen);
-    Ok(Outcome { seen, findings })
+    let observations = fleet.recorder.take();
+    let findings = judge(plan, &observations);
+    Ok(Outcome { observations, findings })
 }
 
 impl Fleet {
     fn set(plan: &Plan, programs: &Programs, block: u16) -> io::Result<Fleet> {
         let recorder = Recorder::begin();
-        let repeats = Repeats::default();
+        let repeats = ExecutedStatements::default();
         let host = |n| {
             let at = host_address(block, plan.hosts, n);
             Host::new(n, at, plan, repeats.clone(), recorder.clone())
@@ -163,7 +165,7 @@
         let endpoint = |n| Endpoint {
             address: address(block, ROUTERS, n),
             open: AtomicBool::new(false),
-            life: AtomicUsize::new(0),
+            generation: AtomicUsize::new(0),
         };
         let endpoints = Arc::new((0..plan.routers).map(endpoint).collect());
         let slots = (0..plan.routers).map(|_| Slot { router: Mutex::new(None) }).collect();
@@ -277,7 +279,7 @@
             }
             thread::sleep(LOOK);
         }
-        endpoint.life.store(life, SeqCst);
+        endpoint.generation.store(life, SeqCst);
         endpoint.open.store(true, SeqCst);
         Ok(())
     }
@@ -367,7 +369,7 @@
 
     fn restart(&self, number: usize) {
         let Some(mut router) = self.take(number) else { return };
-        let life = router.life;
+        let life = router.generation;
         self.finish(number, &mut router);
         drop(router);
         self.start(number, life + 1).expect("a process that starts");
@@ -396,7 +398,7 @@
     fn kill(&self, number: usize) {
         let Some(mut router) = self.take(number) else { return };
         self.endpoints[number].open.store(false, SeqCst);
-        let life = router.life;
+        let life = router.generation;
         router.kill();
         router.examine();
         drop(router);
--- a/crates/sandstile-soak/tests/planted.rs
+++ b/crates/sandstile-soak/tests/planted.rs
@@ -1,7 +1,7 @@
 //! The judge finds what is planted, and a seed draws the same plan each time.
 use sandstile_soak::judge::{judge, Rule};
 use sandstile_soak::plan::{Event, Plan};
-use sandstile_soak::record::{Arrival, Effect, End, Happened, Request, Seen};
+use sandstile_soak::record::{Arrival, Effect, End, Happened, Observations, Request};
 
 fn request(effect: Effect, end: End) -> Request {
     let id = "a1".to_string();
@@ -34,8 +34,8 @@
     let good = Request { id: "good".to_string(), end: answered(2.1), ..request.clone() };
     let good = Request { effect: Effect::Idempotent, position: None, ..good };
     let (requests, arrivals, happened) = (vec![request, good], arrivals.to_vec(), happened.to_vec());
-    let seen = Seen { requests, arrivals, happened, stalls: Vec::new() };
-    judge(&Plan::draw(1, true), &seen).iter().map(|f| f.rule).collect()
+    let observations = Observations { requests, arrivals, happened, stalls: Vec::new() };
+    judge(&Plan::draw(1, true), &observations).iter().map(|f| f.rule).collect()
 }
 
 #[test]
@@ -112,8 +112,8 @@
     let found = |plan: &Plan, request: Request, arrivals: &[Arrival], stalls: &[(f64, f64)]| {
         let good = Request { id: "good".to_string(), end: answered(2.1), ..request.clone() };
         let (requests, arrivals, stalls) = (vec![request, good], arrivals.to_vec(), stalls.to_vec());
-        let seen = Seen { requests, arrivals, happened: Vec::new(), stalls };
-        judge(plan, &seen).iter().any(|f| f.rule == Rule::Unattempted)
+        let observations = Observations { requests, arrivals, happened: Vec::new(), stalls };
+        judge(plan, &observations).iter().any(|f| f.rule == Rule::Unattempted)
     };
     let calm = Plan::calm(1, std::time::Duration::from_secs(6));
     assert!(found(&calm, refused(2.3), &[], &[]), "over half of 0.5 s");
--- a/crates/sandstile-stats/src/interval.rs
+++ b/crates/sandstile-stats/src/interval.rs
@@ -13,7 +13,7 @@
 }
 
 impl Interval {
-    pub fn holds(&self, value: f64) -> bool {
+    pub fn contains(&self, value: f64) -> bool {
         (self.low..=self.high).contains(&value)
     }
 }
--- a/crates/sandstile-stats/src/lib.rs
+++ b/crates/sandstile-stats/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod verdict;
 
 pub use interval::{interval, Interval};
-pub use sequential::{Looks, Plan};
+pub use sequential::{InterimAnalyses, Plan};
 pub use signs::{p_value, Side};
 pub use verdict::{judge, Measure, Verdict};
 
--- a/crates/sandstile-stats/src/verdict.rs
+++ b/crates/sandstile-stats/src/verdict.rs
@@ -10,7 +10,7 @@
     /// The second arm less the first; more is better.
     pub differences: Vec<f64>,
     /// A difference smaller than this is of no interest.
-    pub matters: f64,
+    pub min_relevant_difference: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 }
 
 impl Verdict {
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Verdict::Better => "better",
             Verdict::Worse => "worse",
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Judged {
+pub struct MeasureResult {
     pub name: String,
     pub verdict: Verdict,
     pub interval: Interval,
@@ -43,7 +43,7 @@
 
 /// Judges all measures together: with none truly different, the share of experiments in which any is called better or
 /// worse stays within `level`.
-pub fn judge(measures: &[Measure], level: f64, seed: u64) -> Vec<Judged> {
+pub fn judge(measures: &[Measure], level: f64, seed: u64) -> Vec<MeasureResult> {
     let p: Vec<f64> = measures.iter().map(|m| p_value(&m.differences, Side::Both, seed)).collect();
     let mut order: Vec<usize> = (0..measures.len()).collect();
     order.sort_by(|a, b| p[*a].total_cmp(&p[*b]));
@@ -60,10 +60,14 @@
         let verdict = match (claimed[n], interval.mean > 0.0) {
             (true, true) => Verdict::Better,
             (true, false) => Verdict::Worse,
-            (false, _) if interval.low > -m.matters && interval.high < m.matters => Verdict::NoDifference,
+            (false, _)
+                if interval.low > -m.min_relevant_difference && interval.high < m.min_relevant_difference =>
+            {
+                Verdict::NoDifference
+            }
             _ => Verdict::NotEnough,
         };
-        Judged { name: m.name.clone(), verdict, interval, p: p[n] }
+        MeasureResult { name: m.name.clone(), verdict, interval, p: p[n] }
     };
     measures.iter().enumerate().map(one).collect()
 }
--- a/crates/sandstile-stats/tests/error_rates.rs
+++ b/crates/sandstile-stats/tests/error_rates.rs
@@ -1,6 +1,6 @@
 //! By simulation: no more false claims than stated, true effects found, intervals that hold the truth.
 use oorandom::Rand64;
-use sandstile_stats::{interval, judge, p_value, quantile, Looks, Measure, Plan, Side, Verdict};
+use sandstile_stats::{interval, judge, p_value, quantile, InterimAnalyses, Measure, Plan, Side, Verdict};
 
 /// Differences of pairs: skewed noise, as service on bad days has, made symmetric by being a difference.
 fn pair(chance: &mut Rand64, effect: f64) -> f64 {
@@ -30,16 +30,16 @@
 /// 1,000 experiments without a difference, each looked at up to seven times: at most the stated share ever claims one.
 #[test]
 fn looking_early_does_not_cheat() {
-    let plan = Plan { level: 0.05, first: 6, step: 3, most: 24 };
+    let plan = Plan { level: 0.05, first_at: 6, step: 3, max_pairs: 24 };
     assert_eq!(plan.looks(), [6, 9, 12, 15, 18, 21, 24]);
     let mut chance = Rand64::new(77);
     let (mut honest, mut naive) = (0, 0);
     for _ in 0..1000 {
-        let (mut looks, mut differences) = (Looks::new(plan.clone()), Vec::new());
+        let (mut looks, mut differences) = (InterimAnalyses::new(plan.clone()), Vec::new());
         let (mut claimed, mut fooled) = (false, false);
-        while !looks.over() {
+        while !looks.is_over() {
             differences.push(pair(&mut chance, 0.0));
-            if let Some(level) = looks.look(differences.len()) {
+            if let Some(level) = looks.level_at(differences.len()) {
                 let p = p_value(&differences[..], Side::Both, 5);
                 claimed |= p <= level;
                 fooled |= p <= plan.level;
@@ -56,14 +56,14 @@
 /// A true effect of one usual difference is found in nine of ten experiments.
 #[test]
 fn a_true_effect_is_found() {
-    let plan = Plan { level: 0.05, first: 6, step: 3, most: 24 };
+    let plan = Plan { level: 0.05, first_at: 6, step: 3, max_pairs: 24 };
     let mut chance = Rand64::new(5);
     let (mut found, mut pairs, rounds) = (0, 0, 300);
     for _ in 0..rounds {
-        let (mut looks, mut differences) = (Looks::new(plan.clone()), Vec::new());
-        while !looks.over() {
+        let (mut looks, mut differences) = (InterimAnalyses::new(plan.clone()), Vec::new());
+        while !looks.is_over() {
             differences.push(pair(&mut chance, 0.02));
-            let Some(level) = looks.look(differences.len()) else { continue };
+            let Some(level) = looks.level_at(differences.len()) else { continue };
             if p_value(&differences, Side::Both, 5) <= level {
                 found += 1;
                 break;
@@ -86,7 +86,7 @@
         let held = (0..rounds)
             .filter(|_| {
                 let differences: Vec<f64> = (0..n).map(|_| pair(&mut chance, effect)).collect();
-                interval(&differences, 0.1, 4).holds(effect)
+                interval(&differences, 0.1, 4).contains(effect)
             })
             .count();
         println!("{n} pairs: {held} of {rounds} hold the truth, 0.9 stated");
@@ -105,7 +105,7 @@
         let of = |(n, effect): (usize, &f64)| Measure {
             name: format!("w{n}"),
             differences: (0..16).map(|_| pair(chance, *effect)).collect(),
-            matters: 0.02,
+            min_relevant_difference: 0.02,
         };
         effects.iter().enumerate().map(of).collect()
     };
@@ -123,25 +123,26 @@
     let tiny = Measure {
         name: "t".to_string(),
         differences: vec![0.001, -0.001, 0.0005, -0.0004, 0.0, 0.0002, -0.0006, 0.0003, 0.0001, -0.0002],
-        matters: 0.01,
+        min_relevant_difference: 0.01,
     };
     assert_eq!(judge(&[tiny], 0.05, 3)[0].verdict, Verdict::NoDifference);
-    let short = Measure { name: "s".to_string(), differences: vec![0.1, 0.2, 0.1], matters: 0.01 };
+    let short =
+        Measure { name: "s".to_string(), differences: vec![0.1, 0.2, 0.1], min_relevant_difference: 0.01 };
     assert_eq!(judge(&[short], 0.05, 3)[0].verdict, Verdict::NotEnough);
 }
 
 #[test]
 fn an_experiment_goes_on_where_it_was_broken_off() {
-    let plan = Plan { level: 0.05, first: 4, step: 4, most: 12 };
-    let mut whole = Looks::new(plan.clone());
-    let spent: f64 = (1..=12).filter_map(|n| whole.look(n)).sum();
-    assert!((spent - 0.05).abs() < 1e-12 && whole.over());
-    let mut broken = Looks::new(plan.clone());
+    let plan = Plan { level: 0.05, first_at: 4, step: 4, max_pairs: 12 };
+    let mut whole = InterimAnalyses::new(plan.clone());
+    let spent: f64 = (1..=12).filter_map(|n| whole.level_at(n)).sum();
+    assert!((spent - 0.05).abs() < 1e-12 && whole.is_over());
+    let mut broken = InterimAnalyses::new(plan.clone());
     broken.resume(9);
-    assert_eq!((broken.look(9), broken.look(11)), (None, None));
-    assert!(broken.look(12).is_some());
+    assert_eq!((broken.level_at(9), broken.level_at(11)), (None, None));
+    assert!(broken.level_at(12).is_some());
     // Looks that were missed give what they had to the next.
-    let mut late = Looks::new(plan);
-    assert!((late.look(12).expect("the last") - 0.05).abs() < 1e-12);
+    let mut late = InterimAnalyses::new(plan);
+    assert!((late.level_at(12).expect("the last") - 0.05).abs() < 1e-12);
     assert_eq!(quantile(&[1.0, 2.0, 3.0, 4.0], 0.5), 2.5);
 }
