--- a/crates/sandstile-router/src/known_hosts.rs
+++ b/crates/sandstile-router/src/known_hosts.rs
@@ -1,67 +1,69 @@
-//! The list as discovery has told it so far. What it tells anew becomes the entries that differ, in pieces that the
-//! carrier takes one by one between its clients: a whole list of thousands of hosts is no work of one turn.
+//! The host list as discovery has reported it so far. A new list is reduced to the entries that differ, in chunks
+//! that the dispatcher takes one by one between its clients: a whole list of thousands of hosts would take too long
+//! for one iteration of the event loop.
 use sandstile_deployment::host_list::HostEntry;
 use sandstile_dispatcher::HostListUpdate;
 use sandstile_policy::terms::Readiness;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Entries of one piece.
-const PIECE: usize = 32;
+/// Entries per chunk.
+const CHUNK_LEN: usize = 32;
 
 #[derive(Clone, PartialEq)]
-struct Told {
+struct ListedHost {
     entry: HostEntry,
     address: Option<SocketAddr>,
 }
 
-/// What discovery has told, by the names of the hosts.
+/// The hosts that discovery has listed, by name.
 #[derive(Default)]
-pub struct KnownList {
-    hosts: BTreeMap<String, Told>,
+pub struct KnownHosts {
+    hosts: BTreeMap<String, ListedHost>,
 }
 
-impl KnownList {
-    /// What this list changes, in pieces; one without entries where it changes nothing.
+impl KnownHosts {
+    /// The changes of this list, in chunks; one chunk without entries where nothing has changed.
     pub fn changes(&mut self, update: HostListUpdate) -> Vec<HostListUpdate> {
         let index = update.index;
-        let mut told: BTreeMap<String, Told> = BTreeMap::new();
+        let mut listed: BTreeMap<String, ListedHost> = BTreeMap::new();
         for (entry, (name, address)) in update.entries.into_iter().zip(update.addresses) {
-            told.insert(name, Told { entry, address });
+            listed.insert(name, ListedHost { entry, address });
         }
         if update.is_snapshot {
-            let left = self.hosts.iter().filter(|(name, _)| !told.contains_key(*name));
-            let left: Vec<(String, Told)> = left.map(|(name, host)| (name.clone(), gone(host))).collect();
-            told.extend(left);
+            let missing = self.hosts.iter().filter(|(name, _)| !listed.contains_key(*name));
+            let missing: Vec<(String, ListedHost)> =
+                missing.map(|(name, host)| (name.clone(), removed(host))).collect();
+            listed.extend(missing);
         }
-        told.retain(|name, host| match self.hosts.get(name) {
+        listed.retain(|name, host| match self.hosts.get(name) {
             Some(known) => known != host,
             None => host.entry.readiness != Readiness::Gone,
         });
-        for (name, host) in &told {
+        for (name, host) in &listed {
             match host.entry.readiness {
                 Readiness::Gone => self.hosts.remove(name),
                 _ => self.hosts.insert(name.clone(), host.clone()),
             };
         }
-        pieces(index, told.into_values().collect())
+        chunks_of(index, listed.into_values().collect())
     }
 }
 
-fn gone(host: &Told) -> Told {
+fn removed(host: &ListedHost) -> ListedHost {
     let entry = HostEntry { readiness: Readiness::Gone, ..host.entry.clone() };
-    Told { entry, address: None }
+    ListedHost { entry, address: None }
 }
 
-fn pieces(index: u64, changed: Vec<Told>) -> Vec<HostListUpdate> {
-    let piece = |hosts: &[Told]| HostListUpdate {
+fn chunks_of(index: u64, changed: Vec<ListedHost>) -> Vec<HostListUpdate> {
+    let chunk = |hosts: &[ListedHost]| HostListUpdate {
         index,
         is_snapshot: false,
         entries: hosts.iter().map(|host| host.entry.clone()).collect(),
         addresses: hosts.iter().map(|host| (host.entry.host.clone(), host.address)).collect(),
     };
     if changed.is_empty() {
-        return vec![piece(&[])];
+        return vec![chunk(&[])];
     }
-    changed.chunks(PIECE).map(piece).collect()
+    changed.chunks(CHUNK_LEN).map(chunk).collect()
 }
--- a/crates/sandstile-router/tests/returns.rs
+++ b/crates/sandstile-router/tests/returns.rs
@@ -1,11 +1,11 @@
-//! Several processes of this program, and faults between them: short forms of the rehearsals of returns.
-use sandstile_audit::returning::Returning;
-use sandstile_audit::{judge, returning, Trace};
+//! Several router processes with faults between them: short forms of the rehearsals of restarts.
+use sandstile_audit::returning::Recovery;
+use sandstile_audit::{judge, recovery, Trace};
 use sandstile_lab::rehearse::{rehearse, Wanted};
 use sandstile_scenario::Script;
 use std::path::{Path, PathBuf};
 
-/// Four routers before one group whose hosts pay for each connection, cues behind it.
+/// Four routers in front of one group whose hosts pay for each connection; the cues are appended.
 const FLEET: &str = r#"
 title = "Returns, in little"
 seconds = 12
@@ -57,20 +57,20 @@
 }
 "#;
 
-struct Played {
+struct Rehearsal {
     trace: Trace,
-    back: Returning,
+    back: Recovery,
     text: String,
     out: PathBuf,
 }
 
-impl Drop for Played {
+impl Drop for Rehearsal {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.out);
     }
 }
 
-fn play(name: &str, setup: &str, pace: &str, cues: &str) -> Played {
+fn play(name: &str, setup: &str, pace: &str, cues: &str) -> Rehearsal {
     let text = FLEET.replace("SETUP", setup).replace("PACE", pace) + cues;
     let script = Script::read(name, &text).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
@@ -79,18 +79,21 @@
     let summary = rehearse(wanted).expect("a rehearsal");
     let trace =
         Trace::read(&std::fs::read_to_string(out.join("trace.jsonl")).expect("a trace")).expect("lines");
-    // On a machine that stands still for a while answers are seen late; nothing else may be found, ever.
+    // On a machine that stalls for a while answers are seen late; no other finding is allowed.
     let found = judge(&trace).expect("a whole trace");
-    let broken: Vec<_> =
-        found.iter().filter(|f| f.rule.binds() && !f.what.contains("after its time was over")).collect();
+    let broken: Vec<_> = found
+        .iter()
+        .filter(|f| f.rule.is_violation() && !f.description.contains("after its time was over"))
+        .collect();
     assert!(broken.is_empty(), "{broken:?}\n{}", summary.text);
-    let back = returning(&trace);
-    Played { trace, back, text: summary.text, out }
+    let back = recovery(&trace);
+    Rehearsal { trace, back, text: summary.text, out }
 }
 
-/// All die in one instant and come back with their clients; service is whole again, and no host was trampled.
+/// All routers are killed at once and return with their clients: service recovers, and no host gets too many dials
+/// at once.
 #[test]
-fn all_restart_at_once_and_service_comes_back() {
+fn service_recovers_after_all_routers_restart_at_once() {
     let cues = r#"
 restart "all" {
   share = 1
@@ -99,21 +102,21 @@
   at = 4
 }
 "#;
-    let played = play("all", "10", "answers", cues);
-    let starts = played.trace.routers.iter().filter(|(_, _, s)| format!("{s:?}") == "Started").count();
-    assert_eq!(starts, 8, "{}", played.text);
-    let whole = played.back.whole_after().expect("a cue");
-    assert!(whole < 6.0, "{whole}\n{}", played.text);
-    let log = std::fs::read_to_string(played.out.join("router-0.log")).expect("its log");
+    let rehearsal = play("all", "10", "answers", cues);
+    let starts = rehearsal.trace.routers.iter().filter(|(_, _, s)| format!("{s:?}") == "Started").count();
+    assert_eq!(starts, 8, "{}", rehearsal.text);
+    let recovery_time = rehearsal.back.service_recovery_s().expect("a cue");
+    assert!(recovery_time < 6.0, "{recovery_time}\n{}", rehearsal.text);
+    let log = std::fs::read_to_string(rehearsal.out.join("router-0.log")).expect("its log");
     assert!(log.contains(" dials_held=") && !log.contains(" dials_held=0 "), "no dial waited: {log}");
-    let dials = played.back.worst("dials").expect("dials").most;
-    assert!(dials <= 16.0, "{dials} dials at a host in 100 ms\n{}", played.text);
+    let dials = rehearsal.back.worst("dials").expect("dials").max;
+    assert!(dials <= 16.0, "{dials} dials at a host in 100 ms\n{}", rehearsal.text);
 }
 
-/// Four dials at once are one too many for a cold host's dial limit; a plain return keeps it busy with work that nobody waits
-/// for. The pace finds what it can greet.
+/// Four simultaneous dials are one too many for the dial limit of a cold host: a plain restart keeps it busy with
+/// work that nobody waits for, while the paced one adapts to what the host can accept.
 #[test]
-fn hosts_that_greet_no_crowd_in_time_are_reached_all_the_same() {
+fn hosts_that_cannot_accept_a_crowd_in_time_are_still_reached() {
     let cues = r#"
 fault "hosts" {
   kind = "crash"
@@ -129,26 +132,26 @@
 }
 "#;
     let paced = play("paced", "80", "answers", cues);
-    let served = |p: &Played| {
-        let begin = p.trace.terms.as_ref().expect("terms").begin;
-        let late = |s: &&sandstile_audit::trace::Statement| {
-            s.asked.as_ref().is_some_and(|a| a.intended > begin + 9.0)
-        };
-        let all: Vec<_> = p.trace.statements.values().filter(late).collect();
-        let good = all.iter().filter(|s| {
-            s.answered.iter().any(|(_, a)| matches!(a, sandstile_audit::trace::Answered::Completed { .. }))
+    let completed_share = |p: &Rehearsal| {
+        let begin = p.trace.settings.as_ref().expect("terms").begin;
+        let asked_late =
+            |s: &&sandstile_audit::trace::Statement| s.request.as_ref().is_some_and(|a| a.due > begin + 9.0);
+        let all: Vec<_> = p.trace.statements.values().filter(asked_late).collect();
+        let completed = all.iter().filter(|s| {
+            s.answers.iter().any(|(_, a)| matches!(a, sandstile_audit::trace::FinalAnswer::Completed { .. }))
         });
-        good.count() as f64 / all.len().max(1) as f64
+        completed.count() as f64 / all.len().max(1) as f64
     };
-    let share = served(&paced);
+    let share = completed_share(&paced);
     assert!(share > 0.8, "{share}\n{}", paced.text);
     let plain = play("plain", "80", "plainest", cues);
-    assert!(served(&plain) < 0.5, "the baseline no longer falls over: {}", served(&plain));
+    assert!(completed_share(&plain) < 0.5, "the baseline no longer falls over: {}", completed_share(&plain));
 }
 
-/// A router stands still for some seconds, its agent's link is cut meanwhile, and it goes on with yesterday's statements.
+/// A router is stopped for some seconds while its agent's connection is cut, and then continues with old
+/// statements.
 #[test]
-fn a_router_that_stood_still_decides_nothing_on_yesterday() {
+fn a_router_that_was_stopped_makes_no_decision_on_stale_statements() {
     let cues = r#"
 stop "still" {
   router = 2
@@ -170,19 +173,25 @@
   for = 4
 }
 "#;
-    let played = play("still", "1", "answers", cues);
-    assert!(played.trace.stood_still(2, 0.0, f64::INFINITY) && !played.trace.links.is_empty());
-    assert!(played.back.stale.is_empty(), "{:?}\n{}", played.back.stale, played.text);
-    let log = std::fs::read_to_string(played.out.join("router-2.log")).expect("its log");
-    // Once at least: a machine that stands still itself is seen too.
+    let rehearsal = play("still", "1", "answers", cues);
+    assert!(rehearsal.trace.was_stopped(2, 0.0, f64::INFINITY) && !rehearsal.trace.link_faults.is_empty());
+    assert!(
+        rehearsal.back.stale_decisions.is_empty(),
+        "{:?}\n{}",
+        rehearsal.back.stale_decisions,
+        rehearsal.text
+    );
+    let log = std::fs::read_to_string(rehearsal.out.join("router-2.log")).expect("its log");
+    // At least once: a stall of the machine itself is detected too.
     assert!(log.contains("stood still for") && !log.contains(" stalls=0 "), "{log}");
-    let agent = std::fs::read_to_string(played.out.join("router-1.log")).expect("its log");
+    let agent = std::fs::read_to_string(rehearsal.out.join("router-1.log")).expect("its log");
     assert!(agent.contains("discovery:"), "its agent's link was cut: {agent}");
 }
 
-/// What our own file says wrong of a return is told with its place, and nothing starts.
+/// Errors in the `return` block of the local configuration file are reported with their position, and nothing
+/// starts.
 #[test]
-fn a_wrong_pace_is_told_with_its_place() {
+fn a_wrong_pace_is_reported_with_its_position() {
     let file = std::env::temp_dir().join(format!("sandstile-pace-{}.hcl", std::process::id()));
     let check = |text: &str| {
         std::fs::write(&file, text).expect("a place for files");
@@ -197,18 +206,18 @@
         let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
         (out.status.success(), text)
     };
-    let (good, text) = check("return {\n  pace = \"answers\"\n}\n");
-    assert!(good && text.contains("return answers"), "{text}");
-    let (good, text) = check("return {\n  pace = \"answer\"\n  haste = 1\n}\n");
-    assert!(!good && text.contains(":2:") && text.contains("answers") && text.contains("haste"), "{text}");
-    let (good, text) = check("");
-    assert!(good && text.contains("return off"), "{text}");
-    std::fs::remove_file(file).expect("our own file");
+    let (ok, text) = check("return {\n  pace = \"answers\"\n}\n");
+    assert!(ok && text.contains("return answers"), "{text}");
+    let (ok, text) = check("return {\n  pace = \"answer\"\n  haste = 1\n}\n");
+    assert!(!ok && text.contains(":2:") && text.contains("answers") && text.contains("haste"), "{text}");
+    let (ok, text) = check("");
+    assert!(ok && text.contains("return off"), "{text}");
+    std::fs::remove_file(file).expect("the test's file");
 }
 
 const OUT: &str = "SANDSTILE_TEST_OUT";
 
-/// Not a test of its own: a rehearsal in a process that the next one kills.
+/// Not a test of its own: a rehearsal in a process that the next test kills.
 #[test]
 #[ignore = "played by a_lab_that_is_killed_leaves_no_router_behind"]
 fn plays_until_it_is_killed() {
@@ -220,7 +229,7 @@
     let _ = rehearse(Wanted { script, quick: false, router, out: out.into() });
 }
 
-/// Whoever kills the lab leaves no router behind, and none that stands still either.
+/// A lab that is killed leaves no router process behind, not even a stopped one.
 #[test]
 fn a_lab_that_is_killed_leaves_no_router_behind() {
     let out = std::env::temp_dir().join(format!("sandstile-killed-{}", std::process::id()));
@@ -232,15 +241,15 @@
         .stderr(std::process::Stdio::null())
         .spawn()
         .expect("a process");
-    // Routers know their configuration by its path, which lies in that folder alone.
+    // Routers are identified by the path of their configuration, which lies in this directory only.
     let routers = || -> Vec<u32> {
         let folder = format!("LB_CONFIG={}/router-", out.display());
-        let of = |pid: &u32| {
+        let has_our_config = |pid: &u32| {
             let environ = std::fs::read(format!("/proc/{pid}/environ")).unwrap_or_default();
             String::from_utf8_lossy(&environ).contains(&folder)
         };
         let all = std::fs::read_dir("/proc").expect("processes").flatten();
-        all.filter_map(|e| e.file_name().to_str()?.parse().ok()).filter(of).collect()
+        all.filter_map(|e| e.file_name().to_str()?.parse().ok()).filter(has_our_config).collect()
     };
     let stands_still = || {
         routers().iter().any(|pid| {
@@ -259,5 +268,5 @@
     lab.kill().expect("it runs");
     lab.wait().expect("its end");
     wait_for("no router is left", &|| routers().is_empty());
-    std::fs::remove_dir_all(out).expect("our own folder");
+    std::fs::remove_dir_all(out).expect("the test's directory");
 }
