--- a/crates/sandstile-lab/src/capacity.rs
+++ b/crates/sandstile-lab/src/capacity.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-pub struct Wanted {
+pub struct Options {
     pub router: PathBuf,
     pub rates: Vec<f64>,
     pub seconds: f64,
@@ -121,7 +121,7 @@
 }
 
 /// Starts the router on one core and keeps everything else off it.
-fn pinned(wanted: &Wanted, dir: &Path, config: &serde_json::Value) -> Result<Router, String> {
+fn pinned(wanted: &Options, dir: &Path, config: &serde_json::Value) -> Result<Router, String> {
     let told = |e: nix::Error| format!("cores: {e}");
     let all = sched_getaffinity(Pid::from_raw(0)).map_err(told)?;
     let (mut one, mut others) = (CpuSet::new(), CpuSet::new());
@@ -209,7 +209,7 @@
 }
 
 /// The table, a row a rate. Rows that are the rig's own limit say so.
-pub fn measure(wanted: &Wanted) -> Result<String, String> {
+pub fn measure(wanted: &Options) -> Result<String, String> {
     let (script, clock) = (script()?, Clock::anchor());
     let dir = std::env::temp_dir().join(format!("sandstile-capacity-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
--- a/crates/sandstile-lab/src/experiment.rs
+++ b/crates/sandstile-lab/src/experiment.rs
@@ -1,6 +1,6 @@
 //! Runs what an experiment still lacks, and reports what its rows say.
 use crate::charts;
-use crate::rehearse::{self, Wanted as Rehearsal};
+use crate::rehearse::{self, Options as Rehearsal};
 use sandstile_experiment::rows::VERSION;
 use sandstile_experiment::{compare_arms, Experiment, Row, Rows};
 use sandstile_scenario::Script;
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-pub struct Wanted {
+pub struct Options {
     pub file: PathBuf,
     pub text: String,
     pub out: PathBuf,
@@ -30,11 +30,11 @@
 }
 
 /// What a report needs beside the rows.
-fn note(wanted: &Wanted, pairs: usize) -> Value {
+fn note(wanted: &Options, pairs: usize) -> Value {
     serde_json::json!({"file": wanted.file.display().to_string(), "text": wanted.text, "quick": wanted.quick, "pairs": pairs})
 }
 
-pub fn run(wanted: &Wanted) -> Result<String, String> {
+pub fn run(wanted: &Options) -> Result<String, String> {
     let name = wanted.file.display().to_string();
     let experiment = Experiment::read(&name, &wanted.text).map_err(|p| problems(&p))?;
     let script = rehearse::script(Path::new(&experiment.script))?;
@@ -75,7 +75,7 @@
 
 /// One arm of one pair, until it was run soundly.
 fn one(
-    wanted: &Wanted,
+    wanted: &Options,
     experiment: &Experiment,
     script: &Script,
     store: &Path,
--- a/crates/sandstile-lab/src/hunt.rs
+++ b/crates/sandstile-lab/src/hunt.rs
@@ -1,6 +1,6 @@
 //! A hunt: fault schedules drawn by seed are played short against real processes and judged; one that fails is shrunk to
 //! the least that still fails and kept as a script of its own.
-use crate::rehearse::{self, Wanted as Rehearsal};
+use crate::rehearse::{self, Options as Rehearsal};
 use crate::report;
 use sandstile_audit::recovery;
 use sandstile_faults::draw::{self, FaultTargets, ScheduledFault};
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use tracing::{info, warn};
 
-pub struct Wanted {
+pub struct Options {
     /// The script that all schedules are added to.
     pub base: PathBuf,
     pub router: PathBuf,
@@ -51,12 +51,12 @@
     pub failed: usize,
 }
 
-fn text_of(wanted: &Wanted, base: &str, faults: &[ScheduledFault], seed: u64) -> String {
+fn text_of(wanted: &Options, base: &str, faults: &[ScheduledFault], seed: u64) -> String {
     let planted = if wanted.plant { "planted = true\n" } else { "" };
     format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", draw::to_script(faults))
 }
 
-fn script(wanted: &Wanted, text: &str, seed: u64) -> Result<Script, String> {
+fn script(wanted: &Options, text: &str, seed: u64) -> Result<Script, String> {
     let dir = wanted.base.parent().unwrap_or(std::path::Path::new("."));
     let shared = |name: &str| fs::read_to_string(dir.join(name)).map_err(|e| e.to_string());
     let mut script = Script::read_with("drawn", text, &shared)
@@ -65,7 +65,7 @@
     Ok(script)
 }
 
-fn play(wanted: &Wanted, text: &str, seed: u64) -> Result<Played, String> {
+fn play(wanted: &Options, text: &str, seed: u64) -> Result<Played, String> {
     let script = script(wanted, text, seed)?;
     let out = wanted.out.join("run");
     let summary = rehearse::rehearse(Rehearsal {
@@ -108,7 +108,7 @@
 }
 
 /// Whether it fails, asked more than once where it seems not to.
-fn fails(wanted: &Wanted, text: &str, seed: u64) -> Result<Option<String>, String> {
+fn fails(wanted: &Options, text: &str, seed: u64) -> Result<Option<String>, String> {
     for _ in 0..TRIES {
         if let Some(first) = play(wanted, text, seed)?.wrong.into_iter().next() {
             return Ok(Some(first));
@@ -118,7 +118,7 @@
 }
 
 /// Plays all schedules; what fails lies in the folder for results, each as a script.
-pub fn hunt(wanted: &Wanted) -> Result<Found, String> {
+pub fn hunt(wanted: &Options) -> Result<Found, String> {
     let told = |e: std::io::Error| format!("{}: {e}", wanted.out.display());
     fs::create_dir_all(&wanted.out).map_err(told)?;
     let base = fs::read_to_string(&wanted.base).map_err(|e| format!("{}: {e}", wanted.base.display()))?;
@@ -178,7 +178,7 @@
 }
 
 fn shrink(
-    wanted: &Wanted,
+    wanted: &Options,
     base: &str,
     faults: Vec<ScheduledFault>,
     seed: u64,
--- a/crates/sandstile-lab/src/main.rs
+++ b/crates/sandstile-lab/src/main.rs
@@ -315,7 +315,7 @@
                     text = text.lines().filter(other).map(|line| format!("{line}\n")).collect::<String>()
                         + &name;
                 }
-                let wanted = experiment::Wanted { file, text, out, router, quick, pairs };
+                let wanted = experiment::Options { file, text, out, router, quick, pairs };
                 println!("{}", experiment::run(&wanted)?);
                 Ok(ExitCode::SUCCESS)
             })
@@ -323,7 +323,7 @@
         Command::Hunt { base, seed, runs, size, router, out, quick, plant } => {
             beside(router).and_then(|router| {
                 let (runs, shrinks) = if quick { (6, 3) } else { (runs, 24) };
-                let wanted = hunt::Wanted { base, router, out, seed, runs, size, shrinks, plant };
+                let wanted = hunt::Options { base, router, out, seed, runs, size, shrinks, plant };
                 let found = hunt::hunt(&wanted)?;
                 println!("{}", found.text);
                 Ok(ExitCode::from(u8::from((found.failed > 0) != plant)))
@@ -331,7 +331,7 @@
         }
         Command::Soak { seed, runs, quick, large, router, shim, out } => beside(router).and_then(|router| {
             let shim = shim.map_or_else(|| sandstile_shim::library(&router), Ok)?;
-            let broken = soak::soak(&soak::Wanted { router, shim, out, seed, runs, quick, large })?;
+            let broken = soak::soak(&soak::Options { router, shim, out, seed, runs, quick, large })?;
             Ok(ExitCode::from(u8::from(broken > 0)))
         }),
         Command::Returns { out, quick } => returns::grow(&out, quick).map(|text| {
@@ -382,7 +382,7 @@
         Command::Capacity { router, rates, seconds, connections, calls, core, quick, config } => {
             let seconds = if quick { 5.0 } else { seconds };
             beside(router).and_then(|router| {
-                let wanted = capacity::Wanted { router, rates, seconds, connections, calls, core, config };
+                let wanted = capacity::Options { router, rates, seconds, connections, calls, core, config };
                 capacity::measure(&wanted).map(|table| {
                     println!("{table}");
                     ExitCode::SUCCESS
@@ -498,7 +498,7 @@
     let mut script = read(file)?;
     script.plan.seed = seed.unwrap_or(script.plan.seed);
     let router = beside(router)?;
-    let summary = rehearse::rehearse(rehearse::Wanted { script, quick, router, out })?;
+    let summary = rehearse::rehearse(rehearse::Options { script, quick, router, out })?;
     println!("{}", summary.text);
     info!(service = summary.service, broken = summary.broken, unsound = summary.unsound, "ended");
     Ok(ExitCode::SUCCESS)
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-pub struct Wanted {
+pub struct Options {
     pub script: Script,
     pub quick: bool,
     pub router: PathBuf,
@@ -310,7 +310,7 @@
 }
 
 /// Plays a script; the trace and the summary lie in `out` afterwards.
-pub fn rehearse(wanted: Wanted) -> Result<report::Summary, String> {
+pub fn rehearse(wanted: Options) -> Result<report::Summary, String> {
     let told = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
     let script = if wanted.quick { wanted.script.shortened() } else { wanted.script };
     std::fs::create_dir_all(&wanted.out).map_err(told("the folder for results"))?;
--- a/crates/sandstile-lab/src/soak.rs
+++ b/crates/sandstile-lab/src/soak.rs
@@ -9,7 +9,7 @@
 const MOST_PRINTED: usize = 5;
 
 /// What is to be played.
-pub struct Wanted {
+pub struct Options {
     /// The router's program, and the shim's library.
     pub router: PathBuf,
     pub shim: PathBuf,
@@ -24,7 +24,7 @@
 }
 
 /// Plays all runs and prints each; how many broke a rule.
-pub fn soak(wanted: &Wanted) -> Result<u64, String> {
+pub fn soak(wanted: &Options) -> Result<u64, String> {
     let mut broken = 0;
     for seed in wanted.seed..wanted.seed + wanted.runs {
         let draw = if wanted.large { Plan::draw_large } else { Plan::draw };
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -5,7 +5,7 @@
 
 use sandstile_audit::agreement::Agreement;
 use sandstile_audit::{agreement, judge, Trace};
-use sandstile_lab::rehearse::{rehearse, Wanted};
+use sandstile_lab::rehearse::{rehearse, Options};
 use sandstile_membership::{Datagram, MemberId, MemberUpdate, Message, Meta, State};
 use sandstile_peers::Sealer;
 use sandstile_router::members::CONTEXT;
@@ -51,7 +51,7 @@
     let script = Script::read(name, &text).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
     let router = Path::new(env!("CARGO_BIN_EXE_sandstile")).to_path_buf();
-    rehearse(Wanted { script, quick: false, router, out: out.clone() }).expect("rehearsal failed");
+    rehearse(Options { script, quick: false, router, out: out.clone() }).expect("rehearsal failed");
     let trace = Trace::read(&fs::read_to_string(out.join("trace.jsonl")).expect("no trace file"))
         .expect("malformed trace");
     let found = judge(&trace).expect("incomplete trace");
--- a/crates/sandstile-router/tests/rehearsal.rs
+++ b/crates/sandstile-router/tests/rehearsal.rs
@@ -1,7 +1,7 @@
 //! A small rehearsal from end to end: this program, emulated hosts, clients, a trace, and the audit of the
 //! trace.
 use sandstile_audit::{judge, Trace};
-use sandstile_lab::rehearse::{rehearse, Wanted};
+use sandstile_lab::rehearse::{rehearse, Options};
 use sandstile_scenario::Script;
 use std::path::Path;
 
@@ -90,7 +90,7 @@
     let script = Script::read("little.hcl", SCRIPT).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-rehearsal-{}", std::process::id()));
     let router = Path::new(env!("CARGO_BIN_EXE_sandstile")).to_path_buf();
-    let wanted = Wanted { script, quick: false, router, out: out.clone() };
+    let wanted = Options { script, quick: false, router, out: out.clone() };
     let summary = rehearse(wanted).expect("rehearsal failed");
     let text = std::fs::read_to_string(out.join("trace.jsonl")).expect("no trace file");
     let trace = Trace::read(&text).expect("malformed trace");
--- a/crates/sandstile-router/tests/replicated_state.rs
+++ b/crates/sandstile-router/tests/replicated_state.rs
@@ -2,7 +2,7 @@
 //! rehearsals.
 use sandstile_audit::probing::Search;
 use sandstile_audit::{judge, own_reads, searches, state_convergence, Convergence, OwnReads, Trace};
-use sandstile_lab::rehearse::{rehearse, Wanted};
+use sandstile_lab::rehearse::{rehearse, Options};
 use sandstile_scenario::Script;
 use std::fs;
 use std::path::Path;
@@ -61,7 +61,7 @@
     let script = Script::read(name, &text).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
     let router = Path::new(env!("CARGO_BIN_EXE_sandstile")).to_path_buf();
-    rehearse(Wanted { script, quick: false, router, out: out.clone() }).expect("rehearsal failed");
+    rehearse(Options { script, quick: false, router, out: out.clone() }).expect("rehearsal failed");
     let trace = Trace::read(&fs::read_to_string(out.join("trace.jsonl")).expect("no trace file"))
         .expect("malformed trace");
     let found = judge(&trace).expect("incomplete trace");
--- a/crates/sandstile-router/tests/returns.rs
+++ b/crates/sandstile-router/tests/returns.rs
@@ -1,7 +1,7 @@
 //! Several router processes with faults between them: short forms of the rehearsals of restarts.
 use sandstile_audit::returning::Recovery;
 use sandstile_audit::{judge, recovery, Trace};
-use sandstile_lab::rehearse::{rehearse, Wanted};
+use sandstile_lab::rehearse::{rehearse, Options};
 use sandstile_scenario::Script;
 use std::path::{Path, PathBuf};
 
@@ -75,7 +75,7 @@
     let script = Script::read(name, &text).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
     let router = Path::new(env!("CARGO_BIN_EXE_sandstile")).to_path_buf();
-    let wanted = Wanted { script, quick: false, router, out: out.clone() };
+    let wanted = Options { script, quick: false, router, out: out.clone() };
     let summary = rehearse(wanted).expect("a rehearsal");
     let trace =
         Trace::read(&std::fs::read_to_string(out.join("trace.jsonl")).expect("a trace")).expect("lines");
@@ -226,7 +226,7 @@
     let text = FLEET.replace("SETUP", "1").replace("PACE", "answers") + still;
     let script = Script::read("killed", &text).unwrap_or_else(|p| panic!("{p:?}"));
     let router = Path::new(env!("CARGO_BIN_EXE_sandstile")).to_path_buf();
-    let _ = rehearse(Wanted { script, quick: false, router, out: out.into() });
+    let _ = rehearse(Options { script, quick: false, router, out: out.into() });
 }
 
 /// A lab that is killed leaves no router process behind, not even a stopped one.
