--- a/crates/sandstile-lab/src/charts.rs
+++ b/crates/sandstile-lab/src/charts.rs
@@ -1,5 +1,5 @@
-//! Charts as SVG, and one page that holds all of a report. Colours are those of Okabe and Ito, which people who see
-//! few colours tell apart; lines differ in their width too.
+//! Charts as SVG, and a single HTML page for a report. The colours are the palette of Okabe and Ito, which colour-blind
+//! people can tell apart; the first line is also wider.
 use plotters::prelude::*;
 
 const COLOURS: [RGBColor; 6] = [
@@ -11,26 +11,26 @@
     RGBColor(86, 180, 233),
 ];
 
-fn told<E: std::fmt::Debug>(e: E) -> String {
-    format!("a chart: {e:?}")
+fn chart_error<E: std::fmt::Debug>(e: E) -> String {
+    format!("cannot draw a chart: {e:?}")
 }
 
-/// The share in time by second, a line an arm.
+/// A chart of the share of requests in time by second, with a line for each arm.
 pub fn by_second(title: &str, curves: &[(String, Vec<f64>)]) -> Result<String, String> {
     let mut svg = String::new();
-    let last = curves.iter().map(|(_, c)| c.len()).max().unwrap_or(1).max(2) as f64 - 1.0;
-    let least = curves.iter().flat_map(|(_, c)| c).copied().fold(1.0, f64::min);
-    let floor = (least * 10.0 - 0.5).floor().max(0.0) / 10.0;
+    let last_second = curves.iter().map(|(_, c)| c.len()).max().unwrap_or(1).max(2) as f64 - 1.0;
+    let lowest = curves.iter().flat_map(|(_, c)| c).copied().fold(1.0, f64::min);
+    let axis_low = (lowest * 10.0 - 0.5).floor().max(0.0) / 10.0;
     {
         let area = SVGBackend::with_string(&mut svg, (960, 420)).into_drawing_area();
-        area.fill(&WHITE).map_err(told)?;
+        area.fill(&WHITE).map_err(chart_error)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 20))
             .margin(14)
             .x_label_area_size(44)
             .y_label_area_size(64)
-            .build_cartesian_2d(0.0..last, floor..1.0)
-            .map_err(told)?;
+            .build_cartesian_2d(0.0..last_second, axis_low..1.0)
+            .map_err(chart_error)?;
         chart
             .configure_mesh()
             .x_desc("seconds since the start")
@@ -42,13 +42,13 @@
             .x_label_formatter(&|x| format!("{x:.0}"))
             .y_label_formatter(&|y| format!("{y:.2}"))
             .draw()
-            .map_err(told)?;
+            .map_err(chart_error)?;
         for (n, (name, curve)) in curves.iter().enumerate() {
             let style = COLOURS[n % COLOURS.len()].stroke_width(if n == 0 { 4 } else { 2 });
             let points = curve.iter().enumerate().map(|(x, y)| (x as f64, *y));
             chart
                 .draw_series(LineSeries::new(points, style))
-                .map_err(told)?
+                .map_err(chart_error)?
                 .label(name.as_str())
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 24, y)], style));
         }
@@ -59,40 +59,40 @@
             .border_style(RGBColor(120, 120, 120))
             .label_font(("sans-serif", 14))
             .draw()
-            .map_err(told)?;
-        area.present().map_err(told)?;
+            .map_err(chart_error)?;
+        area.present().map_err(chart_error)?;
     }
     Ok(svg)
 }
 
-/// One curve.
-pub struct Line {
+/// A named curve.
+pub struct Curve {
     pub name: String,
     pub points: Vec<(f64, f64)>,
 }
 
-/// Curves over a quantity, each point marked; `log` for values that span decades.
-pub fn lines(title: &str, x: &str, y: &str, curves: &[Line], log: bool) -> Result<String, String> {
+/// A chart of curves with marked points; `log` selects a logarithmic y axis, for values that span decades.
+pub fn lines(title: &str, x: &str, y: &str, curves: &[Curve], log: bool) -> Result<String, String> {
     let mut svg = String::new();
     let scaled = |v: f64| if log { v.max(1e-3).log10() } else { v };
-    let shown = |v: f64| if log { 10f64.powf(v) } else { v };
-    let all = || curves.iter().flat_map(|c| &c.points);
-    let last = all().map(|p| p.0).fold(1.0, f64::max);
-    let high = all().map(|p| scaled(p.1)).fold(f64::NEG_INFINITY, f64::max);
-    let low = if log { all().map(|p| scaled(p.1)).fold(f64::INFINITY, f64::min) } else { 0.0 };
-    // Whole decades, or a tenth of room above.
+    let unscaled = |v: f64| if log { 10f64.powf(v) } else { v };
+    let all_points = || curves.iter().flat_map(|c| &c.points);
+    let x_max = all_points().map(|p| p.0).fold(1.0, f64::max);
+    let high = all_points().map(|p| scaled(p.1)).fold(f64::NEG_INFINITY, f64::max);
+    let low = if log { all_points().map(|p| scaled(p.1)).fold(f64::INFINITY, f64::min) } else { 0.0 };
+    // The y axis ends at whole decades, or a tenth above the highest value.
     let (low, high) =
         if log { (low.floor(), high.ceil().max(low.floor() + 1.0)) } else { (0.0, high.max(1e-9) * 1.1) };
     {
         let area = SVGBackend::with_string(&mut svg, (960, 420)).into_drawing_area();
-        area.fill(&WHITE).map_err(told)?;
+        area.fill(&WHITE).map_err(chart_error)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 20))
             .margin(14)
             .x_label_area_size(44)
             .y_label_area_size(72)
-            .build_cartesian_2d(0.0..last, low..high)
-            .map_err(told)?;
+            .build_cartesian_2d(0.0..x_max, low..high)
+            .map_err(chart_error)?;
         chart
             .configure_mesh()
             .x_desc(x)
@@ -103,19 +103,21 @@
             .light_line_style(WHITE)
             .y_labels(if log { (high - low) as usize + 1 } else { 8 })
             .x_label_formatter(&|x| format!("{x:.0}"))
-            .y_label_formatter(&|y| format!("{:.0}", shown(*y)))
+            .y_label_formatter(&|y| format!("{:.0}", unscaled(*y)))
             .draw()
-            .map_err(told)?;
+            .map_err(chart_error)?;
         for (n, curve) in curves.iter().enumerate() {
             let colour = COLOURS[n % COLOURS.len()];
             let style = colour.stroke_width(if n == 0 { 4 } else { 2 });
             let points: Vec<(f64, f64)> = curve.points.iter().map(|p| (p.0, scaled(p.1))).collect();
             chart
                 .draw_series(LineSeries::new(points.clone(), style))
-                .map_err(told)?
+                .map_err(chart_error)?
                 .label(curve.name.as_str())
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 24, y)], style));
-            chart.draw_series(points.iter().map(|p| Circle::new(*p, 4, colour.filled()))).map_err(told)?;
+            chart
+                .draw_series(points.iter().map(|p| Circle::new(*p, 4, colour.filled())))
+                .map_err(chart_error)?;
         }
         chart
             .configure_series_labels()
@@ -124,13 +126,13 @@
             .border_style(RGBColor(120, 120, 120))
             .label_font(("sans-serif", 14))
             .draw()
-            .map_err(told)?;
-        area.present().map_err(told)?;
+            .map_err(chart_error)?;
+        area.present().map_err(chart_error)?;
     }
     Ok(svg)
 }
 
-/// One difference with its interval; ends may be infinite.
+/// A difference with its confidence interval, whose ends may be infinite.
 pub struct Bar {
     pub name: String,
     pub low: f64,
@@ -138,22 +140,22 @@
     pub high: f64,
 }
 
-/// Differences of service with their intervals, one below the other; zero is drawn.
+/// A chart of differences of service with their intervals, one below the other, and a line at zero.
 pub fn intervals(title: &str, bars: &[Bar]) -> Result<String, String> {
     let mut svg = String::new();
     let finite = |b: &Bar| [b.low, b.mean, b.high].into_iter().filter(|v| v.is_finite()).collect::<Vec<_>>();
-    let reach = bars.iter().flat_map(finite).map(f64::abs).fold(0.002, f64::max) * 1.2;
+    let half_width = bars.iter().flat_map(finite).map(f64::abs).fold(0.002, f64::max) * 1.2;
     let rows = bars.len().max(1) as f64;
     {
         let area = SVGBackend::with_string(&mut svg, (960, 120 + 34 * bars.len() as u32)).into_drawing_area();
-        area.fill(&WHITE).map_err(told)?;
+        area.fill(&WHITE).map_err(chart_error)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 20))
             .margin(14)
             .x_label_area_size(44)
             .y_label_area_size(240)
-            .build_cartesian_2d(-reach..reach, 0.0..rows)
-            .map_err(told)?;
+            .build_cartesian_2d(-half_width..half_width, 0.0..rows)
+            .map_err(chart_error)?;
         chart
             .configure_mesh()
             .disable_y_mesh()
@@ -166,24 +168,24 @@
             .x_labels(7)
             .x_label_formatter(&|x| format!("{x:+.4}"))
             .draw()
-            .map_err(told)?;
+            .map_err(chart_error)?;
         let zero = [(0.0, 0.0), (0.0, rows)];
-        chart.draw_series(LineSeries::new(zero, BLACK.stroke_width(1))).map_err(told)?;
+        chart.draw_series(LineSeries::new(zero, BLACK.stroke_width(1))).map_err(chart_error)?;
         for (n, bar) in bars.iter().enumerate() {
             let y = rows - n as f64 - 0.5;
             let colour = COLOURS[usize::from(bar.low > 0.0 || bar.high < 0.0)];
-            let (low, high) = (bar.low.max(-reach), bar.high.min(reach));
-            // An end that no number of pairs has closed yet is drawn faint, up to the edge.
+            let (low, high) = (bar.low.max(-half_width), bar.high.min(half_width));
+            // An interval with an infinite end is drawn as a thin line up to the edge.
             let width = if bar.low.is_finite() && bar.high.is_finite() { 4 } else { 1 };
             chart
                 .draw_series(LineSeries::new([(low, y), (high, y)], colour.stroke_width(width)))
-                .map_err(told)?;
-            chart.draw_series([Circle::new((bar.mean, y), 6, colour.filled())]).map_err(told)?;
+                .map_err(chart_error)?;
+            chart.draw_series([Circle::new((bar.mean, y), 6, colour.filled())]).map_err(chart_error)?;
             let (_, row) = chart.backend_coord(&(0.0, y));
             let label = Text::new(bar.name.clone(), (14, row - 8), ("sans-serif", 14));
-            area.draw(&label).map_err(told)?;
+            area.draw(&label).map_err(chart_error)?;
         }
-        area.present().map_err(told)?;
+        area.present().map_err(chart_error)?;
     }
     Ok(svg)
 }
@@ -192,7 +194,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// One page that needs nothing else: tables from Markdown, charts in it.
+/// A self-contained HTML page: the tables of the Markdown text, and the charts inline.
 pub fn page(title: &str, markdown: &str, charts: &[String]) -> String {
     let mut body = String::new();
     let mut in_table = false;
--- a/crates/sandstile-lab/src/hunt.rs
+++ b/crates/sandstile-lab/src/hunt.rs
@@ -1,6 +1,6 @@
-//! A hunt: fault schedules drawn by seed are played short against real processes and judged; one that fails is shrunk to
-//! the least that still fails and kept as a script of its own.
-use crate::rehearse::{self, Options as Rehearsal};
+//! A hunt for faults: short fault schedules are drawn by seed, played against real processes and judged. A schedule that
+//! fails is shrunk to the smallest one that still fails, which is written as a script.
+use crate::rehearse::{self, Options as RehearsalOptions};
 use crate::report;
 use sandstile_audit::recovery;
 use sandstile_faults::draw::{self, FaultTargets, ScheduledFault};
@@ -21,174 +21,182 @@
     pub runs: usize,
     /// Faults of one schedule.
     pub size: usize,
-    /// Plays that shrinking one schedule may cost.
+    /// Most plays that shrinking one schedule may take.
     pub shrinks: usize,
-    /// Hosts have the planted flaw, which is to be found.
+    /// Whether hosts have the planted flaw, which the hunt has to find.
     pub plant: bool,
 }
 
-/// Processes and sockets are real: what failed once is tried so often before it counts as no failure.
-const TRIES: usize = 2;
-/// Below this share in the last seconds, behind all faults, service counts as lost for good.
-const LOST: f64 = 0.5;
-/// Seconds at the end in which no fault is drawn.
-const TAIL: f64 = 4.0;
-/// And where routers know each other: they are to agree again by then.
-const AGREES: f64 = 12.0;
+/// How often a schedule is played before it counts as passing: processes and sockets are real, so failures do not
+/// recur in each play.
+const MAX_PLAYS: usize = 2;
+/// If less than this share is in time in the last seconds, after all faults, service counts as lost for good.
+const MIN_SHARE_IN_TIME: f64 = 0.5;
+/// Seconds at the end of a schedule in which no fault is drawn.
+const FAULT_FREE_END_S: f64 = 4.0;
+/// The same with membership: the seconds in which the routers have to agree again.
+const AGREEMENT_END_S: f64 = 12.0;
 
-/// What one schedule came to.
-struct Played {
-    /// Broken rules by word, and what else is wrong.
-    wrong: Vec<String>,
+/// The result of one schedule.
+struct ScheduleResult {
+    /// Broken rules, each with its label, and other failures.
+    failures: Vec<String>,
     service: f64,
     service_recovery_s: Option<f64>,
     unsound: Option<String>,
 }
 
-/// What all of it came to.
-pub struct Found {
+/// The result of a hunt.
+pub struct HuntResult {
     pub text: String,
     pub failed: usize,
 }
 
-fn text_of(wanted: &Options, base: &str, faults: &[ScheduledFault], seed: u64) -> String {
-    let planted = if wanted.plant { "planted = true\n" } else { "" };
+fn schedule_text(options: &Options, base: &str, faults: &[ScheduledFault], seed: u64) -> String {
+    let planted = if options.plant { "planted = true\n" } else { "" };
     format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", draw::to_script(faults))
 }
 
-fn script(wanted: &Options, text: &str, seed: u64) -> Result<Script, String> {
-    let dir = wanted.base.parent().unwrap_or(std::path::Path::new("."));
-    let shared = |name: &str| fs::read_to_string(dir.join(name)).map_err(|e| e.to_string());
-    let mut script = Script::read_with("drawn", text, &shared)
+fn read_script(options: &Options, text: &str, seed: u64) -> Result<Script, String> {
+    let dir = options.base.parent().unwrap_or(std::path::Path::new("."));
+    let read_shared = |name: &str| fs::read_to_string(dir.join(name)).map_err(|e| e.to_string());
+    let mut script = Script::read_with("drawn", text, &read_shared)
         .map_err(|p| p.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))?;
     script.plan.seed = seed;
     Ok(script)
 }
 
-fn play(wanted: &Options, text: &str, seed: u64) -> Result<Played, String> {
-    let script = script(wanted, text, seed)?;
-    let out = wanted.out.join("run");
-    let summary = rehearse::rehearse(Rehearsal {
+fn play(options: &Options, text: &str, seed: u64) -> Result<ScheduleResult, String> {
+    let script = read_script(options, text, seed)?;
+    let out = options.out.join("run");
+    let summary = rehearse::rehearse(RehearsalOptions {
         script,
         quick: false,
-        router: wanted.router.clone(),
+        router: options.router.clone(),
         out: out.clone(),
     })?;
     let trace = report::read(&out)?;
-    let mut wrong: Vec<String> = Vec::new();
+    let mut failures: Vec<String> = Vec::new();
     for finding in sandstile_audit::judge(&trace)?.iter().filter(|f| f.rule.is_violation()) {
-        wrong.push(format!("{}: {}", finding.rule.label(), finding.description));
+        failures.push(format!("{}: {}", finding.rule.label(), finding.description));
     }
-    let back = recovery(&trace);
+    let recovery_report = recovery(&trace);
     if let Some(service) = sandstile_audit::service(&trace) {
-        // The last two seconds but one, by which the last wishes have their end.
-        let (mut good, mut all) = (0, 0);
+        // The two seconds before the last one, whose requests have all ended.
+        let (mut in_time, mut total) = (0, 0);
         for w in &service.workloads {
-            let n = w.seconds.len().saturating_sub(1);
-            for second in &w.seconds[n.saturating_sub(2)..n] {
-                (good, all) = (good + second.in_time, all + second.requests);
+            let end = w.seconds.len().saturating_sub(1);
+            for second in &w.seconds[end.saturating_sub(2)..end] {
+                (in_time, total) = (in_time + second.in_time, total + second.requests);
             }
         }
-        if (good as f64) < LOST * all as f64 {
-            wrong.push(format!("lost: {good} of {all} in time in the last seconds"));
+        if (in_time as f64) < MIN_SHARE_IN_TIME * total as f64 {
+            failures.push(format!("lost: {in_time} of {total} in time in the last seconds"));
         }
     }
-    // Whoever is there when the last fault is over: all of them are to see just each other, soon.
+    // After the last fault all running routers have to see exactly each other within the time for agreement.
     if let Some(last) = sandstile_audit::agreement(&trace).epochs.last() {
-        if last.agreed_after.is_none() && last.to - last.from > AGREES - 4.0 {
-            wrong.push(format!("members: no agreement {:.1} s after {}", last.to - last.from, last.change));
+        if last.agreed_after.is_none() && last.to - last.from > AGREEMENT_END_S - 4.0 {
+            failures.push(format!(
+                "members: no agreement {:.1} s after {}",
+                last.to - last.from,
+                last.change
+            ));
         }
     }
-    Ok(Played {
-        wrong,
+    Ok(ScheduleResult {
+        failures,
         service: summary.service,
-        service_recovery_s: back.service_recovery_s(),
+        service_recovery_s: recovery_report.service_recovery_s(),
         unsound: summary.unsound,
     })
 }
 
-/// Whether it fails, asked more than once where it seems not to.
-fn fails(wanted: &Options, text: &str, seed: u64) -> Result<Option<String>, String> {
-    for _ in 0..TRIES {
-        if let Some(first) = play(wanted, text, seed)?.wrong.into_iter().next() {
+/// The first failure of a schedule, which is played again if it seems to pass.
+fn first_failure(options: &Options, text: &str, seed: u64) -> Result<Option<String>, String> {
+    for _ in 0..MAX_PLAYS {
+        if let Some(first) = play(options, text, seed)?.failures.into_iter().next() {
             return Ok(Some(first));
         }
     }
     Ok(None)
 }
 
-/// Plays all schedules; what fails lies in the folder for results, each as a script.
-pub fn hunt(wanted: &Options) -> Result<Found, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", wanted.out.display());
-    fs::create_dir_all(&wanted.out).map_err(told)?;
-    let base = fs::read_to_string(&wanted.base).map_err(|e| format!("{}: {e}", wanted.base.display()))?;
-    let plain = script(wanted, &base, wanted.seed)?;
-    let zones: Vec<String> = plain.plan.nodes.iter().map(|n| n.zone.clone()).collect();
-    let mut field = FaultTargets {
-        routers: plain.routers.count,
-        groups: plain.plan.groups.iter().map(|g| g.name.clone()).collect(),
+/// Plays all schedules; writes each that fails to the results folder, as a script.
+pub fn hunt(options: &Options) -> Result<HuntResult, String> {
+    let with_path = |e: std::io::Error| format!("{}: {e}", options.out.display());
+    fs::create_dir_all(&options.out).map_err(with_path)?;
+    let base = fs::read_to_string(&options.base).map_err(|e| format!("{}: {e}", options.base.display()))?;
+    let base_script = read_script(options, &base, options.seed)?;
+    let zones: Vec<String> = base_script.plan.nodes.iter().map(|n| n.zone.clone()).collect();
+    let mut targets = FaultTargets {
+        routers: base_script.routers.count,
+        groups: base_script.plan.groups.iter().map(|g| g.name.clone()).collect(),
         zones,
-        from: plain.settle,
-        to: (plain.seconds - if plain.routers.members { AGREES } else { TAIL }).max(plain.settle),
-        members: plain.routers.members,
+        from: base_script.settle,
+        to: (base_script.seconds
+            - if base_script.routers.members { AGREEMENT_END_S } else { FAULT_FREE_END_S })
+        .max(base_script.settle),
+        members: base_script.routers.members,
     };
-    field.zones.sort();
-    field.zones.dedup();
+    targets.zones.sort();
+    targets.zones.dedup();
     let mut out = String::from(
         "| seed | faults | service | whole after s | verdict |\n| --- | --- | --- | --- | --- |\n",
     );
     let mut failed = 0;
-    for run in 0..wanted.runs as u64 {
-        let seed = wanted.seed + run;
-        let faults = draw::draw_schedule(&field, wanted.size, seed);
-        let text = text_of(wanted, &base, &faults, seed);
-        let played = play(wanted, &text, seed)?;
-        let whole = match played.service_recovery_s {
+    for run in 0..options.runs as u64 {
+        let seed = options.seed + run;
+        let faults = draw::draw_schedule(&targets, options.size, seed);
+        let text = schedule_text(options, &base, &faults, seed);
+        let result = play(options, &text, seed)?;
+        let recovery_s = match result.service_recovery_s {
             Some(after) if after.is_finite() => format!("{after:.2}"),
             Some(_) => "not before the end".to_string(),
             None => String::new(),
         };
-        let verdict = match (&played.unsound, played.wrong.first()) {
+        let verdict = match (&result.unsound, result.failures.first()) {
             (Some(why), None) => format!("unsound: {why}"),
             (_, None) => "rules whole".to_string(),
             (_, Some(first)) => first.clone(),
         };
-        info!(seed, service = played.service, verdict, "played");
-        let _ = writeln!(out, "| {seed} | {} | {:.3} | {whole} | {verdict} |", faults.len(), played.service);
-        if played.wrong.is_empty() {
+        info!(seed, service = result.service, verdict, "played a schedule");
+        let _ =
+            writeln!(out, "| {seed} | {} | {:.3} | {recovery_s} | {verdict} |", faults.len(), result.service);
+        if result.failures.is_empty() {
             continue;
         }
         failed += 1;
-        warn!(seed, "fails: {verdict}");
-        let (least, asked) = shrink(wanted, &base, faults, seed)?;
-        let path = wanted.out.join(format!("found-{seed}.hcl"));
-        fs::write(&path, text_of(wanted, &base, &least, seed)).map_err(told)?;
+        warn!(seed, "schedule fails: {verdict}");
+        let (smallest, plays) = shrink(options, &base, faults, seed)?;
+        let path = options.out.join(format!("found-{seed}.hcl"));
+        fs::write(&path, schedule_text(options, &base, &smallest, seed)).map_err(with_path)?;
         let _ = writeln!(
             out,
-            "\n{}: {} faults of {} after {asked} plays\n",
+            "\n{}: {} faults of {} after {plays} plays\n",
             path.display(),
-            least.len(),
-            wanted.size
+            smallest.len(),
+            options.size
         );
-        let _ = writeln!(out, "```\n{}```\n", draw::to_script(&least));
+        let _ = writeln!(out, "```\n{}```\n", draw::to_script(&smallest));
     }
-    let _ = writeln!(out, "\n{} schedules of {} faults, {failed} failed", wanted.runs, wanted.size);
-    fs::write(wanted.out.join("hunt.md"), &out).map_err(told)?;
-    Ok(Found { text: out, failed })
+    let _ = writeln!(out, "\n{} schedules of {} faults, {failed} failed", options.runs, options.size);
+    fs::write(options.out.join("hunt.md"), &out).map_err(with_path)?;
+    Ok(HuntResult { text: out, failed })
 }
 
 fn shrink(
-    wanted: &Options,
+    options: &Options,
     base: &str,
     faults: Vec<ScheduledFault>,
     seed: u64,
 ) -> Result<(Vec<ScheduledFault>, usize), String> {
-    let mut shrink = Shrinker::new(faults);
-    while shrink.runs() < wanted.shrinks {
-        let Some(fewer) = shrink.next_candidate() else { break };
-        let failed = fails(wanted, &text_of(wanted, base, &fewer, seed), seed)?;
-        info!(seed, faults = fewer.len(), failed, "shrinks");
-        shrink.record_result(failed.is_some());
+    let mut shrinker = Shrinker::new(faults);
+    while shrinker.runs() < options.shrinks {
+        let Some(candidate) = shrinker.next_candidate() else { break };
+        let failed = first_failure(options, &schedule_text(options, base, &candidate, seed), seed)?;
+        info!(seed, faults = candidate.len(), failed, "shrinks a schedule");
+        shrinker.record_result(failed.is_some());
     }
-    Ok((shrink.smallest_failing().to_vec(), shrink.runs()))
+    Ok((shrinker.smallest_failing().to_vec(), shrinker.runs()))
 }
--- a/crates/sandstile-lab/src/lib.rs
+++ b/crates/sandstile-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Rehearsals: the emulator, real router processes and clients on one machine, a trace of all of it, and what
-//! the audit says of that.
+//! Rehearsals: the emulator, real router processes and clients on one machine, with a trace of all of them and the
+//! audit of that trace. Also experiments, hunts, soaks, simulations and measurements, with their reports and charts.
 pub mod capacity;
 pub mod charts;
 pub mod clients;
--- a/crates/sandstile-lab/src/main.rs
+++ b/crates/sandstile-lab/src/main.rs
@@ -14,7 +14,7 @@
 #[derive(Parser)]
 #[command(name = "sandstile-lab", version, about)]
 struct Cli {
-    /// The form of the log on standard error
+    /// Format of the log on standard error
     #[arg(long, global = true, value_enum, default_value_t = Form::Text)]
     log: Form,
     #[command(subcommand)]
@@ -29,7 +29,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check scripts whole, without starting anything
+    /// Check scripts completely, without starting anything
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
@@ -39,89 +39,89 @@
         #[arg(default_value = "rehearsals")]
         dir: PathBuf,
     },
-    /// Start hosts and discovery alone, and print a configuration for a router; SIGINT or SIGTERM ends it
+    /// Start only hosts and discovery, and print a configuration for a router; ends on SIGINT or SIGTERM
     Emulate {
         file: PathBuf,
-        /// Begin the script's cues at once
+        /// Start the script's cues at once
         #[arg(long)]
         cues: bool,
     },
     /// Play a script: emulator, routers, clients, trace and summary
     Rehearse {
         file: PathBuf,
-        /// In place of the script's seed
+        /// Seed to use instead of the script's
         #[arg(long)]
         seed: Option<u64>,
-        /// The router's program; the one beside this program if absent
+        /// The router's program [default: the one in this program's folder]
         #[arg(long)]
         router: Option<PathBuf>,
-        /// Where trace, logs and summary go
+        /// Folder for the trace, the logs and the summary
         #[arg(long, default_value = "target/rehearsal")]
         out: PathBuf,
-        /// In the script's quick time
+        /// Use the script's shorter quick duration
         #[arg(long)]
         quick: bool,
     },
-    /// How much one router carries on one core: offered against completed, latency, CPU, memory
+    /// Measure the capacity of one router on one core: offered and completed rates, latency, CPU, memory
     Capacity {
-        /// The router's program; the one beside this program if absent
+        /// The router's program [default: the one in this program's folder]
         #[arg(long)]
         router: Option<PathBuf>,
-        /// Rates to offer, statements a second
+        /// Rates to offer, in statements per second
         #[arg(long, value_delimiter = ',', default_values_t = [500.0, 1000.0, 2000.0, 4000.0, 6000.0, 8000.0])]
         rates: Vec<f64>,
-        /// Seconds a rate
+        /// Seconds for each rate
         #[arg(long, default_value_t = 15.0)]
         seconds: f64,
-        /// Connections to the router
+        /// Numbers of connections to the router
         #[arg(long, value_delimiter = ',', default_values_t = [200])]
         connections: Vec<usize>,
-        /// Count system calls too, in a run of its own under strace
+        /// Also count system calls, in a separate run under strace
         #[arg(long)]
         calls: bool,
         /// The core that the router runs on
         #[arg(long, default_value_t = 0)]
         core: usize,
-        /// Five seconds a rate
+        /// Five seconds for each rate
         #[arg(long)]
         quick: bool,
-        /// Our own file for the router (HCL)
+        /// Local configuration file for the router (HCL)
         #[arg(long)]
         config: Option<PathBuf>,
     },
-    /// The paper's own experiment: many small databases with and without satellites
+    /// Play the paper's own experiment: many small databases with and without satellites
     ScaleOut {
         file: PathBuf,
-        /// The router's program; the one beside this program if absent
+        /// The router's program [default: the one in this program's folder]
         #[arg(long)]
         router: Option<PathBuf>,
-        /// Where the table and the charts go
+        /// Folder for the table and the charts
         #[arg(long)]
         out: PathBuf,
-        /// Ten counted seconds a point
+        /// Ten counted seconds for each point
         #[arg(long)]
         quick: bool,
     },
-    /// Play a script by two or more arms, in pairs; goes on where it was stopped
+    /// Play a script with two or more arms, in pairs; resumes where it was stopped
     Experiment {
         file: PathBuf,
-        /// Where rows, tables and charts go
+        /// Folder for rows, tables and charts
         #[arg(long, default_value = "target/experiment")]
         out: PathBuf,
-        /// The usual router's program; the one beside this program if absent
+        /// The router's program for arms that name none [default: the one in this program's folder]
         #[arg(long)]
         router: Option<PathBuf>,
-        /// Scripts in their quick time, and few pairs
+        /// Use the scripts' shorter quick duration, and few pairs
         #[arg(long)]
         quick: bool,
-        /// Pairs, in place of the file's
+        /// Number of pairs to use instead of the file's
         #[arg(long)]
         pairs: Option<usize>,
-        /// A script, in place of the file's
+        /// Script to use instead of the file's
         #[arg(long)]
         script: Option<PathBuf>,
     },
-    /// Draw fault schedules by seed, play them short, judge, and shrink what fails; exits with 1 where one does
+    /// Play short fault schedules drawn by seed, judge them and shrink those that fail; exits with 1 if one fails
     Hunt {
         /// The script that schedules are added to
         #[arg(default_value = "rehearsals/hunt.hcl")]
@@ -131,64 +131,64 @@
         seed: u64,
         #[arg(long, default_value_t = 40)]
         runs: usize,
-        /// Faults of one schedule
+        /// Number of faults in each schedule
         #[arg(long, default_value_t = 5)]
         size: usize,
         #[arg(long)]
         router: Option<PathBuf>,
         #[arg(long, default_value = "target/hunt")]
         out: PathBuf,
-        /// Six schedules, and three plays at the most to shrink one that fails
+        /// Six schedules, and at most three plays to shrink one that fails
         #[arg(long)]
         quick: bool,
-        /// Hosts have a flaw that is to be found; exits with 1 where it is not
+        /// Plant a flaw in the hosts, which the hunt has to find; exits with 1 if it does not
         #[arg(long)]
         plant: bool,
     },
-    /// Play real routers under faults drawn by seed, system calls among them; exits with 1 where a rule is broken
+    /// Play real routers under faults drawn by seed, also in system calls; exits with 1 if a rule is broken
     Soak {
         /// The seed of the first run
         #[arg(long)]
         seed: u64,
         #[arg(long, default_value_t = 1)]
         runs: u64,
-        /// Short runs of few processes
+        /// Short runs with few processes
         #[arg(long)]
         quick: bool,
-        /// Thousands of database hosts, whose list and primaries change
+        /// Use thousands of database hosts, whose list and primaries change
         #[arg(long)]
         large: bool,
-        /// The router's program; the one beside this program if absent
+        /// The router's program [default: the one in this program's folder]
         #[arg(long)]
         router: Option<PathBuf>,
-        /// The library that makes system calls fail; the one among the examples beside this program if absent
+        /// The library that makes system calls fail [default: the one in the examples folder next to this program]
         #[arg(long)]
         shim: Option<PathBuf>,
-        /// Where logs and journals go
+        /// Folder for logs and journals
         #[arg(long, default_value = "target/soak")]
         out: PathBuf,
     },
-    /// How a return grows with the number of routers, in virtual time: a table and charts
+    /// Simulate how the recovery after a restart grows with the number of routers: a table and charts
     Returns {
-        /// Where the table and the charts go
+        /// Folder for the table and the charts
         #[arg(long, default_value = "target/returns")]
         out: PathBuf,
         /// Up to a hundred routers
         #[arg(long)]
         quick: bool,
     },
-    /// How watching each other grows with the number of routers, in virtual time: a table and charts
+    /// Simulate how membership grows with the number of routers: a table and charts
     Members {
-        /// Where the table and the charts go
+        /// Folder for the table and the charts
         #[arg(long, default_value = "target/members")]
         out: PathBuf,
-        /// Up to fifty routers, minutes in place of a day
+        /// Up to fifty routers, minutes instead of a day
         #[arg(long)]
         quick: bool,
     },
-    /// How keeping the same grows with the number of routers, in virtual time: a table and charts
+    /// Simulate how the replication of state grows with the number of routers: a table and charts
     Copies {
-        /// Where the table and the charts go
+        /// Folder for the table and the charts
         #[arg(long, default_value = "target/copies")]
         out: PathBuf,
         /// Up to sixteen routers, a tenth of the sessions
@@ -197,18 +197,18 @@
     },
     /// Write tables, charts and a page from an experiment's rows
     Report { dir: PathBuf },
-    /// Load an address that speaks the platform's protocol
+    /// Put load on an address that speaks the platform's protocol
     Load {
         target: std::net::SocketAddr,
         #[arg(long, default_value_t = 100)]
         connections: usize,
-        /// Seconds that a client waits
+        /// Timeout of the clients, in seconds
         #[arg(long, default_value_t = 2.0)]
         patience: f64,
         /// Play this recording
         #[arg(long)]
         recording: Option<PathBuf>,
-        /// Else so many statements a second, for so many seconds, of this workload and group
+        /// Without a recording: statements per second, for `seconds`, of this workload and group
         #[arg(long, default_value_t = 100.0)]
         rate: f64,
         #[arg(long, default_value_t = 10.0)]
@@ -217,20 +217,20 @@
         workload: String,
         #[arg(long, default_value = "1")]
         group: String,
-        /// Ask again as soon as answered, on each connection
+        /// Closed loop: each connection sends its next statement as soon as the last is answered
         #[arg(long)]
         closed: bool,
     },
-    /// Make, look at, cut, scale and merge recordings
+    /// Make, inspect, cut, scale and merge recordings
     #[command(subcommand)]
     Recording(Recording),
-    /// Judge the rules from a rehearsal's trace; exits with 1 where one is broken
+    /// Check the rules against a rehearsal's trace; exits with 1 if one is broken
     Audit {
         dir: PathBuf,
-        /// How many stories to print
+        /// How many broken rules to print with their trace lines
         #[arg(long, default_value_t = 5)]
         stories: usize,
-        /// Lost writes and silence count as broken too
+        /// Count lost writes and missing answers as broken rules too
         #[arg(long)]
         strict: bool,
     },
@@ -238,7 +238,7 @@
 
 #[derive(Subcommand)]
 enum Recording {
-    /// First tries of a rehearsal, from its folder
+    /// Make a recording from the first attempts in a rehearsal's folder
     FromTrace {
         dir: PathBuf,
         out: PathBuf,
@@ -246,14 +246,14 @@
     Inspect {
         file: PathBuf,
     },
-    /// What lies between two times, in seconds
+    /// Cut out what lies between two times, in seconds
     Cut {
         file: PathBuf,
         out: PathBuf,
         from: f64,
         to: f64,
     },
-    /// Faster or slower, and several times over
+    /// Change the speed, and overlay several copies
     Scale {
         file: PathBuf,
         out: PathBuf,
@@ -265,7 +265,7 @@
         #[arg(long, default_value_t = 1.0)]
         spread: f64,
     },
-    /// Two over each other
+    /// Overlay two recordings
     Merge {
         one: PathBuf,
         other: PathBuf,
@@ -273,8 +273,8 @@
     },
 }
 
-fn recording(verb: Recording) -> Result<ExitCode, String> {
-    let written = match verb {
+fn edit_recording(command: Recording) -> Result<ExitCode, String> {
+    let written = match command {
         Recording::Inspect { file } => {
             print!("{}", recordings::inspect(&file)?);
             return Ok(ExitCode::SUCCESS);
@@ -299,41 +299,44 @@
         Form::Text => log.with_ansi(false).init(),
         Form::Json => log.json().init(),
     }
-    let done = match cli.command {
+    let outcome = match cli.command {
         Command::Check { files } => check(&files),
         Command::List { dir } => list(&dir),
         Command::Emulate { file, cues } => emulate(&file, cues),
         Command::Rehearse { file, seed, router, out, quick } => play(&file, seed, router, out, quick),
         Command::Experiment { file, out, router, quick, pairs, script } => {
-            beside(router).and_then(|router| {
+            find_router(router).and_then(|router| {
                 let mut text =
                     std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
                 if let Some(script) = script {
-                    // Rows are this experiment's by the hash of its text, so another script makes it another.
+                    // Rows belong to an experiment by the hash of its text, so another script makes it another experiment.
                     let name = format!("script = {:?}\n", script.display().to_string());
-                    let other = |line: &&str| !line.trim_start().starts_with("script ");
-                    text = text.lines().filter(other).map(|line| format!("{line}\n")).collect::<String>()
-                        + &name;
+                    let other_lines = |line: &&str| !line.trim_start().starts_with("script ");
+                    text =
+                        text.lines().filter(other_lines).map(|line| format!("{line}\n")).collect::<String>()
+                            + &name;
                 }
-                let wanted = experiment::Options { file, text, out, router, quick, pairs };
-                println!("{}", experiment::run(&wanted)?);
+                let options = experiment::Options { file, text, out, router, quick, pairs };
+                println!("{}", experiment::run(&options)?);
                 Ok(ExitCode::SUCCESS)
             })
         }
         Command::Hunt { base, seed, runs, size, router, out, quick, plant } => {
-            beside(router).and_then(|router| {
+            find_router(router).and_then(|router| {
                 let (runs, shrinks) = if quick { (6, 3) } else { (runs, 24) };
-                let wanted = hunt::Options { base, router, out, seed, runs, size, shrinks, plant };
-                let found = hunt::hunt(&wanted)?;
+                let options = hunt::Options { base, router, out, seed, runs, size, shrinks, plant };
+                let found = hunt::hunt(&options)?;
                 println!("{}", found.text);
                 Ok(ExitCode::from(u8::from((found.failed > 0) != plant)))
             })
         }
-        Command::Soak { seed, runs, quick, large, router, shim, out } => beside(router).and_then(|router| {
-            let shim = shim.map_or_else(|| sandstile_shim::library(&router), Ok)?;
-            let broken = soak::soak(&soak::Options { router, shim, out, seed, runs, quick, large })?;
-            Ok(ExitCode::from(u8::from(broken > 0)))
-        }),
+        Command::Soak { seed, runs, quick, large, router, shim, out } => {
+            find_router(router).and_then(|router| {
+                let shim = shim.map_or_else(|| sandstile_shim::library(&router), Ok)?;
+                let broken = soak::soak(&soak::Options { router, shim, out, seed, runs, quick, large })?;
+                Ok(ExitCode::from(u8::from(broken > 0)))
+            })
+        }
         Command::Returns { out, quick } => returns::grow(&out, quick).map(|text| {
             println!("{text}");
             ExitCode::SUCCESS
@@ -350,7 +353,7 @@
             println!("{text}");
             ExitCode::SUCCESS
         }),
-        Command::Recording(verb) => recording(verb),
+        Command::Recording(command) => edit_recording(command),
         Command::Load {
             target,
             connections,
@@ -362,7 +365,7 @@
             group,
             closed,
         } => {
-            let play = recordings::Play {
+            let options = recordings::LoadOptions {
                 target,
                 connections,
                 patience,
@@ -373,23 +376,23 @@
                 group,
                 closed,
             };
-            recordings::play(&play).map(|report| {
-                println!("{}", recordings::table(&report));
-                // Figures that are the tool's own are not to be taken for its target's.
+            recordings::play(&options).map(|report| {
+                println!("{}", recordings::format_report(&report));
+                // Fails if the figures show the limits of the load generator and not of its target.
                 ExitCode::from(u8::from(report.unsound().is_some()))
             })
         }
         Command::Capacity { router, rates, seconds, connections, calls, core, quick, config } => {
             let seconds = if quick { 5.0 } else { seconds };
-            beside(router).and_then(|router| {
-                let wanted = capacity::Options { router, rates, seconds, connections, calls, core, config };
-                capacity::measure(&wanted).map(|table| {
+            find_router(router).and_then(|router| {
+                let options = capacity::Options { router, rates, seconds, connections, calls, core, config };
+                capacity::measure(&options).map(|table| {
                     println!("{table}");
                     ExitCode::SUCCESS
                 })
             })
         }
-        Command::ScaleOut { file, router, out, quick } => beside(router).and_then(|router| {
+        Command::ScaleOut { file, router, out, quick } => find_router(router).and_then(|router| {
             let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
             let name = file.display().to_string();
             let experiment = scale_out::Experiment::read(&name, &text).map_err(|problems| {
@@ -400,21 +403,21 @@
         }),
         Command::Audit { dir, stories, strict } => audit(&dir, stories, strict),
     };
-    match done {
+    match outcome {
         Ok(code) => code,
-        Err(what) => {
-            error!("{what}");
+        Err(reason) => {
+            error!("{reason}");
             ExitCode::from(2)
         }
     }
 }
 
 fn read(file: &Path) -> Result<Script, String> {
-    rehearse::script(file)
+    rehearse::read_script(file)
 }
 
 fn check(files: &[PathBuf]) -> Result<ExitCode, String> {
-    let mut bad = 0;
+    let mut invalid = 0;
     for file in files {
         match read(file) {
             Ok(s) => println!(
@@ -427,13 +430,13 @@
                 s.plan.workloads.len(),
                 s.cues.len()
             ),
-            Err(what) => {
-                eprintln!("{what}");
-                bad += 1;
+            Err(reason) => {
+                eprintln!("{reason}");
+                invalid += 1;
             }
         }
     }
-    Ok(ExitCode::from(u8::from(bad > 0)))
+    Ok(ExitCode::from(u8::from(invalid > 0)))
 }
 
 fn list(dir: &Path) -> Result<ExitCode, String> {
@@ -448,16 +451,17 @@
     let script = read(file)?;
     let clock = Clock::anchor();
     let (records, lines) = crossbeam_channel::unbounded();
-    let (emulator, _notes, net) = rehearse::emulator(&script, clock, records).map_err(|e| e.to_string())?;
+    let (emulator, _notifications, net) =
+        rehearse::new_emulator(&script, clock, records).map_err(|e| e.to_string())?;
     let emulator = emulator.spawn().map_err(|e| e.to_string())?;
     let listen = rehearse::router_address(net, 0);
     let config = processes::config(&script, 0, listen, emulator.agents[0], &emulator.discovery_list(0));
-    // Before anybody can read that it is up: a signal that came earlier would end it without a word.
+    // Registered before the program reports that it is up: an earlier signal would end it without its summary.
     let mut signals =
         signal_hook::iterator::Signals::new([signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM])
             .map_err(|e| e.to_string())?;
     println!("{config:#}");
-    info!("hosts and discovery are up; put the above into a file and name it by LB_CONFIG");
+    info!("hosts and discovery are up; write the above to a file and set LB_CONFIG to its path");
     if cues {
         emulator.start_script(clock.now());
     }
@@ -478,13 +482,13 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The router's program: as named, or the one beside this program.
-fn beside(router: Option<PathBuf>) -> Result<PathBuf, String> {
+/// The router's program: the given one, or else the one in this program's folder.
+fn find_router(router: Option<PathBuf>) -> Result<PathBuf, String> {
     let this = std::env::current_exe().map_err(|e| e.to_string())?;
-    let router = router.unwrap_or_else(|| rehearse::beside(&this));
+    let router = router.unwrap_or_else(|| rehearse::default_router(&this));
     match router.is_file() {
         true => Ok(router),
-        false => Err(format!("{}: no router there; build it, or name one by --router", router.display())),
+        false => Err(format!("{}: no router there; build it, or name one with --router", router.display())),
     }
 }
 
@@ -497,10 +501,10 @@
 ) -> Result<ExitCode, String> {
     let mut script = read(file)?;
     script.plan.seed = seed.unwrap_or(script.plan.seed);
-    let router = beside(router)?;
+    let router = find_router(router)?;
     let summary = rehearse::rehearse(rehearse::Options { script, quick, router, out })?;
     println!("{}", summary.text);
-    info!(service = summary.service, broken = summary.broken, unsound = summary.unsound, "ended");
+    info!(service = summary.service, broken = summary.broken, unsound = summary.unsound, "rehearsal ended");
     Ok(ExitCode::SUCCESS)
 }
 
@@ -508,15 +512,15 @@
     let trace = report::read(dir)?;
     let findings = sandstile_audit::judge(&trace)?;
     for rule in sandstile_audit::judge::RULES {
-        let of: Vec<_> = findings.iter().filter(|f| f.rule == rule).collect();
+        let of_rule: Vec<_> = findings.iter().filter(|f| f.rule == rule).collect();
         let kind = if rule.is_violation() { "rule" } else { "finding" };
-        println!("{:<10} {:<8} {}", rule.label(), kind, of.len());
+        println!("{:<10} {:<8} {}", rule.label(), kind, of_rule.len());
     }
     for finding in findings.iter().filter(|f| strict || f.rule.is_violation()).take(stories) {
         println!("\n{finding}");
     }
-    for (host, (multiple, most)) in &trace.cold_host_load {
-        println!("cold {host}: offered {multiple:.1} times what it could, {most:.1} at most");
+    for (host, (multiple, max_multiple)) in &trace.cold_host_load {
+        println!("cold {host}: offered {multiple:.1} times its capacity, {max_multiple:.1} at most");
     }
     if let Some(why) = &trace.unsound {
         println!("unsound: {why}");
--- a/crates/sandstile-lab/src/members.rs
+++ b/crates/sandstile-lab/src/members.rs
@@ -1,6 +1,6 @@
-//! How watching each other grows with the number of routers and with what the net loses: the very state machine of the router
-//! (`sandstile-membership`) in virtual time.
-use crate::charts::{self, Line};
+//! How the cost and speed of membership grow with the number of routers and with packet loss: the router's own state
+//! machine (`sandstile-membership`) in virtual time.
+use crate::charts::{self, Curve};
 use sandstile_membership::sim::Sim;
 use sandstile_membership::Change;
 use std::collections::BTreeMap;
@@ -10,12 +10,12 @@
 use tracing::info;
 
 const LOSSES: [f64; 3] = [0.0, 0.05, 0.2];
-/// Seconds: the news of the start have to be old, for each rides on many letters.
-const SETTLES: f64 = 60.0;
-/// Seconds after a kill in which all are to know.
-const WATCHES: f64 = 15.0;
-/// A thousand cost their square.
-fn kills(members: usize) -> usize {
+/// Seconds until the updates of the start are no longer sent: each update rides on many datagrams.
+const SETTLE_S: f64 = 60.0;
+/// Seconds after a kill within which all members have to know of it.
+const WATCH_S: f64 = 15.0;
+/// The number of kills: few with many members, because the cost grows with the square of their number.
+fn kill_count(members: usize) -> usize {
     if members > 300 {
         2
     } else {
@@ -23,8 +23,8 @@
     }
 }
 
-/// So many seconds are watched without a fault: all of a day where that can be had.
-fn quiet(members: usize, quick: bool) -> f64 {
+/// Seconds of the observation without a fault: a whole day where that is affordable.
+fn quiet_duration_s(members: usize, quick: bool) -> f64 {
     match (members, quick) {
         (..=5, false) => 86_400.0,
         (..=50, false) => 3600.0,
@@ -36,15 +36,15 @@
 }
 
 struct Run {
-    /// Seconds after each kill: until somebody suspects, until somebody knows, until all that live know.
+    /// Seconds from each kill until the first suspicion, until the first member knows, until all living members know.
     suspected: Vec<f64>,
-    first: Vec<f64>,
-    all: Vec<Option<f64>>,
-    quiet: f64,
-    /// In the quiet time, each counted once and not by each who saw it.
+    first_known: Vec<f64>,
+    known_by_all: Vec<Option<f64>>,
+    quiet_s: f64,
+    /// In the quiet time; divided by the number of members, so that an event seen by all counts once.
     suspicions: f64,
     deaths: f64,
-    /// Bytes a second that a member sends.
+    /// Bytes per second that a member sends.
     bytes: f64,
 }
 
@@ -52,56 +52,57 @@
     let mut sim = Sim::new(members, 1);
     sim.until_agreed(60.0)?;
     sim.loss = loss;
-    sim.advance(SETTLES);
+    sim.advance(SETTLE_S);
     sim.observed.clear();
-    let (sent, quiet) = (sim.bytes, quiet(members, quick));
-    let (mut suspicions, mut deaths, mut left) = (0, 0, quiet);
-    while left > 0.0 {
-        // What was seen is counted and let go: a day of it fills the memory.
-        sim.advance(left.min(600.0));
-        left -= 600.0;
-        suspicions += sim.observed.iter().filter(|(_, _, c)| matches!(c, Change::Suspected(_))).count();
-        deaths += sim.observed.iter().filter(|(_, _, c)| matches!(c, Change::Died(_))).count();
+    let (bytes_before, quiet_s) = (sim.bytes, quiet_duration_s(members, quick));
+    let (mut suspicions, mut deaths, mut remaining_s) = (0, 0, quiet_s);
+    while remaining_s > 0.0 {
+        // Observations are counted and dropped every ten minutes: those of a whole day would fill the memory.
+        sim.advance(remaining_s.min(600.0));
+        remaining_s -= 600.0;
+        suspicions +=
+            sim.observed.iter().filter(|(_, _, change)| matches!(change, Change::Suspected(_))).count();
+        deaths += sim.observed.iter().filter(|(_, _, change)| matches!(change, Change::Died(_))).count();
         sim.observed.clear();
     }
-    let bytes = (sim.bytes - sent) as f64 / quiet / members as f64;
+    let bytes = (sim.bytes - bytes_before) as f64 / quiet_s / members as f64;
     let mut run = Run {
         suspected: Vec::new(),
-        first: Vec::new(),
-        all: Vec::new(),
-        quiet,
+        first_known: Vec::new(),
+        known_by_all: Vec::new(),
+        quiet_s,
         suspicions: suspicions as f64 / members as f64,
         deaths: deaths as f64 / members as f64,
         bytes,
     };
-    // Seeds stay: whoever comes back finds them.
-    for kill in 0..kills(members) {
-        let (killed, at) = (2 + kill, sim.now);
+    // The seeds, members 0 and 1, are never killed, so that members that return find them.
+    for kill in 0..kill_count(members) {
+        let (killed, killed_at) = (2 + kill, sim.now);
         sim.kill(killed);
-        sim.advance(WATCHES);
+        sim.advance(WATCH_S);
         let name = format!("n{killed}");
-        let of = |wanted: fn(&Change) -> Option<&str>| {
+        let times_of = |subject: fn(&Change) -> Option<&str>| {
             let mut times: Vec<f64> = sim
                 .observed
                 .iter()
-                .filter(|(t, _, c)| *t >= at && wanted(c) == Some(&name))
-                .map(|(t, ..)| t - at)
+                .filter(|(t, _, change)| *t >= killed_at && subject(change) == Some(&name))
+                .map(|(t, ..)| t - killed_at)
                 .collect();
             times.sort_by(f64::total_cmp);
             times
         };
-        let suspected = of(|c| match c {
-            Change::Suspected(of) => Some(&of.name),
+        let suspected = times_of(|change| match change {
+            Change::Suspected(member) => Some(&member.name),
             _ => None,
         });
-        let died = of(|c| match c {
-            Change::Died(of) => Some(&of.name),
+        let known = times_of(|change| match change {
+            Change::Died(member) => Some(&member.name),
             _ => None,
         });
         let living = members - kill - 1;
         run.suspected.extend(suspected.first());
-        run.first.extend(died.first());
-        run.all.push(died.get(living - 1).copied());
+        run.first_known.extend(known.first());
+        run.known_by_all.push(known.get(living - 1).copied());
         sim.observed.clear();
     }
     Some(run)
@@ -111,15 +112,16 @@
     times.iter().sum::<f64>() / times.len().max(1) as f64
 }
 
-/// All of it: a table, and two charts beside it.
+/// Plays all runs; writes a table and two charts, and returns the table.
 pub fn grow(out: &Path, quick: bool) -> Result<String, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", out.display());
-    std::fs::create_dir_all(out).map_err(told)?;
+    let with_path = |e: std::io::Error| format!("{}: {e}", out.display());
+    std::fs::create_dir_all(out).map_err(with_path)?;
     let counts: &[usize] = if quick { &[5, 50] } else { &[5, 50, 300, 1000] };
-    let mut jobs: Vec<(usize, usize)> =
-        (0..counts.len()).flat_map(|n| (0..LOSSES.len()).map(move |l| (n, l))).collect();
-    // Where one in five is lost, hundreds have so much to say of each other that the model takes many minutes.
-    jobs.retain(|(n, l)| counts[*n] <= 50 || LOSSES[*l] < 0.2);
+    let mut jobs: Vec<(usize, usize)> = (0..counts.len())
+        .flat_map(|count_index| (0..LOSSES.len()).map(move |loss_index| (count_index, loss_index)))
+        .collect();
+    // With 20% loss, hundreds of members exchange so many updates that the simulation takes many minutes.
+    jobs.retain(|(count_index, loss_index)| counts[*count_index] <= 50 || LOSSES[*loss_index] < 0.2);
     let jobs = Mutex::new(jobs);
     let runs: Mutex<BTreeMap<(usize, usize), Option<Run>>> = Mutex::default();
     let workers = std::thread::available_parallelism().map_or(1, usize::from);
@@ -127,55 +129,55 @@
         for _ in 0..workers {
             scope.spawn(|| loop {
                 let job = jobs.lock().expect("no thread panics under the lock").pop();
-                let Some((n, l)) = job else { return };
-                let run = play(counts[n], LOSSES[l], quick);
-                info!(members = counts[n], loss = LOSSES[l], "played");
-                runs.lock().expect("no thread panics under the lock").insert((n, l), run);
+                let Some((count_index, loss_index)) = job else { return };
+                let run = play(counts[count_index], LOSSES[loss_index], quick);
+                info!(members = counts[count_index], loss = LOSSES[loss_index], "played one run");
+                runs.lock().expect("no thread panics under the lock").insert((count_index, loss_index), run);
             });
         }
     });
     let runs = runs.into_inner().expect("no thread panics under the lock");
     let mut text = String::from(
-        "Virtual time, one seed, five kills one after the other (three at 5 members, two at 1,000); letters take 0.5 to 1.5 ms. Means; *by all* the slowest of the kills.\n\n\
+        "Virtual time, one seed, five kills one after the other (three at 5 members, two at 1,000); letters take 0.5 to 1.5 ms. Figures are means; *by all* the slowest of the kills.\n\n\
          | members | loss | first suspected s | first known s | known by all s | quiet s | false suspicions an hour, of all | false deaths \
          in the quiet time, of all | bytes/s a member |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
     );
-    let (mut knows, mut costs) = (Vec::new(), Vec::new());
-    for (l, loss) in LOSSES.iter().enumerate() {
+    let (mut known_curves, mut cost_curves) = (Vec::new(), Vec::new());
+    for (loss_index, loss) in LOSSES.iter().enumerate() {
         let name = format!("{:.0}% lost", loss * 100.0);
-        let (mut know, mut cost) = (Vec::new(), Vec::new());
-        for (n, members) in counts.iter().enumerate() {
-            let Some(run) = runs.get(&(n, l)) else { continue };
+        let (mut known_points, mut cost_points) = (Vec::new(), Vec::new());
+        for (count_index, members) in counts.iter().enumerate() {
+            let Some(run) = runs.get(&(count_index, loss_index)) else { continue };
             let Some(run) = run else {
                 let _ = writeln!(text, "| {members} | {loss} | no agreement at the start |");
                 continue;
             };
-            let slowest = run.all.iter().copied().collect::<Option<Vec<f64>>>();
+            let slowest = run.known_by_all.iter().copied().collect::<Option<Vec<f64>>>();
             let slowest = slowest.and_then(|all| all.into_iter().reduce(f64::max));
-            let by_all = slowest.map_or(format!("not in {WATCHES:.0}"), |s| format!("{s:.2}"));
+            let by_all = slowest.map_or(format!("not in {WATCH_S:.0}"), |s| format!("{s:.2}"));
             let _ = writeln!(
                 text,
                 "| {members} | {loss} | {:.2} | {:.2} | {by_all} | {:.0} | {:.2} | {:.2} | {:.0} |",
                 mean(&run.suspected),
-                mean(&run.first),
-                run.quiet,
-                run.suspicions / run.quiet * 3600.0,
+                mean(&run.first_known),
+                run.quiet_s,
+                run.suspicions / run.quiet_s * 3600.0,
                 run.deaths,
                 run.bytes
             );
-            know.extend(slowest.map(|s| (*members as f64, s)));
-            cost.push((*members as f64, run.bytes));
+            known_points.extend(slowest.map(|s| (*members as f64, s)));
+            cost_points.push((*members as f64, run.bytes));
         }
-        knows.push(Line { name: name.clone(), points: know });
-        costs.push(Line { name, points: cost });
+        known_curves.push(Curve { name: name.clone(), points: known_points });
+        cost_curves.push(Curve { name, points: cost_points });
     }
     for (file, title, unit, curves) in [
-        ("members-known.svg", "A death is known by all: seconds after it", "s", &knows),
-        ("members-bytes.svg", "Bytes a second that a member sends in the calm", "bytes/s", &costs),
+        ("members-known.svg", "Seconds until a death is known by all", "s", &known_curves),
+        ("members-bytes.svg", "Bytes a second that a member sends without faults", "bytes/s", &cost_curves),
     ] {
         let svg = charts::lines(title, "members", unit, curves, false)?;
-        std::fs::write(out.join(file), svg).map_err(told)?;
+        std::fs::write(out.join(file), svg).map_err(with_path)?;
     }
-    std::fs::write(out.join("members.md"), &text).map_err(told)?;
+    std::fs::write(out.join("members.md"), &text).map_err(with_path)?;
     Ok(text)
 }
--- a/crates/sandstile-lab/src/processes.rs
+++ b/crates/sandstile-lab/src/processes.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The settings that routers of this script are told, in the form that they read.
+/// The settings for the routers of this script, in the JSON form that they read.
 pub fn settings(script: &Script) -> Value {
     let plan = &script.plan;
     let classes: Vec<Value> = plan
@@ -43,28 +43,28 @@
             Consistency::Any => "loose",
         })
         .collect();
-    let ages: Vec<f64> = plan.workloads.iter().map(|w| w.max_age_s * 1e3).collect();
-    // Where kinds differ, routers are told the most careful figures.
-    let least = |of: &dyn Fn(&sandstile_fleet::plan::MachineKind) -> f64| {
-        plan.kinds.iter().map(of).fold(f64::INFINITY, f64::min)
+    let max_ages_ms: Vec<f64> = plan.workloads.iter().map(|w| w.max_age_s * 1e3).collect();
+    // Where machine kinds differ, routers get the most conservative values.
+    let min_over_kinds = |value: &dyn Fn(&sandstile_fleet::plan::MachineKind) -> f64| {
+        plan.kinds.iter().map(value).fold(f64::INFINITY, f64::min)
     };
-    let warm = plan.kinds.iter().map(|k| k.warm_s).fold(0.0, f64::max);
-    let a = &script.allowed;
+    let max_warm_s = plan.kinds.iter().map(|k| k.warm_s).fold(0.0, f64::max);
+    let allowed = &script.allowed;
     json!({
         "classes": classes, "peersTotal": script.routers.count, "tickMs": 5.0, "discovery": "pushed",
-        "allowed": {"mostTries": a.max_executions, "mayCancel": a.may_cancel, "probes": a.probes,
-            "retryAfter": a.max_retry_after_s > 0.0, "maxRetryAfterMs": a.max_retry_after_s * 1e3, "dialTimeoutMs": a.dial_timeout_s * 1e3,
-            "idleCloseMs": least(&|k| k.idle_timeout_s) * 1e3},
-        "rules": {"coldFrom": least(&|k| k.cold_share), "coldMs": warm * 1e3,
-            "tipMultiple": least(&|k| k.cold_overload_multiple)},
+        "allowed": {"mostTries": allowed.max_executions, "mayCancel": allowed.may_cancel, "probes": allowed.probes,
+            "retryAfter": allowed.max_retry_after_s > 0.0, "maxRetryAfterMs": allowed.max_retry_after_s * 1e3, "dialTimeoutMs": allowed.dial_timeout_s * 1e3,
+            "idleCloseMs": min_over_kinds(&|k| k.idle_timeout_s) * 1e3},
+        "rules": {"coldFrom": min_over_kinds(&|k| k.cold_share), "coldMs": max_warm_s * 1e3,
+            "tipMultiple": min_over_kinds(&|k| k.cold_overload_multiple)},
         "clients": {"marksRetry": true},
-        "specifics": {"consistency": consistency, "maxAgeMs": ages, "answersStamped": true,
+        "specifics": {"consistency": consistency, "maxAgeMs": max_ages_ms, "answersStamped": true,
             "guards": if plan.hosts_check_reads { "reject" } else { "off" },
             "tokens": match plan.tokens { Tokens::Remembered => "router", Tokens::Carried => "client" }},
     })
 }
 
-/// The whole of what a router is told at its start.
+/// The complete configuration that a router gets at its start.
 pub fn config(script: &Script, number: usize, listen: SocketAddr, agent: SocketAddr, known: &str) -> Value {
     let known: Value = serde_json::from_str(known).unwrap_or(Value::Null);
     json!({"name": format!("n{number}"), "listen": listen.to_string(), "discovery": agent.to_string(),
@@ -73,119 +73,129 @@
         "known": known, "settings": settings(script)})
 }
 
-/// Our own file for one router, and the keys that all of them share; `None` where the script wants none of it.
-pub fn own_file(script: &Script, dir: &Path, net: u8, number: usize) -> io::Result<Option<PathBuf>> {
-    let wanted = script.sessions;
-    let mut beside = String::new();
+/// Writes the local configuration file of one router, and the keys file that all routers share; `None` if the script
+/// needs no such file.
+pub fn write_local_config(
+    script: &Script,
+    dir: &Path,
+    net: u8,
+    number: usize,
+) -> io::Result<Option<PathBuf>> {
+    let sessions = script.sessions;
+    let mut other_blocks = String::new();
     if let Some(pace) = &script.routers.pace {
-        // `answers+ramp`: with the crowd let in as answers come.
+        // `answers+ramp` also admits the returning clients gradually, as answers arrive.
         let (pace, ramp) =
-            pace.split_once('+').map_or((pace.as_str(), false), |(pace, more)| (pace, more == "ramp"));
-        beside += &format!("return {{\n  pace = {pace:?}\n  ramp = {ramp}\n}}\n");
+            pace.split_once('+').map_or((pace.as_str(), false), |(pace, suffix)| (pace, suffix == "ramp"));
+        other_blocks += &format!("return {{\n  pace = {pace:?}\n  ramp = {ramp}\n}}\n");
     }
     if script.routers.limits {
-        beside += "limits {\n}\n";
+        other_blocks += "limits {\n}\n";
     }
     if script.routers.members {
-        beside += &members(script, dir, net, number)?;
+        other_blocks += &members_block(script, dir, net, number)?;
     }
     let path = dir.join(format!("router-{number}.hcl"));
-    if !wanted.tokens && !wanted.journal && !wanted.exchange {
-        if beside.is_empty() {
+    if !sessions.tokens && !sessions.journal && !sessions.exchange {
+        if other_blocks.is_empty() {
             return Ok(None);
         }
-        fs::write(&path, beside)?;
+        fs::write(&path, other_blocks)?;
         return Ok(Some(path));
     }
-    let keys = keys(script, dir)?;
-    let lag = 30;
-    let mut text = format!("sessions {{\n  replicas_lag_at_most_s = {lag}\n");
-    if wanted.tokens || wanted.exchange {
+    let keys = shared_keys(script, dir)?;
+    let max_lag_s = 30;
+    let mut text = format!("sessions {{\n  replicas_lag_at_most_s = {max_lag_s}\n");
+    if sessions.tokens || sessions.exchange {
         text += &format!("  keys = {:?}\n", keys.display().to_string());
     }
-    if wanted.journal {
+    if sessions.journal {
         let path = state_file(script, dir, number);
         text += &format!("  journal = {:?}\n  durability = \"before-answer\"\n", path.display().to_string());
-        // Only where nobody roams has one router heard of all that a session wrote.
-        let stay = script.streams.iter().all(|s| s.roaming_share == 0.0) && script.routers.count == 1;
-        text += &format!("  sessions_stay = {stay}\n");
+        // Only a single router without roaming sessions has seen all writes of each session.
+        let sessions_stay =
+            script.streams.iter().all(|s| s.roaming_share == 0.0) && script.routers.count == 1;
+        text += &format!("  sessions_stay = {sessions_stay}\n");
     }
-    if wanted.exchange {
-        let relayed = relayed(script);
-        let others = (0..script.routers.count).filter(|n| *n != number);
-        let peers = others.map(|n| format!("{:?}", exchange_address(net, n, number, relayed).1.to_string()));
+    if sessions.exchange {
+        let uses_relays = uses_relays(script);
+        let other_routers = (0..script.routers.count).filter(|n| *n != number);
+        let peers = other_routers
+            .map(|n| format!("{:?}", exchange_address(net, n, number, uses_relays).1.to_string()));
         let peers: Vec<String> = peers.collect();
-        // A list of nothing is none: one router alone has nobody to name.
-        let named =
+        // A single router has no peers, and the setting is left out rather than empty.
+        let peers_line =
             if peers.is_empty() { String::new() } else { format!("    peers = [{}]\n", peers.join(", ")) };
         text += &format!(
-            "  sessions_stay = true\n  exchange {{\n    listen = \"{}\"\n{named}  }}\n",
-            exchange_address(net, number, number, relayed).0,
+            "  sessions_stay = true\n  exchange {{\n    listen = \"{}\"\n{peers_line}  }}\n",
+            exchange_address(net, number, number, uses_relays).0,
         );
     }
-    if wanted.state {
-        let file = state_file(script, dir, number);
+    if sessions.state {
+        let state_path = state_file(script, dir, number);
         text += &format!(
             "  state {{\n    dir = {:?}\n    witness = {:?}\n    control = {:?}\n    learn_together = {}\n  }}\n",
-            file.parent().unwrap_or(dir).display().to_string(),
+            state_path.parent().unwrap_or(dir).display().to_string(),
             dir.join(format!("router-{number}.witness")).display().to_string(),
             state_socket(net, number).display().to_string(),
-            wanted.share_probes,
+            sessions.share_probes,
         );
     }
-    fs::write(&path, text + "}\n" + &beside)?;
+    fs::write(&path, text + "}\n" + &other_blocks)?;
     Ok(Some(path))
 }
 
-/// What all routers of a rehearsal share as a secret.
-fn keys(script: &Script, dir: &Path) -> io::Result<PathBuf> {
+/// The file with the secret keys that all routers of a rehearsal share.
+fn shared_keys(script: &Script, dir: &Path) -> io::Result<PathBuf> {
     let keys = dir.join("keys");
     if !keys.exists() {
-        // A rehearsal's keys guard nothing; they differ from run to run all the same.
-        let digits = |n: u128| {
+        // Derived from the seed: a rehearsal's keys protect nothing, but they still differ between seeds.
+        let hex_digits = |n: u128| {
             format!(
                 "{:032x}",
                 (u128::from(script.plan.seed) + n).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835)
             )
         };
-        fs::write(&keys, format!("1 {}{}\n", digits(1), digits(2)))?;
+        fs::write(&keys, format!("1 {}{}\n", hex_digits(1), hex_digits(2)))?;
         fs::set_permissions(&keys, std::os::unix::fs::PermissionsExt::from_mode(0o600))?;
     }
     Ok(keys)
 }
 
-/// Peers are found over relays where any link may fail; the first three are seeds.
-fn members(script: &Script, dir: &Path, net: u8, number: usize) -> io::Result<String> {
-    let relayed = relayed(script);
-    let (at, found_at) = members_address(net, number, relayed);
+/// The `members` block of a router's file. Peers are reached through relays if the script has link faults; the first
+/// three routers are the seeds.
+fn members_block(script: &Script, dir: &Path, net: u8, number: usize) -> io::Result<String> {
+    let uses_relays = uses_relays(script);
+    let (listen_address, advertised_address) = members_address(net, number, uses_relays);
     let seeds = (0..script.routers.count.min(3))
-        .map(|n| format!("{:?}", members_address(net, n, relayed).1.to_string()));
+        .map(|n| format!("{:?}", members_address(net, n, uses_relays).1.to_string()));
     Ok(format!(
-        "members {{\n  listen = \"{at}\"\n  advertise = \"{found_at}\"\n  seeds = [{}]\n  keys = {:?}\n  \
+        "members {{\n  listen = \"{listen_address}\"\n  advertise = \"{advertised_address}\"\n  seeds = [{}]\n  keys = {:?}\n  \
          control = {:?}\n  share = {}\n  zone = \"z{}\"\n}}\n",
         seeds.collect::<Vec<_>>().join(", "),
-        keys(script, dir)?.display().to_string(),
+        shared_keys(script, dir)?.display().to_string(),
         control_socket(net, number).display().to_string(),
         script.routers.share,
         number % 3,
     ))
 }
 
-/// Where a router is asked whom it sees: names of such sockets are short, whatever folder the rehearsal is in.
+/// The control socket for a router's view of the members. It is in the temporary folder, because a socket's path has
+/// to be short.
 pub fn control_socket(net: u8, number: usize) -> PathBuf {
     std::env::temp_dir().join(format!("sandstile-{}-{net}-{number}.sock", std::process::id()))
 }
 
-fn relayed(script: &Script) -> bool {
+fn uses_relays(script: &Script) -> bool {
     script.cues.iter().any(|c| matches!(c.action, sandstile_scenario::script::CueAction::Link { .. }))
 }
 
-/// Where a router is asked for the state that it keeps with others.
+/// The control socket for a router's replicated state.
 pub fn state_socket(net: u8, number: usize) -> PathBuf {
     control_socket(net, number).with_extension("state")
 }
 
-/// Where a router keeps what it is to find again.
+/// The file in which a router keeps the state that survives a restart.
 pub fn state_file(script: &Script, dir: &Path, number: usize) -> PathBuf {
     match script.sessions.state {
         true => dir.join(format!("router-{number}.state")).join("state"),
@@ -193,14 +203,14 @@
     }
 }
 
-/// A process of its own that outlives this one by as long as it takes to end the routers that are left: whoever kills
-/// the lab leaves none behind. It reads which there are, and ends them once nobody writes any more.
-pub struct Nurse {
+/// A helper process that kills the remaining routers when this process ends, so that killing the lab leaves none
+/// behind. It reads the routers' process ids from its standard input, and kills them once that is closed.
+pub struct ProcessGuard {
     child: Child,
-    told: Mutex<Option<ChildStdin>>,
+    stdin: Mutex<Option<ChildStdin>>,
 }
 
-const NURSE: &str = "pids=' '
+const GUARD_SCRIPT: &str = "pids=' '
 while read -r what pid; do
   case $what in
     +) pids=\"$pids$pid \" ;;
@@ -210,36 +220,36 @@
 [ \"$pids\" = ' ' ] || kill -9 $pids 2>/dev/null
 exit 0";
 
-impl Nurse {
-    pub fn start() -> io::Result<Nurse> {
+impl ProcessGuard {
+    pub fn start() -> io::Result<ProcessGuard> {
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", NURSE]).stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null());
-        // A terminal's Ctrl-C goes to a whole group of processes, and this one is to see the others' end.
+        command.args(["-c", GUARD_SCRIPT]).stdin(Stdio::piped()).stdout(Stdio::null()).stderr(Stdio::null());
+        // A terminal sends Ctrl-C to the whole process group; the guard needs its own group, to outlive the others.
         std::os::unix::process::CommandExt::process_group(&mut command, 0);
         let mut child = command.spawn()?;
-        let told = Mutex::new(child.stdin.take());
-        Ok(Nurse { child, told })
+        let stdin = Mutex::new(child.stdin.take());
+        Ok(ProcessGuard { child, stdin })
     }
 
-    fn say(&self, what: char, pid: u32) {
-        if let Some(to) = &mut *self.told.lock().expect("no thread panics under the lock") {
-            let _ = to.write_all(format!("{what} {pid}\n").as_bytes());
+    fn send(&self, change: char, pid: u32) {
+        if let Some(stdin) = &mut *self.stdin.lock().expect("no thread panics under the lock") {
+            let _ = stdin.write_all(format!("{change} {pid}\n").as_bytes());
         }
     }
 }
 
-impl Drop for Nurse {
+impl Drop for ProcessGuard {
     fn drop(&mut self) {
-        self.told.lock().expect("no thread panics under the lock").take();
+        self.stdin.lock().expect("no thread panics under the lock").take();
         let _ = self.child.wait();
     }
 }
 
-/// What a process holds, as the platform counts it.
-pub struct Held {
+/// The resources that a process uses, as the operating system counts them.
+pub struct ProcessResources {
     pub rss_kb: u64,
     pub descriptors: u64,
-    /// Milliseconds of processor time so far.
+    /// Processor time so far, in milliseconds.
     pub cpu_ms: u64,
 }
 
@@ -247,12 +257,12 @@
     pub number: usize,
     pub address: SocketAddr,
     child: Child,
-    file: PathBuf,
-    nurse: Option<Arc<Nurse>>,
+    config_file: PathBuf,
+    guard: Option<Arc<ProcessGuard>>,
 }
 
 impl Router {
-    /// Starts one; it is not ready yet.
+    /// Starts a router process; it is not ready yet when this returns.
     pub fn start(
         program: &Path,
         dir: &Path,
@@ -260,12 +270,12 @@
         config: &Value,
         own: Option<&Path>,
     ) -> io::Result<Router> {
-        let file = dir.join(format!("router-{number}.json"));
-        fs::write(&file, config.to_string())?;
+        let config_file = dir.join(format!("router-{number}.json"));
+        fs::write(&config_file, config.to_string())?;
         let log = dir.join(format!("router-{number}.log"));
         let log = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(program);
-        command.arg("serve").env("LB_CONFIG", &file);
+        command.arg("serve").env("LB_CONFIG", &config_file);
         if let Some(own) = own {
             command.arg("--config").arg(own);
         }
@@ -275,53 +285,57 @@
         command.stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
         let address =
             config["listen"].as_str().and_then(|a| a.parse().ok()).ok_or(io::ErrorKind::InvalidInput)?;
-        Ok(Router { number, address, child: command.spawn()?, file, nurse: None })
+        Ok(Router { number, address, child: command.spawn()?, config_file, guard: None })
     }
 
-    /// Its end is this one's care, too.
-    pub fn nursed(mut self, nurse: &Arc<Nurse>) -> Router {
-        nurse.say('+', self.child.id());
-        self.nurse = Some(nurse.clone());
+    /// Registers the process with a guard, which kills it if the lab is killed.
+    pub fn guarded_by(mut self, guard: &Arc<ProcessGuard>) -> Router {
+        guard.send('+', self.child.id());
+        self.guard = Some(guard.clone());
         self
     }
 
-    /// It stands still until it is told to go on.
-    pub fn stop(&self) {
+    /// Stops the process (SIGSTOP) until `resume` is called.
+    pub fn suspend(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    pub fn held(&self) -> Option<Held> {
+    pub fn resources(&self) -> Option<ProcessResources> {
         let proc = PathBuf::from(format!("/proc/{}", self.child.id()));
         let stat = fs::read_to_string(proc.join("stat")).ok()?;
-        // Behind the name, which may hold blanks: state is the first word, times the 12th and 13th, in hundredths.
-        let words: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
-        let number = |at: usize| words.get(at).and_then(|w| w.parse::<u64>().ok());
+        // Fields after the process name, which may contain spaces: the first is the state, the 12th and 13th are user and
+        // system time in hundredths of a second.
+        let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
+        let field = |index: usize| fields.get(index).and_then(|f| f.parse::<u64>().ok());
         let status = fs::read_to_string(proc.join("status")).ok()?;
-        let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
-        Some(Held {
-            rss_kb: rss.split_whitespace().next()?.parse().ok()?,
+        let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
+        Some(ProcessResources {
+            rss_kb: resident.split_whitespace().next()?.parse().ok()?,
             descriptors: fs::read_dir(proc.join("fd")).ok()?.count() as u64,
-            cpu_ms: (number(11)? + number(12)?) * 10,
+            cpu_ms: (field(11)? + field(12)?) * 10,
         })
     }
 
-    /// Asks an empty query until it is answered.
+    /// Sends an empty query again and again until one is answered.
     pub fn wait_ready(&mut self, limit: Duration) -> io::Result<()> {
-        let end = Instant::now() + limit;
-        while Instant::now() < end {
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait()? {
-                return Err(io::Error::other(format!("router {} ended at its start: {status}", self.number)));
+                return Err(io::Error::other(format!(
+                    "router {} ended during its start: {status}",
+                    self.number
+                )));
             }
-            if greets(self.address).is_ok() {
+            if check_empty_query(self.address).is_ok() {
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        Err(io::Error::other(format!("router {} was not ready in {limit:?}", self.number)))
+        Err(io::Error::other(format!("router {} was not ready within {limit:?}", self.number)))
     }
 
     pub fn id(&self) -> u32 {
@@ -340,24 +354,24 @@
         let _ = self.child.kill();
     }
 
-    /// Has it read another discovery address.
+    /// Makes the router reload its configuration with another discovery address.
     pub fn reload(&self, discovery: SocketAddr) -> io::Result<()> {
-        let mut config: Value = serde_json::from_str(&fs::read_to_string(&self.file)?)?;
+        let mut config: Value = serde_json::from_str(&fs::read_to_string(&self.config_file)?)?;
         config["discovery"] = discovery.to_string().into();
-        fs::write(&self.file, config.to_string())?;
+        fs::write(&self.config_file, config.to_string())?;
         self.signal(Signal::SIGHUP);
         Ok(())
     }
 
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for its end, and ends it where it has none.
+    /// Waits for the process to end, and kills it after `limit`.
     pub fn wait(&mut self, clock: &Clock, limit: Duration) -> Option<ExitStatus> {
-        let until = clock.now() + limit.as_secs_f64();
-        while clock.now() < until {
-            if let Some(status) = self.ended() {
+        let deadline = clock.now() + limit.as_secs_f64();
+        while clock.now() < deadline {
+            if let Some(status) = self.exit_status() {
                 return Some(status);
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -371,32 +385,32 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        if let Some(nurse) = &self.nurse {
-            nurse.say('-', self.child.id());
+        if let Some(guard) = &self.guard {
+            guard.send('-', self.child.id());
         }
     }
 }
 
-/// Whether an empty query is answered there.
-fn greets(address: SocketAddr) -> io::Result<()> {
+/// Returns an error unless the router answers an empty query.
+fn check_empty_query(address: SocketAddr) -> io::Result<()> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_millis(200))?;
     stream.set_read_timeout(Some(Duration::from_millis(500)))?;
-    let mut bytes = pg::startup_message();
-    pg::query(&mut bytes, b"");
-    stream.write_all(&bytes)?;
-    let (mut buf, mut piece) = (Vec::new(), [0; 1024]);
+    let mut message = pg::startup_message();
+    pg::query(&mut message, b"");
+    stream.write_all(&message)?;
+    let (mut buf, mut chunk) = (Vec::new(), [0; 1024]);
     loop {
-        let n = stream.read(&mut piece)?;
+        let n = stream.read(&mut chunk)?;
         if n == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        buf.extend_from_slice(&piece[..n]);
-        let mut at = 0;
-        while let Ok(Some((tag, body))) = pg::frame(&buf[at..]) {
+        buf.extend_from_slice(&chunk[..n]);
+        let mut offset = 0;
+        while let Ok(Some((tag, body))) = pg::frame(&buf[offset..]) {
             if tag == b'I' {
                 return Ok(());
             }
-            at += body.end;
+            offset += body.end;
         }
     }
 }
--- a/crates/sandstile-lab/src/recordings.rs
+++ b/crates/sandstile-lab/src/recordings.rs
@@ -1,4 +1,4 @@
-//! Recordings on disk: taken from a rehearsal's trace, looked at, cut, scaled, merged, and played at an address.
+//! Recordings on disk: made from a rehearsal's trace, inspected, cut, scaled, merged, and played against an address.
 use crate::report;
 use sandstile_load::{run, Arrivals, Load, Report, Shape};
 use sandstile_recording::{edit, Arrival, Header, RecordingError, RecordingReader, RecordingWriter};
@@ -13,44 +13,47 @@
 
 type Reader = RecordingReader<BufReader<File>>;
 
-fn told(path: &Path) -> impl Fn(RecordingError) -> String + '_ {
+fn with_path(path: &Path) -> impl Fn(RecordingError) -> String + '_ {
     move |e| format!("{}: {e}", path.display())
 }
 
 pub fn open(path: &Path) -> Result<Reader, String> {
     let file = File::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    RecordingReader::open(BufReader::new(file)).map_err(told(path))
+    RecordingReader::open(BufReader::new(file)).map_err(with_path(path))
 }
 
 fn create(path: &Path) -> Result<BufWriter<File>, String> {
     File::create(path).map(BufWriter::new).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// First tries of a rehearsal's trace, at the times at which they were meant to be asked.
+/// Makes a recording from the first attempts in a rehearsal's trace, at the times at which they were due.
 pub fn from_trace(dir: &Path, out: &Path) -> Result<u64, String> {
     let trace = report::read(dir)?;
-    let terms = trace.settings.as_ref().ok_or("the trace has no beginning")?;
-    let mut asked: Vec<_> =
-        trace.statements.iter().filter_map(|(id, s)| s.request.as_ref().filter(|a| a.first == *id)).collect();
-    asked.sort_by(|a, b| a.due.total_cmp(&b.due));
-    let mut groups: Vec<String> = asked.iter().map(|a| a.group.clone()).collect();
+    let settings = trace.settings.as_ref().ok_or("the trace has no run line")?;
+    let mut requests: Vec<_> = trace
+        .statements
+        .iter()
+        .filter_map(|(id, s)| s.request.as_ref().filter(|request| request.first == *id))
+        .collect();
+    requests.sort_by(|a, b| a.due.total_cmp(&b.due));
+    let mut groups: Vec<String> = requests.iter().map(|request| request.group.clone()).collect();
     groups.sort();
     groups.dedup();
-    let workloads: Vec<String> = terms.workloads.keys().cloned().collect();
-    // A salt of its own: from what differs between any two runs.
-    let begin = terms.begin.to_bits().to_le_bytes();
-    let hash = blake3::hash(&[&begin[..], &terms.seed.to_le_bytes(), terms.title.as_bytes()].concat());
+    let workloads: Vec<String> = settings.workloads.keys().cloned().collect();
+    // Each recording has its own salt, derived from values that differ between any two runs.
+    let begin = settings.begin.to_bits().to_le_bytes();
+    let hash = blake3::hash(&[&begin[..], &settings.seed.to_le_bytes(), settings.title.as_bytes()].concat());
     let salt = std::array::from_fn(|n| hash.as_bytes()[n]);
     let header = Header { salt, workloads, groups };
     let mut recorder = RecordingWriter::begin(create(out)?, &header).map_err(|e| e.to_string())?;
-    let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
-    for a in asked {
+    let index_of = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
+    for request in requests {
         let arrival = Arrival {
-            at_us: ((a.due - terms.begin).max(0.0) * 1e6) as u64,
-            workload: place(&header.workloads, &a.workload),
-            group: place(&header.groups, &a.group),
-            session: header.session(&a.session),
-            wait_ms: (a.wait * 1e3) as u32,
+            at_us: ((request.due - settings.begin).max(0.0) * 1e6) as u64,
+            workload: index_of(&header.workloads, &request.workload),
+            group: index_of(&header.groups, &request.group),
+            session: header.session(&request.session),
+            wait_ms: (request.wait * 1e3) as u32,
             is_retry: false,
         };
         recorder.add(&arrival).map_err(|e| e.to_string())?;
@@ -62,17 +65,17 @@
 
 pub fn inspect(path: &Path) -> Result<String, String> {
     let mut reader = open(path)?;
-    let s = edit::inspect(&mut reader).map_err(told(path))?;
+    let summary = edit::inspect(&mut reader).map_err(with_path(path))?;
     let mut out = String::new();
-    let rate = s.arrivals as f64 / s.seconds.max(1e-9);
+    let rate = summary.arrivals as f64 / summary.seconds.max(1e-9);
     let _ = writeln!(
         out,
         "{} arrivals in {:.1} s, {rate:.1} a second; most in one second {} (at {} s)",
-        s.arrivals, s.seconds, s.peak.0, s.peak.1
+        summary.arrivals, summary.seconds, summary.peak.0, summary.peak.1
     );
-    let rows = reader.header.workloads.iter().zip(&s.by_workload).map(|(n, c)| ("workload", n, c));
+    let rows = reader.header.workloads.iter().zip(&summary.by_workload).map(|(n, c)| ("workload", n, c));
     for (kind, name, count) in
-        rows.chain(reader.header.groups.iter().zip(&s.by_group).map(|(n, c)| ("group", n, c)))
+        rows.chain(reader.header.groups.iter().zip(&summary.by_group).map(|(n, c)| ("group", n, c)))
     {
         let _ = writeln!(out, "{kind} {name}: {count}");
     }
@@ -80,25 +83,25 @@
 }
 
 pub fn cut(path: &Path, out: &Path, from: f64, to: f64) -> Result<u64, String> {
-    edit::cut(&mut open(path)?, create(out)?, from, to).map_err(told(path))
+    edit::cut(&mut open(path)?, create(out)?, from, to).map_err(with_path(path))
 }
 
 pub fn scale(path: &Path, out: &Path, speed: f64, copies: u32, spread: f64) -> Result<u64, String> {
     if !(speed > 0.0 && copies > 0) {
-        return Err("speed and copies are above 0".to_string());
+        return Err("speed and copies must be above 0".to_string());
     }
-    edit::scale(&mut open(path)?, create(out)?, speed, copies, spread).map_err(told(path))
+    edit::scale(&mut open(path)?, create(out)?, speed, copies, spread).map_err(with_path(path))
 }
 
 pub fn merge(one: &Path, other: &Path, out: &Path) -> Result<u64, String> {
-    edit::merge(&mut open(one)?, &mut open(other)?, create(out)?).map_err(told(one))
+    edit::merge(&mut open(one)?, &mut open(other)?, create(out)?).map_err(with_path(one))
 }
 
-pub struct Play {
+pub struct LoadOptions {
     pub target: SocketAddr,
     pub connections: usize,
     pub patience: f64,
-    /// What to play; else a rate of one workload and group.
+    /// The recording to play; without one, statements of one workload and group at `rate`.
     pub recording: Option<std::path::PathBuf>,
     pub rate: f64,
     pub seconds: f64,
@@ -107,92 +110,93 @@
     pub closed: bool,
 }
 
-/// Plays a load at whatever speaks the platform's protocol there.
-pub fn play(wanted: &Play) -> Result<Report, String> {
-    // What is due and not yet asked: the recording is read as it is played.
+/// Plays a load against an address that speaks the platform's protocol.
+pub fn play(options: &LoadOptions) -> Result<Report, String> {
+    // Arrivals that are due and not yet sent: the recording is read as it is played.
     let due: Rc<RefCell<VecDeque<Arrival>>> = Rc::default();
-    let (mut names, mut seconds) = (Header::default(), wanted.seconds);
-    let wrong: Rc<RefCell<Option<RecordingError>>> = Rc::default();
-    let arrivals = match &wanted.recording {
-        None => Arrivals::new(Shape::Poisson(wanted.rate), seconds, 1),
+    let (mut header, mut seconds) = (Header::default(), options.seconds);
+    let read_error: Rc<RefCell<Option<RecordingError>>> = Rc::default();
+    let arrivals = match &options.recording {
+        None => Arrivals::new(Shape::Poisson(options.rate), seconds, 1),
         Some(path) => {
-            // A look through it first: its length, and whether it is whole.
-            seconds = edit::inspect(&mut open(path)?).map_err(told(path))?.seconds;
+            // Reads it once before, for its length and to check that it is complete.
+            seconds = edit::inspect(&mut open(path)?).map_err(with_path(path))?.seconds;
             let mut reader = open(path)?;
-            names = reader.header.clone();
-            let (due, wrong) = (due.clone(), wrong.clone());
-            let next = move || match reader.next_arrival() {
+            header = reader.header.clone();
+            let (due, read_error) = (due.clone(), read_error.clone());
+            let next_due = move || match reader.next_arrival() {
                 Ok(arrival) => arrival.map(|a| {
                     due.borrow_mut().push_back(a);
                     a.at_us as f64 / 1e6
                 }),
                 Err(e) => {
-                    *wrong.borrow_mut() = Some(e);
+                    *read_error.borrow_mut() = Some(e);
                     None
                 }
             };
-            Arrivals::streamed(std::iter::from_fn(next), seconds)
+            Arrivals::streamed(std::iter::from_fn(next_due), seconds)
         }
     };
     let load = Load {
-        targets: vec![wanted.target],
-        connections: wanted.connections,
-        timeout_s: wanted.patience,
+        targets: vec![options.target],
+        connections: options.connections,
+        timeout_s: options.patience,
         warm_up_s: 0.0,
-        closed_loop: wanted.closed,
+        closed_loop: options.closed,
         seconds,
     };
-    let report = run(&load, arrivals, &mut |n, ms| {
+    let report = run(&load, arrivals, &mut |n, timeout_ms| {
         let id = (n + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let (workload, group, session) = match due.borrow_mut().pop_front() {
             Some(a) => {
-                let of = |all: &[String], n: u32| all.get(n as usize).cloned().unwrap_or_default();
+                let name_of = |all: &[String], n: u32| all.get(n as usize).cloned().unwrap_or_default();
                 let session = format!("u{:016x}", a.session);
-                (of(&names.workloads, a.workload), of(&names.groups, a.group), session)
+                (name_of(&header.workloads, a.workload), name_of(&header.groups, a.group), session)
             }
-            None => (wanted.workload.clone(), wanted.group.clone(), format!("u{}", n % 1000)),
+            None => (options.workload.clone(), options.group.clone(), format!("u{}", n % 1000)),
         };
-        format!("/* id={id:016x},c={workload},d={ms},cluster={group} */ SELECT clip FROM clips WHERE viewer = '{session}'")
+        format!("/* id={id:016x},c={workload},d={timeout_ms},cluster={group} */ SELECT clip FROM clips WHERE viewer = '{session}'")
     })
     .map_err(|e| format!("the load: {e}"))?;
-    let spoilt = wrong.borrow_mut().take();
-    match (spoilt, &wanted.recording) {
-        (Some(e), Some(path)) => Err(told(path)(e)),
+    let failure = read_error.borrow_mut().take();
+    match (failure, &options.recording) {
+        (Some(e), Some(path)) => Err(with_path(path)(e)),
         _ => Ok(report),
     }
 }
 
-/// A load's figures as a table.
-pub fn table(r: &Report) -> String {
-    let at = |h: &hdrhistogram::Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
+/// The figures of a load as a Markdown table.
+pub fn format_report(report: &Report) -> String {
+    let quantile_ms =
+        |latency: &hdrhistogram::Histogram<u64>, q: f64| latency.value_at_quantile(q) as f64 / 1e3;
     let mut out =
         String::from("| ms | p50 | p90 | p99 | p99.9 | most |\n| --- | --- | --- | --- | --- | --- |\n");
-    for (name, h) in [
-        ("from when it was meant", &r.latency_from_due_us),
-        ("from when it was written", &r.latency_from_send_us),
+    for (name, latency) in [
+        ("from when it was meant", &report.latency_from_due_us),
+        ("from when it was written", &report.latency_from_send_us),
     ] {
-        let most = h.max() as f64 / 1e3;
+        let max_ms = latency.max() as f64 / 1e3;
         let _ = writeln!(
             out,
-            "| {name} | {:.2} | {:.2} | {:.2} | {:.2} | {most:.2} |",
-            at(h, 0.5),
-            at(h, 0.9),
-            at(h, 0.99),
-            at(h, 0.999)
+            "| {name} | {:.2} | {:.2} | {:.2} | {:.2} | {max_ms:.2} |",
+            quantile_ms(latency, 0.5),
+            quantile_ms(latency, 0.9),
+            quantile_ms(latency, 0.99),
+            quantile_ms(latency, 0.999)
         );
     }
     let _ = writeln!(
         out,
         "\nasked {}, completed {} ({:.1} a second), rejected {}, failed {}, unanswered {}, connections broken {}",
-        r.asked,
-        r.completed,
-        r.rate(),
-        r.rejected,
-        r.failed,
-        r.unanswered,
-        r.broken_connections
+        report.asked,
+        report.completed,
+        report.rate(),
+        report.rejected,
+        report.failed,
+        report.unanswered,
+        report.broken_connections
     );
-    if let Some(why) = r.unsound() {
+    if let Some(why) = report.unsound() {
         let _ = writeln!(out, "**Unsound: {why}.**");
     }
     out
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -1,9 +1,9 @@
-//! One rehearsal from beginning to end.
-use crate::clients::Crew;
+//! Runs one rehearsal: the emulator, router processes, clients, process faults, and the trace of all of them.
+use crate::clients::ClientPool;
 use crate::control_queries;
-use crate::processes::{self, Nurse, Router};
+use crate::processes::{self, ProcessGuard, Router};
 use crate::report;
-use crate::trace_writer::{self, Book, Line};
+use crate::trace_writer::{self, Line, TraceSender};
 use crossbeam_channel::{unbounded, Receiver, RecvTimeoutError};
 pub use sandstile_emulator::router_address;
 use sandstile_emulator::{Clock, Emulator, Handle, Notification, Record};
@@ -28,24 +28,24 @@
     pub out: PathBuf,
 }
 
-const READY: Duration = Duration::from_secs(10);
-/// After SIGTERM: the longest that a router may take to answer what it took.
-const FAREWELL: Duration = Duration::from_secs(8);
-/// The front sees a router that was told to end, and one that died, only after so long.
-const SEES_TERM: Duration = Duration::from_millis(300);
-const SEES_DEATH: Duration = Duration::from_secs(1);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a router may take after SIGTERM to answer the statements that it has accepted.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(8);
+/// Delays until the load balancer in front of the routers notices that one received SIGTERM, or that one died.
+const TERM_DETECTION_DELAY: Duration = Duration::from_millis(300);
+const DEATH_DETECTION_DELAY: Duration = Duration::from_secs(1);
 
-/// Reads a script, and beside it the file that it shares with others.
-pub fn script(file: &Path) -> Result<Script, String> {
+/// Reads a script and the shared file that it refers to, from the same folder.
+pub fn read_script(file: &Path) -> Result<Script, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let dir = file.parent().unwrap_or(Path::new("."));
-    let shared = |name: &str| std::fs::read_to_string(dir.join(name)).map_err(|e| e.to_string());
-    Script::read_with(&file.display().to_string(), &text, &shared)
+    let read_shared = |name: &str| std::fs::read_to_string(dir.join(name)).map_err(|e| e.to_string());
+    Script::read_with(&file.display().to_string(), &text, &read_shared)
         .map_err(|problems| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
 }
 
-/// The emulator at addresses that nobody else has.
-pub fn emulator(
+/// Creates the emulator on loopback addresses that are free; also returns the number of their network.
+pub fn new_emulator(
     script: &Script,
     clock: Clock,
     records: crossbeam_channel::Sender<Record>,
@@ -53,9 +53,9 @@
     let base = (std::process::id() % 200) as u8;
     for step in 0..40u8 {
         let net = 20 + base.wrapping_add(step.wrapping_mul(5)) % 200;
-        let (notes, told) = unbounded();
-        match Emulator::new(script, (net, 1), clock, records.clone(), notes) {
-            Ok(emulator) => return Ok((emulator, told, net)),
+        let (notifications, notification_receiver) = unbounded();
+        match Emulator::new(script, (net, 1), clock, records.clone(), notifications) {
+            Ok(emulator) => return Ok((emulator, notification_receiver, net)),
             Err(e) if e.kind() == io::ErrorKind::AddrInUse => {}
             Err(e) => return Err(e),
         }
@@ -63,76 +63,77 @@
     Err(io::Error::other("no free loopback addresses"))
 }
 
-struct Stage {
+struct Rehearsal {
     script: Script,
-    wanted: PathBuf,
+    router_program: PathBuf,
     out: PathBuf,
     clock: Clock,
-    book: Book,
+    trace: TraceSender,
     net: u8,
     agents: Mutex<Vec<SocketAddr>>,
     routers: Vec<Mutex<Option<Router>>>,
-    nurse: Arc<Nurse>,
-    over: AtomicBool,
+    guard: Arc<ProcessGuard>,
+    is_over: AtomicBool,
 }
 
-/// Seconds between looks at whom a router sees.
-const LOOK: f64 = 0.1;
-/// Seconds between looks at the state that routers keep together, and for what is written to be known by all.
-const COMPARES: f64 = 0.5;
-const HEARD: f64 = 1.0;
-/// One turn of a router that is slow: it stands still for its share of this.
-const SLOW_TURN: f64 = 0.05;
+/// Seconds between queries of a router's view of the members.
+const MEMBER_POLL_INTERVAL_S: f64 = 0.1;
+/// Seconds between queries of the replicated state, and the age in seconds from which all routers have to know a fact.
+const STATE_POLL_INTERVAL_S: f64 = 0.5;
+const PROPAGATION_LIMIT_S: f64 = 1.0;
+/// Seconds of one cycle of a slowed router, which is suspended for a share of each cycle.
+const SLOW_CYCLE_S: f64 = 0.05;
 
-impl Stage {
-    fn note(&self, number: usize, state: &'static str, code: Option<i32>) {
-        self.book.line(self.clock.now(), Line::Router { number, state, code });
+impl Rehearsal {
+    fn record_state(&self, number: usize, state: &'static str, code: Option<i32>) {
+        self.trace.write(self.clock.now(), Line::Router { number, state, code });
     }
 
     fn start(&self, number: usize, known: &str) -> io::Result<()> {
         let agent = self.agents.lock().expect("no thread panics under the lock")[number];
         let listen = router_address(self.net, number);
         let config = processes::config(&self.script, number, listen, agent, known);
-        let own = processes::own_file(&self.script, &self.out, self.net, number)?;
-        let router = Router::start(&self.wanted, &self.out, number, &config, own.as_deref())?;
-        let mut router = router.nursed(&self.nurse);
-        self.note(number, "started", None);
-        router.wait_ready(READY)?;
-        self.note(number, "ready", None);
+        let local_config = processes::write_local_config(&self.script, &self.out, self.net, number)?;
+        let router =
+            Router::start(&self.router_program, &self.out, number, &config, local_config.as_deref())?;
+        let mut router = router.guarded_by(&self.guard);
+        self.record_state(number, "started", None);
+        router.wait_ready(READY_TIMEOUT)?;
+        self.record_state(number, "ready", None);
         *self.routers[number].lock().expect("no thread panics under the lock") = Some(router);
         Ok(())
     }
 
-    /// One process is struck as told.
-    fn strike(
+    /// Applies a process fault to one router.
+    fn apply_fault(
         &self,
         number: usize,
         process_fault: ProcessFault,
-        crew: &Crew,
+        clients: &ClientPool,
         emulator: &Handle,
     ) -> io::Result<()> {
         match process_fault {
             ProcessFault::Restart { kill, back, state } => {
-                self.restart(number, kill, back, state, crew, emulator)
+                self.restart(number, kill, back, state, clients, emulator)
             }
             ProcessFault::Stop { duration_s } => {
-                self.note(number, "stopped", None);
-                self.with(number, Router::stop);
+                self.record_state(number, "stopped", None);
+                self.with_router(number, Router::suspend);
                 self.sleep(duration_s);
-                self.with(number, Router::go_on);
-                self.note(number, "continued", None);
+                self.with_router(number, Router::resume);
+                self.record_state(number, "continued", None);
                 Ok(())
             }
             ProcessFault::Slow { share, duration_s } => {
-                let until = self.clock.now() + duration_s;
-                self.note(number, "slow", None);
-                while self.clock.now() < until && !self.over.load(SeqCst) {
-                    self.with(number, Router::stop);
-                    thread::sleep(Duration::from_secs_f64(SLOW_TURN * share));
-                    self.with(number, Router::go_on);
-                    thread::sleep(Duration::from_secs_f64(SLOW_TURN * (1.0 - share)));
+                let deadline = self.clock.now() + duration_s;
+                self.record_state(number, "slow", None);
+                while self.clock.now() < deadline && !self.is_over.load(SeqCst) {
+                    self.with_router(number, Router::suspend);
+                    thread::sleep(Duration::from_secs_f64(SLOW_CYCLE_S * share));
+                    self.with_router(number, Router::resume);
+                    thread::sleep(Duration::from_secs_f64(SLOW_CYCLE_S * (1.0 - share)));
                 }
-                self.note(number, "continued", None);
+                self.record_state(number, "continued", None);
                 Ok(())
             }
             ProcessFault::SaveState => {
@@ -146,22 +147,22 @@
         }
     }
 
-    fn with(&self, number: usize, does: impl Fn(&Router)) {
+    fn with_router(&self, number: usize, action: impl Fn(&Router)) {
         if let Some(router) = &*self.routers[number].lock().expect("no thread panics under the lock") {
-            does(router);
+            action(router);
         }
     }
 
-    /// Until so many seconds are over, or the rehearsal is.
+    /// Sleeps for this time, or until the rehearsal is over.
     fn sleep(&self, seconds: f64) {
-        let until = self.clock.now() + seconds;
-        while self.clock.now() < until && !self.over.load(SeqCst) {
-            thread::sleep(self.clock.until(until).min(Duration::from_millis(20)));
+        let deadline = self.clock.now() + seconds;
+        while self.clock.now() < deadline && !self.is_over.load(SeqCst) {
+            thread::sleep(self.clock.until(deadline).min(Duration::from_millis(20)));
         }
     }
 
-    /// What a process that starts again finds of its state.
-    fn state(&self, number: usize, state: StateAfterRestart) -> io::Result<()> {
+    /// Changes the state file to what the restarted process is to find.
+    fn prepare_state(&self, number: usize, state: StateAfterRestart) -> io::Result<()> {
         let file = processes::state_file(&self.script, &self.out, number);
         let Ok(bytes) = std::fs::read(&file) else { return Ok(()) };
         let copy = std::fs::read(file.with_extension("copy")).ok();
@@ -171,108 +172,116 @@
         }
     }
 
-    /// Ends one, and starts it again so many seconds after its end, or after it was killed.
+    /// Ends a router and starts it again `back_s` seconds after its end, or after it was killed.
     fn restart(
         &self,
         number: usize,
         kill: bool,
-        back: f64,
+        back_s: f64,
         state: StateAfterRestart,
-        crew: &Crew,
+        clients: &ClientPool,
         emulator: &Handle,
     ) -> io::Result<()> {
-        let taken = self.routers[number].lock().expect("no thread panics under the lock").take();
-        // One that is on its way back already is not there to be struck.
-        let Some(mut router) = taken else { return Ok(()) };
-        router.go_on();
-        let began = self.clock.now();
+        let running = self.routers[number].lock().expect("no thread panics under the lock").take();
+        // A router that is already being restarted is left alone.
+        let Some(mut router) = running else { return Ok(()) };
+        router.resume();
+        let fault_at = self.clock.now();
         let mut waited = 0.0;
         if kill {
-            self.note(number, "killed", None);
+            self.record_state(number, "killed", None);
             router.kill();
-            waited = SEES_DEATH.as_secs_f64().min(back);
+            waited = DEATH_DETECTION_DELAY.as_secs_f64().min(back_s);
             self.sleep(waited);
         } else {
-            self.note(number, "term", None);
+            self.record_state(number, "term", None);
             router.term();
-            thread::sleep(SEES_TERM);
+            thread::sleep(TERM_DETECTION_DELAY);
         }
-        crew.door(number).open.store(false, SeqCst);
-        let status = router.wait(&self.clock, FAREWELL);
-        self.note(number, "ended", status.and_then(|s| s.code()));
+        clients.endpoint(number).accepts_clients.store(false, SeqCst);
+        let status = router.wait(&self.clock, DRAIN_TIMEOUT);
+        self.record_state(number, "ended", status.and_then(|s| s.code()));
         drop(router);
         self.sleep(match kill {
-            true => (began + back - self.clock.now()).max(0.0),
-            false => back - waited,
+            true => (fault_at + back_s - self.clock.now()).max(0.0),
+            false => back_s - waited,
         });
         if state != StateAfterRestart::Kept {
-            self.state(number, state)?;
+            self.prepare_state(number, state)?;
         }
-        if self.over.load(SeqCst) {
+        if self.is_over.load(SeqCst) {
             return Ok(());
         }
         self.start(number, &emulator.discovery_list(number))?;
-        crew.door(number).open.store(true, SeqCst);
-        crew.crowd(number, self.script.clients.returning_clients);
+        clients.endpoint(number).accepts_clients.store(true, SeqCst);
+        clients.send_burst(number, self.script.clients.returning_clients);
         Ok(())
     }
 
-    /// What all router processes hold at present.
-    fn weigh(&self) {
+    /// Records the resources that each router process uses at present.
+    fn record_resources(&self) {
         for (number, slot) in self.routers.iter().enumerate() {
-            let held = slot.lock().expect("no thread panics under the lock").as_ref().and_then(Router::held);
-            if let Some(h) = held {
-                let (rss_kb, descriptors, cpu_ms) = (h.rss_kb, h.descriptors, h.cpu_ms);
-                self.book.line(self.clock.now(), Line::Held { number, rss_kb, descriptors, cpu_ms });
+            let resources =
+                slot.lock().expect("no thread panics under the lock").as_ref().and_then(Router::resources);
+            if let Some(used) = resources {
+                let (rss_kb, descriptors, cpu_ms) = (used.rss_kb, used.descriptors, used.cpu_ms);
+                self.trace.write(self.clock.now(), Line::Held { number, rss_kb, descriptors, cpu_ms });
             }
         }
     }
 
-    /// Asks one router again and again whom it sees, and writes down what is new.
-    fn watch(&self, number: usize) {
+    /// Polls a router's view of the members and records each change.
+    fn poll_members(&self, number: usize) {
         let socket = processes::control_socket(self.net, number);
-        let mut last = None;
-        while !self.over.load(SeqCst) {
-            let asked = self.clock.now();
-            let there = self.routers[number].lock().expect("no thread panics under the lock").is_some();
-            // One that does not run sees nobody, and says so anew when it is back.
-            let sight = there.then(|| control_queries::of(&socket)).flatten();
-            if let Some(sight) = sight.filter(|s| last.as_ref() != Some(s)) {
-                self.book.line(self.clock.now(), sight.line(number));
-                last = Some(sight);
+        let mut last_view = None;
+        while !self.is_over.load(SeqCst) {
+            let polled_at = self.clock.now();
+            let is_running = self.routers[number].lock().expect("no thread panics under the lock").is_some();
+            // A router that is not running has no view; after its restart the view is recorded again, changed or not.
+            let view = is_running.then(|| control_queries::query_members(&socket)).flatten();
+            if let Some(view) = view.filter(|v| last_view.as_ref() != Some(v)) {
+                self.trace.write(self.clock.now(), view.trace_line(number));
+                last_view = Some(view);
             }
-            if !there {
-                last = None;
+            if !is_running {
+                last_view = None;
             }
-            thread::sleep(self.clock.until(asked + LOOK));
+            thread::sleep(self.clock.until(polled_at + MEMBER_POLL_INTERVAL_S));
         }
         let _ = std::fs::remove_file(socket);
     }
 
-    /// Asks one router how the state stands that it keeps with others, at times that are the same for all.
-    fn compare(&self, number: usize) {
+    /// Polls the replicated state of a router, at times that are the same for all routers.
+    fn poll_state(&self, number: usize) {
         let socket = processes::state_socket(self.net, number);
-        let mut round = (self.clock.now() / COMPARES).ceil();
-        while !self.over.load(SeqCst) {
-            thread::sleep(self.clock.until(round * COMPARES));
-            let there = self.routers[number].lock().expect("no thread panics under the lock").is_some();
-            if let Some(line) =
-                there.then(|| control_queries::copy(&socket, number, round * COMPARES - HEARD)).flatten()
+        let mut round = (self.clock.now() / STATE_POLL_INTERVAL_S).ceil();
+        while !self.is_over.load(SeqCst) {
+            thread::sleep(self.clock.until(round * STATE_POLL_INTERVAL_S));
+            let is_running = self.routers[number].lock().expect("no thread panics under the lock").is_some();
+            if let Some(line) = is_running
+                .then(|| {
+                    control_queries::query_state(
+                        &socket,
+                        number,
+                        round * STATE_POLL_INTERVAL_S - PROPAGATION_LIMIT_S,
+                    )
+                })
+                .flatten()
             {
-                self.book.line(self.clock.now(), line);
+                self.trace.write(self.clock.now(), line);
             }
-            round = (round + 1.0).max((self.clock.now() / COMPARES).ceil());
+            round = (round + 1.0).max((self.clock.now() / STATE_POLL_INTERVAL_S).ceil());
         }
         let _ = std::fs::remove_file(socket);
     }
 
-    /// A router that is gone though nobody asked for that.
-    fn look_for_crashes(&self) {
+    /// Records routers that have ended unexpectedly.
+    fn record_crashes(&self) {
         for (number, slot) in self.routers.iter().enumerate() {
             let mut slot = slot.lock().expect("no thread panics under the lock");
-            if let Some(status) = slot.as_mut().and_then(Router::ended) {
-                warn!(number, %status, "a router ended unasked");
-                self.note(number, "ended", status.code());
+            if let Some(status) = slot.as_mut().and_then(Router::exit_status) {
+                warn!(number, %status, "a router ended unexpectedly");
+                self.record_state(number, "ended", status.code());
                 *slot = None;
             }
         }
@@ -309,74 +318,76 @@
     }
 }
 
-/// Plays a script; the trace and the summary lie in `out` afterwards.
-pub fn rehearse(wanted: Options) -> Result<report::Summary, String> {
-    let told = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
-    let script = if wanted.quick { wanted.script.shortened() } else { wanted.script };
-    std::fs::create_dir_all(&wanted.out).map_err(told("the folder for results"))?;
+/// Plays a script; writes the trace and the summary to `out`.
+pub fn rehearse(options: Options) -> Result<report::Summary, String> {
+    let with_context = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
+    let script = if options.quick { options.script.shortened() } else { options.script };
+    std::fs::create_dir_all(&options.out).map_err(with_context("results folder"))?;
     for number in 0..script.routers.count {
-        // Logs of an earlier rehearsal in the same folder.
-        for end in ["log", "marks", "copy"] {
-            let _ = std::fs::remove_file(wanted.out.join(format!("router-{number}.{end}")));
+        // Removes the files of an earlier rehearsal in the same folder.
+        for extension in ["log", "marks", "copy"] {
+            let _ = std::fs::remove_file(options.out.join(format!("router-{number}.{extension}")));
         }
-        let _ = std::fs::remove_file(wanted.out.join(format!("router-{number}.witness")));
-        let _ = std::fs::remove_dir_all(wanted.out.join(format!("router-{number}.state")));
+        let _ = std::fs::remove_file(options.out.join(format!("router-{number}.witness")));
+        let _ = std::fs::remove_dir_all(options.out.join(format!("router-{number}.state")));
     }
     let clock = Clock::anchor();
-    let (book, records, writer) =
-        trace_writer::open(&wanted.out.join("trace.jsonl")).map_err(told("the trace"))?;
-    let (emulator, notes, net) = emulator(&script, clock, records).map_err(told("the emulator"))?;
-    let emulator = emulator.spawn().map_err(told("the emulator"))?;
-    // Told to end, it ends its routers with it, and says that the evening was not played whole.
+    let (trace, records, writer) =
+        trace_writer::open(&options.out.join("trace.jsonl")).map_err(with_context("trace"))?;
+    let (emulator, notifications, net) =
+        new_emulator(&script, clock, records).map_err(with_context("emulator"))?;
+    let emulator = emulator.spawn().map_err(with_context("emulator"))?;
+    // After a signal the routers are ended too, and the report says that the rehearsal was cut short.
     let stopped = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        signal_hook::flag::register(signal, stopped.clone()).map_err(told("signals"))?;
+        signal_hook::flag::register(signal, stopped.clone()).map_err(with_context("signals"))?;
     }
-    let stage = Arc::new(Stage {
+    let rehearsal = Arc::new(Rehearsal {
         routers: (0..script.routers.count).map(|_| Mutex::new(None)).collect(),
         script: script.clone(),
-        wanted: wanted.router,
-        out: wanted.out.clone(),
+        router_program: options.router,
+        out: options.out.clone(),
         clock,
-        book: book.clone(),
+        trace: trace.clone(),
         net,
         agents: Mutex::new(emulator.agents.clone()),
-        nurse: Arc::new(Nurse::start().map_err(told("the nurse"))?),
-        over: AtomicBool::new(false),
+        guard: Arc::new(ProcessGuard::start().map_err(with_context("process guard"))?),
+        is_over: AtomicBool::new(false),
     });
     for number in 0..script.routers.count {
-        stage.start(number, &emulator.discovery_list(number)).map_err(told("a router"))?;
+        rehearsal.start(number, &emulator.discovery_list(number)).map_err(with_context("router"))?;
         thread::sleep(Duration::from_secs_f64(script.routers.start_interval));
     }
-    let crew = Crew::new(&script, script.plan.seed, &emulator.client_addresses, clock, book.clone())
-        .map_err(told("clients"))?;
+    let clients =
+        ClientPool::new(&script, script.plan.seed, &emulator.client_addresses, clock, trace.clone())
+            .map_err(with_context("clients"))?;
     let begin = clock.now() + 0.1;
-    stage.book.line(begin, stage.run_line());
+    rehearsal.trace.write(begin, rehearsal.run_line());
     emulator.start_script(begin);
-    info!(title = script.title, seconds = script.seconds, seed = script.plan.seed, "begins");
+    info!(title = script.title, seconds = script.seconds, seed = script.plan.seed, "rehearsal begins");
     let traffic = Traffic::new(&script, script.plan.seed);
     thread::scope(|scope| {
-        scope.spawn(|| follow(&stage, &notes, &crew, &emulator));
+        scope.spawn(|| handle_notifications(&rehearsal, &notifications, &clients, &emulator));
         if script.routers.members {
-            let stage = &stage;
-            (0..script.routers.count).for_each(|n| drop(scope.spawn(move || stage.watch(n))));
+            let rehearsal = &rehearsal;
+            (0..script.routers.count).for_each(|n| drop(scope.spawn(move || rehearsal.poll_members(n))));
         }
         if script.sessions.state {
-            let stage = &stage;
-            (0..script.routers.count).for_each(|n| drop(scope.spawn(move || stage.compare(n))));
+            let rehearsal = &rehearsal;
+            (0..script.routers.count).for_each(|n| drop(scope.spawn(move || rehearsal.poll_state(n))));
         }
-        let (mut next, mut weighs) = (begin + 5.0, begin);
-        crew.play(traffic, begin, || {
-            stage.look_for_crashes();
-            if clock.now() >= weighs {
-                weighs = clock.now() + 1.0;
-                stage.weigh();
+        let (mut next_progress_at, mut next_resources_at) = (begin + 5.0, begin);
+        clients.play(traffic, begin, || {
+            rehearsal.record_crashes();
+            if clock.now() >= next_resources_at {
+                next_resources_at = clock.now() + 1.0;
+                rehearsal.record_resources();
             }
-            if clock.now() >= next {
-                next += 5.0;
-                let (asked, answered, busy) = crew.counts();
+            if clock.now() >= next_progress_at {
+                next_progress_at += 5.0;
+                let (asked, answered, in_progress) = clients.counts();
                 info!(
-                    "{:.0} s of {:.0}: asked {asked}, answered {answered}, under way {busy}",
+                    "{:.0} s of {:.0}: asked {asked}, answered {answered}, in progress {in_progress}",
                     clock.now() - begin,
                     script.seconds
                 );
@@ -386,18 +397,18 @@
         while clock.now() < begin + script.seconds && !stopped.load(SeqCst) {
             thread::sleep(clock.until(begin + script.seconds).min(Duration::from_millis(50)));
         }
-        stage.over.store(true, SeqCst);
+        rehearsal.is_over.store(true, SeqCst);
     });
-    let late = crew.finish();
-    for (number, slot) in stage.routers.iter().enumerate() {
+    let start_delay_us = clients.finish();
+    for (number, slot) in rehearsal.routers.iter().enumerate() {
         let Some(mut router) = slot.lock().expect("no thread panics under the lock").take() else { continue };
-        router.go_on();
-        stage.note(number, "term", None);
+        router.resume();
+        rehearsal.record_state(number, "term", None);
         router.term();
-        let status = router.wait(&clock, FAREWELL);
-        stage.note(number, "ended", status.and_then(|s| s.code()));
+        let status = router.wait(&clock, DRAIN_TIMEOUT);
+        rehearsal.record_state(number, "ended", status.and_then(|s| s.code()));
     }
-    let summary = emulator.stop().map_err(told("the emulator"))?;
+    let summary = emulator.stop().map_err(with_context("emulator"))?;
     let mut unsound = Vec::new();
     if stopped.load(SeqCst) {
         unsound.push("ended by a signal".to_string());
@@ -408,56 +419,66 @@
             summary.late_us.value_at_quantile(0.99)
         ));
     }
-    if late.value_at_quantile(0.99) > 5000 {
-        unsound.push(format!("clients asked {} us late at p99", late.value_at_quantile(0.99)));
+    if start_delay_us.value_at_quantile(0.99) > 5000 {
+        unsound.push(format!("clients asked {} us late at p99", start_delay_us.value_at_quantile(0.99)));
     }
     let unsound = (!unsound.is_empty()).then(|| unsound.join("; "));
-    stage.book.line(clock.now(), Line::End { unsound });
-    drop((stage, book));
-    writer.close().map_err(told("the trace"))?;
-    let played = report::Played { script, quick: wanted.quick, emulator: summary, clients_late_us: late };
-    report::write(&wanted.out, &played)
+    rehearsal.trace.write(clock.now(), Line::End { unsound });
+    drop((rehearsal, trace));
+    writer.close().map_err(with_context("trace"))?;
+    let result = report::RehearsalResult {
+        script,
+        quick: options.quick,
+        emulator: summary,
+        clients_late_us: start_delay_us,
+    };
+    report::write(&options.out, &result)
 }
 
-/// What the emulator has the lab do, until the end.
-fn follow(stage: &Arc<Stage>, notes: &Receiver<Notification>, crew: &Crew, emulator: &Handle) {
+/// Carries out the emulator's notifications until the rehearsal is over.
+fn handle_notifications(
+    rehearsal: &Arc<Rehearsal>,
+    notifications: &Receiver<Notification>,
+    clients: &ClientPool,
+    emulator: &Handle,
+) {
     thread::scope(|scope| loop {
-        let note = match notes.recv_timeout(Duration::from_millis(50)) {
-            Ok(note) => note,
-            Err(RecvTimeoutError::Timeout) if !stage.over.load(SeqCst) => continue,
+        let notification = match notifications.recv_timeout(Duration::from_millis(50)) {
+            Ok(notification) => notification,
+            Err(RecvTimeoutError::Timeout) if !rehearsal.is_over.load(SeqCst) => continue,
             Err(_) => return,
         };
-        match note {
+        match notification {
             Notification::Process { name, selector, process_fault, spread } => {
-                // Each cue of a script chooses for itself, the same with each play of a seed.
+                // Each cue selects routers on its own, the same ones in each run of a seed.
                 let seed =
-                    name.bytes().fold(stage.script.plan.seed, |h, b| h.wrapping_mul(31) ^ u64::from(b));
-                let struck = selector.select(stage.routers.len(), spread, seed);
-                info!(name, ?process_fault, routers = struck.len(), "processes are struck");
-                for (number, after) in struck {
+                    name.bytes().fold(rehearsal.script.plan.seed, |h, b| h.wrapping_mul(31) ^ u64::from(b));
+                let selected = selector.select(rehearsal.routers.len(), spread, seed);
+                info!(name, blow = ?process_fault, routers = selected.len(), "applying a process fault");
+                for (number, delay_s) in selected {
                     scope.spawn(move || {
-                        stage.sleep(after);
-                        if let Err(e) = stage.strike(number, process_fault, crew, emulator) {
-                            warn!(number, "not struck: {e}");
+                        rehearsal.sleep(delay_s);
+                        if let Err(e) = rehearsal.apply_fault(number, process_fault, clients, emulator) {
+                            warn!(number, "process fault failed: {e}");
                         }
                     });
                 }
             }
             Notification::AgentsMoved(addresses) => {
-                info!("discovery moves");
-                *stage.agents.lock().expect("no thread panics under the lock") = addresses.clone();
-                for (slot, address) in stage.routers.iter().zip(addresses) {
+                info!("discovery moves to other addresses");
+                *rehearsal.agents.lock().expect("no thread panics under the lock") = addresses.clone();
+                for (slot, address) in rehearsal.routers.iter().zip(addresses) {
                     if let Some(router) = &*slot.lock().expect("no thread panics under the lock") {
                         let _ = router.reload(address);
                     }
                 }
             }
-            Notification::NoTarget(name) => warn!(name, "a cue found nothing to strike"),
+            Notification::NoTarget(name) => warn!(name, "a cue has no target"),
         }
     });
 }
 
-/// Where the router's program lies beside this one.
-pub fn beside(this: &Path) -> PathBuf {
-    this.with_file_name("sandstile")
+/// The path of the router's program in the folder of this program.
+pub fn default_router(program: &Path) -> PathBuf {
+    program.with_file_name("sandstile")
 }
--- a/crates/sandstile-lab/src/report.rs
+++ b/crates/sandstile-lab/src/report.rs
@@ -1,21 +1,21 @@
-//! What a rehearsal came to: JSON for machines, Markdown for people, both from the trace alone but for how late
-//! the rig itself was.
+//! The report of a rehearsal, as JSON and as Markdown. All figures come from the trace, except the lateness of the
+//! test rig itself.
 use hdrhistogram::Histogram;
 use sandstile_audit::judge::RULES;
 use sandstile_audit::{
     agreement, judge, own_reads, recovery, searches, service, state_convergence, Finding, Recovery, Service,
     Trace,
 };
-use sandstile_emulator::Summary as Emulated;
+use sandstile_emulator::Summary as EmulatorSummary;
 use sandstile_scenario::Script;
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::path::Path;
 
-pub struct Played {
+pub struct RehearsalResult {
     pub script: Script,
     pub quick: bool,
-    pub emulator: Emulated,
+    pub emulator: EmulatorSummary,
     pub clients_late_us: Histogram<u64>,
 }
 
@@ -26,30 +26,30 @@
     pub unsound: Option<String>,
 }
 
-/// Reads a folder's trace. The message says what can't be read.
+/// Reads the trace in a folder. The error names the file and what can't be read.
 pub fn read(dir: &Path) -> Result<Trace, String> {
     let path = dir.join("trace.jsonl");
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
     Trace::read(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-pub fn write(dir: &Path, played: &Played) -> Result<Summary, String> {
+pub fn write(dir: &Path, result: &RehearsalResult) -> Result<Summary, String> {
     let trace = read(dir)?;
     let findings = judge(&trace)?;
-    let service = service(&trace).ok_or("no terms in the trace")?;
-    let back = recovery(&trace);
-    let mut json = as_json(played, &trace, &findings, &service, &back);
-    let agreed = agreement(&trace);
-    if !agreed.epochs.is_empty() {
+    let service = service(&trace).ok_or("the trace has no terms")?;
+    let recovery_report = recovery(&trace);
+    let mut json = as_json(result, &trace, &findings, &service, &recovery_report);
+    let member_agreement = agreement(&trace);
+    if !member_agreement.epochs.is_empty() {
         let measures = &mut json["returning"];
         if !measures.is_object() {
             *measures = json!({});
         }
-        if let Some(slowest) = agreed.slowest() {
+        if let Some(slowest) = member_agreement.slowest() {
             measures["all agree after s"] = slowest.into();
         }
-        measures["agreement not reached"] = agreed.not_agreed().into();
-        measures["false deaths"] = agreed.false_deaths().into();
+        measures["agreement not reached"] = member_agreement.not_agreed().into();
+        measures["false deaths"] = member_agreement.false_deaths().into();
     }
     if let Some(us) = sandstile_audit::returning::cpu_us_per_statement(&trace) {
         if !json["returning"].is_object() {
@@ -57,126 +57,131 @@
         }
         json["returning"]["routers' processor us a statement"] = us.into();
     }
-    let found = searches(&trace);
-    if !found.is_empty() {
+    let host_searches = searches(&trace);
+    if !host_searches.is_empty() {
         let measures = &mut json["returning"];
         if !measures.is_object() {
             *measures = json!({});
         }
-        let most =
-            |of: fn(&sandstile_audit::probing::Search) -> f64| found.iter().map(of).fold(0.0, f64::max);
-        measures["probes a second at a host, no primary"] = most(|s| s.rate.0).into();
-        measures["longest gap of probes s"] = most(|s| s.gap).into();
+        let max_of = |value: fn(&sandstile_audit::probing::Search) -> f64| {
+            host_searches.iter().map(value).fold(0.0, f64::max)
+        };
+        measures["probes a second at a host, no primary"] = max_of(|s| s.rate.0).into();
+        measures["longest gap of probes s"] = max_of(|s| s.gap).into();
     }
-    let kept = state_convergence(&trace);
-    if !kept.is_empty() {
-        let own = own_reads(&trace);
+    let convergence = state_convergence(&trace);
+    if !convergence.is_empty() {
+        let own_read_counts = own_reads(&trace);
         let measures = &mut json["returning"];
         if !measures.is_object() {
             *measures = json!({});
         }
-        if let Some(slowest) = kept.slowest() {
+        if let Some(slowest) = convergence.slowest() {
             measures["copies the same after s"] = slowest.into();
         }
-        if let Some(slowest) = kept.slowest_start() {
+        if let Some(slowest) = convergence.slowest_start() {
             measures["in step after s"] = slowest.into();
         }
-        measures["copies never the same"] = kept.not_converged().into();
-        measures["told bytes a second a router"] = kept.bytes_per_s.0.into();
-        measures["own reads checked"] = own.checked.into();
-        measures["own reads missed"] = own.missed.into();
-        measures["own reads soon after a restart"] = own.after_restart.into();
-        measures["of these by the primary"] = (own.after_restart - own.after_restart_by_replicas).into();
+        measures["copies never the same"] = convergence.not_converged().into();
+        measures["told bytes a second a router"] = convergence.bytes_per_s.0.into();
+        measures["own reads checked"] = own_read_counts.checked.into();
+        measures["own reads missed"] = own_read_counts.missed.into();
+        measures["own reads soon after a restart"] = own_read_counts.after_restart.into();
+        measures["of these by the primary"] =
+            (own_read_counts.after_restart - own_read_counts.after_restart_by_replicas).into();
     }
-    let text = as_markdown(played, &trace, &findings, &service, &back);
-    let put =
+    let text = as_markdown(result, &trace, &findings, &service, &recovery_report);
+    let write_file =
         |name: &str, text: &str| std::fs::write(dir.join(name), text).map_err(|e| format!("{name}: {e}"));
-    put("summary.json", &format!("{json:#}\n"))?;
-    put("summary.md", &text)?;
+    write_file("summary.json", &format!("{json:#}\n"))?;
+    write_file("summary.md", &text)?;
     let broken = findings.iter().filter(|f| f.rule.is_violation()).count();
     Ok(Summary { text, broken, service: service.overall(), unsound: trace.unsound })
 }
 
-fn quantiles(late: &Histogram<u64>) -> Value {
-    let at = |q: f64| late.value_at_quantile(q);
-    json!({"count": late.len(), "p50_us": at(0.5), "p99_us": at(0.99), "max_us": late.max()})
+fn quantiles(delays_us: &Histogram<u64>) -> Value {
+    let quantile = |q: f64| delays_us.value_at_quantile(q);
+    json!({"count": delays_us.len(), "p50_us": quantile(0.5), "p99_us": quantile(0.99), "max_us": delays_us.max()})
 }
 
 fn counts(findings: &[Finding]) -> Value {
-    let of = |rule| findings.iter().filter(|f| f.rule == rule).count();
+    let count_of = |rule| findings.iter().filter(|f| f.rule == rule).count();
     RULES
         .iter()
-        .map(|rule| (rule.label().to_string(), Value::from(of(*rule))))
+        .map(|rule| (rule.label().to_string(), Value::from(count_of(*rule))))
         .collect::<serde_json::Map<_, _>>()
         .into()
 }
 
-/// What comparisons of returns are made of; times that were not reached are left out, and counted.
-pub fn measures(back: &Recovery) -> Value {
+/// The measures by which recoveries are compared. A recovery that was not reached has no time; it is counted instead.
+pub fn measures(recovery_report: &Recovery) -> Value {
     let mut out = serde_json::Map::new();
-    if back.cues.is_empty() {
+    if recovery_report.cues.is_empty() {
         return out.into();
     }
-    let all = || back.services.iter().filter(|f| f.workload.is_none());
-    out.insert("not whole".to_string(), all().filter(|f| f.after_s.is_none()).count().into());
-    if let Some(after) = all().filter_map(|f| f.after_s).reduce(f64::max) {
+    let overall = || recovery_report.services.iter().filter(|f| f.workload.is_none());
+    out.insert("not whole".to_string(), overall().filter(|f| f.after_s.is_none()).count().into());
+    if let Some(after) = overall().filter_map(|f| f.after_s).reduce(f64::max) {
         out.insert("whole after s".to_string(), after.into());
     }
-    if let Some(least) = all().map(|f| f.lowest).reduce(f64::min) {
-        out.insert("least second".to_string(), least.into());
+    if let Some(lowest) = overall().map(|f| f.lowest).reduce(f64::min) {
+        out.insert("least second".to_string(), lowest.into());
     }
-    for what in sandstile_audit::returning::CONTACT_KINDS {
-        if let Some(peak) = back.worst(what) {
-            out.insert(format!("{what} at a host in 100 ms"), peak.max.into());
-            out.insert(format!("{what}, times usual"), peak.ratio().into());
+    for contact_kind in sandstile_audit::returning::CONTACT_KINDS {
+        if let Some(peak) = recovery_report.worst(contact_kind) {
+            out.insert(format!("{contact_kind} at a host in 100 ms"), peak.max.into());
+            out.insert(format!("{contact_kind}, times usual"), peak.ratio().into());
         }
     }
-    out.insert("stale decisions".to_string(), back.stale_decisions.len().into());
+    out.insert("stale decisions".to_string(), recovery_report.stale_decisions.len().into());
     out.into()
 }
 
 fn as_json(
-    played: &Played,
+    result: &RehearsalResult,
     trace: &Trace,
     findings: &[Finding],
     service: &Service,
-    back: &Recovery,
+    recovery_report: &Recovery,
 ) -> Value {
     let workloads: Vec<Value> = service
         .workloads
         .iter()
         .map(|w| {
-            let at = |q: f64| w.latency.value_at_quantile(q) as f64 / 1e3;
-            let seconds: Vec<Value> = w.seconds.iter().map(|t| json!([t.requests, t.in_time])).collect();
+            let quantile_ms = |q: f64| w.latency.value_at_quantile(q) as f64 / 1e3;
+            let seconds: Vec<Value> = w.seconds.iter().map(|counts| json!([counts.requests, counts.in_time])).collect();
             json!({"name": w.name, "wishes": w.tally.requests, "service": w.tally.service(), "late": w.tally.late,
                 "rejected": w.tally.rejected, "failed": w.tally.failed, "unanswered": w.tally.unanswered,
-                "tries": w.tally.tries, "p50_ms": at(0.5), "p99_ms": at(0.99), "by_second": seconds})
+                "tries": w.tally.tries, "p50_ms": quantile_ms(0.5), "p99_ms": quantile_ms(0.99), "by_second": seconds})
         })
         .collect();
-    let own = own_reads(trace);
-    json!({"title": played.script.title, "seed": played.script.plan.seed, "quick": played.quick,
-        "seconds": played.script.seconds, "service": service.overall(), "workloads": workloads,
-        "found": counts(findings), "emulator_late": quantiles(&played.emulator.late_us),
-        "clients_late": quantiles(&played.clients_late_us), "most_connections": played.emulator.max_connections,
-        "own_reads": {"checked": own.checked, "missed": own.missed, "by_replicas": own.by_replicas},
-        "returning": measures(back),
-        "unsound": trace.unsound, "missed_cues": played.emulator.missed, "lost_commits": trace.lost_commits.len(),
+    let own_read_counts = own_reads(trace);
+    json!({"title": result.script.title, "seed": result.script.plan.seed, "quick": result.quick,
+        "seconds": result.script.seconds, "service": service.overall(), "workloads": workloads,
+        "found": counts(findings), "emulator_late": quantiles(&result.emulator.late_us),
+        "clients_late": quantiles(&result.clients_late_us), "most_connections": result.emulator.max_connections,
+        "own_reads": {"checked": own_read_counts.checked, "missed": own_read_counts.missed, "by_replicas": own_read_counts.by_replicas},
+        "returning": measures(recovery_report),
+        "unsound": trace.unsound, "missed_cues": result.emulator.missed, "lost_commits": trace.lost_commits.len(),
         "version": env!("CARGO_PKG_VERSION"), "trace_lines": trace.lines})
 }
 
 fn as_markdown(
-    played: &Played,
+    result: &RehearsalResult,
     trace: &Trace,
     findings: &[Finding],
     service: &Service,
-    back: &Recovery,
+    recovery_report: &Recovery,
 ) -> String {
     let mut out = String::new();
-    let script = &played.script;
-    let mode = if played.quick { ", quick" } else { "" };
+    let script = &result.script;
+    let mode = if result.quick { ", quick" } else { "" };
     let _ = writeln!(out, "# {} (seed {}, {:.0} s{mode})\n", script.title, script.plan.seed, script.seconds);
     if let Some(why) = &trace.unsound {
-        let _ = writeln!(out, "**Unsound: {why}.** Figures of this run say little; play it on idle cores.\n");
+        let _ = writeln!(
+            out,
+            "**Unsound: {why}.** The figures of this run are unreliable; play it again on idle cores.\n"
+        );
     }
     let _ = writeln!(
         out,
@@ -188,7 +193,7 @@
     );
     out.push_str("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for w in &service.workloads {
-        let (t, at) = (&w.tally, |q: f64| w.latency.value_at_quantile(q) as f64 / 1e3);
+        let (t, quantile_ms) = (&w.tally, |q: f64| w.latency.value_at_quantile(q) as f64 / 1e3);
         let _ = writeln!(
             out,
             "| {} | {} | {:.3} | {} | {} | {} | {} | {} | {:.1} | {:.1} |",
@@ -200,23 +205,23 @@
             t.failed,
             t.unanswered,
             t.tries,
-            at(0.5),
-            at(0.99)
+            quantile_ms(0.5),
+            quantile_ms(0.99)
         );
     }
     out.push_str("\n| found | times |\n| --- | --- |\n");
     for rule in RULES {
-        let n = findings.iter().filter(|f| f.rule == rule).count();
+        let count = findings.iter().filter(|f| f.rule == rule).count();
         let kind = if rule.is_violation() { "rule" } else { "finding" };
-        let _ = writeln!(out, "| {} ({kind}) | {n} |", rule.label());
+        let _ = writeln!(out, "| {} ({kind}) | {count} |", rule.label());
     }
-    let own = own_reads(trace);
+    let own_read_counts = own_reads(trace);
     let _ = writeln!(
         out,
-        "\nOwn reads with a write to see: {}, missed {}, served by replicas {}.",
-        own.checked, own.missed, own.by_replicas
+        "\nOwn reads that had to see a write: {}, missed {}, served by replicas {}.",
+        own_read_counts.checked, own_read_counts.missed, own_read_counts.by_replicas
     );
-    let _ = writeln!(out, "\n{back}");
+    let _ = writeln!(out, "\n{recovery_report}");
     let _ = write!(out, "{}", agreement(trace));
     let _ = write!(out, "{}", state_convergence(trace));
     let begin = trace.settings.as_ref().map_or(0.0, |t| t.begin);
@@ -232,7 +237,7 @@
         let _ = writeln!(out, "| primary of {group} | {host} | {:.2} | |", t - begin);
     }
     let seconds = service.workloads.iter().map(|w| w.seconds.len()).max().unwrap_or(0);
-    out.push_str("\nShare in time by second (of the wishes meant for it):\n\n| s |");
+    out.push_str("\nShare in time by second (of the wishes due in it):\n\n| s |");
     service.workloads.iter().for_each(|w| out.push_str(&format!(" {} |", w.name)));
     out.push_str("\n| --- |");
     service.workloads.iter().for_each(|_| out.push_str(" --- |"));
@@ -247,16 +252,16 @@
         }
         out.push('\n');
     }
-    let e = &played.emulator.late_us;
+    let timer_delays_us = &result.emulator.late_us;
     let _ = writeln!(
         out,
-        "\nEmulator's timers late: p50 {} us, p99 {} us, most {} us ({} timers); clients' asking late: p99 {} us. \
-         {} connections at the most.",
-        e.value_at_quantile(0.5), e.value_at_quantile(0.99), e.max(), e.len(),
-        played.clients_late_us.value_at_quantile(0.99), played.emulator.max_connections
+        "\nEmulator's timers late: p50 {} us, p99 {} us, most {} us ({} timers); clients' requests late: p99 {} us. \
+         At most {} connections.",
+        timer_delays_us.value_at_quantile(0.5), timer_delays_us.value_at_quantile(0.99), timer_delays_us.max(), timer_delays_us.len(),
+        result.clients_late_us.value_at_quantile(0.99), result.emulator.max_connections
     );
-    if !played.emulator.missed.is_empty() {
-        let _ = writeln!(out, "\nCues whose event never came: {}.", played.emulator.missed.join(", "));
+    if !result.emulator.missed.is_empty() {
+        let _ = writeln!(out, "\nCues whose event never occurred: {}.", result.emulator.missed.join(", "));
     }
     if let Some(first) = findings.iter().find(|f| f.rule.is_violation()) {
         let _ = writeln!(out, "\nThe first broken rule:\n\n```\n{first}```");
--- a/crates/sandstile-lab/src/returns.rs
+++ b/crates/sandstile-lab/src/returns.rs
@@ -1,6 +1,7 @@
-//! How a return grows with the number of routers: the same state machines (`sandstile-policy`, `sandstile-restart-pacing`) before the fleet model, in
-//! virtual time. Seven in ten routers die at once, or all of them and the hosts with them; their clients come back with them.
-use crate::charts::{self, Line};
+//! How the recovery after a restart grows with the number of routers: the router's own state machines (`sandstile-policy`,
+//! `sandstile-restart-pacing`) in front of the fleet model, in virtual time. Either seven in ten routers die at once, or all
+//! routers and hosts; the clients of the dead routers come back with them.
+use crate::charts::{self, Curve};
 use sandstile_fleet::event::Event;
 use sandstile_fleet::plan::*;
 use sandstile_fleet::random::Rng;
@@ -19,166 +20,181 @@
 use std::sync::Mutex;
 use tracing::info;
 
-const GROUPS: usize = 8;
-const MEMBERS: usize = 3;
-const CORES: usize = 2;
-/// Seconds: the work of a statement and of a handshake, when it is due, how long its client waits.
-const WORK: f64 = 0.008;
-const SETUP: f64 = 0.005;
-const SLO: f64 = 0.3;
-const WAIT: f64 = 1.0;
-const DIAL: f64 = 0.25;
-/// Of what the hosts can do, and of it writes.
-const LOAD: f64 = 0.6;
-const WRITES: f64 = 0.12;
-/// Seconds: the fault, the return, the end; clients come again after a pause.
-const FAULT: f64 = 5.0;
-const BACK: f64 = 0.8;
-const END: f64 = 22.0;
-const PAUSE: f64 = 0.1;
-/// Clients that come back with each router, of all that there are in one second.
-const CROWD: f64 = 0.5;
-const WARM: f64 = 5.0;
-/// A deployment that was not whole before, for it never came up, is whole with so much.
-const LEAST: f64 = 0.95;
+const GROUP_COUNT: usize = 8;
+const HOSTS_PER_GROUP: usize = 3;
+const CORES_PER_HOST: usize = 2;
+/// Times in seconds: the work of a statement and of a handshake, the objective of a statement, the clients' timeout, and
+/// the dial timeout.
+const STATEMENT_WORK_S: f64 = 0.008;
+const HANDSHAKE_WORK_S: f64 = 0.005;
+const SLO_S: f64 = 0.3;
+const TIMEOUT_S: f64 = 1.0;
+const DIAL_TIMEOUT_S: f64 = 0.25;
+/// The offered load as a share of the hosts' capacity, and the share of writes in it.
+const LOAD_SHARE: f64 = 0.6;
+const WRITE_SHARE: f64 = 0.12;
+/// Times in seconds: the fault, the downtime, the end of the run, and the least pause of a client before a retry.
+const FAULT_AT_S: f64 = 5.0;
+const DOWNTIME_S: f64 = 0.8;
+const END_S: f64 = 22.0;
+const MIN_RETRY_PAUSE_S: f64 = 0.1;
+/// The clients that come back with the routers, as a share of all statements of one second.
+const RETURNING_SHARE: f64 = 0.5;
+const COLD_DURATION_S: f64 = 5.0;
+/// The least share in time that counts as full service, also for a deployment that never had it before the fault.
+const MIN_FULL_SERVICE: f64 = 0.95;
 
-/// What happens.
+/// The fault of a run.
 #[derive(Clone, Copy, PartialEq)]
-enum Story {
+enum Scenario {
     MostRestart,
     PowerCut,
 }
 
-struct Wish {
-    at: f64,
-    until: f64,
+struct Request {
+    due: f64,
+    deadline: f64,
     router: usize,
     workload: usize,
     group: usize,
     session: usize,
 }
 
-enum Due {
+enum DueEvent {
     Arrival,
-    Again(u64),
-    TimeOver(u64),
+    Retry(u64),
+    Timeout(u64),
 }
 
-/// Open-loop clients, each with a wish of its own that it tries until its time is over.
-struct Crowd {
+/// Open-loop clients, each with one request that it retries until its deadline.
+struct SimulatedClients {
     rng: Rng,
     rate: f64,
     routers: usize,
-    due: TimerHeap<Due>,
+    due: TimerHeap<DueEvent>,
     earliest: f64,
-    wishes: BTreeMap<u64, Wish>,
+    requests: BTreeMap<u64, Request>,
     next: u64,
-    until: f64,
-    /// When each was meant to be asked, and whether it was completed in time.
-    done: Vec<(f64, bool)>,
+    end: f64,
+    /// When each request was due, and whether it completed in time.
+    ended: Vec<(f64, bool)>,
 }
 
-impl Crowd {
-    fn new(seed: u64, routers: usize, rate: f64) -> Crowd {
+impl SimulatedClients {
+    fn new(seed: u64, routers: usize, rate: f64) -> SimulatedClients {
         let mut due = TimerHeap::default();
-        due.push(EPOCH + 0.001, Due::Arrival);
-        let (rng, wishes, done) = (Rng::new(seed, "crowd"), BTreeMap::new(), Vec::new());
-        Crowd { rng, rate, routers, due, earliest: EPOCH, wishes, next: 0, until: EPOCH + END, done }
+        due.push(EPOCH + 0.001, DueEvent::Arrival);
+        let (rng, requests, ended) = (Rng::new(seed, "crowd"), BTreeMap::new(), Vec::new());
+        SimulatedClients {
+            rng,
+            rate,
+            routers,
+            due,
+            earliest: EPOCH,
+            requests,
+            next: 0,
+            end: EPOCH + END_S,
+            ended,
+        }
     }
 
-    fn wish(&mut self, now: f64, router: usize) {
+    fn add_request(&mut self, now: f64, router: usize) {
         self.next += 1;
-        let wish = Wish {
-            at: now,
-            until: now + WAIT,
+        let request = Request {
+            due: now,
+            deadline: now + TIMEOUT_S,
             router,
-            workload: usize::from(self.rng.bernoulli(WRITES)),
-            group: self.rng.below(GROUPS),
+            workload: usize::from(self.rng.bernoulli(WRITE_SHARE)),
+            group: self.rng.below(GROUP_COUNT),
             session: self.next as usize,
         };
-        self.wishes.insert(self.next, wish);
-        self.due.push(now, Due::Again(self.next));
-        self.due.push(now + WAIT, Due::TimeOver(self.next));
+        self.requests.insert(self.next, request);
+        self.due.push(now, DueEvent::Retry(self.next));
+        self.due.push(now + TIMEOUT_S, DueEvent::Timeout(self.next));
         self.earliest = self.earliest.min(now);
     }
 
-    fn end(&mut self, key: u64, good: bool) {
-        if let Some(wish) = self.wishes.remove(&key) {
-            self.done.push((wish.at - EPOCH, good));
+    fn end_request(&mut self, key: u64, in_time: bool) {
+        if let Some(request) = self.requests.remove(&key) {
+            self.ended.push((request.due - EPOCH, in_time));
         }
     }
 }
 
-impl Clients for Crowd {
+impl Clients for SimulatedClients {
     fn next_request_at(&self) -> f64 {
         self.earliest
     }
 
     fn take_due_requests(&mut self, now: f64) -> Vec<(usize, ClientRequest)> {
-        let mut asked = Vec::new();
+        let mut due_requests = Vec::new();
         while let Some((_, due)) = self.due.pop(now) {
             match due {
-                Due::Arrival => {
+                DueEvent::Arrival => {
                     let router = self.rng.below(self.routers);
-                    self.wish(now, router);
+                    self.add_request(now, router);
                     let at = now + self.rng.exponential(1.0 / self.rate);
-                    if at < self.until {
-                        self.due.push(at, Due::Arrival);
+                    if at < self.end {
+                        self.due.push(at, DueEvent::Arrival);
                     }
                 }
-                Due::TimeOver(key) => self.end(key, false),
-                Due::Again(key) => {
-                    let Some(wish) = self.wishes.get(&key) else { continue };
-                    let wanted = ClientRequest {
+                DueEvent::Timeout(key) => self.end_request(key, false),
+                DueEvent::Retry(key) => {
+                    let Some(request) = self.requests.get(&key) else { continue };
+                    let client_request = ClientRequest {
                         key,
-                        workload: wish.workload,
-                        group: wish.group,
-                        session: wish.session,
-                        wait: wish.until - now,
+                        workload: request.workload,
+                        group: request.group,
+                        session: request.session,
+                        wait: request.deadline - now,
                     };
-                    asked.push((wish.router, wanted));
+                    due_requests.push((request.router, client_request));
                 }
             }
         }
         self.earliest = self.due.earliest().unwrap_or(f64::INFINITY);
-        asked
+        due_requests
     }
 
     fn on_answer(&mut self, now: f64, key: u64, answer: FinalAnswer) {
-        let Some(wish) = self.wishes.get(&key) else { return };
+        let Some(request) = self.requests.get(&key) else { return };
         match answer {
             FinalAnswer::Completed => {
-                let good = now - wish.at <= SLO;
-                self.end(key, good);
+                let in_time = now - request.due <= SLO_S;
+                self.end_request(key, in_time);
             }
             FinalAnswer::Rejected(after) => {
-                let at = now + after.max(PAUSE);
-                if at < wish.until {
-                    self.due.push(at, Due::Again(key));
+                let at = now + after.max(MIN_RETRY_PAUSE_S);
+                if at < request.deadline {
+                    self.due.push(at, DueEvent::Retry(key));
                     self.earliest = self.earliest.min(at);
                 } else {
-                    self.end(key, false);
+                    self.end_request(key, false);
                 }
             }
-            FinalAnswer::Aborted => self.end(key, false),
+            FinalAnswer::Aborted => self.end_request(key, false),
         }
     }
 }
 
 fn plan(seed: u64) -> Plan {
     let kind = MachineKind {
-        cores: vec![1.0; CORES],
+        cores: vec![1.0; CORES_PER_HOST],
         queue: 10_000,
         connections: 100_000,
         idle_timeout_s: 3600.0,
-        setup_work: SETUP,
-        warm_s: WARM,
+        setup_work: HANDSHAKE_WORK_S,
+        warm_s: COLD_DURATION_S,
         ..MachineKind::standard("std")
     };
-    let nodes = (0..GROUPS * MEMBERS).map(|n| Node { name: format!("n{n}"), zone: String::new(), kind: 0 });
-    let groups = (0..GROUPS).map(|g| Group {
+    let nodes = (0..GROUP_COUNT * HOSTS_PER_GROUP).map(|n| Node {
+        name: format!("n{n}"),
+        zone: String::new(),
+        kind: 0,
+    });
+    let groups = (0..GROUP_COUNT).map(|g| Group {
         name: g.to_string(),
-        nodes: (g * MEMBERS..(g + 1) * MEMBERS).collect(),
+        nodes: (g * HOSTS_PER_GROUP..(g + 1) * HOSTS_PER_GROUP).collect(),
         replication_delay_s: 0.01,
         apply: Work::Fixed(0.0005),
         detect_s: 1.5,
@@ -191,7 +207,7 @@
         effect,
         consistency,
         max_age_s: 0.0,
-        work: Work::Exponential(WORK),
+        work: Work::Exponential(STATEMENT_WORK_S),
         value_bytes: 64,
     };
     Plan {
@@ -208,15 +224,15 @@
     }
 }
 
-fn told(routers: usize) -> terms::Terms {
+fn policy_terms(routers: usize) -> terms::Terms {
     let workload = |consistency, effect, importance| terms::Workload {
         consistency,
         max_age: 0.0,
         effect,
         scope: terms::DedupScope::Zone,
         dedup_window: 60.0,
-        slo: SLO,
-        timeout: WAIT,
+        slo: SLO_S,
+        timeout: TIMEOUT_S,
         importance,
         late_share: 0.0,
     };
@@ -237,113 +253,125 @@
         idle_close: 3600.0,
         tick: 0.005,
         cold_initial_share: kind.cold_share,
-        cold_duration: WARM,
+        cold_duration: COLD_DURATION_S,
         cold_overload_multiple: kind.cold_overload_multiple,
         ..terms::Terms::default()
     }
 }
 
-/// One run: seconds from the fault to full service, least second, most dials at a host in 100 ms, those of the calm.
+/// The result of a run: seconds from the fault to full service, the share in time before it, the lowest share of a second,
+/// and the most dials at a host in 100 ms after the fault and before it.
 struct Run {
-    whole: Option<f64>,
-    before: f64,
-    least: f64,
-    dials: f64,
-    usual: f64,
+    full_service_after_s: Option<f64>,
+    baseline: f64,
+    lowest: f64,
+    max_dials: f64,
+    usual_dials: f64,
 }
 
-fn run(story: Story, pace: Option<Pace>, routers: usize, seed: u64) -> Run {
+fn run(scenario: Scenario, pace: Option<Pace>, routers: usize, seed: u64) -> Run {
     let fleet = Fleet::new(plan(seed), EPOCH);
-    let terms = told(routers);
-    let mind = |number: usize, life: u64, now: f64| {
-        let own = seed * 1_000_003 + number as u64 * 7919 + life;
-        let mind =
-            InstanceDriver::with_policy(Instance::new(&terms, own, now), number as u64, routers as u64, DIAL);
+    let terms = policy_terms(routers);
+    let driver = |number: usize, generation: u64, now: f64| {
+        let instance_seed = seed * 1_000_003 + number as u64 * 7919 + generation;
+        let driver = InstanceDriver::with_policy(
+            Instance::new(&terms, instance_seed, now),
+            number as u64,
+            routers as u64,
+            DIAL_TIMEOUT_S,
+        );
         match pace {
-            Some(pace) => mind.with_dial_pacing(DialPacer::new(pace, routers, number as u64, own, now)),
-            None => mind,
+            Some(pace) => {
+                driver.with_dial_pacing(DialPacer::new(pace, routers, number as u64, instance_seed, now))
+            }
+            None => driver,
         }
     };
-    let minds = (0..routers).map(|n| mind(n, 0, EPOCH)).collect();
-    let mut world = World::new(fleet, minds, 0.5);
+    let drivers = (0..routers).map(|n| driver(n, 0, EPOCH)).collect();
+    let mut world = World::new(fleet, drivers, 0.5);
     let dials: Rc<RefCell<BTreeMap<(String, i64), f64>>> = Rc::default();
-    let seen = dials.clone();
+    let observed_dials = dials.clone();
     world.observer = Some(Box::new(move |t, event| {
         if let Event::Dialled { host } = event {
-            let moment = ((t - EPOCH) / 0.1) as i64;
-            *seen.borrow_mut().entry((host.clone(), moment)).or_default() += 1.0;
+            let interval = ((t - EPOCH) / 0.1) as i64;
+            *observed_dials.borrow_mut().entry((host.clone(), interval)).or_default() += 1.0;
         }
     }));
-    let capacity = (GROUPS * MEMBERS * CORES) as f64 / WORK;
-    let mut crowd = Crowd::new(seed, routers, LOAD * capacity);
-    world.run_until(&mut crowd, EPOCH + FAULT);
-    let struck: Vec<usize> = match story {
-        Story::MostRestart => (0..routers).filter(|n| n % 10 < 7).collect(),
-        Story::PowerCut => (0..routers).collect(),
+    let capacity = (GROUP_COUNT * HOSTS_PER_GROUP * CORES_PER_HOST) as f64 / STATEMENT_WORK_S;
+    let mut clients = SimulatedClients::new(seed, routers, LOAD_SHARE * capacity);
+    world.run_until(&mut clients, EPOCH + FAULT_AT_S);
+    let faulted: Vec<usize> = match scenario {
+        Scenario::MostRestart => (0..routers).filter(|n| n % 10 < 7).collect(),
+        Scenario::PowerCut => (0..routers).collect(),
     };
-    struck.iter().for_each(|n| world.kill(*n));
-    if story == Story::PowerCut {
-        for group in 0..GROUPS {
+    faulted.iter().for_each(|n| world.kill(*n));
+    if scenario == Scenario::PowerCut {
+        for group in 0..GROUP_COUNT {
             let target = Target::Group(group.to_string());
-            world.fleet.start_fault(EPOCH + FAULT, Fault { kind: FaultKind::Crash, target, duration_s: 2.0 });
+            world
+                .fleet
+                .start_fault(EPOCH + FAULT_AT_S, Fault { kind: FaultKind::Crash, target, duration_s: 2.0 });
         }
     }
-    world.run_until(&mut crowd, EPOCH + FAULT + BACK);
-    let each = (CROWD * LOAD * capacity / routers as f64).ceil() as usize;
-    for n in struck {
-        world.start(n, mind(n, 1, world.now()));
-        (0..each).for_each(|_| crowd.wish(world.now(), n));
+    world.run_until(&mut clients, EPOCH + FAULT_AT_S + DOWNTIME_S);
+    let returning_clients = (RETURNING_SHARE * LOAD_SHARE * capacity / routers as f64).ceil() as usize;
+    for n in faulted {
+        world.start(n, driver(n, 1, world.now()));
+        (0..returning_clients).for_each(|_| clients.add_request(world.now(), n));
     }
-    world.run_until(&mut crowd, EPOCH + END + WAIT);
-    let share = |from: f64, to: f64| {
-        let of = || crowd.done.iter().filter(|(at, _)| (from..to).contains(at));
-        let all = of().count() as f64;
+    world.run_until(&mut clients, EPOCH + END_S + TIMEOUT_S);
+    let share_in_time = |from: f64, to: f64| {
+        let requests = || clients.ended.iter().filter(|(at, _)| (from..to).contains(at));
+        let all = requests().count() as f64;
         if all > 0.0 {
-            of().filter(|(_, good)| *good).count() as f64 / all
+            requests().filter(|(_, in_time)| *in_time).count() as f64 / all
         } else {
             1.0
         }
     };
-    let before = share(2.0, FAULT);
-    let steps = ((END - 1.0 - FAULT) / 0.25) as usize;
-    let seconds: Vec<f64> =
-        (0..steps).map(|n| share(FAULT + n as f64 * 0.25, FAULT + n as f64 * 0.25 + 1.0)).collect();
-    let whole =
-        (0..steps).find(|n| seconds[*n..(n + 20).min(steps)].iter().all(|s| *s >= before.max(LEAST) - 0.05));
+    let baseline = share_in_time(2.0, FAULT_AT_S);
+    let steps = ((END_S - 1.0 - FAULT_AT_S) / 0.25) as usize;
+    let seconds: Vec<f64> = (0..steps)
+        .map(|n| share_in_time(FAULT_AT_S + n as f64 * 0.25, FAULT_AT_S + n as f64 * 0.25 + 1.0))
+        .collect();
+    let full_service_step = (0..steps).find(|n| {
+        seconds[*n..(n + 20).min(steps)].iter().all(|s| *s >= baseline.max(MIN_FULL_SERVICE) - 0.05)
+    });
     let dials = dials.borrow();
-    let most = |from: i64, to: i64| {
+    let max_dials_in = |from: i64, to: i64| {
         dials.iter().filter(|((_, at), _)| (from..to).contains(at)).map(|(_, n)| *n).fold(0.0, f64::max)
     };
     Run {
-        whole: whole.map(|n| n as f64 * 0.25),
-        before,
-        least: seconds.iter().copied().fold(1.0, f64::min),
-        dials: most((FAULT * 10.0) as i64, i64::MAX),
-        usual: most(20, (FAULT * 10.0) as i64).max(1.0),
+        full_service_after_s: full_service_step.map(|n| n as f64 * 0.25),
+        baseline,
+        lowest: seconds.iter().copied().fold(1.0, f64::min),
+        max_dials: max_dials_in((FAULT_AT_S * 10.0) as i64, i64::MAX),
+        usual_dials: max_dials_in(20, (FAULT_AT_S * 10.0) as i64).max(1.0),
     }
 }
 
-/// All of it: a table, and a chart for each story beside it.
+/// Plays all runs; writes a table and a chart for each scenario, and returns the table.
 pub fn grow(out: &Path, quick: bool) -> Result<String, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", out.display());
-    std::fs::create_dir_all(out).map_err(told)?;
+    let with_path = |e: std::io::Error| format!("{}: {e}", out.display());
+    std::fs::create_dir_all(out).map_err(with_path)?;
     let counts: &[usize] = if quick { &[16, 100] } else { &[16, 100, 300, 1000] };
     let paces: [(&str, Option<Pace>); 3] =
         [("plainest", Some(Pace::Plainest)), ("off", None), ("answers", Some(Pace::Answers))];
     let mut text = format!(
-        "Virtual time: {} hosts of {CORES} cores at {LOAD} of what they can do, a handshake {:.0} ms of a core, dial limit {:.0} ms, one seed.\n\n\
+        "Virtual time: {} hosts of {CORES_PER_HOST} cores at {LOAD_SHARE} of their capacity, a handshake takes {:.0} ms of a core, dial timeout {:.0} ms, one seed.\n\n\
          | what | pace | routers | before | whole after s | least second | dials at a host in 100 ms | in the calm |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- |\n",
-        GROUPS * MEMBERS,
-        SETUP * 1e3,
-        DIAL * 1e3
+        GROUP_COUNT * HOSTS_PER_GROUP,
+        HANDSHAKE_WORK_S * 1e3,
+        DIAL_TIMEOUT_S * 1e3
     );
-    let stories = [(Story::MostRestart, "most-restart"), (Story::PowerCut, "power-cut")];
-    // Each run has a world of its own; the largest first, for they take the longest.
+    let scenarios = [(Scenario::MostRestart, "most-restart"), (Scenario::PowerCut, "power-cut")];
+    // Runs are independent; the largest go first, because they take the longest.
     let mut jobs: Vec<(usize, usize, usize)> = Vec::new();
     for count in (0..counts.len()).rev() {
         jobs.extend(
-            (0..stories.len()).flat_map(|story| (0..paces.len()).map(move |pace| (story, pace, count))),
+            (0..scenarios.len())
+                .flat_map(|scenario| (0..paces.len()).map(move |pace| (scenario, pace, count))),
         );
     }
     let jobs = Mutex::new(jobs.into_iter());
@@ -353,34 +381,40 @@
         for _ in 0..workers {
             scope.spawn(|| loop {
                 let job = jobs.lock().expect("no thread panics under the lock").next();
-                let Some((story, pace, count)) = job else { return };
-                let done = run(stories[story].0, paces[pace].1, counts[count], 1);
-                info!(story = stories[story].1, pace = paces[pace].0, routers = counts[count], "played");
-                runs.lock().expect("no thread panics under the lock").insert((story, pace, count), done);
+                let Some((scenario, pace, count)) = job else { return };
+                let result = run(scenarios[scenario].0, paces[pace].1, counts[count], 1);
+                info!(
+                    story = scenarios[scenario].1,
+                    pace = paces[pace].0,
+                    routers = counts[count],
+                    "played one run"
+                );
+                runs.lock().expect("no thread panics under the lock").insert((scenario, pace, count), result);
             });
         }
     });
     let runs = runs.into_inner().expect("no thread panics under the lock");
-    for (story, (_, name)) in stories.iter().enumerate() {
+    for (scenario, (_, name)) in scenarios.iter().enumerate() {
         let mut curves = Vec::new();
-        for (pace, (word, _)) in paces.iter().enumerate() {
+        for (pace, (pace_name, _)) in paces.iter().enumerate() {
             let mut points = Vec::new();
             for (count, routers) in counts.iter().enumerate() {
-                let run = &runs[&(story, pace, count)];
-                let whole = run.whole.map_or("not before the end".to_string(), |s| format!("{s:.2}"));
+                let run = &runs[&(scenario, pace, count)];
+                let recovery =
+                    run.full_service_after_s.map_or("not before the end".to_string(), |s| format!("{s:.2}"));
                 let _ = writeln!(
                     text,
-                    "| {name} | {word} | {routers} | {:.3} | {whole} | {:.3} | {:.0} | {:.0} |",
-                    run.before, run.least, run.dials, run.usual
+                    "| {name} | {pace_name} | {routers} | {:.3} | {recovery} | {:.3} | {:.0} | {:.0} |",
+                    run.baseline, run.lowest, run.max_dials, run.usual_dials
                 );
-                points.push((*routers as f64, run.whole.unwrap_or(END - FAULT)));
+                points.push((*routers as f64, run.full_service_after_s.unwrap_or(END_S - FAULT_AT_S)));
             }
-            curves.push(Line { name: word.to_string(), points });
+            curves.push(Curve { name: pace_name.to_string(), points });
         }
-        let title = format!("{name}: seconds to full service (the top: never)");
+        let title = format!("{name}: seconds to full service (top: never)");
         let svg = charts::lines(&title, "routers", "s", &curves, false)?;
-        std::fs::write(out.join(format!("returns-{name}.svg")), svg).map_err(told)?;
+        std::fs::write(out.join(format!("returns-{name}.svg")), svg).map_err(with_path)?;
     }
-    std::fs::write(out.join("returns.md"), &text).map_err(told)?;
+    std::fs::write(out.join("returns.md"), &text).map_err(with_path)?;
     Ok(text)
 }
--- a/crates/sandstile-lab/src/scale_out.rs
+++ b/crates/sandstile-lab/src/scale_out.rs
@@ -1,6 +1,6 @@
-//! The paper's own experiment: many small databases, their primaries all on one machine, alone and with satellites that
-//! hold a copy each. In virtual time with the real decision module, and scaled down on sockets beside it.
-use crate::charts::{self, Line};
+//! The paper's own experiment: many small databases whose primaries are all on one machine, without and with satellites
+//! that hold a copy each. Played in virtual time with the real decision module, and on a smaller scale on sockets.
+use crate::charts::{self, Curve};
 use crate::processes::{self, Router};
 use crate::rehearse;
 use hdrhistogram::Histogram;
@@ -18,14 +18,14 @@
 use std::time::Duration;
 use tracing::info;
 
-/// One setting: so many databases with so many satellites, and the numbers of clients at which it is measured.
+/// One setting: the numbers of databases and satellites, and the numbers of clients at which it is measured.
 #[derive(Clone, Debug)]
 pub struct Figure {
     pub name: String,
     pub databases: usize,
     pub satellites: usize,
     pub workers: Vec<usize>,
-    /// Also on sockets.
+    /// Whether to measure it on sockets too.
     pub sockets: bool,
 }
 
@@ -33,14 +33,14 @@
 pub struct Experiment {
     pub title: String,
     pub seed: u64,
-    /// Counted seconds, and those before them.
+    /// Seconds that are counted, and seconds of warm-up before them.
     pub seconds: f64,
     pub warm: f64,
-    /// Seconds that a client waits.
+    /// The clients' timeout in seconds.
     pub wait: f64,
     /// The share of statements that write.
     pub writes: f64,
-    /// Seconds of work.
+    /// Work of a statement, in seconds.
     pub read_work: f64,
     pub write_work: f64,
     pub cores: usize,
@@ -52,41 +52,45 @@
     pub fn read(file: &str, text: &str) -> Result<Experiment, Vec<Problem>> {
         let source = Source::new(file, text);
         let read = source.parse().map(|body| {
-            let s = Section::root(&source, &body);
-            let figures = s.blocks("figure", true);
-            let figures = figures.iter().map(|f| {
+            let root = Section::root(&source, &body);
+            let figures = root.blocks("figure", true);
+            let figures = figures.iter().map(|block| {
                 let figure = Figure {
-                    name: f.name.clone(),
-                    databases: f.count("databases", 1.0..10_000.0, 100),
-                    satellites: f.count("satellites", 1.0..1000.0, 10),
-                    workers: f
+                    name: block.name.clone(),
+                    databases: block.count("databases", 1.0..10_000.0, 100),
+                    satellites: block.count("satellites", 1.0..1000.0, 10),
+                    workers: block
                         .numbers("workers", 1.0..100_000.0)
                         .unwrap_or_default()
                         .into_iter()
                         .map(|n| n as usize)
                         .collect(),
-                    sockets: f.boolean("sockets", false),
+                    sockets: block.boolean("sockets", false),
                 };
                 if figure.workers.is_empty() {
-                    f.problem("workers", "no numbers of clients", Some("workers = [50, 100]".to_string()));
+                    block.problem(
+                        "workers",
+                        "at least one number of clients is required",
+                        Some("workers = [50, 100]".to_string()),
+                    );
                 }
-                f.finish();
+                block.finish();
                 figure
             });
             let experiment = Experiment {
                 figures: figures.collect(),
-                title: s.required_text("title"),
-                seed: s.count("seed", 0.0..1e15, 1) as u64,
-                seconds: s.number("seconds", 1.0..3600.0, 60.0),
-                warm: s.number("warm_s", 0.0..600.0, 10.0),
-                wait: s.number("wait_s", 0.1..600.0, 20.0),
-                writes: s.number("writes", 0.0..1.0, 0.2),
-                read_work: s.required_number("read_ms", 0.01..10_000.0) / 1e3,
-                write_work: s.required_number("write_ms", 0.01..10_000.0) / 1e3,
-                cores: s.count("cores", 1.0..64.0, 2),
-                routers: s.count("routers", 1.0..100.0, 1),
+                title: root.required_text("title"),
+                seed: root.count("seed", 0.0..1e15, 1) as u64,
+                seconds: root.number("seconds", 1.0..3600.0, 60.0),
+                warm: root.number("warm_s", 0.0..600.0, 10.0),
+                wait: root.number("wait_s", 0.1..600.0, 20.0),
+                writes: root.number("writes", 0.0..1.0, 0.2),
+                read_work: root.required_number("read_ms", 0.01..10_000.0) / 1e3,
+                write_work: root.required_number("write_ms", 0.01..10_000.0) / 1e3,
+                cores: root.count("cores", 1.0..64.0, 2),
+                routers: root.count("routers", 1.0..100.0, 1),
             };
-            s.finish();
+            root.finish();
             experiment
         });
         let problems = source.problems();
@@ -99,20 +103,20 @@
 
 /// How the databases are reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// Clients at the master itself, as the paper's first measurement.
-    Alone,
-    /// By routers, with satellites.
-    Farm,
+enum Setup {
+    /// Clients connect to the master directly, as in the paper's first measurement.
+    MasterAlone,
+    /// Through routers, with satellites.
+    Satellites,
     Sockets,
 }
 
-impl Way {
-    fn text(self) -> &'static str {
+impl Setup {
+    fn label(self) -> &'static str {
         match self {
-            Way::Alone => "master alone, no router (virtual)",
-            Way::Farm => "with satellites (virtual)",
-            Way::Sockets => "with satellites (sockets)",
+            Setup::MasterAlone => "master alone, no router (virtual)",
+            Setup::Satellites => "with satellites (virtual)",
+            Setup::Sockets => "with satellites (sockets)",
         }
     }
 }
@@ -128,9 +132,9 @@
     aborted: u64,
 }
 
-fn plan(e: &Experiment, f: &Figure, satellites: usize) -> Plan {
+fn plan(experiment: &Experiment, figure: &Figure, satellites: usize) -> Plan {
     let kind = |name: &str| MachineKind {
-        cores: vec![1.0; e.cores],
+        cores: vec![1.0; experiment.cores],
         queue: 1_000_000,
         connections: 1_000_000,
         idle_timeout_s: 3600.0,
@@ -140,7 +144,7 @@
     let node = |name: String, kind| Node { name, zone: String::new(), kind };
     let mut nodes = vec![node("master".to_string(), 0)];
     nodes.extend((0..satellites).map(|n| node(format!("satellite-{n}"), 1)));
-    // One copy of each database, evenly spread, as in the paper.
+    // One copy of each database, spread evenly, as in the paper.
     let copy = |g: usize| (satellites > 0).then(|| 1 + g % satellites.max(1));
     let group = |g: usize| Group {
         name: format!("db{g}"),
@@ -161,23 +165,23 @@
         value_bytes: 100,
     };
     Plan {
-        seed: e.seed,
+        seed: experiment.seed,
         kinds: vec![kind("master"), kind("satellite")],
         nodes,
-        groups: (0..f.databases).map(group).collect(),
+        groups: (0..figure.databases).map(group).collect(),
         workloads: vec![
-            workload("read", Consistency::Session, Effect::Idempotent, e.read_work),
-            workload("write", Consistency::Write, Effect::NonIdempotent, e.write_work),
+            workload("read", Consistency::Session, Effect::Idempotent, experiment.read_work),
+            workload("write", Consistency::Write, Effect::NonIdempotent, experiment.write_work),
         ],
         tokens: Tokens::Remembered,
         hosts_check_reads: true,
     }
 }
 
-fn deployed(e: &Experiment) -> Terms {
+fn policy_terms(experiment: &Experiment) -> Terms {
     let workload = |consistency, effect| terms::Workload {
-        slo: e.wait / 5.0,
-        timeout: e.wait,
+        slo: experiment.wait / 5.0,
+        timeout: experiment.wait,
         importance: 1.0,
         late_share: 0.5,
         effect,
@@ -192,7 +196,7 @@
             workload(terms::Consistency::Write, terms::Effect::NonIdempotent),
         ],
         tick: 0.001,
-        routers: e.routers,
+        routers: experiment.routers,
         max_executions: 4,
         may_cancel: true,
         may_probe: true,
@@ -206,64 +210,87 @@
     }
 }
 
-fn virtually(e: &Experiment, f: &Figure, way: Way, workers: usize) -> Point {
-    let fleet = Fleet::new(plan(e, f, if way == Way::Farm { f.satellites } else { 0 }), EPOCH);
-    let terms = deployed(e);
-    let of = e.routers as u64;
-    let minds = (0..of).map(|n| match way {
-        Way::Farm => InstanceDriver::with_policy(Instance::new(&terms, e.seed + n, EPOCH), n, of, 1.0),
+fn simulate(experiment: &Experiment, figure: &Figure, setup: Setup, workers: usize) -> Point {
+    let fleet = Fleet::new(
+        plan(experiment, figure, if setup == Setup::Satellites { figure.satellites } else { 0 }),
+        EPOCH,
+    );
+    let terms = policy_terms(experiment);
+    let router_count = experiment.routers as u64;
+    let drivers = (0..router_count).map(|n| match setup {
+        Setup::Satellites => InstanceDriver::with_policy(
+            Instance::new(&terms, experiment.seed + n, EPOCH),
+            n,
+            router_count,
+            1.0,
+        ),
         _ => {
-            let primaries = (0..f.databases).map(|g| fleet.primary_of(g).unwrap_or(0)).collect();
-            InstanceDriver::direct(primaries, n, of)
+            let primaries = (0..figure.databases).map(|g| fleet.primary_of(g).unwrap_or(0)).collect();
+            InstanceDriver::direct(primaries, n, router_count)
         }
     });
-    let minds = minds.collect();
-    let mut world = World::new(fleet, minds, 1.0);
-    let from = EPOCH + e.warm;
-    let mut clients =
-        Workers::new(e.seed, workers, f.databases, e.routers, e.writes, e.wait, EPOCH, from, e.seconds);
-    world.run_until(&mut clients, from + e.seconds);
-    let t = &clients.tally;
+    let drivers = drivers.collect();
+    let mut world = World::new(fleet, drivers, 1.0);
+    let counted_from = EPOCH + experiment.warm;
+    let mut clients = Workers::new(
+        experiment.seed,
+        workers,
+        figure.databases,
+        experiment.routers,
+        experiment.writes,
+        experiment.wait,
+        EPOCH,
+        counted_from,
+        experiment.seconds,
+    );
+    world.run_until(&mut clients, counted_from + experiment.seconds);
+    let tally = &clients.tally;
     Point {
         workers,
-        mean_ms: t.mean_ms(),
-        p90_ms: t.quantile_ms(0.9),
-        p99_ms: t.quantile_ms(0.99),
-        rate: t.rate(),
-        rejected: t.rejected,
-        aborted: t.aborted,
+        mean_ms: tally.mean_ms(),
+        p90_ms: tally.quantile_ms(0.9),
+        p99_ms: tally.quantile_ms(0.99),
+        rate: tally.rate(),
+        rejected: tally.rejected,
+        aborted: tally.aborted,
     }
 }
 
-/// Each point is a world of its own, so they are played side by side.
-fn all_virtually(e: &Experiment, f: &Figure, way: Way) -> Vec<Point> {
+/// Simulates all points of a figure in parallel, since they are independent.
+fn simulate_all(experiment: &Experiment, figure: &Figure, setup: Setup) -> Vec<Point> {
     std::thread::scope(|scope| {
-        let played: Vec<_> =
-            f.workers.iter().map(|w| scope.spawn(move || virtually(e, f, way, *w))).collect();
+        let played: Vec<_> = figure
+            .workers
+            .iter()
+            .map(|workers| scope.spawn(move || simulate(experiment, figure, setup, *workers)))
+            .collect();
         played.into_iter().map(|p| p.join().expect("no point panics")).collect()
     })
 }
 
-/// The same deployment as a rehearsal's script, for the emulator.
-fn script(e: &Experiment, f: &Figure) -> Result<Script, String> {
-    let cores = vec!["1"; e.cores].join(", ");
+/// The same deployment as a rehearsal script, for the emulator.
+fn emulator_script(experiment: &Experiment, figure: &Figure) -> Result<Script, String> {
+    let cores = vec!["1"; experiment.cores].join(", ");
     let mut text = format!(
         "title = \"scale-out\"\nseconds = 3600\nmachine \"m\" {{\n  cores = [{cores}]\n  queue = 100000\n  \
          connections = 2000\n  setup_work_ms = 0\n  idle_s = 600\n}}\nnode \"master\" {{ machine = \"m\" }}\n"
     );
-    (0..f.satellites).for_each(|n| {
+    (0..figure.satellites).for_each(|n| {
         let _ = writeln!(text, "node \"s{n}\" {{ machine = \"m\" }}");
     });
-    for g in 0..f.databases {
-        let _ = writeln!(text, "group \"{}\" {{ nodes = [\"master\", \"s{}\"] }}", g + 1, g % f.satellites);
+    for g in 0..figure.databases {
+        let _ =
+            writeln!(text, "group \"{}\" {{ nodes = [\"master\", \"s{}\"] }}", g + 1, g % figure.satellites);
     }
-    for (name, consistency, work) in [("read", "session", e.read_work), ("write", "write", e.write_work)] {
+    for (name, consistency, work) in
+        [("read", "session", experiment.read_work), ("write", "write", experiment.write_work)]
+    {
         let _ = writeln!(
             text,
             "workload \"{name}\" {{\n  consistency = \"{consistency}\"\n  work_ms = {}\n  slo_ms = {}\n  timeout_ms = {}\n}}",
             work * 1e3,
-            e.wait * 200.0,
-            e.wait * 1e3
+            experiment.wait * 200.0,
+            experiment.wait * 1e3
         );
     }
     text.push_str("routers {\n  count = 1\n  memory_mb = 512\n  sockets = 8192\n}\n");
@@ -271,35 +298,36 @@
         .map_err(|problems| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
 }
 
-fn on_sockets(e: &Experiment, f: &Figure, program: &Path) -> Result<Vec<Point>, String> {
-    let (script, clock) = (script(e, f)?, Clock::anchor());
+fn on_sockets(experiment: &Experiment, figure: &Figure, program: &Path) -> Result<Vec<Point>, String> {
+    let (script, clock) = (emulator_script(experiment, figure)?, Clock::anchor());
     let dir = std::env::temp_dir().join(format!("sandstile-scale-out-{}", std::process::id()));
     std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
     let (records, lines) = crossbeam_channel::unbounded();
     std::thread::spawn(move || lines.iter().for_each(drop));
-    let (emulator, _notes, net) = rehearse::emulator(&script, clock, records).map_err(|e| e.to_string())?;
+    let (emulator, _notifications, net) =
+        rehearse::new_emulator(&script, clock, records).map_err(|e| e.to_string())?;
     let emulator = emulator.spawn().map_err(|e| e.to_string())?;
     let address = rehearse::router_address(net, 0);
     let config = processes::config(&script, 0, address, emulator.agents[0], &emulator.discovery_list(0));
     let mut router = Router::start(program, &dir, 0, &config, None).map_err(|e| e.to_string())?;
     router.wait_ready(Duration::from_secs(10)).map_err(|e| e.to_string())?;
     let mut points = Vec::new();
-    for workers in &f.workers {
-        let seconds = e.seconds.min(8.0);
+    for workers in &figure.workers {
+        let seconds = experiment.seconds.min(8.0);
         let load = Load {
             targets: vec![address],
             connections: *workers,
-            timeout_s: e.wait,
+            timeout_s: experiment.wait,
             warm_up_s: 2.0,
             closed_loop: true,
             seconds: seconds + 2.0,
         };
-        let mut rng = sandstile_fleet::random::Rng::new(e.seed, "sockets");
-        let arrivals = Arrivals::new(Shape::Constant(1.0), load.seconds, e.seed);
-        let report = run(&load, arrivals, &mut |n, ms| {
-            let (write, group) = (rng.bernoulli(e.writes), rng.below(f.databases) + 1);
+        let mut rng = sandstile_fleet::random::Rng::new(experiment.seed, "sockets");
+        let arrivals = Arrivals::new(Shape::Constant(1.0), load.seconds, experiment.seed);
+        let report = run(&load, arrivals, &mut |n, timeout_ms| {
+            let (write, group) = (rng.bernoulli(experiment.writes), rng.below(figure.databases) + 1);
             let viewer = n % *workers as u64;
-            let (class, verb) = match write {
+            let (class, sql) = match write {
                 true => (
                     "write",
                     format!("INSERT INTO carts (who, what) VALUES ('u{viewer}', '\\x2a') RETURNING what"),
@@ -307,18 +335,18 @@
                 false => ("read", format!("SELECT what FROM carts WHERE who = 'u{viewer}'")),
             };
             let id = (n + 1).wrapping_add((*workers as u64) << 40).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            format!("/* id={id:016x},c={class},d={ms},cluster={group} */ {verb}")
+            format!("/* id={id:016x},c={class},d={timeout_ms},cluster={group} */ {sql}")
         })
         .map_err(|e| format!("the load: {e}"))?;
         if let Some(why) = report.unsound() {
             return Err(why);
         }
-        let at = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
+        let quantile_ms = |latency: &Histogram<u64>, q: f64| latency.value_at_quantile(q) as f64 / 1e3;
         points.push(Point {
             workers: *workers,
             mean_ms: report.latency_from_send_us.mean() / 1e3,
-            p90_ms: at(&report.latency_from_send_us, 0.9),
-            p99_ms: at(&report.latency_from_send_us, 0.99),
+            p90_ms: quantile_ms(&report.latency_from_send_us, 0.9),
+            p99_ms: quantile_ms(&report.latency_from_send_us, 0.99),
             rate: report.rate(),
             rejected: report.rejected,
             aborted: report.failed + report.unanswered,
@@ -332,43 +360,43 @@
     Ok(points)
 }
 
-/// Plays all figures; leaves `scale-out.md` and two charts a figure in `out`.
-pub fn play(e: &Experiment, program: &Path, out: &Path, quick: bool) -> Result<String, String> {
-    let mut e = e.clone();
+/// Plays all figures; writes `scale-out.md` and two charts for each figure to `out`, and returns the text.
+pub fn play(experiment: &Experiment, program: &Path, out: &Path, quick: bool) -> Result<String, String> {
+    let mut experiment = experiment.clone();
     if quick {
-        (e.seconds, e.warm) = (e.seconds.min(10.0), e.warm.min(5.0));
+        (experiment.seconds, experiment.warm) = (experiment.seconds.min(10.0), experiment.warm.min(5.0));
     }
     std::fs::create_dir_all(out).map_err(|e| e.to_string())?;
     let mut text = format!(
         "# {}\n\nReads {} ms, writes {} ms of work (exponential), {} cores a machine, {:.0}% writes, {:.0} s counted.\n",
-        e.title,
-        e.read_work * 1e3,
-        e.write_work * 1e3,
-        e.cores,
-        e.writes * 100.0,
-        e.seconds
+        experiment.title,
+        experiment.read_work * 1e3,
+        experiment.write_work * 1e3,
+        experiment.cores,
+        experiment.writes * 100.0,
+        experiment.seconds
     );
-    for (n, f) in e.figures.iter().enumerate() {
-        let mut curves: Vec<(Way, Vec<Point>)> = Vec::new();
-        for way in [Way::Alone, Way::Farm] {
-            curves.push((way, all_virtually(&e, f, way)));
+    for (n, figure) in experiment.figures.iter().enumerate() {
+        let mut curves: Vec<(Setup, Vec<Point>)> = Vec::new();
+        for setup in [Setup::MasterAlone, Setup::Satellites] {
+            curves.push((setup, simulate_all(&experiment, figure, setup)));
         }
-        if f.sockets {
-            curves.push((Way::Sockets, on_sockets(&e, f, program)?));
+        if figure.sockets {
+            curves.push((Setup::Sockets, on_sockets(&experiment, figure, program)?));
         }
         let _ = writeln!(
             text,
             "\n## {}: {} databases, {} satellites\n\n\
              | way | clients | completed /s | mean ms | p90 ms | p99 ms | rejected | aborted |\n\
              | --- | --- | --- | --- | --- | --- | --- | --- |",
-            f.name, f.databases, f.satellites
+            figure.name, figure.databases, figure.satellites
         );
-        for (way, points) in &curves {
+        for (setup, points) in &curves {
             for p in points {
                 let _ = writeln!(
                     text,
                     "| {} | {} | {:.0} | {:.1} | {:.1} | {:.1} | {} | {} |",
-                    way.text(),
+                    setup.label(),
                     p.workers,
                     p.rate,
                     p.mean_ms,
@@ -379,19 +407,20 @@
                 );
             }
         }
-        let lines = |of: fn(&Point) -> f64| -> Vec<Line> {
-            let line = |(way, points): &(Way, Vec<Point>)| Line {
-                name: way.text().to_string(),
-                points: points.iter().map(|p| (p.workers as f64, of(p))).collect(),
+        let curves_of = |value: fn(&Point) -> f64| -> Vec<Curve> {
+            let curve = |(setup, points): &(Setup, Vec<Point>)| Curve {
+                name: setup.label().to_string(),
+                points: points.iter().map(|p| (p.workers as f64, value(p))).collect(),
             };
-            curves.iter().map(line).collect()
+            curves.iter().map(curve).collect()
         };
-        let title = format!("{}: mean response time", f.name);
-        let time = charts::lines(&title, "clients", "milliseconds (log)", &lines(|p| p.mean_ms), true)?;
-        let title = format!("{}: throughput", f.name);
-        let rate =
-            charts::lines(&title, "clients", "statements completed a second", &lines(|p| p.rate), false)?;
-        for (kind, svg) in [("time", time), ("rate", rate)] {
+        let title = format!("{}: mean response time", figure.name);
+        let time_chart =
+            charts::lines(&title, "clients", "milliseconds (log)", &curves_of(|p| p.mean_ms), true)?;
+        let title = format!("{}: throughput", figure.name);
+        let rate_chart =
+            charts::lines(&title, "clients", "statements completed a second", &curves_of(|p| p.rate), false)?;
+        for (kind, svg) in [("time", time_chart), ("rate", rate_chart)] {
             let path = out.join(format!("scale-out-{}-{kind}.svg", n + 1));
             std::fs::write(&path, svg).map_err(|e| format!("{}: {e}", path.display()))?;
         }
--- a/crates/sandstile-lab/src/trace_writer.rs
+++ b/crates/sandstile-lab/src/trace_writer.rs
@@ -1,5 +1,4 @@
-//! The trace's writer: a thread of its own takes lines off a channel, so that nobody who is being timed waits for
-//! a disk.
+//! Writes the trace on a thread of its own, which takes lines from a channel, so that no timed code waits for the disk.
 use crossbeam_channel::{unbounded, Sender};
 use sandstile_emulator::Record;
 use serde::Serialize;
@@ -8,14 +7,14 @@
 use std::path::Path;
 use std::thread::{self, JoinHandle};
 
-/// A client's or the lab's own line.
+/// A trace line of the clients or of the lab itself.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Line {
     Run(Box<serde_json::Value>),
     Asked {
         id: String,
-        /// The first try's id.
+        /// The statement id of the request's first attempt.
         first: String,
         intended: f64,
         workload: String,
@@ -24,7 +23,7 @@
         router: usize,
         wait: f64,
     },
-    /// On a new connection, for the former one was closed before anything was read from it.
+    /// The statement is sent again on a new connection, because the former one was closed before anything was read.
     Resent {
         id: String,
     },
@@ -45,21 +44,21 @@
         state: &'static str,
         code: Option<i32>,
     },
-    /// What a router process holds, about once a second.
+    /// The resources that a router process uses, about once a second.
     Held {
         number: usize,
         rss_kb: u64,
         descriptors: u64,
         cpu_ms: u64,
     },
-    /// Whom a router holds for there, as it says itself.
+    /// The members that a router considers alive or suspect, as it reports them itself.
     Sight {
         number: usize,
         view: String,
         there: Vec<usize>,
         sharers: Option<f64>,
     },
-    /// How the state stands that a router keeps with others, as it says itself. `digest` is of what is older than `as_of`.
+    /// The replicated state of a router, as it reports it itself. `digest` covers the facts older than `as_of`.
     Kept {
         number: usize,
         standing: String,
@@ -76,48 +75,48 @@
 }
 
 #[derive(Serialize)]
-struct Timed {
+struct TimedLine {
     t: f64,
     #[serde(flatten)]
     line: Line,
 }
 
-enum Mail {
-    Line(f64, Line),
-    Record(Record),
+enum Message {
+    Lab(f64, Line),
+    Emulator(Record),
 }
 
-/// Where lines go; cheap to clone.
+/// Sends lines to the trace; cheap to clone.
 #[derive(Clone)]
-pub struct Book(Sender<Mail>);
+pub struct TraceSender(Sender<Message>);
 
-impl Book {
-    pub fn line(&self, t: f64, line: Line) {
-        let _ = self.0.send(Mail::Line(t, line));
+impl TraceSender {
+    pub fn write(&self, t: f64, line: Line) {
+        let _ = self.0.send(Message::Lab(t, line));
     }
 }
 
-pub struct Writer {
+pub struct TraceWriter {
     writer: JoinHandle<io::Result<u64>>,
-    carrier: JoinHandle<()>,
+    forwarder: JoinHandle<()>,
 }
 
-/// Starts a trace; yields where the lab and the emulator put their lines.
-pub fn open(path: &Path) -> io::Result<(Book, Sender<Record>, Writer)> {
+/// Starts a trace. Returns the senders for the lab's lines and the emulator's records, and the writer.
+pub fn open(path: &Path) -> io::Result<(TraceSender, Sender<Record>, TraceWriter)> {
     let file = File::create(path)?;
-    let (book, mails) = unbounded::<Mail>();
-    let (records, carried) = unbounded::<Record>();
-    let to = book.clone();
-    let carrier = thread::Builder::new().name("trace-in".to_string()).spawn(move || {
-        carried.iter().for_each(|record| drop(to.send(Mail::Record(record))));
+    let (sender, messages) = unbounded::<Message>();
+    let (records, emulator_records) = unbounded::<Record>();
+    let forward = sender.clone();
+    let forwarder = thread::Builder::new().name("trace-in".to_string()).spawn(move || {
+        emulator_records.iter().for_each(|record| drop(forward.send(Message::Emulator(record))));
     })?;
     let writer = thread::Builder::new().name("trace".to_string()).spawn(move || {
         let mut out = BufWriter::with_capacity(1 << 18, file);
         let mut lines = 0;
-        for mail in mails {
-            match mail {
-                Mail::Line(t, line) => serde_json::to_writer(&mut out, &Timed { t, line })?,
-                Mail::Record(record) => serde_json::to_writer(&mut out, &record)?,
+        for message in messages {
+            match message {
+                Message::Lab(t, line) => serde_json::to_writer(&mut out, &TimedLine { t, line })?,
+                Message::Emulator(record) => serde_json::to_writer(&mut out, &record)?,
             }
             out.write_all(b"\n")?;
             lines += 1;
@@ -125,13 +124,14 @@
         out.flush()?;
         Ok(lines)
     })?;
-    Ok((Book(book), records, Writer { writer, carrier }))
+    Ok((TraceSender(sender), records, TraceWriter { writer, forwarder }))
 }
 
-impl Writer {
-    /// Once all books and the emulator are gone: waits for the last line.
+impl TraceWriter {
+    /// Waits until all lines are written; every sender, also the emulator's, has to be dropped before. Returns the
+    /// number of lines.
     pub fn close(self) -> io::Result<u64> {
-        let _ = self.carrier.join();
+        let _ = self.forwarder.join();
         self.writer.join().expect("the trace's writer does not panic")
     }
 }
