--- a/crates/sandstile-lab/src/hunt.rs
+++ b/crates/sandstile-lab/src/hunt.rs
@@ -3,7 +3,7 @@
 use crate::rehearse::{self, Options as RehearsalOptions};
 use crate::report;
 use sandstile_audit::recovery;
-use sandstile_faults::draw::{self, FaultTargets, ScheduledFault};
+use sandstile_faults::schedule::{self, FaultTargets, ScheduledFault};
 use sandstile_faults::shrink::Shrinker;
 use sandstile_scenario::Script;
 use std::fmt::Write as _;
@@ -54,7 +54,7 @@
 
 fn schedule_text(options: &Options, base: &str, faults: &[ScheduledFault], seed: u64) -> String {
     let planted = if options.plant { "planted = true\n" } else { "" };
-    format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", draw::to_script(faults))
+    format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", schedule::to_script(faults))
 }
 
 fn read_script(options: &Options, text: &str, seed: u64) -> Result<Script, String> {
@@ -147,7 +147,7 @@
     let mut failed = 0;
     for run in 0..options.runs as u64 {
         let seed = options.seed + run;
-        let faults = draw::draw_schedule(&targets, options.size, seed);
+        let faults = schedule::draw_schedule(&targets, options.size, seed);
         let text = schedule_text(options, &base, &faults, seed);
         let result = play(options, &text, seed)?;
         let recovery_s = match result.service_recovery_s {
@@ -178,7 +178,7 @@
             smallest.len(),
             options.size
         );
-        let _ = writeln!(out, "```\n{}```\n", draw::to_script(&smallest));
+        let _ = writeln!(out, "```\n{}```\n", schedule::to_script(&smallest));
     }
     let _ = writeln!(out, "\n{} schedules of {} faults, {failed} failed", options.runs, options.size);
     fs::write(options.out.join("hunt.md"), &out).map_err(with_path)?;
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -116,7 +116,7 @@
             ProcessFault::Restart { kill, back, state } => {
                 self.restart(number, kill, back, state, clients, emulator)
             }
-            ProcessFault::Stop { duration_s } => {
+            ProcessFault::Stop { lasts: duration_s } => {
                 self.record_state(number, "stopped", None);
                 self.with_router(number, Router::suspend);
                 self.sleep(duration_s);
@@ -124,7 +124,7 @@
                 self.record_state(number, "continued", None);
                 Ok(())
             }
-            ProcessFault::Slow { share, duration_s } => {
+            ProcessFault::Slow { share, lasts: duration_s } => {
                 let deadline = self.clock.now() + duration_s;
                 self.record_state(number, "slow", None);
                 while self.clock.now() < deadline && !self.is_over.load(SeqCst) {
@@ -136,7 +136,7 @@
                 self.record_state(number, "continued", None);
                 Ok(())
             }
-            ProcessFault::SaveState => {
+            ProcessFault::Copy => {
                 let file = processes::state_file(&self.script, &self.out, number);
                 match std::fs::copy(&file, file.with_extension("copy")) {
                     Ok(_) => Ok(()),
