--- a/crates/sandstile-emulator/src/agent.rs
+++ b/crates/sandstile-emulator/src/agent.rs
@@ -1,10 +1,10 @@
-//! The discovery agent without its sockets: what it holds, what it is to say to whom, and when news get there.
-//! One board is shared by the agents of all routers; each agent's watches are told on their own.
+//! The discovery agent without its sockets: the host catalog, the delay of its changes, and the HTTP requests and
+//! responses. The agents of all routers share one catalog; each watch has its own position in it.
 use sandstile_fleet::Readiness;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// One host as discovery lists it.
+/// One host in the discovery list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub name: String,
@@ -35,30 +35,30 @@
     }
 }
 
-/// What has come as far as the agents.
+/// The host list as known to the agents.
 #[derive(Default)]
-pub struct Board {
+pub struct Catalog {
     index: u64,
     entries: BTreeMap<String, (u64, Entry)>,
-    /// News on their way, in the order of their coming; those that were sent first come first.
-    coming: VecDeque<(f64, Entry)>,
+    /// Changes that have not reached the agents yet, in the order in which they were made and will arrive.
+    pending_changes: VecDeque<(f64, Entry)>,
 }
 
-impl Board {
-    /// Something changed; the agents hear of it at `at`, and not before what was on its way already.
-    pub fn change(&mut self, at: f64, entry: Entry) {
-        let at = self.coming.back().map_or(at, |(before, _)| before.max(at));
-        self.coming.push_back((at, entry));
+impl Catalog {
+    /// Schedules a change. It reaches the agents at `at`, but not before the changes scheduled earlier.
+    pub fn schedule_change(&mut self, at: f64, entry: Entry) {
+        let at = self.pending_changes.back().map_or(at, |(before, _)| before.max(at));
+        self.pending_changes.push_back((at, entry));
     }
 
-    pub fn next(&self) -> Option<f64> {
-        self.coming.front().map(|(at, _)| *at)
+    pub fn next_change_at(&self) -> Option<f64> {
+        self.pending_changes.front().map(|(at, _)| *at)
     }
 
-    /// The next news that have come by now, now on the board.
-    pub fn come(&mut self, now: f64) -> Option<(u64, Entry)> {
-        self.coming.front().filter(|(at, _)| *at <= now)?;
-        let (_, entry) = self.coming.pop_front()?;
+    /// Applies the next change due by `now` and returns it with its index.
+    pub fn apply_next(&mut self, now: f64) -> Option<(u64, Entry)> {
+        self.pending_changes.front().filter(|(at, _)| *at <= now)?;
+        let (_, entry) = self.pending_changes.pop_front()?;
         self.index += 1;
         self.entries.insert(entry.name.clone(), (self.index, entry.clone()));
         Some((self.index, entry))
@@ -68,83 +68,89 @@
         self.index
     }
 
-    /// The whole list, without those that have left; `at` says where the one who asks is to find each host.
-    pub fn whole(&self, at: &dyn Fn(&Entry) -> SocketAddr) -> String {
-        let there = self.entries.values().filter(|(_, e)| e.readiness != Readiness::Left);
-        list(self.index, true, there.map(|(_, e)| e), at)
+    /// The full list without hosts that have left; `address_of` gives the address at which the requester finds a host.
+    pub fn full_list(&self, address_of: &dyn Fn(&Entry) -> SocketAddr) -> String {
+        let listed = self.entries.values().filter(|(_, e)| e.readiness != Readiness::Left);
+        list_json(self.index, true, listed.map(|(_, e)| e), address_of)
     }
 
-    /// What changed after this version; `None` where nothing did.
-    pub fn since(&self, index: u64, at: &dyn Fn(&Entry) -> SocketAddr) -> Option<(String, Vec<Entry>)> {
+    /// The changes after this index; `None` if there are none.
+    pub fn changes_since(
+        &self,
+        index: u64,
+        address_of: &dyn Fn(&Entry) -> SocketAddr,
+    ) -> Option<(String, Vec<Entry>)> {
         let changed: Vec<&Entry> =
             self.entries.values().filter(|(at, _)| *at > index).map(|(_, e)| e).collect();
-        let text = list(self.index, false, changed.iter().copied(), at);
+        let text = list_json(self.index, false, changed.iter().copied(), address_of);
         (!changed.is_empty()).then(|| (text, changed.into_iter().cloned().collect()))
     }
 
-    /// That nothing has changed.
-    pub fn nothing(&self) -> String {
-        list(self.index, false, std::iter::empty(), &|e| e.address)
+    /// An empty list of changes.
+    pub fn unchanged_list(&self) -> String {
+        list_json(self.index, false, std::iter::empty(), &|e| e.address)
     }
 
-    /// All that is on the board, those that have left too.
-    pub fn all(&self) -> Vec<Entry> {
+    /// All entries, including those of hosts that have left.
+    pub fn all_entries(&self) -> Vec<Entry> {
         self.entries.values().map(|(_, e)| e.clone()).collect()
     }
 }
 
-fn list<'a>(
+fn list_json<'a>(
     index: u64,
-    whole: bool,
+    snapshot: bool,
     entries: impl Iterator<Item = &'a Entry>,
-    at: &dyn Fn(&Entry) -> SocketAddr,
+    address_of: &dyn Fn(&Entry) -> SocketAddr,
 ) -> String {
-    let endpoints: Vec<serde_json::Value> = entries.map(|e| e.json(at(e))).collect();
-    serde_json::json!({"index": index, "snapshot": whole, "endpoints": endpoints}).to_string()
+    let endpoints: Vec<serde_json::Value> = entries.map(|e| e.json(address_of(e))).collect();
+    serde_json::json!({"index": index, "snapshot": snapshot, "endpoints": endpoints}).to_string()
 }
 
-/// What a router asks its agent for.
+/// A request of a router to its agent.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Wish {
-    Whole,
-    /// A watch from this version on.
+pub enum AgentRequest {
+    FullList,
+    /// Watch changes from this index on.
     Watch(u64),
-    Nothing,
+    Unknown,
 }
 
-/// A request's wish and its length; `None` until its head is whole.
-pub fn wish(buf: &[u8]) -> Result<Option<(Wish, usize)>, &'static str> {
+/// Parses a request; returns it with its length, or `None` until its head is complete.
+pub fn parse_request(buf: &[u8]) -> Result<Option<(AgentRequest, usize)>, &'static str> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut request = httparse::Request::new(&mut headers);
     let length = match request.parse(buf) {
-        Err(_) => return Err("no request"),
-        Ok(httparse::Status::Partial) if buf.len() > 8192 => return Err("a head without an end"),
+        Err(_) => return Err("malformed HTTP request"),
+        Ok(httparse::Status::Partial) if buf.len() > 8192 => {
+            return Err("HTTP request head exceeds 8192 bytes")
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
         Ok(httparse::Status::Complete(length)) => length,
     };
     let path = request.path.unwrap_or("");
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let value = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
-    let wish = match (request.method, path, value("follow")) {
+    let parsed = match (request.method, path, value("follow")) {
         (Some("GET"), "/catalog/members", Some("1")) => {
-            Wish::Watch(value("since").and_then(|n| n.parse().ok()).unwrap_or(0))
+            AgentRequest::Watch(value("since").and_then(|n| n.parse().ok()).unwrap_or(0))
         }
-        (Some("GET"), "/catalog/members", _) => Wish::Whole,
-        _ => Wish::Nothing,
+        (Some("GET"), "/catalog/members", _) => AgentRequest::FullList,
+        _ => AgentRequest::Unknown,
     };
-    Ok(Some((wish, length)))
+    Ok(Some((parsed, length)))
 }
 
-pub fn answer(body: &str) -> Vec<u8> {
+pub fn http_response(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}", body.len())
         .into_bytes()
 }
 
 pub const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-pub const WATCH: &[u8] =
+pub const WATCH_HEADERS: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// One line of a watch; an empty one says that all stands as it did.
-pub fn chunk(line: &str) -> Vec<u8> {
+/// One line of a watch as an HTTP chunk; an empty line is a keepalive.
+pub fn watch_chunk(line: &str) -> Vec<u8> {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1).into_bytes()
 }
--- a/crates/sandstile-emulator/src/clock.rs
+++ b/crates/sandstile-emulator/src/clock.rs
@@ -1,4 +1,5 @@
-//! Unix seconds, anchored once and advanced by the monotonic clock. Emulator, clients and trace share one.
+//! Unix time in seconds, read once and advanced by the monotonic clock. The emulator, the clients and the trace share
+//! one instance.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 #[derive(Clone, Copy, Debug)]
@@ -17,7 +18,7 @@
         self.unix + self.instant.elapsed().as_secs_f64()
     }
 
-    /// How long until `at`; zero once it has passed.
+    /// Time left until `at`; zero once it has passed.
     pub fn until(&self, at: f64) -> Duration {
         Duration::try_from_secs_f64(at - self.now()).unwrap_or(Duration::ZERO)
     }
--- a/crates/sandstile-emulator/src/lib.rs
+++ b/crates/sandstile-emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! The fleet model on sockets: one listener a host, one discovery agent a router, all on 127.0.0.0/8, served by
-//! one thread with a readiness loop. The model decides what hosts do; here are only bytes, connections and what
-//! the network does to them. No router code is used.
+//! The fleet model on sockets: one listener per host and one discovery agent per router, all on 127.0.0.0/8, served by
+//! one thread with an event loop. The model decides what the hosts do; this crate handles bytes, connections and
+//! network faults. It uses no router code.
 pub mod agent;
 pub mod clock;
 pub mod protocol;
--- a/crates/sandstile-emulator/src/run.rs
+++ b/crates/sandstile-emulator/src/run.rs
@@ -1,6 +1,6 @@
-//! The loop that holds model, director and sockets together. One thread owns all of it; others hear of it over
-//! channels.
-use crate::agent::{self, Board, Entry, Wish};
+//! The event loop that connects the model, the script's director and the sockets. One thread owns them; it communicates
+//! with other threads over channels.
+use crate::agent::{self, AgentRequest, Catalog, Entry};
 use crate::clock::Clock;
 use crate::protocol::{self, Query};
 use crate::sockets;
@@ -25,7 +25,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// One line of the trace. Times are Unix seconds of the clock that all share.
+/// One line of the trace. Times are Unix seconds on the shared clock.
 #[derive(Clone, Debug, Serialize)]
 pub struct Record {
     pub t: f64,
@@ -33,6 +33,7 @@
     pub what: TraceEvent,
 }
 
+/// An event of the model or of the emulator itself.
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
 pub enum TraceEvent {
@@ -40,35 +41,36 @@
     Emulator(EmulatorEvent),
 }
 
+/// An event of the emulator itself. Variants and fields are written to the trace under their own names.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum EmulatorEvent {
-    /// A router's agent was written what stands of a host.
+    /// The agent of a router sent the entry of a host to it.
     Told {
         router: usize,
         host: String,
         readiness: Readiness,
         primary: bool,
     },
-    /// A cue was carried out, on these hosts.
+    /// A cue was executed on these hosts.
     Cue {
         name: String,
         on: Vec<String>,
     },
-    /// A host was read part of a statement, and no more.
+    /// A host has read part of a statement so far.
     Part {
         host: String,
         workload: String,
     },
-    /// A router asked its agent for a list, or for what comes after one.
+    /// A router requested the host list from its agent, or a watch of its changes.
     ListAsked {
         router: usize,
     },
-    /// What a cue of links began and ended.
+    /// A link fault of a cue began.
     LinkBegins {
         name: String,
         on: Vec<&'static str>,
-        /// From which router to which nothing gets through.
+        /// Pairs of routers (from, to) between which nothing gets through.
         severs: Vec<(usize, usize)>,
     },
     LinkEnds {
@@ -76,36 +78,37 @@
     },
 }
 
-/// What the emulator has others do.
+/// A request of the emulator to the program that runs it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notification {
-    /// Routers are to hear that their agents answer at these addresses, one for each router.
+    /// The agents have moved to these addresses, one per router; the routers have to be told.
     AgentsMoved(Vec<SocketAddr>),
-    /// Router processes are to be struck.
+    /// A process fault has to be applied to router processes.
     Process { name: String, whom: Whom, blow: Blow, spread: f64 },
-    /// A cue found nothing that it could strike.
+    /// A cue found no target.
     NoTarget(String),
 }
 
 enum Command {
-    Begin(f64),
+    StartScript(f64),
     Stop,
 }
 
-/// How the emulator itself did.
+/// Measurements of the emulator itself.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// Microseconds by which its timers were late.
+    /// Lateness of timers in microseconds.
     pub late_us: Histogram<u64>,
-    /// Cues whose event never came.
+    /// Cues whose event never occurred.
     pub missed: Vec<String>,
     pub max_connections: usize,
-    /// How the relays did, where links may fail.
+    /// Measurements of the relays, if the script has link faults.
     pub relay: Option<sandstile_relay::Summary>,
 }
 
 impl Summary {
-    /// Timers so late that hosts were slower than the model has it: the run says little.
+    /// Whether timers were so late (p99 above 5 ms) that hosts were slower than the model prescribes, which makes the
+    /// run unusable.
     pub fn unsound(&self) -> bool {
         self.late_us.value_at_quantile(0.99) > 5000
     }
@@ -114,7 +117,7 @@
 pub struct Handle {
     pub agents: Vec<SocketAddr>,
     pub hosts: Vec<(String, SocketAddr)>,
-    /// Where clients find each router.
+    /// The address at which clients find each router.
     pub client_addresses: Vec<SocketAddr>,
     commands: Sender<Command>,
     waker: Arc<Waker>,
@@ -123,13 +126,13 @@
 }
 
 impl Handle {
-    /// The script's time runs from here.
+    /// Starts the script; its times count from `at`.
     pub fn start_script(&self, at: f64) {
-        let _ = self.commands.send(Command::Begin(at));
+        let _ = self.commands.send(Command::StartScript(at));
         let _ = self.waker.wake();
     }
 
-    /// The list as discovery has it now, for one router.
+    /// The current discovery list for one router.
     pub fn discovery_list(&self, router: usize) -> String {
         self.lists.lock().expect("no thread panics under the lock")[router].clone()
     }
@@ -146,127 +149,130 @@
 }
 
 #[derive(Clone, Copy)]
-enum Place {
-    Host(usize),
-    Agent(usize),
+enum TokenOwner {
+    HostListener(usize),
+    AgentListener(usize),
     Conn,
-    Line,
+    AgentConn,
     Wake,
 }
 
 struct Conn {
     stream: TcpStream,
     host: usize,
-    ear: pg::MessageReader,
+    reader: pg::MessageReader,
     out: Vec<u8>,
     sent: usize,
     close_when_sent: bool,
-    /// Its machine has vanished, or its answer was spoilt: nothing is read or written any more.
-    mute: bool,
+    /// The machine has vanished or an unusable answer was sent: nothing is read or written any more.
+    unresponsive: bool,
     workload: Option<usize>,
-    part_told: bool,
+    part_reported: bool,
 }
 
 /// A router's connection to its agent.
-struct Line {
+struct AgentConn {
     stream: TcpStream,
     router: usize,
     buf: Vec<u8>,
     out: Vec<u8>,
     sent: usize,
     close_when_sent: bool,
-    /// How far this watch has been told.
-    told: Option<u64>,
-    next_line: f64,
-    /// The agent has moved: it ends then.
-    ends: f64,
+    /// For a watch: the catalog index up to which changes were sent.
+    reported_index: Option<u64>,
+    next_keepalive: f64,
+    /// When the connection closes because its agent has moved; infinite otherwise.
+    closes_at: f64,
 }
 
-struct HostPlace {
+struct HostSocket {
     address: SocketAddr,
     listener: Option<(usize, TcpListener)>,
-    /// Connections that fill the queue of one that has vanished.
-    fillers: Vec<socket2::Socket>,
+    /// Connections that fill the accept queue of a vanished host.
+    queue_fillers: Vec<socket2::Socket>,
 }
 
 pub struct Emulator {
     script: Script,
     clock: Clock,
     trace: Sender<Record>,
-    notes: Sender<Notification>,
+    notifications: Sender<Notification>,
     poll: Poll,
     waker: Arc<Waker>,
-    places: BTreeMap<usize, Place>,
+    token_owners: BTreeMap<usize, TokenOwner>,
     next_token: usize,
     fleet: Fleet,
     workloads: Vec<String>,
     director: Option<Director>,
-    hosts: Vec<HostPlace>,
+    hosts: Vec<HostSocket>,
     conns: BTreeMap<usize, Conn>,
-    board: Board,
+    catalog: Catalog,
     delay: f64,
     delay_until: f64,
     silent_until: f64,
     agents: Vec<(SocketAddr, usize, TcpListener)>,
-    moves: u8,
-    lines: BTreeMap<usize, Line>,
+    agent_moves: u8,
+    agent_conns: BTreeMap<usize, AgentConn>,
     lists: Arc<Mutex<Vec<String>>>,
-    /// Links that may fail, and where each router finds a host over one.
+    /// Carries links that can fail, if the script has link faults.
     relay: Option<Relay>,
-    over: BTreeMap<(usize, String), SocketAddr>,
-    /// Hosts whose next write is said never to have run: the planted flaw.
-    denying: BTreeSet<usize>,
-    /// Which cue a host's change of the list is owed to.
-    owed: BTreeMap<String, usize>,
-    ends: Vec<(f64, usize)>,
+    /// The address at which each router finds a host behind the relay.
+    relayed_addresses: BTreeMap<(usize, String), SocketAddr>,
+    /// Hosts that report their next write as not executed although it ran: the planted fault.
+    deny_next_write: BTreeSet<usize>,
+    /// The drain or replace cue that caused the latest change of a host's listing.
+    announcing_cues: BTreeMap<String, usize>,
+    cue_ends: Vec<(f64, usize)>,
     net: (u8, u8),
     late_us: Histogram<u64>,
     max_connections: usize,
 }
 
-/// Between empty lines of a watch.
-const LINE: f64 = 2.0;
-/// Ports of relays: this one before an agent or a router, and this and one more a router before a host.
-const RELAYS: u16 = 20_000;
-/// After so long an agent that has moved ends its old connections.
-const MOVED: f64 = 1.5;
-/// The longest sleep, in case anything was forgotten.
-const NAP: f64 = 0.05;
-/// So small are pieces while some cue waits for a statement that has come in part.
-const PIECE: usize = 48;
-
-/// Where a router of a rehearsal listens.
+/// Seconds between keepalive lines of a watch.
+const WATCH_KEEPALIVE_S: f64 = 2.0;
+/// Port of relays in front of agents and routers. The relay of router n listens on this port + n in front of a host, and on
+/// this port + 100 + n in front of another router's session exchange.
+const RELAY_PORT: u16 = 20_000;
+/// Seconds after a move at which an agent closes its old connections.
+const AGENT_MOVE_GRACE_S: f64 = 1.5;
+/// Upper bound on a sleep of the event loop, as a safeguard against a missed wake-up.
+const MAX_SLEEP_S: f64 = 0.05;
+/// Read size while a cue waits for a partially received statement.
+const PARTIAL_READ_BYTES: usize = 48;
+
+/// Address at which a router of a rehearsal listens for clients.
 pub fn router_address(net: u8, number: usize) -> SocketAddr {
     SocketAddr::from(([127, net, 240, number as u8 + 1], 6432))
 }
 
-/// Where a router of a rehearsal takes its peers' letters, and where they find it: at a relay's, where links may fail.
+/// Address at which a router receives the datagrams of its peers, and the address at which they find it; the latter is a
+/// relay's if `relayed`.
 pub fn members_address(net: u8, number: usize, relayed: bool) -> (SocketAddr, SocketAddr) {
-    let mut at = router_address(net, number);
-    at.set_port(7433);
-    let mut found_at = at;
-    found_at.set_port(if relayed { RELAYS } else { 7433 });
-    (at, found_at)
+    let mut listen_address = router_address(net, number);
+    listen_address.set_port(7433);
+    let mut advertised_address = listen_address;
+    advertised_address.set_port(if relayed { RELAY_PORT } else { 7433 });
+    (listen_address, advertised_address)
 }
 
-/// Where a router takes what another tells it of sessions, and where that other finds it: each over a relay of its own, where
-/// links may fail.
-pub fn exchange_address(net: u8, number: usize, by: usize, relayed: bool) -> (SocketAddr, SocketAddr) {
-    let mut at = router_address(net, number);
-    at.set_port(7434);
-    let mut found_at = at;
-    found_at.set_port(if relayed { RELAYS + 100 + by as u16 } else { 7434 });
-    (at, found_at)
+/// Address at which a router receives session exchange connections, and the address at which router `peer` finds it; the
+/// latter is a relay's, one per pair of routers, if `relayed`.
+pub fn exchange_address(net: u8, number: usize, peer: usize, relayed: bool) -> (SocketAddr, SocketAddr) {
+    let mut listen_address = router_address(net, number);
+    listen_address.set_port(7434);
+    let mut advertised_address = listen_address;
+    advertised_address.set_port(if relayed { RELAY_PORT + 100 + peer as u16 } else { 7434 });
+    (listen_address, advertised_address)
 }
 
 impl Emulator {
-    /// Hosts at 127.A.B.*, agents at 127.A.(B+50+move).*, with A and B as told.
+    /// Creates an emulator with hosts at 127.A.B.* and agents at 127.A.(B+50+move).*, where `net` is (A, B).
     pub fn new(
         script: &Script,
         net: (u8, u8),
         clock: Clock,
         trace: Sender<Record>,
-        notes: Sender<Notification>,
+        notifications: Sender<Notification>,
     ) -> io::Result<Emulator> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), Token(0))?);
@@ -276,50 +282,50 @@
             script: script.clone(),
             clock,
             trace,
-            notes,
+            notifications,
             poll,
             waker,
-            places: BTreeMap::from([(0, Place::Wake)]),
+            token_owners: BTreeMap::from([(0, TokenOwner::Wake)]),
             next_token: 1,
             fleet,
             director: None,
             hosts: Vec::new(),
             conns: BTreeMap::new(),
-            board: Board::default(),
+            catalog: Catalog::default(),
             delay: script.discovery_delay,
             delay_until: 0.0,
             silent_until: 0.0,
             agents: Vec::new(),
-            moves: 0,
-            lines: BTreeMap::new(),
+            agent_moves: 0,
+            agent_conns: BTreeMap::new(),
             lists: Arc::default(),
             relay: None,
-            over: BTreeMap::new(),
-            denying: BTreeSet::new(),
-            owed: BTreeMap::new(),
-            ends: Vec::new(),
+            relayed_addresses: BTreeMap::new(),
+            deny_next_write: BTreeSet::new(),
+            announcing_cues: BTreeMap::new(),
+            cue_ends: Vec::new(),
             net,
-            late_us: Histogram::new_with_bounds(1, 60_000_000, 3).expect("usable bounds"),
+            late_us: Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds"),
             max_connections: 0,
         };
         if script.cues.iter().any(|c| matches!(c.act, Act::Link { .. })) {
             emulator.relay = Some(Relay::start(script.plan.seed)?);
         }
         let now = emulator.clock.now();
-        for host in 0..emulator.fleet.hosts() {
-            emulator.place_host(host)?;
+        for host in 0..emulator.fleet.host_count() {
+            emulator.add_host(host)?;
             let entry = emulator.entry(host);
-            emulator.board.change(now, entry);
+            emulator.catalog.schedule_change(now, entry);
         }
-        while emulator.board.come(now).is_some() {}
-        emulator.publish();
-        emulator.place_agents()?;
+        while emulator.catalog.apply_next(now).is_some() {}
+        emulator.publish_lists();
+        emulator.start_agents()?;
         if let Some(relay) = emulator.relay.as_ref().filter(|_| script.routers.members) {
-            let spot = |n: usize| {
+            let relay_spot = |n: usize| {
                 let (at, found_at) = members_address(net.0, n, true);
                 sandstile_relay::Spot { end: End::Router(n), found_at, at }
             };
-            relay.hub((0..script.routers.count).map(spot).collect())?;
+            relay.hub((0..script.routers.count).map(relay_spot).collect())?;
         }
         if let Some(relay) = emulator.relay.as_ref().filter(|_| script.sessions.exchange) {
             let all = 0..script.routers.count;
@@ -333,52 +339,53 @@
         Ok(emulator)
     }
 
-    /// Serves from a thread of its own.
+    /// Starts the emulator's thread.
     pub fn spawn(mut self) -> io::Result<Handle> {
-        let (commands, told) = unbounded();
+        let (commands, command_receiver) = unbounded();
         let agents = self.agents.iter().map(|(address, ..)| *address).collect();
-        let names = (0..self.fleet.hosts()).map(|h| self.fleet.listing(h).name);
-        let hosts = names.zip(&self.hosts).map(|(name, place)| (name, place.address)).collect();
+        let names = (0..self.fleet.host_count()).map(|h| self.fleet.listing(h).name);
+        let hosts = names.zip(&self.hosts).map(|(name, socket)| (name, socket.address)).collect();
         let client_addresses =
-            (0..self.script.routers.count).map(|n| self.door(n)).collect::<io::Result<_>>()?;
+            (0..self.script.routers.count).map(|n| self.client_address(n)).collect::<io::Result<_>>()?;
         let (waker, lists) = (self.waker.clone(), self.lists.clone());
-        let thread = thread::Builder::new().name("emulator".to_string()).spawn(move || self.run(&told))?;
+        let thread =
+            thread::Builder::new().name("emulator".to_string()).spawn(move || self.run(&command_receiver))?;
         Ok(Handle { agents, hosts, client_addresses, commands, waker, lists, thread })
     }
 
-    fn token(&mut self, place: Place) -> usize {
+    fn token(&mut self, owner: TokenOwner) -> usize {
         let token = self.next_token;
         self.next_token += 1;
-        self.places.insert(token, place);
+        self.token_owners.insert(token, owner);
         token
     }
 
-    fn place_host(&mut self, host: usize) -> io::Result<()> {
+    fn add_host(&mut self, host: usize) -> io::Result<()> {
         let (low, high) = ((host % 250) as u8, (host / 250) as u8);
         let address = SocketAddr::from(([127, self.net.0, self.net.1 + high, low + 1], 5432));
-        self.hosts.push(HostPlace { address, listener: None, fillers: Vec::new() });
+        self.hosts.push(HostSocket { address, listener: None, queue_fillers: Vec::new() });
         self.listen(host)?;
         let Some(relay) = &self.relay else { return Ok(()) };
-        let l = self.fleet.listing(host);
-        let end = End::Host { name: l.name.clone(), group: l.group, zone: l.zone };
+        let listing = self.fleet.listing(host);
+        let end = End::Host { name: listing.name.clone(), group: listing.group, zone: listing.zone };
         for router in 0..self.script.routers.count {
             if self.script.relayed(&End::Router(router), &end) {
                 let mut listen = address;
-                listen.set_port(RELAYS + router as u16);
+                listen.set_port(RELAY_PORT + router as u16);
                 relay.stream(End::Router(router), end.clone(), listen, address)?;
-                self.over.insert((router, l.name.clone()), listen);
+                self.relayed_addresses.insert((router, listing.name.clone()), listen);
             }
         }
         Ok(())
     }
 
-    /// Where clients find a router: over a relay, where links between them may fail.
-    fn door(&self, router: usize) -> io::Result<SocketAddr> {
+    /// The address at which clients find a router: a relay's if links between them can fail.
+    fn client_address(&self, router: usize) -> io::Result<SocketAddr> {
         let address = router_address(self.net.0, router);
         match &self.relay {
             Some(relay) if self.script.relayed(&End::Clients, &End::Router(router)) => {
                 let mut listen = address;
-                listen.set_port(RELAYS);
+                listen.set_port(RELAY_PORT);
                 relay.stream(End::Clients, End::Router(router), listen, address)?;
                 Ok(listen)
             }
@@ -391,66 +398,69 @@
             return Ok(());
         }
         let mut listener = sockets::listen(self.hosts[host].address)?;
-        let token = self.token(Place::Host(host));
+        let token = self.token(TokenOwner::HostListener(host));
         self.poll.registry().register(&mut listener, Token(token), Interest::READABLE)?;
         self.hosts[host].listener = Some((token, listener));
         Ok(())
     }
 
-    fn unlisten(&mut self, host: usize) {
+    fn stop_listening(&mut self, host: usize) {
         if let Some((token, _)) = self.hosts[host].listener.take() {
-            self.places.remove(&token);
+            self.token_owners.remove(&token);
         }
-        self.hosts[host].fillers.clear();
+        self.hosts[host].queue_fillers.clear();
     }
 
-    fn place_agents(&mut self) -> io::Result<()> {
+    fn start_agents(&mut self) -> io::Result<()> {
         for (_, token, _) in self.agents.drain(..) {
-            self.places.remove(&token);
+            self.token_owners.remove(&token);
         }
         for router in 0..self.script.routers.count {
-            let part = self.net.1 + 50 + self.moves;
-            let address = SocketAddr::from(([127, self.net.0, part, router as u8 + 1], 8500));
+            let subnet = self.net.1 + 50 + self.agent_moves;
+            let address = SocketAddr::from(([127, self.net.0, subnet, router as u8 + 1], 8500));
             let mut listener = sockets::listen(address)?;
-            let token = self.token(Place::Agent(router));
+            let token = self.token(TokenOwner::AgentListener(router));
             self.poll.registry().register(&mut listener, Token(token), Interest::READABLE)?;
-            let mut told = address;
+            let mut advertised = address;
             if let Some(relay) = &self.relay {
                 if self.script.relayed(&End::Router(router), &End::Agent(router)) {
-                    told.set_port(RELAYS);
-                    relay.stream(End::Router(router), End::Agent(router), told, address)?;
+                    advertised.set_port(RELAY_PORT);
+                    relay.stream(End::Router(router), End::Agent(router), advertised, address)?;
                 }
             }
-            self.agents.push((told, token, listener));
+            self.agents.push((advertised, token, listener));
         }
         Ok(())
     }
 
     fn entry(&self, host: usize) -> Entry {
-        let l = self.fleet.listing(host);
+        let listing = self.fleet.listing(host);
         Entry {
-            name: l.name,
+            name: listing.name,
             address: self.hosts[host].address,
-            zone: l.zone,
-            machine: l.machine,
-            group: l.group,
-            readiness: l.readiness,
-            since: l.since,
-            primary: l.primary,
+            zone: listing.zone,
+            machine: listing.machine,
+            group: listing.group,
+            readiness: listing.readiness,
+            since: listing.since,
+            primary: listing.primary,
         }
     }
 
-    fn publish(&self) {
-        let lists = (0..self.script.routers.count).map(|n| self.board.whole(&|e| self.seen_from(n, e)));
+    fn publish_lists(&self) {
+        let lists =
+            (0..self.script.routers.count).map(|n| self.catalog.full_list(&|e| self.host_address_for(n, e)));
         *self.lists.lock().expect("no thread panics under the lock") = lists.collect();
     }
 
     /// The address at which a router finds a host.
-    fn seen_from(&self, router: usize, entry: &Entry) -> SocketAddr {
-        // Without links that may fail nothing is looked up.
-        match self.over.is_empty() {
+    fn host_address_for(&self, router: usize, entry: &Entry) -> SocketAddr {
+        // Without link faults no lookup is needed.
+        match self.relayed_addresses.is_empty() {
             true => entry.address,
-            false => self.over.get(&(router, entry.name.clone())).copied().unwrap_or(entry.address),
+            false => {
+                self.relayed_addresses.get(&(router, entry.name.clone())).copied().unwrap_or(entry.address)
+            }
         }
     }
 
@@ -463,15 +473,15 @@
         loop {
             while let Ok(command) = commands.try_recv() {
                 match command {
-                    Command::Begin(at) => self.director = Some(Director::new(&self.script.cues, at)),
+                    Command::StartScript(at) => self.director = Some(Director::new(&self.script.cues, at)),
                     Command::Stop => return self.summary(),
                 }
             }
-            self.turn()?;
+            self.process_due()?;
             let now = self.clock.now();
             let wake = self.wake_at().unwrap_or(f64::INFINITY);
-            let sleep = (wake - now).clamp(0.0, NAP);
-            // The platform counts whole milliseconds and rounds up.
+            let sleep = (wake - now).clamp(0.0, MAX_SLEEP_S);
+            // The kernel's timeout is in whole milliseconds, rounded up.
             match self.poll.poll(&mut events, Some(Duration::from_secs_f64(sleep))) {
                 Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e),
                 _ => {}
@@ -482,7 +492,7 @@
             }
             for event in &events {
                 let (token, writable) = (event.token().0, event.is_writable());
-                self.ready(token, writable)?;
+                self.on_ready(token, writable)?;
             }
         }
     }
@@ -495,97 +505,104 @@
 
     fn wake_at(&mut self) -> Option<f64> {
         let silent = self.silent_until;
-        let ends = self.ends.iter().map(|(at, _)| *at).reduce(f64::min);
-        let lines = self.lines.values().map(|l| l.ends.min(l.next_line.max(silent))).reduce(f64::min);
-        let board = self.board.next().map(|at| at.max(silent));
-        let director = self.director.as_ref().and_then(Director::next);
-        [self.fleet.next_wake(), ends, lines, board, director].into_iter().flatten().reduce(f64::min)
+        let next_cue_end = self.cue_ends.iter().map(|(at, _)| *at).reduce(f64::min);
+        let next_agent_wake = self
+            .agent_conns
+            .values()
+            .map(|conn| conn.closes_at.min(conn.next_keepalive.max(silent)))
+            .reduce(f64::min);
+        let next_change = self.catalog.next_change_at().map(|at| at.max(silent));
+        let next_cue = self.director.as_ref().and_then(Director::next);
+        [self.fleet.next_wake(), next_cue_end, next_agent_wake, next_change, next_cue]
+            .into_iter()
+            .flatten()
+            .reduce(f64::min)
     }
 
-    /// All that is due: the model, the cues, the agents.
-    fn turn(&mut self) -> io::Result<()> {
+    /// Processes everything due: the model, the cues and the agents.
+    fn process_due(&mut self) -> io::Result<()> {
         let now = self.clock.now();
         self.fleet.advance(now);
-        self.settle()?;
+        self.process_events()?;
         if now >= self.silent_until {
-            self.tell(now)?;
+            self.update_agents(now)?;
         }
         Ok(())
     }
 
-    /// Carries out what follows from what happened, until nothing more does; then what hosts say goes out. Cues
-    /// come before words, so that a host can die between running a statement and answering it.
-    fn settle(&mut self) -> io::Result<()> {
+    /// Processes events and the cues that they trigger until none are left, then sends the outputs of the hosts. Cues run
+    /// before outputs are sent, so that a host can crash between running a statement and answering it.
+    fn process_events(&mut self) -> io::Result<()> {
         loop {
             let now = self.clock.now();
-            let mut moved = false;
+            let mut progressed = false;
             while let Some((t, event)) = self.fleet.next_event() {
-                moved = true;
-                self.watch(now, &event);
+                progressed = true;
+                self.report_to_director(now, &event);
                 let _ = self.trace.send(Record { t, what: TraceEvent::Fleet(event) });
             }
-            while let Some(at) = self.ends.iter().position(|(at, _)| *at <= now) {
-                let (_, cue) = self.ends.swap_remove(at);
+            while let Some(index) = self.cue_ends.iter().position(|(at, _)| *at <= now) {
+                let (_, cue) = self.cue_ends.swap_remove(index);
                 let link =
                     self.director.as_ref().map(|d| d.cue(cue)).filter(|c| matches!(c.act, Act::Link { .. }));
                 if let (Some(relay), Some(name)) = (&self.relay, link.map(|c| c.name.clone())) {
                     relay.heal(cue);
                     self.record(now, EmulatorEvent::LinkEnds { name });
                 }
-                self.happened(now, &Happening::Ended { cue });
-                moved = true;
+                self.notify_director(now, &Happening::Ended { cue });
+                progressed = true;
             }
             while let Some(cue) = self.director.as_mut().and_then(|d| d.due(now)) {
-                self.carry_out(now, cue)?;
-                moved = true;
+                self.execute_cue(now, cue)?;
+                progressed = true;
             }
-            if moved {
+            if progressed {
                 continue;
             }
             let mut outputs = Vec::new();
-            while let Some((_, output)) = self.fleet.output() {
+            while let Some((_, output)) = self.fleet.next_output() {
                 outputs.push(output);
             }
             if outputs.is_empty() {
                 return Ok(());
             }
-            self.utter(outputs)?;
+            self.apply_outputs(outputs)?;
         }
     }
 
-    fn happened(&mut self, now: f64, what: &Happening) {
+    fn notify_director(&mut self, now: f64, happening: &Happening) {
         if let Some(director) = &mut self.director {
-            director.happened(now, what);
+            director.happened(now, happening);
         }
     }
 
-    fn watch(&mut self, now: f64, event: &Event) {
+    fn report_to_director(&mut self, now: f64, event: &Event) {
         let index = |name: &String| self.workloads.iter().position(|w| w == name).unwrap_or(0);
-        let what = match event {
+        let happening = match event {
             Event::Taken { workload, .. } => Happening::Begun { workload: index(workload) },
             Event::Ran { workload, .. } => Happening::Ran { workload: index(workload) },
             Event::Primary { group, .. } => Happening::Primary { group: group.clone() },
             _ => return,
         };
-        self.happened(now, &what);
+        self.notify_director(now, &happening);
     }
 
-    fn carry_out(&mut self, now: f64, cue: usize) -> io::Result<()> {
+    fn execute_cue(&mut self, now: f64, cue: usize) -> io::Result<()> {
         let Some(director) = &self.director else { return Ok(()) };
         let (name, act) = (director.cue(cue).name.clone(), director.act(cue).clone());
         let mut on = Vec::new();
         let lasts = match act {
             Act::Fault { kind, target, lasts } => {
                 let drains = matches!(kind, FaultKind::Drain | FaultKind::Replace);
-                // Whatever the list says of it from now on is owed to this cue, before it is said.
-                let hosts = self.fleet.targets(&target);
+                // Recorded before the fault starts, so that the following change of the list is attributed to this cue.
+                let hosts = self.fleet.resolve_target(&target);
                 on = hosts.iter().map(|h| self.fleet.listing(*h).name).collect();
                 if drains {
-                    self.owed.extend(on.iter().map(|host| (host.clone(), cue)));
+                    self.announcing_cues.extend(on.iter().map(|host| (host.clone(), cue)));
                 }
                 self.fleet.start_fault(now, Fault { kind, target, lasts });
                 if on.is_empty() {
-                    let _ = self.notes.send(Notification::NoTarget(name.clone()));
+                    let _ = self.notifications.send(Notification::NoTarget(name.clone()));
                 }
                 lasts
             }
@@ -598,24 +615,27 @@
                 lasts
             }
             Act::Agent { kind: AgentFault::Move, .. } => {
-                self.moves += 1;
-                self.place_agents()?;
-                self.lines.values_mut().for_each(|l| l.ends = l.ends.min(now + MOVED));
+                self.agent_moves += 1;
+                self.start_agents()?;
+                self.agent_conns
+                    .values_mut()
+                    .for_each(|conn| conn.closes_at = conn.closes_at.min(now + AGENT_MOVE_GRACE_S));
                 let addresses = self.agents.iter().map(|(address, ..)| *address).collect();
-                let _ = self.notes.send(Notification::AgentsMoved(addresses));
+                let _ = self.notifications.send(Notification::AgentsMoved(addresses));
                 f64::INFINITY
             }
             Act::Link { at, strike, lasts } => {
                 if let Some(relay) = &self.relay {
                     relay.begin(cue, at.clone(), strike);
                 }
-                let on = self.touched(&at);
-                let severs = self.severed(&at, strike);
+                let on = self.affected_ends(&at);
+                let severs = self.severed_pairs(&at, strike);
                 self.record(now, EmulatorEvent::LinkBegins { name: name.clone(), on, severs });
                 lasts
             }
             Act::Process { whom, blow, spread } => {
-                let _ = self.notes.send(Notification::Process { name: name.clone(), whom, blow, spread });
+                let _ =
+                    self.notifications.send(Notification::Process { name: name.clone(), whom, blow, spread });
                 spread
                     + match blow {
                         Blow::Restart { back, .. } => back,
@@ -625,15 +645,15 @@
             }
         };
         self.record(now, EmulatorEvent::Cue { name, on });
-        self.happened(now, &Happening::Began { cue });
+        self.notify_director(now, &Happening::Began { cue });
         if lasts.is_finite() {
-            self.ends.push((now + lasts, cue));
+            self.cue_ends.push((now + lasts, cue));
         }
         Ok(())
     }
 
-    /// From which router to which nothing gets through any more.
-    fn severed(&self, at: &Where, strike: Strike) -> Vec<(usize, usize)> {
+    /// Pairs of routers (from, to) between which nothing gets through under this link fault.
+    fn severed_pairs(&self, at: &Where, strike: Strike) -> Vec<(usize, usize)> {
         if !matches!(strike, Strike::Cut | Strike::Reset) {
             return Vec::new();
         }
@@ -642,95 +662,98 @@
         pairs.filter(|(a, b)| a != b && at.touches(&End::Router(*a), &End::Router(*b))).collect()
     }
 
-    /// Which kinds of ends a strike on links touches, for whoever judges the run.
-    fn touched(&self, at: &Where) -> Vec<&'static str> {
+    /// The kinds of link ends that a link fault affects, for the audit of the run.
+    fn affected_ends(&self, at: &Where) -> Vec<&'static str> {
         let routers = || (0..self.script.routers.count).map(End::Router);
-        let hosts = (0..self.fleet.hosts()).map(|h| self.fleet.listing(h));
-        let hosts: Vec<End> =
-            hosts.map(|l| End::Host { name: l.name, group: l.group, zone: l.zone }).collect();
-        let any = |of: &dyn Fn(usize) -> Vec<End>| {
+        let hosts = (0..self.fleet.host_count()).map(|h| self.fleet.listing(h));
+        let hosts: Vec<End> = hosts
+            .map(|listing| End::Host { name: listing.name, group: listing.group, zone: listing.zone })
+            .collect();
+        let affects = |ends_of: &dyn Fn(usize) -> Vec<End>| {
             routers()
                 .enumerate()
-                .any(|(n, r)| of(n).iter().any(|end| r.talks_to(end) && at.concerns(&r, end)))
+                .any(|(n, r)| ends_of(n).iter().any(|end| r.talks_to(end) && at.concerns(&r, end)))
         };
         let mut on = Vec::new();
-        if any(&|_| vec![End::Clients]) {
+        if affects(&|_| vec![End::Clients]) {
             on.push("clients");
         }
-        if any(&|_| hosts.clone()) {
+        if affects(&|_| hosts.clone()) {
             on.push("hosts");
         }
-        if any(&|n| vec![End::Agent(n)]) {
+        if affects(&|n| vec![End::Agent(n)]) {
             on.push("agents");
         }
-        if any(&|_| routers().collect()) {
+        if affects(&|_| routers().collect()) {
             on.push("routers");
         }
         on
     }
 
-    fn utter(&mut self, outputs: Vec<Output>) -> io::Result<()> {
-        // A host that has died since then got nothing out any more.
-        let gone: BTreeSet<usize> = outputs
+    fn apply_outputs(&mut self, outputs: Vec<Output>) -> io::Result<()> {
+        // A host that has crashed or vanished in the same batch sends nothing any more.
+        let stopped_hosts: BTreeSet<usize> = outputs
             .iter()
             .filter_map(|o| match o {
-                Output::Down { host } | Output::Silent { host } => Some(*host),
+                Output::Down { host } | Output::Unreachable { host } => Some(*host),
                 _ => None,
             })
             .collect();
         for output in outputs {
             if let Output::Answer { conn, .. } | Output::Greet { conn } = &output {
-                if self.conns.get(&(*conn as usize)).is_some_and(|c| gone.contains(&c.host)) {
+                if self.conns.get(&(*conn as usize)).is_some_and(|c| stopped_hosts.contains(&c.host)) {
                     continue;
                 }
             }
             match output {
                 Output::Greet { conn } => {
-                    self.put(conn as usize, pg::startup_response);
+                    self.write_to(conn as usize, pg::startup_response);
                 }
-                Output::TurnAway { conn, code } => {
-                    self.put(conn as usize, |out| pg::error(out, true, code, "no more connections", None));
+                Output::RejectConnection { conn, code } => {
+                    self.write_to(conn as usize, |out| {
+                        pg::error(out, true, code, "no more connections", None)
+                    });
                     self.close_when_sent(conn as usize);
                 }
-                Output::Answer { conn, answer } => self.answer(conn as usize, &answer)?,
+                Output::Answer { conn, answer } => self.send_answer(conn as usize, &answer)?,
                 Output::Close { conn } => self.drop_conn(conn as usize, false),
                 Output::Down { host } => {
-                    self.unlisten(host);
+                    self.stop_listening(host);
                     self.reset_all(host);
                 }
-                Output::Silent { host } => {
-                    self.conns.values_mut().filter(|c| c.host == host).for_each(|c| c.mute = true);
-                    let place = &mut self.hosts[host];
-                    if let Some((_, listener)) = &place.listener {
-                        place.fillers = sockets::fall_silent(listener, place.address);
+                Output::Unreachable { host } => {
+                    self.conns.values_mut().filter(|c| c.host == host).for_each(|c| c.unresponsive = true);
+                    let socket = &mut self.hosts[host];
+                    if let Some((_, listener)) = &socket.listener {
+                        socket.queue_fillers = sockets::stop_accepting(listener, socket.address);
                     }
                 }
-                Output::Refuse { host } => self.unlisten(host),
+                Output::RefuseConnections { host } => self.stop_listening(host),
                 Output::Up { host } => {
                     self.reset_all(host);
                     if let Some((_, listener)) = &self.hosts[host].listener {
-                        sockets::speak_again(listener);
-                        self.hosts[host].fillers.clear();
+                        sockets::resume_accepting(listener);
+                        self.hosts[host].queue_fillers.clear();
                         self.accept(host)?;
-                        // What came up while nobody was there meets a process that knows nothing of it.
+                        // The new process does not know connections that were established during the outage.
                         self.reset_all(host);
                     }
                     self.listen(host)?;
                 }
-                Output::Admit { host } => self.listen(host)?,
-                Output::Born { host } => self.place_host(host)?,
-                Output::List { host, .. } => {
+                Output::AcceptConnections { host } => self.listen(host)?,
+                Output::HostAdded { host } => self.add_host(host)?,
+                Output::ListingChanged { host, .. } => {
                     let now = self.clock.now();
                     let delay = if now < self.delay_until { self.delay } else { self.script.discovery_delay };
                     let entry = self.entry(host);
-                    self.board.change(now + delay, entry);
+                    self.catalog.schedule_change(now + delay, entry);
                 }
             }
         }
         Ok(())
     }
 
-    fn answer(&mut self, token: usize, answer: &Answer) -> io::Result<()> {
+    fn send_answer(&mut self, token: usize, answer: &Answer) -> io::Result<()> {
         let Some(c) = self.conns.get_mut(&token) else { return Ok(()) };
         let (host, workload) = (c.host, c.workload.take());
         let name = self.fleet.listing(host).name;
@@ -738,7 +761,7 @@
         let denied;
         let answer = match answer {
             Answer::Row { primary, position, term, .. }
-                if workload.is_some_and(writes) && self.denying.remove(&host) =>
+                if workload.is_some_and(writes) && self.deny_next_write.remove(&host) =>
             {
                 denied = Answer::Error { code: "25006", primary: *primary, position: *position, term: *term };
                 &denied
@@ -746,32 +769,33 @@
             other => other,
         };
         let mut bytes = Vec::new();
-        protocol::say(answer, &name, &mut bytes);
-        let halves = workload.filter(|w| self.director.as_ref().is_some_and(|d| d.looks_for_halves(*w)));
-        if let Some(workload) = halves {
-            // The description and part of the row.
-            let half = bytes.len() / 3;
-            self.put(token, |out| out.extend_from_slice(&bytes[..half]));
+        protocol::write_answer(answer, &name, &mut bytes);
+        let partial_answer_workload =
+            workload.filter(|w| self.director.as_ref().is_some_and(|d| d.looks_for_halves(*w)));
+        if let Some(workload) = partial_answer_workload {
+            // The row description and part of the row.
+            let split_at = bytes.len() / 3;
+            self.write_to(token, |out| out.extend_from_slice(&bytes[..split_at]));
             let now = self.clock.now();
-            self.happened(now, &Happening::HalfSaid { workload });
+            self.notify_director(now, &Happening::HalfSaid { workload });
             while let Some(cue) = self.director.as_mut().and_then(|d| d.due(now)) {
-                self.carry_out(now, cue)?;
+                self.execute_cue(now, cue)?;
             }
-            bytes.drain(..half);
-            if !self.fleet.lives(host) || self.fleet.effects(host).paused {
-                // The rest is not said by one that has gone; `settle` does what else follows.
+            bytes.drain(..split_at);
+            if !self.fleet.is_alive(host) || self.fleet.effects(host).paused {
+                // A crashed or paused host does not send the rest; `process_events` handles what follows.
                 return Ok(());
             }
         }
-        self.put(token, |out| out.append(&mut bytes));
-        if let (Answer::Spoilt { .. }, Some(c)) = (answer, self.conns.get_mut(&token)) {
-            c.mute = true;
+        self.write_to(token, |out| out.append(&mut bytes));
+        if let (Answer::Unusable { .. }, Some(c)) = (answer, self.conns.get_mut(&token)) {
+            c.unresponsive = true;
         }
         Ok(())
     }
 
-    fn put(&mut self, token: usize, write: impl FnOnce(&mut Vec<u8>)) {
-        let Some(c) = self.conns.get_mut(&token).filter(|c| !c.mute) else { return };
+    fn write_to(&mut self, token: usize, write: impl FnOnce(&mut Vec<u8>)) {
+        let Some(c) = self.conns.get_mut(&token).filter(|c| !c.unresponsive) else { return };
         write(&mut c.out);
         self.flush(token);
     }
@@ -785,25 +809,25 @@
 
     fn flush(&mut self, token: usize) {
         let Some(c) = self.conns.get_mut(&token) else { return };
-        match drain(&mut c.stream, &mut c.out, &mut c.sent) {
+        match write_pending(&mut c.stream, &mut c.out, &mut c.sent) {
             Ok(true) if c.close_when_sent => self.drop_conn(token, false),
             Ok(_) => {}
-            Err(_) => self.lose(token),
+            Err(_) => self.connection_lost(token),
         }
     }
 
-    /// The other side has gone.
-    fn lose(&mut self, token: usize) {
+    /// Handles a connection that the peer has closed.
+    fn connection_lost(&mut self, token: usize) {
         let now = self.clock.now();
         if let Some(c) = self.conns.get(&token).filter(|c| self.script.planted && c.workload.is_some()) {
-            self.denying.insert(c.host);
+            self.deny_next_write.insert(c.host);
         }
         self.fleet.input(now, token as u64, Input::Closed);
         self.drop_conn(token, false);
     }
 
     fn drop_conn(&mut self, token: usize, resets: bool) {
-        self.places.remove(&token);
+        self.token_owners.remove(&token);
         if let Some(c) = self.conns.remove(&token) {
             if resets {
                 sockets::reset(c.stream);
@@ -812,22 +836,24 @@
     }
 
     fn reset_all(&mut self, host: usize) {
-        let of = |(token, c): (&usize, &Conn)| (c.host == host).then_some(*token);
-        let tokens: Vec<usize> = self.conns.iter().filter_map(of).collect();
+        let of_host = |(token, c): (&usize, &Conn)| (c.host == host).then_some(*token);
+        let tokens: Vec<usize> = self.conns.iter().filter_map(of_host).collect();
         tokens.into_iter().for_each(|token| self.drop_conn(token, true));
     }
 
-    fn ready(&mut self, token: usize, writable: bool) -> io::Result<()> {
-        match self.places.get(&token).copied() {
-            Some(Place::Host(host)) if !self.fleet.effects(host).silent => self.accept(host)?,
-            Some(Place::Agent(router)) => self.accept_line(router)?,
-            Some(Place::Conn) => {
+    fn on_ready(&mut self, token: usize, writable: bool) -> io::Result<()> {
+        match self.token_owners.get(&token).copied() {
+            Some(TokenOwner::HostListener(host)) if !self.fleet.effects(host).unreachable => {
+                self.accept(host)?
+            }
+            Some(TokenOwner::AgentListener(router)) => self.accept_agent_conns(router)?,
+            Some(TokenOwner::Conn) => {
                 if writable {
                     self.flush(token);
                 }
-                self.receive(token)?;
+                self.read_conn(token)?;
             }
-            Some(Place::Line) => self.line(token, writable)?,
+            Some(TokenOwner::AgentConn) => self.read_agent_conn(token, writable)?,
             _ => {}
         }
         Ok(())
@@ -838,23 +864,23 @@
             let mut stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                // One that left again before it was taken.
+                // The peer closed the connection before it was accepted.
                 Err(_) => continue,
             };
             let _ = stream.set_nodelay(true);
-            let token = self.token(Place::Conn);
+            let token = self.token(TokenOwner::Conn);
             let interest = Interest::READABLE | Interest::WRITABLE;
             self.poll.registry().register(&mut stream, Token(token), interest)?;
             let conn = Conn {
                 stream,
                 host,
-                ear: pg::MessageReader::default(),
+                reader: pg::MessageReader::default(),
                 out: Vec::new(),
                 sent: 0,
                 close_when_sent: false,
-                mute: false,
+                unresponsive: false,
                 workload: None,
-                part_told: false,
+                part_reported: false,
             };
             self.conns.insert(token, conn);
             self.max_connections = self.max_connections.max(self.conns.len());
@@ -862,97 +888,99 @@
         Ok(())
     }
 
-    fn receive(&mut self, token: usize) -> io::Result<()> {
+    fn read_conn(&mut self, token: usize) -> io::Result<()> {
         let mut bytes = [0; 4096];
         loop {
-            let pieces = self.director.as_ref().is_some_and(Director::looks_for_parts);
-            let Some(c) = self.conns.get_mut(&token).filter(|c| !c.mute) else { return Ok(()) };
-            let piece = if pieces { PIECE } else { bytes.len() };
-            match c.stream.read(&mut bytes[..piece]) {
+            let read_in_pieces = self.director.as_ref().is_some_and(Director::looks_for_parts);
+            let Some(c) = self.conns.get_mut(&token).filter(|c| !c.unresponsive) else { return Ok(()) };
+            let read_limit = if read_in_pieces { PARTIAL_READ_BYTES } else { bytes.len() };
+            match c.stream.read(&mut bytes[..read_limit]) {
                 Ok(0) => {
-                    self.lose(token);
-                    return self.settle();
+                    self.connection_lost(token);
+                    return self.process_events();
                 }
-                Ok(n) => c.ear.receive(&bytes[..n]),
+                Ok(n) => c.reader.receive(&bytes[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
-                    self.lose(token);
-                    return self.settle();
+                    self.connection_lost(token);
+                    return self.process_events();
                 }
             }
             while let Some(c) = self.conns.get_mut(&token) {
-                match c.ear.message() {
-                    Ok(Some(heard)) => self.heard(token, heard)?,
+                match c.reader.message() {
+                    Ok(Some(message)) => self.on_message(token, message)?,
                     Ok(None) => break,
                     Err(_) => {
-                        self.put(token, |out| {
+                        self.write_to(token, |out| {
                             pg::error(out, true, "08P01", "no frame of the protocol", None)
                         });
                         self.close_when_sent(token);
-                        self.lose(token);
-                        return self.settle();
+                        self.connection_lost(token);
+                        return self.process_events();
                     }
                 }
             }
-            self.part(token)?;
+            self.check_partial_statement(token)?;
         }
     }
 
-    /// A statement has come in part: cues may wait for just that.
-    fn part(&mut self, token: usize) -> io::Result<()> {
-        let Some(c) = self.conns.get_mut(&token).filter(|c| !c.part_told) else { return Ok(()) };
-        if c.ear.buffered_bytes() == 0 || !self.director.as_ref().is_some_and(Director::looks_for_parts) {
+    /// Reports a partially received statement, for which cues may wait.
+    fn check_partial_statement(&mut self, token: usize) -> io::Result<()> {
+        let Some(c) = self.conns.get_mut(&token).filter(|c| !c.part_reported) else { return Ok(()) };
+        if c.reader.buffered_bytes() == 0 || !self.director.as_ref().is_some_and(Director::looks_for_parts) {
             return Ok(());
         }
-        let Some(workload) = protocol::workload_of_part(c.ear.incomplete_message(), &self.workloads) else {
+        let Some(workload) =
+            protocol::workload_of_partial_query(c.reader.incomplete_message(), &self.workloads)
+        else {
             return Ok(());
         };
-        c.part_told = true;
+        c.part_reported = true;
         let (now, host) = (self.clock.now(), c.host);
         let (host, name) = (self.fleet.listing(host).name, self.workloads[workload].clone());
         self.record(now, EmulatorEvent::Part { host, workload: name });
-        self.happened(now, &Happening::Arriving { workload });
-        self.settle()
+        self.notify_director(now, &Happening::Arriving { workload });
+        self.process_events()
     }
 
-    fn heard(&mut self, token: usize, heard: pg::ClientMessage) -> io::Result<()> {
+    fn on_message(&mut self, token: usize, message: pg::ClientMessage) -> io::Result<()> {
         let now = self.clock.now();
         let Some(c) = self.conns.get_mut(&token) else { return Ok(()) };
         let host = c.host;
-        c.part_told = false;
-        match heard {
+        c.part_reported = false;
+        match message {
             pg::ClientMessage::Begin => self.fleet.input(now, token as u64, Input::Connect { host }),
-            pg::ClientMessage::Encrypt => self.put(token, |out| out.push(b'N')),
-            pg::ClientMessage::Cancel | pg::ClientMessage::Terminate => self.lose(token),
+            pg::ClientMessage::Encrypt => self.write_to(token, |out| out.push(b'N')),
+            pg::ClientMessage::Cancel | pg::ClientMessage::Terminate => self.connection_lost(token),
             pg::ClientMessage::Other(_) => {
-                self.put(token, |out| pg::error(out, true, "0A000", "simple queries only", None));
+                self.write_to(token, |out| pg::error(out, true, "0A000", "simple queries only", None));
                 self.close_when_sent(token);
-                self.lose(token);
+                self.connection_lost(token);
             }
-            pg::ClientMessage::Query(text) => match protocol::read(&text, &self.workloads) {
-                Query::Statement(ask) => {
-                    c.workload = Some(ask.workload);
-                    self.fleet.input(now, token as u64, Input::Statement(ask));
+            pg::ClientMessage::Query(text) => match protocol::parse_query(&text, &self.workloads) {
+                Query::Statement(request) => {
+                    c.workload = Some(request.workload);
+                    self.fleet.input(now, token as u64, Input::Statement(request));
                 }
                 Query::Report if self.script.allowed.probes => {
                     self.fleet.input(now, token as u64, Input::Report);
                 }
-                // The rest is answered by the connection's process alone; one that stands still says nothing.
-                other => self.aside(token, host, other),
+                // All other queries are answered without the model; a paused or hung process does not answer.
+                other => self.answer_without_fleet(token, host, other),
             },
         }
-        self.settle()
+        self.process_events()
     }
 
-    fn aside(&mut self, token: usize, host: usize, query: Query) {
+    fn answer_without_fleet(&mut self, token: usize, host: usize, query: Query) {
         let effects = self.fleet.effects(host);
-        if effects.paused || effects.hung || !effects.lives() {
+        if effects.paused || effects.hung || !effects.is_alive() {
             return;
         }
-        self.put(token, |out| match query {
+        self.write_to(token, |out| match query {
             Query::Empty => pg::empty_query(out),
-            Query::One => {
+            Query::SelectOne => {
                 pg::row(out, b"1");
                 pg::ready(out);
             }
@@ -971,175 +999,189 @@
         });
     }
 
-    /// News go onto the board and to all watches; quiet watches get their empty line.
-    fn tell(&mut self, now: f64) -> io::Result<()> {
-        let mut news = false;
-        while self.board.come(now).is_some() {
-            news = true;
+    /// Applies due changes of the catalog, sends them to all watches, sends keepalives and closes expired connections.
+    fn update_agents(&mut self, now: f64) -> io::Result<()> {
+        let mut changed = false;
+        while self.catalog.apply_next(now).is_some() {
+            changed = true;
         }
-        if news {
-            self.publish();
+        if changed {
+            self.publish_lists();
         }
-        let watches: Vec<usize> =
-            self.lines.iter().filter(|(_, l)| l.told.is_some()).map(|(token, _)| *token).collect();
+        let watches: Vec<usize> = self
+            .agent_conns
+            .iter()
+            .filter(|(_, conn)| conn.reported_index.is_some())
+            .map(|(token, _)| *token)
+            .collect();
         for token in watches {
-            self.bring(now, token)?;
+            self.send_changes(now, token)?;
         }
-        let over: Vec<usize> = self.lines.iter().filter(|(_, l)| l.ends <= now).map(|(t, _)| *t).collect();
-        over.into_iter().for_each(|token| self.drop_line(token));
+        let expired: Vec<usize> =
+            self.agent_conns.iter().filter(|(_, conn)| conn.closes_at <= now).map(|(t, _)| *t).collect();
+        expired.into_iter().for_each(|token| self.drop_agent_conn(token));
         Ok(())
     }
 
-    fn drop_line(&mut self, token: usize) {
-        self.places.remove(&token);
-        self.lines.remove(&token);
+    fn drop_agent_conn(&mut self, token: usize) {
+        self.token_owners.remove(&token);
+        self.agent_conns.remove(&token);
     }
 
-    /// What one watch has yet to hear.
-    fn bring(&mut self, now: f64, token: usize) -> io::Result<()> {
-        let Some(line) = self.lines.get_mut(&token) else { return Ok(()) };
-        let Some(told) = line.told else { return Ok(()) };
-        let router = line.router;
-        let news = self.board.since(told, &|e| self.seen_from(router, e));
-        let Some(line) = self.lines.get_mut(&token) else { return Ok(()) };
-        match news {
+    /// Sends outstanding changes to one watch, or a keepalive if it is due.
+    fn send_changes(&mut self, now: f64, token: usize) -> io::Result<()> {
+        let Some(agent_conn) = self.agent_conns.get_mut(&token) else { return Ok(()) };
+        let Some(reported_index) = agent_conn.reported_index else { return Ok(()) };
+        let router = agent_conn.router;
+        let changes = self.catalog.changes_since(reported_index, &|e| self.host_address_for(router, e));
+        let Some(agent_conn) = self.agent_conns.get_mut(&token) else { return Ok(()) };
+        match changes {
             Some((text, changed)) => {
-                line.out.extend_from_slice(&agent::chunk(&text));
-                line.told = Some(self.board.index());
-                line.next_line = now + LINE;
-                self.flush_line(token);
-                self.told(now, router, &changed);
-                return self.settle();
+                agent_conn.out.extend_from_slice(&agent::watch_chunk(&text));
+                agent_conn.reported_index = Some(self.catalog.index());
+                agent_conn.next_keepalive = now + WATCH_KEEPALIVE_S;
+                self.flush_agent_conn(token);
+                self.record_told(now, router, &changed);
+                return self.process_events();
             }
-            None if line.next_line <= now => {
-                line.out.extend_from_slice(&agent::chunk(""));
-                line.next_line = now + LINE;
-                self.flush_line(token);
+            None if agent_conn.next_keepalive <= now => {
+                agent_conn.out.extend_from_slice(&agent::watch_chunk(""));
+                agent_conn.next_keepalive = now + WATCH_KEEPALIVE_S;
+                self.flush_agent_conn(token);
             }
             None => {}
         }
         Ok(())
     }
 
-    fn told(&mut self, now: f64, router: usize, entries: &[Entry]) {
+    fn record_told(&mut self, now: f64, router: usize, entries: &[Entry]) {
         for entry in entries {
             let (host, readiness, primary) = (entry.name.clone(), entry.readiness, entry.primary);
             self.record(now, EmulatorEvent::Told { router, host, readiness, primary });
-            let owed = self.owed.get(&entry.name).copied().filter(|_| entry.readiness == Readiness::Leaving);
-            if let Some(cue) = owed {
-                self.happened(now, &Happening::Announced { cue });
+            let announcing_cue = self
+                .announcing_cues
+                .get(&entry.name)
+                .copied()
+                .filter(|_| entry.readiness == Readiness::Leaving);
+            if let Some(cue) = announcing_cue {
+                self.notify_director(now, &Happening::Announced { cue });
             }
         }
     }
 
-    fn flush_line(&mut self, token: usize) {
-        let Some(line) = self.lines.get_mut(&token) else { return };
-        match drain(&mut line.stream, &mut line.out, &mut line.sent) {
-            Ok(true) if line.close_when_sent => self.drop_line(token),
+    fn flush_agent_conn(&mut self, token: usize) {
+        let Some(agent_conn) = self.agent_conns.get_mut(&token) else { return };
+        match write_pending(&mut agent_conn.stream, &mut agent_conn.out, &mut agent_conn.sent) {
+            Ok(true) if agent_conn.close_when_sent => self.drop_agent_conn(token),
             Ok(_) => {}
-            Err(_) => self.drop_line(token),
+            Err(_) => self.drop_agent_conn(token),
         }
     }
 
-    fn accept_line(&mut self, router: usize) -> io::Result<()> {
+    fn accept_agent_conns(&mut self, router: usize) -> io::Result<()> {
         while let Ok((mut stream, _)) = self.agents[router].2.accept() {
-            let token = self.token(Place::Line);
+            let token = self.token(TokenOwner::AgentConn);
             let interest = Interest::READABLE | Interest::WRITABLE;
             self.poll.registry().register(&mut stream, Token(token), interest)?;
-            let line = Line {
+            let agent_conn = AgentConn {
                 stream,
                 router,
                 buf: Vec::new(),
                 out: Vec::new(),
                 sent: 0,
                 close_when_sent: false,
-                told: None,
-                next_line: f64::INFINITY,
-                ends: f64::INFINITY,
+                reported_index: None,
+                next_keepalive: f64::INFINITY,
+                closes_at: f64::INFINITY,
             };
-            self.lines.insert(token, line);
+            self.agent_conns.insert(token, agent_conn);
         }
         Ok(())
     }
 
-    fn line(&mut self, token: usize, writable: bool) -> io::Result<()> {
+    fn read_agent_conn(&mut self, token: usize, writable: bool) -> io::Result<()> {
         if writable {
-            self.flush_line(token);
+            self.flush_agent_conn(token);
         }
         let mut bytes = [0; 1024];
         loop {
-            let Some(line) = self.lines.get_mut(&token) else { return Ok(()) };
-            match line.stream.read(&mut bytes) {
+            let Some(agent_conn) = self.agent_conns.get_mut(&token) else { return Ok(()) };
+            match agent_conn.stream.read(&mut bytes) {
                 Ok(0) => {
-                    self.drop_line(token);
+                    self.drop_agent_conn(token);
                     return Ok(());
                 }
-                Ok(n) => line.buf.extend_from_slice(&bytes[..n]),
+                Ok(n) => agent_conn.buf.extend_from_slice(&bytes[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
-                    self.drop_line(token);
+                    self.drop_agent_conn(token);
                     return Ok(());
                 }
             }
         }
-        self.wished(token)
+        self.handle_agent_request(token)
     }
 
-    fn wished(&mut self, token: usize) -> io::Result<()> {
+    fn handle_agent_request(&mut self, token: usize) -> io::Result<()> {
         let now = self.clock.now();
-        let Some(line) = self.lines.get_mut(&token) else { return Ok(()) };
-        let (wish, length) = match agent::wish(&line.buf) {
+        let Some(agent_conn) = self.agent_conns.get_mut(&token) else { return Ok(()) };
+        let (request, length) = match agent::parse_request(&agent_conn.buf) {
             Ok(None) => return Ok(()),
             Ok(Some(found)) => found,
-            Err(_) => (Wish::Nothing, line.buf.len()),
+            Err(_) => (AgentRequest::Unknown, agent_conn.buf.len()),
         };
-        line.buf.drain(..length);
-        let router = line.router;
-        if wish != Wish::Nothing {
+        agent_conn.buf.drain(..length);
+        let router = agent_conn.router;
+        if request != AgentRequest::Unknown {
             self.record(now, EmulatorEvent::ListAsked { router });
         }
-        let whole = (wish == Wish::Whole).then(|| self.board.whole(&|e| self.seen_from(router, e)));
-        let Some(line) = self.lines.get_mut(&token) else { return Ok(()) };
-        match wish {
-            Wish::Whole => {
-                line.out.extend_from_slice(&agent::answer(&whole.unwrap_or_default()));
-                line.close_when_sent = true;
-                let all = self.board.all();
-                self.flush_line(token);
-                self.told(now, router, &all);
-                self.settle()
+        let full_list = (request == AgentRequest::FullList)
+            .then(|| self.catalog.full_list(&|e| self.host_address_for(router, e)));
+        let Some(agent_conn) = self.agent_conns.get_mut(&token) else { return Ok(()) };
+        match request {
+            AgentRequest::FullList => {
+                agent_conn.out.extend_from_slice(&agent::http_response(&full_list.unwrap_or_default()));
+                agent_conn.close_when_sent = true;
+                let all = self.catalog.all_entries();
+                self.flush_agent_conn(token);
+                self.record_told(now, router, &all);
+                self.process_events()
             }
-            Wish::Watch(since) => {
-                line.out.extend_from_slice(agent::WATCH);
-                line.told = Some(since);
-                line.next_line = now + LINE;
-                let news = self.board.since(since, &|e| self.seen_from(router, e)).is_some();
-                if now >= self.silent_until && !news {
-                    // The first object says so where nothing has changed.
-                    let nothing = agent::chunk(&self.board.nothing());
-                    self.lines.get_mut(&token).into_iter().for_each(|l| l.out.extend_from_slice(&nothing));
+            AgentRequest::Watch(since) => {
+                agent_conn.out.extend_from_slice(agent::WATCH_HEADERS);
+                agent_conn.reported_index = Some(since);
+                agent_conn.next_keepalive = now + WATCH_KEEPALIVE_S;
+                let changed =
+                    self.catalog.changes_since(since, &|e| self.host_address_for(router, e)).is_some();
+                if now >= self.silent_until && !changed {
+                    // A watch without outstanding changes starts with an empty list of changes.
+                    let unchanged_list = agent::watch_chunk(&self.catalog.unchanged_list());
+                    self.agent_conns
+                        .get_mut(&token)
+                        .into_iter()
+                        .for_each(|conn| conn.out.extend_from_slice(&unchanged_list));
                 }
-                self.flush_line(token);
-                // Silent from the start: the head goes out, the news when it speaks again.
+                self.flush_agent_conn(token);
+                // While the agent is silent only the headers go out; the changes follow when the silence ends.
                 if now >= self.silent_until {
-                    self.bring(now, token)
+                    self.send_changes(now, token)
                 } else {
                     Ok(())
                 }
             }
-            Wish::Nothing => {
-                line.out.extend_from_slice(agent::NOT_FOUND);
-                line.close_when_sent = true;
-                self.flush_line(token);
+            AgentRequest::Unknown => {
+                agent_conn.out.extend_from_slice(agent::NOT_FOUND);
+                agent_conn.close_when_sent = true;
+                self.flush_agent_conn(token);
                 Ok(())
             }
         }
     }
 }
 
-/// Writes what the platform takes; `true` once all is out.
-fn drain(stream: &mut TcpStream, out: &mut Vec<u8>, sent: &mut usize) -> io::Result<bool> {
+/// Writes as much as the socket accepts; `true` once everything is written.
+fn write_pending(stream: &mut TcpStream, out: &mut Vec<u8>, sent: &mut usize) -> io::Result<bool> {
     while *sent < out.len() {
         match stream.write(&out[*sent..]) {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
--- a/crates/sandstile-emulator/tests/hosts.rs
+++ b/crates/sandstile-emulator/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! The emulator as a router meets it: greetings, statements, faults on sockets, discovery.
+//! Tests the emulator over sockets, as a router uses it: greetings, statements, faults and discovery.
 use crossbeam_channel::{unbounded, Receiver};
 use sandstile_emulator::{protocol, Clock, Emulator, Handle, Notification, Record};
 use sandstile_pgwire as pg;
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicU8, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10);
-static NEXT: AtomicU8 = AtomicU8::new(0);
+const TIMEOUT: Duration = Duration::from_secs(10);
+static NEXT_NETWORK: AtomicU8 = AtomicU8::new(0);
 
 const FLEET: &str = r#"
 title = "test"
@@ -40,71 +40,79 @@
 routers { count = 1 }
 "#;
 
-struct Stage {
+struct TestEmulator {
     handle: Handle,
     records: Receiver<Record>,
-    notes: Receiver<Notification>,
-    seen: Vec<serde_json::Value>,
+    notifications: Receiver<Notification>,
+    unmatched_records: Vec<serde_json::Value>,
 }
 
-fn stage(cues: &str) -> Stage {
-    let script = Script::read("test.hcl", &format!("{FLEET}{cues}")).expect("a good script");
+fn start_emulator(cues: &str) -> TestEmulator {
+    let script = Script::read("test.hcl", &format!("{FLEET}{cues}")).expect("script is valid");
     let (trace, records) = unbounded();
-    let (note, notes) = unbounded();
-    // Addresses of its own for each test of each process.
-    let net = (100 + (std::process::id() % 100) as u8, 1 + NEXT.fetch_add(1, SeqCst) * 2);
-    let emulator = Emulator::new(&script, net, Clock::anchor(), trace, note).expect("loopback addresses");
-    Stage { handle: emulator.spawn().expect("a thread"), records, notes, seen: Vec::new() }
+    let (note, notifications) = unbounded();
+    // Each test of each process uses its own addresses.
+    let net = (100 + (std::process::id() % 100) as u8, 1 + NEXT_NETWORK.fetch_add(1, SeqCst) * 2);
+    let emulator =
+        Emulator::new(&script, net, Clock::anchor(), trace, note).expect("loopback addresses are free");
+    TestEmulator {
+        handle: emulator.spawn().expect("emulator thread starts"),
+        records,
+        notifications,
+        unmatched_records: Vec::new(),
+    }
 }
 
-impl Stage {
+impl TestEmulator {
     fn host(&self, n: usize) -> SocketAddr {
         self.handle.hosts[n].1
     }
 
-    /// Waits for a line of the trace.
-    fn saw(&mut self, what: &str, host: &str) -> serde_json::Value {
-        let end = Instant::now() + PATIENCE;
+    /// Waits for a trace record with this event and host (any host if empty) and removes it.
+    fn wait_for_record(&mut self, what: &str, host: &str) -> serde_json::Value {
+        let end = Instant::now() + TIMEOUT;
         loop {
             let fits = |v: &serde_json::Value| v["what"] == what && (host.is_empty() || v["host"] == host);
-            if let Some(at) = self.seen.iter().position(fits) {
-                return self.seen.remove(at);
+            if let Some(at) = self.unmatched_records.iter().position(fits) {
+                return self.unmatched_records.remove(at);
             }
             let left = end.saturating_duration_since(Instant::now());
-            let record =
-                self.records.recv_timeout(left).unwrap_or_else(|_| panic!("never came: {what} {host}"));
-            self.seen.push(serde_json::to_value(&record).expect("json"));
+            let record = self
+                .records
+                .recv_timeout(left)
+                .unwrap_or_else(|_| panic!("no trace record '{what}' of host '{host}'"));
+            self.unmatched_records.push(serde_json::to_value(&record).expect("record serializes to JSON"));
         }
     }
 }
 
-struct Link {
+struct HostConnection {
     stream: TcpStream,
     buf: Vec<u8>,
 }
 
 #[derive(Debug, PartialEq)]
-enum Got {
+enum Received {
     Value(String),
     Code(String),
-    Nonsense,
-    /// The end after this many bytes of an answer.
+    Malformed,
+    /// The connection ended after this many bytes of an answer.
     End(usize),
     Nothing,
 }
 
-impl Link {
-    fn up(address: SocketAddr) -> Link {
-        let stream = TcpStream::connect_timeout(&address, PATIENCE).expect("a host that listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
-        let mut link = Link { stream, buf: Vec::new() };
-        link.stream.write_all(&pg::startup_message()).expect("a host that reads");
-        assert_eq!(link.answer(), Got::Nothing);
-        link
+impl HostConnection {
+    fn connect(address: SocketAddr) -> HostConnection {
+        let stream = TcpStream::connect_timeout(&address, TIMEOUT).expect("host accepts the connection");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout can be set");
+        let mut connection = HostConnection { stream, buf: Vec::new() };
+        connection.stream.write_all(&pg::startup_message()).expect("host reads the message");
+        assert_eq!(connection.answer(), Received::Nothing);
+        connection
     }
 
     /// `Nothing` stands for a bare ReadyForQuery.
-    fn answer(&mut self) -> Got {
+    fn answer(&mut self) -> Received {
         let mut answer = pg::Answer::default();
         let mut rows = 0;
         loop {
@@ -116,32 +124,32 @@
                     continue;
                 }
                 match answer.take(tag, &body) {
-                    Err(_) => return Got::Nonsense,
+                    Err(_) => return Received::Malformed,
                     Ok(false) => {}
                     Ok(true) => {
                         return match answer.stage {
-                            pg::Stage::Complete => Got::Value(answer.text().to_string()),
-                            pg::Stage::Failed(code) => Got::Code(code),
-                            _ => Got::Nothing,
+                            pg::Stage::Complete => Received::Value(answer.text().to_string()),
+                            pg::Stage::Failed(code) => Received::Code(code),
+                            _ => Received::Nothing,
                         }
                     }
                 }
             }
             if pg::check_plausible(&self.buf, 1 << 20).is_err() {
-                return Got::Nonsense;
+                return Received::Malformed;
             }
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(n) if n > 0 => self.buf.extend_from_slice(&bytes[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    return Got::Nothing
+                    return Received::Nothing
                 }
-                _ => return Got::End(rows + self.buf.len()),
+                _ => return Received::End(rows + self.buf.len()),
             }
         }
     }
 
-    fn ask(&mut self, id: &str, class: &str) -> Got {
+    fn query(&mut self, id: &str, class: &str) -> Received {
         self.send(id, class);
         self.answer()
     }
@@ -156,77 +164,84 @@
 }
 
 #[test]
-fn hosts_speak_the_protocol_and_the_trace_says_what_ran() {
-    let mut s = stage("");
-    let mut primary = Link::up(s.host(0));
-    let Got::Value(value) = primary.ask("w1", "save") else { panic!("a value") };
-    let made = protocol::parse_value(value.as_bytes()).expect("a value in its form");
+fn hosts_speak_the_protocol_and_the_trace_records_what_ran() {
+    let mut emulator = start_emulator("");
+    let mut primary = HostConnection::connect(emulator.host(0));
+    let Received::Value(value) = primary.query("w1", "save") else { panic!("expected a value") };
+    let made = protocol::parse_value(value.as_bytes()).expect("well-formed value");
     assert_eq!((made.0, made.1), ("w1", "s-1-a"));
-    assert_eq!(s.saw("ran", "s-1-a")["id"], "w1");
-    let mut replica = Link::up(s.host(1));
-    assert_eq!(replica.ask("w2", "save"), Got::Code("25006".to_string()));
-    assert!(matches!(replica.ask("r1", "look"), Got::Value(_)));
+    assert_eq!(emulator.wait_for_record("ran", "s-1-a")["id"], "w1");
+    let mut replica = HostConnection::connect(emulator.host(1));
+    assert_eq!(replica.query("w2", "save"), Received::Code("25006".to_string()));
+    assert!(matches!(replica.query("r1", "look"), Received::Value(_)));
     let mut query = |text: &str| {
         let mut out = Vec::new();
         pg::query(&mut out, text.as_bytes());
-        replica.stream.write_all(&out).expect("a host that reads");
+        replica.stream.write_all(&out).expect("host reads the message");
         replica.answer()
     };
-    assert!(matches!(query("SHOW stats"), Got::Value(v) if v.contains("x1=0")));
-    assert_eq!(query("SELECT 1"), Got::Value("1".to_string()));
-    assert_eq!(query("SELECT nonsense"), Got::Code("08P01".to_string()));
-    assert_eq!(query(" ; "), Got::Nothing);
-    s.handle.stop().expect("an end");
+    assert!(matches!(query("SHOW stats"), Received::Value(v) if v.contains("x1=0")));
+    assert_eq!(query("SELECT 1"), Received::Value("1".to_string()));
+    assert_eq!(query("SELECT nonsense"), Received::Code("08P01".to_string()));
+    assert_eq!(query(" ; "), Received::Nothing);
+    emulator.handle.stop().expect("emulator stops");
 }
 
-/// The three moments at which a primary can go in a write: part of it read, it has run, part of the answer is out.
+/// A primary can crash at three moments of a write: when part of it was read, after it ran, and when part of the answer
+/// was sent.
 #[test]
-fn a_primary_dies_at_the_very_moment_of_its_cue() {
+fn a_primary_crashes_at_the_moment_of_its_cue() {
     for (when, ran, bytes) in [("arriving", 0, 0..1), ("ran", 1, 0..1), ("half_said", 1, 1..400)] {
         let cue = format!(
             "fault \"die\" {{\n kind = \"crash\"\n on = \"primary:1\"\n when = \"{when}:save:2\"\n for = 1\n}}\n"
         );
-        let mut s = stage(&cue);
-        s.handle.start_script(Clock::anchor().now());
-        let mut link = Link::up(s.host(0));
-        let mut reader = Link::up(s.host(1));
-        assert!(matches!(link.ask("one", "save"), Got::Value(_)), "{when}");
-        let Got::End(got) = link.ask("two", "save") else { panic!("{when}: an end") };
+        let mut emulator = start_emulator(&cue);
+        emulator.handle.start_script(Clock::anchor().now());
+        let mut connection = HostConnection::connect(emulator.host(0));
+        let mut reader = HostConnection::connect(emulator.host(1));
+        assert!(matches!(connection.query("one", "save"), Received::Value(_)), "{when}");
+        let Received::End(got) = connection.query("two", "save") else {
+            panic!("{when}: expected the connection to end")
+        };
         assert!(bytes.contains(&got), "{when}: {got}");
-        assert_eq!(s.saw("fault_begins", "s-1-a")["fault"], "crash");
-        let twice = s.seen.iter().filter(|v| v["what"] == "ran" && v["id"] == "two").count();
-        assert_eq!(twice, ran, "{when}");
-        // Refused while it is dead, and the other one leads after a while.
-        assert!(TcpStream::connect(s.host(0)).is_err());
-        assert_eq!(s.saw("primary", "s-1-b")["term"], 2);
-        assert!(matches!(reader.ask("three", "save"), Got::Value(_)));
-        s.saw("started", "s-1-a");
-        assert_eq!(Link::up(s.host(0)).ask("four", "save"), Got::Code("25006".to_string()));
-        s.handle.stop().expect("an end");
+        assert_eq!(emulator.wait_for_record("fault_begins", "s-1-a")["fault"], "crash");
+        let runs =
+            emulator.unmatched_records.iter().filter(|v| v["what"] == "ran" && v["id"] == "two").count();
+        assert_eq!(runs, ran, "{when}");
+        // Connections are refused while the process is down, and the other host becomes primary.
+        assert!(TcpStream::connect(emulator.host(0)).is_err());
+        assert_eq!(emulator.wait_for_record("primary", "s-1-b")["term"], 2);
+        assert!(matches!(reader.query("three", "save"), Received::Value(_)));
+        emulator.wait_for_record("started", "s-1-a");
+        assert_eq!(
+            HostConnection::connect(emulator.host(0)).query("four", "save"),
+            Received::Code("25006".to_string())
+        );
+        emulator.handle.stop().expect("emulator stops");
     }
 }
 
-/// A machine that vanishes: open connections stay open and silent, new ones never come up, and reset at its return.
+/// While a machine has vanished, open connections stay silent and new ones time out; they are reset when it returns.
 #[test]
-fn a_vanished_machine_says_nothing_until_it_is_back() {
+fn a_vanished_machine_is_unreachable_until_it_returns() {
     let cue =
         "fault \"gone\" {\n kind = \"lost\"\n on = \"host:s-1-b\"\n when = \"ran:look:1\"\n for = 2\n}\n";
-    let mut s = stage(cue);
-    s.handle.start_script(Clock::anchor().now());
-    let mut link = Link::up(s.host(1));
-    link.stream.set_read_timeout(Some(Duration::from_millis(300))).expect("a limit");
-    assert_eq!(link.ask("one", "look"), Got::Nothing);
-    let knock = TcpStream::connect_timeout(&s.host(1), Duration::from_millis(250));
-    assert_eq!(knock.expect_err("nobody").kind(), ErrorKind::TimedOut);
-    link.stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
-    assert!(matches!(link.answer(), Got::End(0)));
-    s.saw("started", "s-1-b");
-    assert!(matches!(Link::up(s.host(1)).ask("two", "look"), Got::Value(_)));
-    s.handle.stop().expect("an end");
+    let mut emulator = start_emulator(cue);
+    emulator.handle.start_script(Clock::anchor().now());
+    let mut connection = HostConnection::connect(emulator.host(1));
+    connection.stream.set_read_timeout(Some(Duration::from_millis(300))).expect("read timeout can be set");
+    assert_eq!(connection.query("one", "look"), Received::Nothing);
+    let timed_out_connect = TcpStream::connect_timeout(&emulator.host(1), Duration::from_millis(250));
+    assert_eq!(timed_out_connect.expect_err("connect must time out").kind(), ErrorKind::TimedOut);
+    connection.stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout can be set");
+    assert!(matches!(connection.answer(), Received::End(0)));
+    emulator.wait_for_record("started", "s-1-b");
+    assert!(matches!(HostConnection::connect(emulator.host(1)).query("two", "look"), Received::Value(_)));
+    emulator.handle.stop().expect("emulator stops");
 }
 
 #[test]
-fn pauses_hangs_spoilt_answers_and_refusals_reach_the_sockets() {
+fn pauses_unusable_answers_refusals_and_early_closes_reach_the_sockets() {
     let cue = |name: &str, kind: &str, when: &str| {
         format!("fault \"{name}\" {{\n {kind}\n on = \"host:s-1-a\"\n {when}\n for = 0.4\n}}\n")
     };
@@ -236,36 +251,39 @@
         cue("r", "kind = \"refuse_connections\"", "when = \"ends:s\"\n plus_ms = 300"),
         cue("e", "kind = \"early_close\"\n idle_ms = 50", "when = \"ends:r\"\n plus_ms = 300"),
     ];
-    let mut s = stage(&cues.concat());
-    let mut link = Link::up(s.host(0));
-    let begun = Instant::now();
-    s.handle.start_script(Clock::anchor().now());
-    s.saw("fault_begins", "s-1-a");
-    assert!(matches!(link.ask("one", "look"), Got::Value(_)));
-    assert!(begun.elapsed() >= Duration::from_millis(300));
-    link.stream.set_read_timeout(Some(Duration::from_millis(100))).expect("a limit");
-    while s.saw("fault_begins", "s-1-a")["fault"] != "spoilt" {}
-    let spoilt = link.ask("two", "look");
-    assert!(matches!(spoilt, Got::Nonsense | Got::Nothing), "{spoilt:?}");
-    let mut other = Link::up(s.host(0));
-    while s.saw("fault_begins", "s-1-a")["fault"] != "refuse_connections" {}
-    assert_eq!(TcpStream::connect(s.host(0)).expect_err("refused").kind(), ErrorKind::ConnectionRefused);
-    assert!(matches!(other.ask("three", "look"), Got::Value(_)), "open ones stay");
-    while s.saw("fault_begins", "s-1-a")["fault"] != "early_close" {}
-    assert!(matches!(other.answer(), Got::End(0)), "closed early");
-    s.handle.stop().expect("an end");
+    let mut emulator = start_emulator(&cues.concat());
+    let mut connection = HostConnection::connect(emulator.host(0));
+    let started = Instant::now();
+    emulator.handle.start_script(Clock::anchor().now());
+    emulator.wait_for_record("fault_begins", "s-1-a");
+    assert!(matches!(connection.query("one", "look"), Received::Value(_)));
+    assert!(started.elapsed() >= Duration::from_millis(300));
+    connection.stream.set_read_timeout(Some(Duration::from_millis(100))).expect("read timeout can be set");
+    while emulator.wait_for_record("fault_begins", "s-1-a")["fault"] != "spoilt" {}
+    let spoilt = connection.query("two", "look");
+    assert!(matches!(spoilt, Received::Malformed | Received::Nothing), "{spoilt:?}");
+    let mut other = HostConnection::connect(emulator.host(0));
+    while emulator.wait_for_record("fault_begins", "s-1-a")["fault"] != "refuse_connections" {}
+    assert_eq!(
+        TcpStream::connect(emulator.host(0)).expect_err("connect must be refused").kind(),
+        ErrorKind::ConnectionRefused
+    );
+    assert!(matches!(other.query("three", "look"), Received::Value(_)), "open connections stay");
+    while emulator.wait_for_record("fault_begins", "s-1-a")["fault"] != "early_close" {}
+    assert!(matches!(other.answer(), Received::End(0)), "idle connection is closed early");
+    emulator.handle.stop().expect("emulator stops");
 }
 
 fn watch(address: SocketAddr, since: u64) -> TcpStream {
-    let mut stream = TcpStream::connect(address).expect("an agent");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+    let mut stream = TcpStream::connect(address).expect("agent is reachable");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("read timeout can be set");
     write!(stream, "GET /catalog/members?follow=1&since={since} HTTP/1.1\r\nHost: x\r\n\r\n")
-        .expect("an agent");
+        .expect("agent is reachable");
     stream
 }
 
-/// Reads until this text has come; yields all of it, or what came before the end.
-fn until(stream: &mut TcpStream, needle: &str) -> String {
+/// Reads until this text has arrived or the stream ends; returns everything read.
+fn read_until(stream: &mut TcpStream, needle: &str) -> String {
     let (mut text, mut bytes) = (String::new(), [0; 4096]);
     while !text.contains(needle) {
         match stream.read(&mut bytes) {
@@ -276,9 +294,10 @@
     text
 }
 
-/// A drain is told over the watch, a pause begins at that very moment, silence holds news back, a move ends lines.
+/// A drain is announced over the watch, the cue that waits for the announcement starts a pause at that moment, a silent
+/// agent delays changes, and a moved agent closes its old connections.
 #[test]
-fn discovery_tells_delays_and_moves() {
+fn discovery_announces_changes_delays_and_moves() {
     let cues = r#"
 fault "d" {
   kind = "drain"
@@ -308,34 +327,34 @@
   when = "ends:quiet"
 }
 "#;
-    let mut s = stage(cues);
-    let agent = s.handle.agents[0];
-    let mut whole = TcpStream::connect(agent).expect("an agent");
-    write!(whole, "GET /catalog/members HTTP/1.1\r\n\r\n").expect("an agent");
-    let list = until(&mut whole, "no such text");
+    let mut emulator = start_emulator(cues);
+    let agent = emulator.handle.agents[0];
+    let mut whole = TcpStream::connect(agent).expect("agent is reachable");
+    write!(whole, "GET /catalog/members HTTP/1.1\r\n\r\n").expect("agent is reachable");
+    let list = read_until(&mut whole, "no such text");
     assert!(list.contains("\"snapshot\":true") && list.contains("s-1-b"), "{list}");
-    let mut line = watch(agent, 2);
-    until(&mut line, "chunked");
-    s.handle.start_script(Clock::anchor().now());
-    let told = until(&mut line, "leaving");
-    assert!(told.contains("s-1-a") && told.contains("\"snapshot\":false"), "{told}");
-    let mut told = s.saw("told", "s-1-a");
-    while told["readiness"] != "leaving" {
-        told = s.saw("told", "s-1-a");
+    let mut watch_stream = watch(agent, 2);
+    read_until(&mut watch_stream, "chunked");
+    emulator.handle.start_script(Clock::anchor().now());
+    let changes = read_until(&mut watch_stream, "leaving");
+    assert!(changes.contains("s-1-a") && changes.contains("\"snapshot\":false"), "{changes}");
+    let mut announced = emulator.wait_for_record("told", "s-1-a");
+    while announced["readiness"] != "leaving" {
+        announced = emulator.wait_for_record("told", "s-1-a");
     }
-    let paused = s.saw("fault_begins", "s-1-b");
+    let paused = emulator.wait_for_record("fault_begins", "s-1-b");
     assert_eq!(paused["fault"], "pause");
-    assert!((paused["t"].as_f64().unwrap() - told["t"].as_f64().unwrap()).abs() < 0.1);
-    let begun = Instant::now();
-    let rest = until(&mut line, "s-1-b-r1");
+    assert!((paused["t"].as_f64().unwrap() - announced["t"].as_f64().unwrap()).abs() < 0.1);
+    let started = Instant::now();
+    let rest = read_until(&mut watch_stream, "s-1-b-r1");
     assert!(rest.contains("s-1-b-r1"), "{rest}");
-    assert!(begun.elapsed() >= Duration::from_millis(400), "the agent was silent");
+    assert!(started.elapsed() >= Duration::from_millis(400), "the agent was silent");
     assert!(
-        matches!(s.notes.recv_timeout(PATIENCE), Ok(Notification::AgentsMoved(a)) if a.len() == 1 && a[0] != agent)
+        matches!(emulator.notifications.recv_timeout(TIMEOUT), Ok(Notification::AgentsMoved(a)) if a.len() == 1 && a[0] != agent)
     );
-    until(&mut line, "no such text");
+    read_until(&mut watch_stream, "no such text");
     assert!(TcpStream::connect(agent).is_err(), "the old address refuses");
-    assert!(s.handle.discovery_list(0).contains("leaving"));
-    let summary = s.handle.stop().expect("an end");
+    assert!(emulator.handle.discovery_list(0).contains("leaving"));
+    let summary = emulator.handle.stop().expect("emulator stops");
     assert!(summary.missed.is_empty(), "{:?}", summary.missed);
 }
--- a/crates/sandstile-fleet/src/event.rs
+++ b/crates/sandstile-fleet/src/event.rs
@@ -1,35 +1,35 @@
-//! What goes into the model, what comes out of it, and what an observer sees.
+//! Inputs and outputs of the model, and the events that it reports to observers.
 use serde::Serialize;
 
-/// A statement as its host reads it.
+/// A statement as the host receives it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatementRequest {
     pub id: String,
     pub workload: usize,
-    /// Seconds that the asking side waits.
-    pub wait: f64,
-    /// The position that the session carries, in seconds.
-    pub after: Option<f64>,
+    /// Timeout of the sender in seconds.
+    pub timeout_s: f64,
+    /// The session mark that the statement carries: the read must have reached this position (in seconds).
+    pub required_position: Option<f64>,
     pub session: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A connection came up on the platform and wants a greeting.
+    /// A TCP connection was established; the host has to send its greeting.
     Connect {
         host: usize,
     },
     Statement(StatementRequest),
-    /// The load report that a probe asks for.
+    /// A probe requests the load report.
     Report,
-    /// The other side has closed.
+    /// The peer closed the connection.
     Closed,
 }
 
-/// How a host answers: with its role, its position, and the term that it follows.
+/// An answer of a host, with its role, its position and the term that it follows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The value for this id, with the host's role and position.
+    /// The result row of the statement with this id.
     Row {
         id: String,
         bytes: usize,
@@ -50,9 +50,9 @@
         jobs: usize,
         share: f64,
     },
-    /// It ran; what comes back can't be read.
-    Spoilt {
-        how: usize,
+    /// The statement ran, but the answer is malformed or incomplete; `form` selects how.
+    Unusable {
+        form: usize,
     },
 }
 
@@ -61,8 +61,8 @@
     Greet {
         conn: u64,
     },
-    /// An error in place of a greeting, then the end.
-    TurnAway {
+    /// The host answers with an error instead of a greeting and closes the connection.
+    RejectConnection {
         conn: u64,
         code: &'static str,
     },
@@ -70,36 +70,36 @@
         conn: u64,
         answer: Answer,
     },
-    /// The host ends an idle connection.
+    /// The host closes an idle connection.
     Close {
         conn: u64,
     },
-    /// The process has gone: its connections are reset, new ones refused.
+    /// The process has stopped: its connections are reset and new ones are refused.
     Down {
         host: usize,
     },
-    /// The machine has gone without a word.
-    Silent {
+    /// The machine has vanished: open connections stay silent and new ones time out.
+    Unreachable {
         host: usize,
     },
-    /// New connections are refused, those that are open stay.
-    Refuse {
+    /// New connections are refused; open ones stay.
+    RefuseConnections {
         host: usize,
     },
-    /// It listens; what was open from before it went is reset.
+    /// The process listens again; connections from before the outage are reset.
     Up {
         host: usize,
     },
-    /// It takes connections again; those that are open stay.
-    Admit {
+    /// New connections are accepted again; open ones stay.
+    AcceptConnections {
         host: usize,
     },
-    /// A host that was not there before; the driver gives it an address.
-    Born {
+    /// A new host was added; the driver assigns its address.
+    HostAdded {
         host: usize,
     },
-    /// What discovery is to say of a host.
-    List {
+    /// The entry of a host in discovery changed.
+    ListingChanged {
         host: usize,
         readiness: Readiness,
         since: f64,
@@ -114,32 +114,34 @@
     Left,
 }
 
-/// What happened, for the trace. Positions and times are seconds.
+/// An event for the trace. Positions and times are in seconds. Variants and fields are written to the trace under
+/// their own names.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Event {
-    /// A connection came up and wants its set-up's work.
+    /// A connection was opened and its set-up work begins.
     Dialled {
         host: String,
     },
-    /// Its set-up is done.
+    /// The set-up of a connection is complete.
     Greeted {
         host: String,
     },
     TurnedAway {
         host: String,
     },
-    /// A probe asked for the load report.
+    /// A probe requested the load report.
     Probed {
         host: String,
     },
-    /// A statement's last byte was read, whether or not it will run.
+    /// The last byte of a statement was read, whether or not the statement will run.
     Taken {
         host: String,
         id: String,
         workload: String,
     },
-    /// It ran: an effect for a write, a read at this position for all else. `need` is what the read had to reach.
+    /// A statement ran: a write took effect at `commit`, a read saw the position `reached`. `need` is the position that
+    /// a read had to reach.
     Ran {
         host: String,
         id: String,
@@ -149,7 +151,7 @@
         reached: f64,
         need: f64,
     },
-    /// A deduplicated statement came again and had no second effect.
+    /// A deduplicated statement was repeated and had no second effect.
     Repeated {
         host: String,
         id: String,
@@ -159,7 +161,7 @@
         id: String,
         how: String,
     },
-    /// Its connection ended before it was answered; `stopped` where its work ended with that.
+    /// The connection of a statement closed before its answer; `stopped` if that ended the statement's work.
     Left {
         host: String,
         id: String,
@@ -181,7 +183,7 @@
     Vacant {
         group: String,
     },
-    /// A commit that no living host has any more.
+    /// A commit that no running host has any more.
     LostCommit {
         group: String,
         id: String,
@@ -190,13 +192,14 @@
     Started {
         host: String,
     },
-    /// Work offered to a cold machine over its window, as a multiple of what it could do, at a new peak.
+    /// The work offered to a cold machine over its window reached a new peak, as a multiple of its capacity; at the
+    /// multiple `most` it crashes.
     Pushed {
         host: String,
         multiple: f64,
         most: f64,
     },
-    /// A cold machine fell over.
+    /// A cold machine crashed from overload.
     Tipped {
         host: String,
         multiple: f64,
--- a/crates/sandstile-fleet/src/fault.rs
+++ b/crates/sandstile-fleet/src/fault.rs
@@ -1,40 +1,40 @@
-//! Faults as values: each has a kind, a target, a start and an end, and any number may stand on one host at one
-//! time. `Effects` is what they come to together.
+//! Injected faults. Each has a kind, a target and a duration, and any number can be active on one host at the same
+//! time. `Effects` is their combined effect.
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// The process stands still: nothing is read, done or said. Its connections stay.
+    /// The process is stopped: it reads, runs and sends nothing. Its connections stay open.
     Pause,
-    /// It takes and runs what comes, and says nothing until the end.
+    /// The process reads and runs statements, but sends nothing until the fault ends.
     Hang,
-    /// Its machine does everything at this share of its pace.
+    /// The machine runs at this fraction of its speed.
     Slow(f64),
-    /// Replay goes at this share of its pace.
+    /// Replay runs at this fraction of its speed.
     SlowReplay(f64),
-    /// The process dies; connections are reset, new ones refused. It starts cold at the end.
+    /// The process dies: connections are reset and new ones refused. It starts cold when the fault ends.
     Crash,
-    /// The machine vanishes without a word: nothing is heard, nothing comes up. It starts cold at the end.
+    /// The machine vanishes: open connections stay silent and new ones time out. It starts cold when the fault ends.
     Lost,
-    /// Announced as leaving; at the end it has left for good.
+    /// The host is announced as leaving; when the fault ends it has left for good.
     Drain,
-    /// Drained, while a new host under a new name comes up cold in its place.
+    /// The host is drained while a new host under a new name starts cold in its place.
     Replace,
-    /// This share of statements gets an error at once.
+    /// This share of statements fails immediately.
     FastErrors(f64),
     /// New connections are refused.
     RefuseConnections,
-    /// New connections wait so many seconds for their greeting.
+    /// The greeting of new connections is delayed by this many seconds.
     SlowConnections(f64),
-    /// This share of answers is spoilt; the statements have run.
+    /// This share of answers is unusable, though the statements have run.
     Spoilt(f64),
-    /// Idle connections are closed after so many seconds, before the agreed time.
+    /// Idle connections are closed after this many seconds, earlier than agreed.
     EarlyClose(f64),
-    /// Others on the machine take this share of its cores.
+    /// Other processes take this share of the machine's cores (noisy neighbour).
     Neighbour(f64),
 }
 
 impl FaultKind {
-    pub fn word(&self) -> &'static str {
+    pub fn name(&self) -> &'static str {
         match self {
             FaultKind::Pause => "pause",
             FaultKind::Hang => "hang",
@@ -53,24 +53,24 @@
         }
     }
 
-    /// Whether it ends what runs on the process.
+    /// Whether the fault ends the process.
     pub fn kills(&self) -> bool {
         matches!(self, FaultKind::Crash | FaultKind::Lost)
     }
 }
 
-/// What a fault strikes; resolved when it starts.
+/// The hosts that a fault affects; resolved when the fault starts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
-    /// By the name under which it is listed.
+    /// The host listed under this name.
     Host(String),
-    /// All hosts of a machine.
+    /// All hosts of the machine with this name.
     Node(String),
-    /// Who is primary of the group then.
+    /// The primary of the group at that time.
     Primary(String),
-    /// The n-th replica of the group then, from 0.
+    /// The n-th replica of the group at that time, counted from 0.
     Replica(String, usize),
-    /// Every host of the group.
+    /// All hosts of the group.
     Group(String),
 }
 
@@ -78,23 +78,23 @@
 pub struct Fault {
     pub kind: FaultKind,
     pub target: Target,
-    /// Seconds that it lasts; infinite where it does not end.
+    /// Duration in seconds; infinite for a fault without an end.
     pub lasts: f64,
 }
 
-/// What stands on one host now.
+/// The combined effect of all faults that are active on one host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Effects {
     pub speed: f64,
-    pub replay: f64,
+    pub replay_rate: f64,
     pub paused: bool,
     pub hung: bool,
-    pub dead: bool,
-    pub silent: bool,
-    pub refuses: bool,
-    pub greet_s: f64,
-    pub errors: f64,
-    pub spoils: f64,
+    pub crashed: bool,
+    pub unreachable: bool,
+    pub refuses_connections: bool,
+    pub greeting_delay_s: f64,
+    pub error_share: f64,
+    pub unusable_share: f64,
     pub idle_timeout_s: f64,
 }
 
@@ -102,20 +102,20 @@
     pub fn none(idle_timeout_s: f64) -> Self {
         Effects {
             speed: 1.0,
-            replay: 1.0,
+            replay_rate: 1.0,
             paused: false,
             hung: false,
-            dead: false,
-            silent: false,
-            refuses: false,
-            greet_s: 0.0,
-            errors: 0.0,
-            spoils: 0.0,
+            crashed: false,
+            unreachable: false,
+            refuses_connections: false,
+            greeting_delay_s: 0.0,
+            error_share: 0.0,
+            unusable_share: 0.0,
             idle_timeout_s,
         }
     }
 
-    /// What these faults come to: shares multiply, for each takes its part of what the others leave.
+    /// Combines these faults. Shares multiply, because each fault takes its part of what the others leave.
     pub fn of<'a>(kinds: impl Iterator<Item = &'a FaultKind>, idle_timeout_s: f64) -> Self {
         let mut all = Effects::none(idle_timeout_s);
         for kind in kinds {
@@ -124,27 +124,31 @@
                 FaultKind::Hang => all.hung = true,
                 FaultKind::Slow(share) => all.speed *= share,
                 FaultKind::Neighbour(share) => all.speed *= 1.0 - share,
-                FaultKind::SlowReplay(share) => all.replay *= share,
-                FaultKind::Crash => all.dead = true,
-                FaultKind::Lost => all.silent = true,
+                FaultKind::SlowReplay(share) => all.replay_rate *= share,
+                FaultKind::Crash => all.crashed = true,
+                FaultKind::Lost => all.unreachable = true,
                 FaultKind::Drain | FaultKind::Replace => {}
-                FaultKind::FastErrors(share) => all.errors = 1.0 - (1.0 - all.errors) * (1.0 - share),
-                FaultKind::Spoilt(share) => all.spoils = 1.0 - (1.0 - all.spoils) * (1.0 - share),
-                FaultKind::RefuseConnections => all.refuses = true,
-                FaultKind::SlowConnections(s) => all.greet_s += s,
+                FaultKind::FastErrors(share) => {
+                    all.error_share = 1.0 - (1.0 - all.error_share) * (1.0 - share)
+                }
+                FaultKind::Spoilt(share) => {
+                    all.unusable_share = 1.0 - (1.0 - all.unusable_share) * (1.0 - share)
+                }
+                FaultKind::RefuseConnections => all.refuses_connections = true,
+                FaultKind::SlowConnections(s) => all.greeting_delay_s += s,
                 FaultKind::EarlyClose(s) => all.idle_timeout_s = all.idle_timeout_s.min(s),
             }
         }
         all
     }
 
-    /// It runs and can be heard.
-    pub fn heard(&self) -> bool {
-        !(self.paused || self.dead || self.silent)
+    /// Whether the process runs and its messages get out.
+    pub fn is_reachable(&self) -> bool {
+        !(self.paused || self.crashed || self.unreachable)
     }
 
-    /// Its process is there, if only standing still.
-    pub fn lives(&self) -> bool {
-        !(self.dead || self.silent)
+    /// Whether the process exists, even if it is paused.
+    pub fn is_alive(&self) -> bool {
+        !(self.crashed || self.unreachable)
     }
 }
--- a/crates/sandstile-fleet/src/fleet.rs
+++ b/crates/sandstile-fleet/src/fleet.rs
@@ -1,56 +1,56 @@
-//! The whole: machines, hosts and groups, and the one queue of what is to happen when.
+//! The fleet: machines, hosts and groups, driven by one timer queue.
 use crate::event::{Answer, Event, Input, Output, Readiness, StatementRequest};
 use crate::fault::{Effects, Fault, FaultKind, Target};
-use crate::group::{Group, STEP};
-use crate::host::{Cold, Conn, Doing, Host, Job, What};
+use crate::group::{Group, POSITION_STEP_S};
+use crate::host::{ColdLoad, Conn, ConnState, Host, Job, JobKind};
 use crate::machine::Machine;
 use crate::plan::{Consistency, Effect, Node, Plan, Tokens};
 use crate::random::Rng;
 use crate::replay::Replay;
-use crate::roles::{Seen, Step};
+use crate::roles::{MemberState, RoleChange};
 use sandstile_timers::TimerWheel;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Debug)]
 enum Timer {
-    Cpu {
+    CpuFinish {
         node: usize,
-        turn: u64,
+        version: u64,
     },
-    Replay {
+    ReplayFinish {
         host: usize,
-        turn: u64,
+        version: u64,
     },
-    /// Commits reach a replica, if the primary of that term still speaks.
-    Arrive {
+    /// Commits up to `upto` reach a replica, if the primary of that term is still reachable.
+    CommitsArrive {
         to: usize,
         from: usize,
         upto: u64,
         term: u64,
     },
-    /// A held read looks again.
-    Hold {
+    /// Checks again whether a held read can run.
+    RecheckHeldRead {
         job: u64,
     },
-    Idle {
+    IdleTimeout {
         conn: u64,
-        turn: u64,
+        version: u64,
     },
-    Rise {
+    BeginSetup {
         conn: u64,
     },
     FaultEnds {
         fault: usize,
     },
-    Look {
+    EvaluateRoles {
         group: usize,
     },
 }
 
-struct Standing {
+struct InjectedFault {
     fault: Fault,
     hosts: Vec<usize>,
-    over: bool,
+    ended: bool,
 }
 
 /// A host as discovery and the scenario see it.
@@ -73,32 +73,32 @@
     conns: BTreeMap<u64, Conn>,
     jobs: BTreeMap<u64, Job>,
     next_job: u64,
-    standing: Vec<Standing>,
+    injected_faults: Vec<InjectedFault>,
     replaced: usize,
     timers: TimerWheel<Timer>,
     now: f64,
     outputs: VecDeque<(f64, Output)>,
     events: VecDeque<(f64, Event)>,
-    work: Vec<Rng>,
-    replay: Vec<Rng>,
-    luck: Rng,
+    work_rngs: Vec<Rng>,
+    replay_rngs: Vec<Rng>,
+    fault_rng: Rng,
 }
 
-/// Between looks of a read that is held.
-const HOLD_LOOK: f64 = 0.005;
+/// Seconds between two checks of a held read.
+const HOLD_RECHECK_S: f64 = 0.005;
 
 impl Fleet {
-    /// The fleet at `now`, all of it up for long and in step.
+    /// Creates the fleet at `now`: all hosts are warm and all replicas up to date.
     pub fn new(plan: Plan, now: f64) -> Self {
         let kind = |n: &Node| &plan.kinds[n.kind];
         let machines: Vec<Machine> =
             plan.nodes.iter().map(|n| Machine::new(&n.name, &n.zone, n.kind, kind(n), now)).collect();
-        let streams = |of: &str, names: Vec<&String>| -> Vec<Rng> {
-            names.iter().map(|n| Rng::new(plan.seed, &format!("{of} {n}"))).collect()
+        let streams = |purpose: &str, names: Vec<&String>| -> Vec<Rng> {
+            names.iter().map(|n| Rng::new(plan.seed, &format!("{purpose} {n}"))).collect()
         };
-        let work = streams("work", plan.workloads.iter().map(|w| &w.name).collect());
-        let replay = streams("replay", plan.groups.iter().map(|g| &g.name).collect());
-        let luck = Rng::new(plan.seed, "luck");
+        let work_rngs = streams("work", plan.workloads.iter().map(|w| &w.name).collect());
+        let replay_rngs = streams("replay", plan.groups.iter().map(|g| &g.name).collect());
+        let fault_rng = Rng::new(plan.seed, "luck");
         let mut fleet = Fleet {
             machines,
             hosts: Vec::new(),
@@ -106,34 +106,34 @@
             conns: BTreeMap::new(),
             jobs: BTreeMap::new(),
             next_job: 0,
-            standing: Vec::new(),
+            injected_faults: Vec::new(),
             replaced: 0,
             timers: TimerWheel::starting_at(now),
             now,
             outputs: VecDeque::new(),
             events: VecDeque::new(),
-            work,
-            replay,
-            luck,
+            work_rngs,
+            replay_rngs,
+            fault_rng,
             plan,
         };
         for group in 0..fleet.plan.groups.len() {
             let nodes = fleet.plan.groups[group].nodes.clone();
             let hosts: Vec<usize> = nodes
                 .iter()
-                .map(|node| fleet.host(fleet.plan.host_name(group, *node), group, *node, 0.0))
+                .map(|node| fleet.add_host(fleet.plan.host_name(group, *node), group, *node, 0.0))
                 .collect();
             for host in &hosts {
-                fleet.hosts[*host].linked = true;
+                fleet.hosts[*host].receives_log = true;
             }
             fleet.groups.push(Group::new(&fleet.plan.groups[group], hosts[0], hosts.clone()));
             let (name, host) = (fleet.plan.groups[group].name.clone(), fleet.hosts[hosts[0]].name.clone());
-            fleet.event(now, Event::Primary { group: name, host, term: 1 });
+            fleet.record_event(now, Event::Primary { group: name, host, term: 1 });
         }
         fleet
     }
 
-    fn host(&mut self, name: String, group: usize, node: usize, since: f64) -> usize {
+    fn add_host(&mut self, name: String, group: usize, node: usize, since: f64) -> usize {
         let index = self.hosts.len();
         self.machines[node].hosts.push(index);
         let idle = self.plan.kinds[self.machines[node].kind].idle_timeout_s;
@@ -146,14 +146,14 @@
             faults: Vec::new(),
             effects: Effects::none(idle),
             replay: Replay::new(0, self.now),
-            linked: false,
-            follows: 1,
-            heard_to: 0.0,
+            receives_log: false,
+            last_seen_term: 1,
+            log_known_until: 0.0,
             conns: BTreeSet::new(),
-            deferred: VecDeque::new(),
-            withheld: Vec::new(),
-            suspended: Vec::new(),
-            cold: Cold::default(),
+            deferred_inputs: VecDeque::new(),
+            withheld_outputs: Vec::new(),
+            suspended_jobs: Vec::new(),
+            cold_load: ColdLoad::default(),
         });
         index
     }
@@ -162,7 +162,7 @@
         &self.plan
     }
 
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.hosts.len()
     }
 
@@ -179,16 +179,16 @@
         }
     }
 
-    /// Whether its process is there, if only standing still.
-    pub fn lives(&self, host: usize) -> bool {
-        self.hosts[host].effects.lives() && self.hosts[host].readiness != Readiness::Left
+    /// Whether the process of the host exists, even if it is paused.
+    pub fn is_alive(&self, host: usize) -> bool {
+        self.hosts[host].effects.is_alive() && self.hosts[host].readiness != Readiness::Left
     }
 
     pub fn effects(&self, host: usize) -> &Effects {
         &self.hosts[host].effects
     }
 
-    pub fn find(&self, name: &str) -> Option<usize> {
+    pub fn find_host(&self, name: &str) -> Option<usize> {
         self.hosts.iter().position(|h| h.name == name)
     }
 
@@ -196,22 +196,25 @@
         self.groups[group].roles.primary
     }
 
-    /// Commits that a replica has yet to apply, and those it has yet to receive.
+    /// Number of commits that a replica has received but not applied, and number not yet received.
     pub fn backlog(&self, host: usize) -> (u64, u64) {
         let h = &self.hosts[host];
-        (h.replay.received - h.replay.applied, self.groups[h.group].end().saturating_sub(h.replay.received))
+        (
+            h.replay.received - h.replay.applied,
+            self.groups[h.group].end_index().saturating_sub(h.replay.received),
+        )
     }
 
-    /// Statements that run or wait on the host's machine.
+    /// Number of jobs that run or wait on the host's machine.
     pub fn jobs_at(&self, host: usize) -> usize {
-        self.machines[self.hosts[host].node].cpu.jobs()
+        self.machines[self.hosts[host].node].cpu.job_count()
     }
 
     pub fn next_wake(&mut self) -> Option<f64> {
         self.timers.earliest()
     }
 
-    pub fn output(&mut self) -> Option<(f64, Output)> {
+    pub fn next_output(&mut self) -> Option<(f64, Output)> {
         self.outputs.pop_front()
     }
 
@@ -219,24 +222,24 @@
         self.events.pop_front()
     }
 
-    fn event(&mut self, at: f64, event: Event) {
+    fn record_event(&mut self, at: f64, event: Event) {
         self.events.push_back((at, event));
     }
 
-    fn out(&mut self, at: f64, output: Output) {
+    fn emit(&mut self, at: f64, output: Output) {
         self.outputs.push_back((at, output));
     }
 
-    /// Lets time pass: all that is due by `now` happens, each thing at its own time.
+    /// Advances the time to `now`; everything due by then happens, each at its own time.
     pub fn advance(&mut self, now: f64) {
         while let Some((at, timer)) = self.timers.pop(now) {
             self.now = self.now.max(at);
-            self.due(self.now, timer);
+            self.on_timer(self.now, timer);
         }
         self.now = self.now.max(now);
     }
 
-    /// Something comes from outside over this connection. Numbers of connections are the driver's, each used once.
+    /// Processes an input on a connection. The driver chooses connection ids and uses each one once.
     pub fn input(&mut self, now: f64, conn: u64, input: Input) {
         self.advance(now);
         let now = self.now;
@@ -247,86 +250,89 @@
                 None => return,
             },
         };
-        if !self.lives(host) {
+        if !self.is_alive(host) {
             return;
         }
         if self.hosts[host].effects.paused {
             if let Input::Connect { .. } = input {
-                self.conns.insert(conn, Conn { host, doing: Doing::Rising, turn: 0, served: 0 });
+                self.conns.insert(
+                    conn,
+                    Conn { host, state: ConnState::SettingUp, version: 0, statements_begun: 0 },
+                );
                 self.hosts[host].conns.insert(conn);
             }
-            return self.hosts[host].deferred.push_back((conn, input));
+            return self.hosts[host].deferred_inputs.push_back((conn, input));
         }
-        self.take(now, host, conn, input);
+        self.handle_input(now, host, conn, input);
     }
 
-    fn take(&mut self, now: f64, host: usize, conn: u64, input: Input) {
+    fn handle_input(&mut self, now: f64, host: usize, conn: u64, input: Input) {
         match input {
-            Input::Connect { .. } => self.connect(now, host, conn),
-            Input::Statement(ask) => self.statement(now, host, conn, ask),
+            Input::Connect { .. } => self.on_connect(now, host, conn),
+            Input::Statement(request) => self.on_statement(now, host, conn, request),
             Input::Report => {
-                self.event(now, Event::Probed { host: self.hosts[host].name.clone() });
+                self.record_event(now, Event::Probed { host: self.hosts[host].name.clone() });
                 let (primary, position) = (self.is_primary(host), self.position(now, host));
                 let machine = &self.machines[self.hosts[host].node];
-                let share = machine.cpu.jobs() as f64 / machine.cpu.capacity().max(1e-9);
-                let (term, jobs) = (self.term_followed(host), machine.cpu.jobs());
+                let share = machine.cpu.job_count() as f64 / machine.cpu.capacity().max(1e-9);
+                let (term, jobs) = (self.followed_term(host), machine.cpu.job_count());
                 let answer = Answer::Report { primary, position, term, jobs, share };
-                self.say(now, host, conn, answer, None);
+                self.send_answer(now, host, conn, answer, None);
             }
-            Input::Closed => self.closed(now, host, conn),
+            Input::Closed => self.on_closed(now, host, conn),
         }
     }
 
-    fn connect(&mut self, now: f64, host: usize, conn: u64) {
+    fn on_connect(&mut self, now: f64, host: usize, conn: u64) {
         let node = self.hosts[host].node;
-        self.event(now, Event::Dialled { host: self.hosts[host].name.clone() });
+        self.record_event(now, Event::Dialled { host: self.hosts[host].name.clone() });
         let kind = &self.plan.kinds[self.machines[node].kind];
-        // One that came while the process stood still is on record already.
+        // A connection that was opened while the process was paused is registered already.
         self.hosts[host].conns.remove(&conn);
         self.conns.remove(&conn);
         if self.hosts[host].conns.len() >= kind.connections {
-            self.event(now, Event::TurnedAway { host: self.hosts[host].name.clone() });
-            return self.out(now, Output::TurnAway { conn, code: "53300" });
+            self.record_event(now, Event::TurnedAway { host: self.hosts[host].name.clone() });
+            return self.emit(now, Output::RejectConnection { conn, code: "53300" });
         }
-        self.conns.insert(conn, Conn { host, doing: Doing::Rising, turn: 0, served: 0 });
+        self.conns.insert(conn, Conn { host, state: ConnState::SettingUp, version: 0, statements_begun: 0 });
         self.hosts[host].conns.insert(conn);
-        let wait = self.hosts[host].effects.greet_s;
+        let wait = self.hosts[host].effects.greeting_delay_s;
         if wait > 0.0 {
-            return self.timers.push(now + wait, Timer::Rise { conn });
+            return self.timers.push(now + wait, Timer::BeginSetup { conn });
         }
-        self.rise(now, conn);
+        self.begin_setup(now, conn);
     }
 
-    /// The set-up's own work, as any other work of the machine.
-    fn rise(&mut self, now: f64, conn: u64) {
+    /// Starts the set-up work of a connection, which uses the cores like any other job.
+    fn begin_setup(&mut self, now: f64, conn: u64) {
         let Some(c) = self.conns.get(&conn) else { return };
         let host = c.host;
         let work = self.plan.kinds[self.machines[self.hosts[host].node].kind].setup_work;
-        let job = self.job(host, Some(conn), What::Setup);
-        self.run(now, job, work);
+        let job = self.add_job(host, Some(conn), JobKind::Setup);
+        self.run_job(now, job, work);
     }
 
-    fn job(&mut self, host: usize, conn: Option<u64>, what: What) -> u64 {
+    fn add_job(&mut self, host: usize, conn: Option<u64>, kind: JobKind) -> u64 {
         self.next_job += 1;
-        self.jobs.insert(self.next_job, Job { host, conn, what });
+        self.jobs.insert(self.next_job, Job { host, conn, kind });
         self.next_job
     }
 
-    /// Puts a job on its machine's cores. A cold process needs more for the same.
-    fn run(&mut self, now: f64, job: u64, work: f64) {
+    /// Starts a job on the cores of its machine. A cold process needs more core time for the same work.
+    fn run_job(&mut self, now: f64, job: u64, work: f64) {
         let host = self.jobs[&job].host;
         let node = self.hosts[host].node;
         let kind = &self.plan.kinds[self.machines[node].kind];
         let warmth = self.hosts[host].warmth(kind, now);
         self.machines[node].cpu.start(now, job, work / warmth.max(1e-3));
-        self.rearm(node);
+        self.rearm_cpu_timer(node);
     }
 
-    fn rearm(&mut self, node: usize) {
+    fn rearm_cpu_timer(&mut self, node: usize) {
         let machine = &mut self.machines[node];
-        machine.turn += 1;
-        if let Some(at) = machine.cpu.next() {
-            self.timers.push(at, Timer::Cpu { node, turn: machine.turn });
+        machine.version += 1;
+        if let Some(at) = machine.cpu.next_finish_at() {
+            self.timers.push(at, Timer::CpuFinish { node, version: machine.version });
         }
     }
 
@@ -334,445 +340,472 @@
         self.groups[self.hosts[host].group].roles.primary == Some(host)
     }
 
-    /// The term whose log a host holds: one that has not heard of the present primary still follows the last.
-    fn term_followed(&self, host: usize) -> u64 {
+    /// The term whose log a host holds. A host that has received nothing from the current primary still follows the
+    /// previous term.
+    fn followed_term(&self, host: usize) -> u64 {
         let roles = &self.groups[self.hosts[host].group].roles;
         if roles.primary == Some(host) {
             roles.term
         } else {
-            self.hosts[host].follows
+            self.hosts[host].last_seen_term
         }
     }
 
-    /// All commits up to this time are applied here.
+    /// The time up to which the host has applied all commits.
     fn position(&self, now: f64, host: usize) -> f64 {
         let h = &self.hosts[host];
         let group = &self.groups[h.group];
         if group.roles.primary == Some(host) {
             return now;
         }
-        let heard_to =
-            if h.linked { now - self.plan.groups[h.group].replication_delay_s } else { h.heard_to };
-        match group.position(h.replay.applied.max(group.base())) {
-            Some(next) if h.replay.applied < h.replay.received => next - STEP,
-            _ => heard_to,
+        let log_known_until = if h.receives_log {
+            now - self.plan.groups[h.group].replication_delay_s
+        } else {
+            h.log_known_until
+        };
+        match group.position_at(h.replay.applied.max(group.first_index())) {
+            Some(next) if h.replay.applied < h.replay.received => next - POSITION_STEP_S,
+            _ => log_known_until,
         }
     }
 
-    fn statement(&mut self, now: f64, host: usize, conn: u64, ask: StatementRequest) {
-        let names = (self.hosts[host].name.clone(), self.plan.workloads[ask.workload].name.clone());
-        self.event(now, Event::Taken { host: names.0, id: ask.id.clone(), workload: names.1 });
-        let doing = self.conns.get(&conn).map(|c| c.doing);
-        if doing != Some(Doing::Idle) {
-            // A second command before the first is answered: hosts of this protocol take one at a time.
-            return self.error(now, host, conn, &ask.id, "08P01");
+    fn on_statement(&mut self, now: f64, host: usize, conn: u64, request: StatementRequest) {
+        let names = (self.hosts[host].name.clone(), self.plan.workloads[request.workload].name.clone());
+        self.record_event(now, Event::Taken { host: names.0, id: request.id.clone(), workload: names.1 });
+        let state = self.conns.get(&conn).map(|c| c.state);
+        if state != Some(ConnState::Idle) {
+            // A second statement arrived before the first was answered; the protocol allows one at a time.
+            return self.send_error(now, host, conn, &request.id, "08P01");
         }
-        let errors = self.hosts[host].effects.errors;
-        if self.luck.bernoulli(errors) {
-            return self.error(now, host, conn, &ask.id, "XX000");
+        let error_share = self.hosts[host].effects.error_share;
+        if self.fault_rng.bernoulli(error_share) {
+            return self.send_error(now, host, conn, &request.id, "XX000");
         }
         if self.hosts[host].readiness != Readiness::Active {
-            return self.error(now, host, conn, &ask.id, "53300");
+            return self.send_error(now, host, conn, &request.id, "53300");
         }
         let group = self.hosts[host].group;
-        let workload = &self.plan.workloads[ask.workload];
+        let workload = &self.plan.workloads[request.workload];
         let primary = self.is_primary(host);
         let need = match workload.consistency {
-            Consistency::Write if !primary || self.groups[group].closed => {
-                return self.error(now, host, conn, &ask.id, "25006");
+            Consistency::Write if !primary || self.groups[group].writes_closed => {
+                return self.send_error(now, host, conn, &request.id, "25006");
             }
             Consistency::Write | Consistency::Any => 0.0,
-            // Only the primary is sure to have all.
+            // Only the primary is certain to have all commits.
             Consistency::Fresh => now,
             Consistency::Bounded => now - workload.max_age_s,
-            Consistency::Session => match (self.plan.tokens, &ask.session) {
-                (Tokens::Carried, _) => ask.after.unwrap_or(0.0),
-                (Tokens::Remembered, Some(session)) => self.groups[group].marked(session),
+            Consistency::Session => match (self.plan.tokens, &request.session) {
+                (Tokens::Carried, _) => request.required_position.unwrap_or(0.0),
+                (Tokens::Remembered, Some(session)) => self.groups[group].session_mark(session),
                 (Tokens::Remembered, None) => 0.0,
             },
         };
         let fresh = workload.consistency == Consistency::Fresh;
         let term = self.groups[group].roles.term;
-        let what = What::Statement { ask, need, reached: 0.0, term, held_until: None };
-        let job = self.job(host, Some(conn), what);
+        let kind = JobKind::Statement { request, need, reached: 0.0, term, wait_until: None };
+        let job = self.add_job(host, Some(conn), kind);
         if let Some(c) = self.conns.get_mut(&conn) {
-            c.doing = Doing::Busy(job);
-            c.turn += 1;
+            c.state = ConnState::Busy(job);
+            c.version += 1;
         }
         let reached = self.position(now, host);
         if self.plan.hosts_check_reads && !primary && reached < need {
-            let hold = self.plan.groups[group].hold_s;
-            if fresh || hold <= 0.0 {
-                return self.refuse(now, job, "72000");
+            let hold_s = self.plan.groups[group].hold_s;
+            if fresh || hold_s <= 0.0 {
+                return self.reject_job(now, job, "72000");
             }
-            if let Some(Job { what: What::Statement { held_until, .. }, .. }) = self.jobs.get_mut(&job) {
-                *held_until = Some(now + hold);
+            if let Some(Job { kind: JobKind::Statement { wait_until, .. }, .. }) = self.jobs.get_mut(&job) {
+                *wait_until = Some(now + hold_s);
             }
-            return self.timers.push(now + HOLD_LOOK.min(hold), Timer::Hold { job });
+            return self.timers.push(now + HOLD_RECHECK_S.min(hold_s), Timer::RecheckHeldRead { job });
         }
-        self.begin_work(now, job, reached);
+        self.start_statement(now, job, reached);
     }
 
-    /// A statement's work begins, or there is no room for it.
-    fn begin_work(&mut self, now: f64, job: u64, at: f64) {
-        let Some(Job { host, what: What::Statement { ask, reached, held_until, .. }, .. }) =
+    /// Starts the work of a statement, or rejects it if the machine's queue is full.
+    fn start_statement(&mut self, now: f64, job: u64, position: f64) {
+        let Some(Job { host, kind: JobKind::Statement { request, reached, wait_until, .. }, .. }) =
             self.jobs.get_mut(&job)
         else {
             return;
         };
-        let (host, workload) = (*host, ask.workload);
-        *reached = at;
-        *held_until = None;
+        let (host, workload) = (*host, request.workload);
+        *reached = position;
+        *wait_until = None;
         let node = self.hosts[host].node;
-        if self.machines[node].cpu.full() {
-            return self.refuse(now, job, "53300");
+        if self.machines[node].cpu.is_full() {
+            return self.reject_job(now, job, "53300");
         }
-        let mut work = self.work[workload].work(&self.plan.workloads[workload].work);
+        let mut work = self.work_rngs[workload].work(&self.plan.workloads[workload].work);
         let conn = self.jobs[&job].conn.and_then(|conn| self.conns.get_mut(&conn));
         if let Some(conn) = conn {
-            conn.served = conn.served.saturating_add(1);
+            conn.statements_begun = conn.statements_begun.saturating_add(1);
             let kind = &self.plan.kinds[self.machines[node].kind];
-            if conn.served <= kind.first_statements {
+            if conn.statements_begun <= kind.first_statements {
                 work *= kind.first_statements_factor;
             }
         }
-        self.run(now, job, work);
+        self.run_job(now, job, work);
         let kind = &self.plan.kinds[self.machines[node].kind];
         let warmth = self.hosts[host].warmth(kind, now);
         if warmth >= 1.0 {
             return;
         }
-        let (most, window) = (kind.cold_overload_multiple, kind.cold_overload_window_s);
+        let (most, window_s) = (kind.cold_overload_multiple, kind.cold_overload_window_s);
         let restart = kind.restart_s;
         let cpu = &self.machines[node].cpu;
-        let could = cpu.capacity() * cpu.share() * warmth;
-        let multiple = self.hosts[host].cold.offer(now, work, window, could);
+        let capacity = cpu.capacity() * cpu.share() * warmth;
+        let multiple = self.hosts[host].cold_load.record(now, work, window_s, capacity);
         let name = self.hosts[host].name.clone();
         if multiple > most {
-            self.event(now, Event::Tipped { host: name, multiple, most });
+            self.record_event(now, Event::Tipped { host: name, multiple, most });
             let fault = Fault { kind: FaultKind::Crash, target: Target::Host(String::new()), lasts: restart };
-            self.stand(now, fault, vec![host]);
-        } else if multiple > self.hosts[host].cold.peak + 0.25 {
-            self.hosts[host].cold.peak = multiple;
-            self.event(now, Event::Pushed { host: name, multiple, most });
+            self.apply_fault(now, fault, vec![host]);
+        } else if multiple > self.hosts[host].cold_load.peak + 0.25 {
+            self.hosts[host].cold_load.peak = multiple;
+            self.record_event(now, Event::Pushed { host: name, multiple, most });
         }
     }
 
-    /// Ends a job that never ran.
-    fn refuse(&mut self, now: f64, job: u64, code: &'static str) {
-        let Some(Job { host, conn, what: What::Statement { ask, .. } }) = self.jobs.remove(&job) else {
+    /// Rejects a statement that never ran.
+    fn reject_job(&mut self, now: f64, job: u64, code: &'static str) {
+        let Some(Job { host, conn, kind: JobKind::Statement { request, .. } }) = self.jobs.remove(&job)
+        else {
             return;
         };
         match conn {
-            Some(conn) => self.error(now, host, conn, &ask.id, code),
-            None => self.said(now, host, &ask.id, code),
+            Some(conn) => self.send_error(now, host, conn, &request.id, code),
+            None => self.record_answer(now, host, &request.id, code),
         }
     }
 
-    fn error(&mut self, now: f64, host: usize, conn: u64, id: &str, code: &'static str) {
+    fn send_error(&mut self, now: f64, host: usize, conn: u64, id: &str, code: &'static str) {
         let (primary, position) = (self.is_primary(host), self.position(now, host));
-        self.said(now, host, id, code);
-        let term = self.term_followed(host);
-        self.say(now, host, conn, Answer::Error { code, primary, position, term }, None);
+        self.record_answer(now, host, id, code);
+        let term = self.followed_term(host);
+        self.send_answer(now, host, conn, Answer::Error { code, primary, position, term }, None);
     }
 
-    fn said(&mut self, now: f64, host: usize, id: &str, how: &str) {
+    fn record_answer(&mut self, now: f64, host: usize, id: &str, how: &str) {
         let (host, id, how) = (self.hosts[host].name.clone(), id.to_string(), how.to_string());
-        self.event(now, Event::Said { host, id, how });
+        self.record_event(now, Event::Said { host, id, how });
     }
 
-    /// Puts an answer on its connection, which is idle from then on; a hung process keeps it to itself.
-    fn say(&mut self, now: f64, host: usize, conn: u64, answer: Answer, spoilt: Option<usize>) {
-        let answer = spoilt.map_or(answer, |how| Answer::Spoilt { how });
+    /// Sends an answer and marks its connection idle; a hung process withholds the answer.
+    fn send_answer(
+        &mut self,
+        now: f64,
+        host: usize,
+        conn: u64,
+        answer: Answer,
+        unusable_form: Option<usize>,
+    ) {
+        let answer = unusable_form.map_or(answer, |form| Answer::Unusable { form });
         let output = Output::Answer { conn, answer };
         if self.hosts[host].effects.hung {
-            return self.hosts[host].withheld.push((conn, output));
+            return self.hosts[host].withheld_outputs.push((conn, output));
         }
-        self.idle(now, conn);
-        self.out(now, output);
+        self.set_idle(now, conn);
+        self.emit(now, output);
     }
 
-    fn idle(&mut self, now: f64, conn: u64) {
+    fn set_idle(&mut self, now: f64, conn: u64) {
         let Some(c) = self.conns.get_mut(&conn) else { return };
-        c.doing = Doing::Idle;
-        c.turn += 1;
+        c.state = ConnState::Idle;
+        c.version += 1;
         let idle = self.hosts[c.host].effects.idle_timeout_s;
-        self.timers.push(now + idle, Timer::Idle { conn, turn: c.turn });
+        self.timers.push(now + idle, Timer::IdleTimeout { conn, version: c.version });
     }
 
-    fn closed(&mut self, now: f64, host: usize, conn: u64) {
+    fn on_closed(&mut self, now: f64, host: usize, conn: u64) {
         let Some(c) = self.conns.remove(&conn) else { return };
         self.hosts[host].conns.remove(&conn);
-        let Doing::Busy(job) = c.doing else { return };
+        let ConnState::Busy(job) = c.state else { return };
         let node = self.hosts[host].node;
         let stops = self.plan.kinds[self.machines[node].kind].stops_on_disconnect;
-        let Some(held) = self.jobs.get_mut(&job) else { return };
-        held.conn = None;
-        let What::Statement { ask, held_until, .. } = &held.what else { return };
-        // What waits for the log has not begun, and nobody wants it any more.
-        let stopped = stops || held_until.is_some();
-        let (id, host) = (ask.id.clone(), self.hosts[host].name.clone());
-        self.event(now, Event::Left { host, id, stopped });
+        let Some(statement_job) = self.jobs.get_mut(&job) else { return };
+        statement_job.conn = None;
+        let JobKind::Statement { request, wait_until, .. } = &statement_job.kind else { return };
+        // A read that waits for the log has not begun, so it is dropped with its connection in any case.
+        let stopped = stops || wait_until.is_some();
+        let (id, host) = (request.id.clone(), self.hosts[host].name.clone());
+        self.record_event(now, Event::Left { host, id, stopped });
         if stopped {
             self.jobs.remove(&job);
             self.machines[node].cpu.stop(now, job);
-            self.rearm(node);
+            self.rearm_cpu_timer(node);
         }
     }
 
-    fn due(&mut self, now: f64, timer: Timer) {
+    fn on_timer(&mut self, now: f64, timer: Timer) {
         match timer {
-            Timer::Cpu { node, turn } => {
-                if self.machines[node].turn != turn {
+            Timer::CpuFinish { node, version } => {
+                if self.machines[node].version != version {
                     return;
                 }
-                while let Some((at, job)) = self.machines[node].cpu.ended(now) {
-                    self.finish(at.max(now), job);
+                while let Some((at, job)) = self.machines[node].cpu.pop_finished(now) {
+                    self.finish_job(at.max(now), job);
                 }
-                self.rearm(node);
+                self.rearm_cpu_timer(node);
             }
-            Timer::Replay { host, turn } => {
-                if self.hosts[host].replay.turn == turn && self.hosts[host].replay.done(now) {
-                    self.replay_on(now, host);
+            Timer::ReplayFinish { host, version } => {
+                if self.hosts[host].replay.version == version && self.hosts[host].replay.done(now) {
+                    self.continue_replay(now, host);
                 }
             }
-            Timer::Arrive { to, from, upto, term } => self.arrive(now, to, from, upto, term),
-            Timer::Hold { job } => self.look_at_held(now, job),
-            Timer::Idle { conn, turn } => {
-                let Some(c) = self.conns.get(&conn).filter(|c| c.turn == turn && c.doing == Doing::Idle)
+            Timer::CommitsArrive { to, from, upto, term } => self.commits_arrived(now, to, from, upto, term),
+            Timer::RecheckHeldRead { job } => self.recheck_held_read(now, job),
+            Timer::IdleTimeout { conn, version } => {
+                let Some(c) =
+                    self.conns.get(&conn).filter(|c| c.version == version && c.state == ConnState::Idle)
                 else {
                     return;
                 };
                 let host = c.host;
                 if self.hosts[host].effects.paused {
-                    // It closes once it goes on.
-                    return self.timers.push(now + 0.05, Timer::Idle { conn, turn });
+                    // A paused process closes the connection after it resumes.
+                    return self.timers.push(now + 0.05, Timer::IdleTimeout { conn, version });
                 }
                 self.conns.remove(&conn);
                 self.hosts[host].conns.remove(&conn);
-                self.out(now, Output::Close { conn });
+                self.emit(now, Output::Close { conn });
             }
-            Timer::Rise { conn } => self.rise(now, conn),
-            Timer::FaultEnds { fault } => self.fault_ends(now, fault),
-            Timer::Look { group } => self.look(now, group),
+            Timer::BeginSetup { conn } => self.begin_setup(now, conn),
+            Timer::FaultEnds { fault } => self.end_fault(now, fault),
+            Timer::EvaluateRoles { group } => self.evaluate_roles(now, group),
         }
     }
 
-    fn look_at_held(&mut self, now: f64, job: u64) {
-        let Some(Job { host, what: What::Statement { need, held_until: Some(until), .. }, .. }) =
+    fn recheck_held_read(&mut self, now: f64, job: u64) {
+        let Some(Job { host, kind: JobKind::Statement { need, wait_until: Some(until), .. }, .. }) =
             self.jobs.get(&job)
         else {
             return;
         };
         let (host, need, until) = (*host, *need, *until);
         if self.hosts[host].effects.paused {
-            return self.timers.push(now + HOLD_LOOK, Timer::Hold { job });
+            return self.timers.push(now + HOLD_RECHECK_S, Timer::RecheckHeldRead { job });
         }
         let reached = self.position(now, host);
         if reached >= need {
-            self.begin_work(now, job, reached);
+            self.start_statement(now, job, reached);
         } else if now >= until {
-            self.refuse(now, job, "72000");
+            self.reject_job(now, job, "72000");
         } else {
-            self.timers.push((now + HOLD_LOOK).min(until), Timer::Hold { job });
+            self.timers.push((now + HOLD_RECHECK_S).min(until), Timer::RecheckHeldRead { job });
         }
     }
 
-    /// A job's work is done: this is the moment at which a statement has run.
-    fn finish(&mut self, now: f64, job: u64) {
-        let Some(Job { host, conn, what }) = self.jobs.remove(&job) else { return };
-        let What::Statement { ask, need, reached, term, .. } = what else {
+    /// Handles the end of a job; a statement takes effect at this moment.
+    fn finish_job(&mut self, now: f64, job: u64) {
+        let Some(Job { host, conn, kind }) = self.jobs.remove(&job) else { return };
+        let JobKind::Statement { request, need, reached, term, .. } = kind else {
             let Some(conn) = conn else { return };
             if self.conns.contains_key(&conn) {
-                self.idle(now, conn);
-                self.event(now, Event::Greeted { host: self.hosts[host].name.clone() });
-                self.out(now, Output::Greet { conn });
+                self.set_idle(now, conn);
+                self.record_event(now, Event::Greeted { host: self.hosts[host].name.clone() });
+                self.emit(now, Output::Greet { conn });
             }
             return;
         };
         let group = self.hosts[host].group;
-        let workload = &self.plan.workloads[ask.workload];
+        let workload = &self.plan.workloads[request.workload];
         let writes = workload.consistency == Consistency::Write;
         let (deduplicated, bytes) = (workload.effect == Effect::Deduplicated, workload.value_bytes);
         let mut position = self.position(now, host);
         if writes {
-            let leads = self.is_primary(host) && self.groups[group].roles.term == term;
-            if !leads {
-                // Its term is over: the commit is denied, and whoever asked can't tell.
+            let still_primary = self.is_primary(host) && self.groups[group].roles.term == term;
+            if !still_primary {
+                // The term is over, so the commit is rejected. From the error the client can't tell whether it took effect.
                 return match conn {
-                    Some(conn) => self.error(now, host, conn, &ask.id, "XX000"),
-                    None => self.said(now, host, &ask.id, "XX000"),
+                    Some(conn) => self.send_error(now, host, conn, &request.id, "XX000"),
+                    None => self.record_answer(now, host, &request.id, "XX000"),
                 };
             }
-            let window = self.plan.groups[group].dedup_window_s;
+            let window_s = self.plan.groups[group].dedup_window_s;
             let before = match deduplicated {
-                true => self.groups[group].repeats(now, &ask.id, window),
+                true => self.groups[group].first_run_position(now, &request.id, window_s),
                 false => None,
             };
             match before {
                 Some(first) => {
                     position = first;
-                    let (host, id) = (self.hosts[host].name.clone(), ask.id.clone());
-                    self.event(now, Event::Repeated { host, id });
+                    let (host, id) = (self.hosts[host].name.clone(), request.id.clone());
+                    self.record_event(now, Event::Repeated { host, id });
                 }
                 None => {
-                    position = self.commit(now, group, host, &ask);
+                    position = self.commit(now, group, host, &request);
                     if deduplicated {
-                        self.groups[group].remember(now, &ask.id, position);
+                        self.groups[group].remember_run(now, &request.id, position);
                     }
                 }
             }
         } else {
             let (name, workload) = (self.hosts[host].name.clone(), workload.name.clone());
-            let (id, session) = (ask.id.clone(), ask.session.clone());
+            let (id, session) = (request.id.clone(), request.session.clone());
             let ran = Event::Ran { host: name, id, workload, session, commit: None, reached, need };
-            self.event(now, ran);
+            self.record_event(now, ran);
         }
-        let Some(conn) = conn else { return self.said(now, host, &ask.id, "nobody") };
-        let spoils = self.hosts[host].effects.spoils;
-        let spoilt = self.luck.bernoulli(spoils).then(|| self.luck.below(4));
-        self.said(now, host, &ask.id, if spoilt.is_some() { "spoilt" } else { "row" });
+        let Some(conn) = conn else { return self.record_answer(now, host, &request.id, "nobody") };
+        let unusable_share = self.hosts[host].effects.unusable_share;
+        let unusable_form = self.fault_rng.bernoulli(unusable_share).then(|| self.fault_rng.below(4));
+        self.record_answer(now, host, &request.id, if unusable_form.is_some() { "spoilt" } else { "row" });
         let primary = self.is_primary(host);
-        let term = self.term_followed(host);
-        self.say(now, host, conn, Answer::Row { id: ask.id, bytes, primary, position, term }, spoilt);
+        let term = self.followed_term(host);
+        self.send_answer(
+            now,
+            host,
+            conn,
+            Answer::Row { id: request.id, bytes, primary, position, term },
+            unusable_form,
+        );
     }
 
-    fn commit(&mut self, now: f64, group: usize, host: usize, ask: &StatementRequest) -> f64 {
-        let position = self.groups[group].commit(now, &ask.id);
-        let upto = self.groups[group].end();
+    fn commit(&mut self, now: f64, group: usize, host: usize, request: &StatementRequest) -> f64 {
+        let position = self.groups[group].commit(now, &request.id);
+        let upto = self.groups[group].end_index();
         self.hosts[host].replay.receive(upto);
         self.hosts[host].replay.applied = upto;
-        if let Some(session) = &ask.session {
-            self.groups[group].mark(session, position);
+        if let Some(session) = &request.session {
+            self.groups[group].set_session_mark(session, position);
         }
         let name = self.hosts[host].name.clone();
-        let workload = self.plan.workloads[ask.workload].name.clone();
-        let (id, session) = (ask.id.clone(), ask.session.clone());
+        let workload = self.plan.workloads[request.workload].name.clone();
+        let (id, session) = (request.id.clone(), request.session.clone());
         let commit = Some(position);
         let ran = Event::Ran { host: name, id, workload, session, commit, reached: position, need: 0.0 };
-        self.event(now, ran);
-        let (term, ship) = (self.groups[group].roles.term, self.plan.groups[group].replication_delay_s);
+        self.record_event(now, ran);
+        let (term, replication_delay_s) =
+            (self.groups[group].roles.term, self.plan.groups[group].replication_delay_s);
         for to in self.groups[group].hosts.clone() {
-            if to != host && self.lives(to) {
-                self.timers.push(now + ship, Timer::Arrive { to, from: host, upto, term });
+            if to != host && self.is_alive(to) {
+                self.timers
+                    .push(now + replication_delay_s, Timer::CommitsArrive { to, from: host, upto, term });
             }
         }
         let applied =
             self.groups[group].hosts.iter().filter(|h| self.hosts[**h].readiness != Readiness::Left);
-        let least = applied.map(|h| self.hosts[*h].replay.applied).min().unwrap_or(0);
-        self.groups[group].trim(least);
+        let min_applied = applied.map(|h| self.hosts[*h].replay.applied).min().unwrap_or(0);
+        self.groups[group].trim(min_applied);
         position
     }
 
-    fn arrive(&mut self, now: f64, to: usize, from: usize, upto: u64, term: u64) {
+    fn commits_arrived(&mut self, now: f64, to: usize, from: usize, upto: u64, term: u64) {
         let group = self.hosts[to].group;
-        let spoken = self.groups[group].roles.term == term && self.is_primary(from);
-        if !spoken || !self.hosts[from].effects.heard() || !self.hosts[to].effects.heard() {
+        let from_current_primary = self.groups[group].roles.term == term && self.is_primary(from);
+        if !from_current_primary
+            || !self.hosts[from].effects.is_reachable()
+            || !self.hosts[to].effects.is_reachable()
+        {
             return;
         }
-        let base = self.groups[group].base();
+        let first_index = self.groups[group].first_index();
         let h = &mut self.hosts[to];
-        // So far behind that the log is gone: a copy of the whole.
-        h.replay.applied = h.replay.applied.max(base.min(upto));
+        // A replica that needs records which the log no longer keeps gets a full copy.
+        h.replay.applied = h.replay.applied.max(first_index.min(upto));
         h.replay.receive(upto);
-        h.linked = true;
-        h.follows = term;
-        self.replay_on(now, to);
+        h.receives_log = true;
+        h.last_seen_term = term;
+        self.continue_replay(now, to);
     }
 
-    /// The replay thread takes up the next commit.
-    fn replay_on(&mut self, now: f64, host: usize) {
+    /// Lets the replay thread begin the next commit and sets its timer.
+    fn continue_replay(&mut self, now: f64, host: usize) {
         let group = self.hosts[host].group;
-        if !self.hosts[host].effects.lives() || self.is_primary(host) {
+        if !self.hosts[host].effects.is_alive() || self.is_primary(host) {
             return;
         }
         if self.hosts[host].replay.idle_with_work() {
-            let work = self.replay[group].work(&self.plan.groups[group].apply);
+            let work = self.replay_rngs[group].work(&self.plan.groups[group].apply);
             self.hosts[host].replay.begin(now, work);
         }
         let replay = &self.hosts[host].replay;
-        if let Some(at) = replay.next() {
-            self.timers.push(at, Timer::Replay { host, turn: replay.turn });
+        if let Some(at) = replay.next_finish_at() {
+            self.timers.push(at, Timer::ReplayFinish { host, version: replay.version });
         }
     }
 
     fn resync(&mut self, now: f64, host: usize) {
         let group = self.hosts[host].group;
         let Some(from) = self.groups[group].roles.primary.filter(|p| *p != host) else { return };
-        let (upto, term) = (self.groups[group].end(), self.groups[group].roles.term);
-        let ship = self.plan.groups[group].replication_delay_s;
-        self.timers.push(now + ship, Timer::Arrive { to: host, from, upto, term });
+        let (upto, term) = (self.groups[group].end_index(), self.groups[group].roles.term);
+        let replication_delay_s = self.plan.groups[group].replication_delay_s;
+        self.timers.push(now + replication_delay_s, Timer::CommitsArrive { to: host, from, upto, term });
     }
 
-    /// Who hears the primary, after something has changed.
-    fn relink(&mut self, now: f64, group: usize) {
+    /// Updates which members receive the primary's log after a change.
+    fn update_log_links(&mut self, now: f64, group: usize) {
         let primary = self.groups[group].roles.primary;
-        let speaks = primary.is_some_and(|p| self.hosts[p].effects.heard());
+        let primary_reachable = primary.is_some_and(|p| self.hosts[p].effects.is_reachable());
         for host in self.groups[group].hosts.clone() {
-            let hears = speaks && self.hosts[host].effects.heard();
-            if self.hosts[host].linked && !hears {
-                self.hosts[host].heard_to = now - self.plan.groups[group].replication_delay_s;
-                self.hosts[host].linked = false;
-            } else if !self.hosts[host].linked && hears && Some(host) != primary {
+            let receives = primary_reachable && self.hosts[host].effects.is_reachable();
+            if self.hosts[host].receives_log && !receives {
+                self.hosts[host].log_known_until = now - self.plan.groups[group].replication_delay_s;
+                self.hosts[host].receives_log = false;
+            } else if !self.hosts[host].receives_log && receives && Some(host) != primary {
                 self.resync(now, host);
             }
         }
     }
 
-    fn look(&mut self, now: f64, group: usize) {
-        let seen: Vec<Seen> = self.groups[group]
+    fn evaluate_roles(&mut self, now: f64, group: usize) {
+        let seen: Vec<MemberState> = self.groups[group]
             .hosts
             .iter()
             .map(|host| {
                 let h = &self.hosts[*host];
-                Seen {
+                MemberState {
                     host: *host,
-                    heard: h.effects.heard() && h.readiness != Readiness::Left,
+                    is_reachable: h.effects.is_reachable() && h.readiness != Readiness::Left,
                     eligible: h.readiness == Readiness::Active,
                     received: h.replay.received,
                     applied: h.replay.applied,
                 }
             })
             .collect();
-        let steps = self.groups[group].roles.look(now, &seen);
-        for step in steps {
-            self.step(now, group, step);
+        let role_changes = self.groups[group].roles.evaluate(now, &seen);
+        for role_change in role_changes {
+            self.apply_role_change(now, group, role_change);
         }
         if let Some(at) = self.groups[group].roles.wake_at() {
-            // While a hand-over waits for the log, a look now and then.
-            self.timers.push(if at <= now { now + 0.02 } else { at }, Timer::Look { group });
+            // A hand-over that waits for a replica to catch up is checked every 20 ms.
+            self.timers.push(if at <= now { now + 0.02 } else { at }, Timer::EvaluateRoles { group });
         }
     }
 
-    fn step(&mut self, now: f64, group: usize, step: Step) {
+    fn apply_role_change(&mut self, now: f64, group: usize, role_change: RoleChange) {
         let name = self.plan.groups[group].name.clone();
-        match step {
-            Step::Close { .. } => self.groups[group].closed = true,
-            Step::Vacate => {
-                self.event(now, Event::Vacant { group: name });
-                self.relink(now, group);
+        match role_change {
+            RoleChange::CloseWrites { .. } => self.groups[group].writes_closed = true,
+            RoleChange::Vacate => {
+                self.record_event(now, Event::Vacant { group: name });
+                self.update_log_links(now, group);
             }
-            Step::Promote { host, term, keep } => {
-                self.groups[group].closed = false;
-                for record in self.groups[group].cut(keep) {
+            RoleChange::Promote { host, term, keep } => {
+                self.groups[group].writes_closed = false;
+                for record in self.groups[group].truncate(keep) {
                     let (group, id) = (name.clone(), record.id);
-                    self.event(now, Event::LostCommit { group, id, commit: record.position });
+                    self.record_event(now, Event::LostCommit { group, id, commit: record.position });
                 }
                 for other in self.groups[group].hosts.clone() {
-                    self.hosts[other].replay.cut(now, keep);
-                    self.hosts[other].linked &= other != host;
+                    self.hosts[other].replay.truncate(now, keep);
+                    self.hosts[other].receives_log &= other != host;
                 }
-                // It serves once it has applied what it had received, which takes part of the election.
+                // A new primary serves after it has applied all that it received; this is part of the election time.
                 self.hosts[host].replay.halt();
                 self.hosts[host].replay.applied = keep;
-                self.hosts[host].follows = term;
-                self.event(now, Event::Primary { group: name, host: self.hosts[host].name.clone(), term });
-                self.relist(now, host);
+                self.hosts[host].last_seen_term = term;
+                self.record_event(
+                    now,
+                    Event::Primary { group: name, host: self.hosts[host].name.clone(), term },
+                );
+                self.announce_listing(now, host);
                 for other in self.groups[group].hosts.clone() {
                     if other != host {
-                        let ship = self.plan.groups[group].replication_delay_s;
-                        if std::mem::take(&mut self.hosts[other].linked) {
-                            self.hosts[other].heard_to = now - ship;
+                        let replication_delay_s = self.plan.groups[group].replication_delay_s;
+                        if std::mem::take(&mut self.hosts[other].receives_log) {
+                            self.hosts[other].log_known_until = now - replication_delay_s;
                         }
                         self.resync(now, other);
                     }
@@ -781,18 +814,18 @@
         }
     }
 
-    fn relist(&mut self, now: f64, host: usize) {
+    fn announce_listing(&mut self, now: f64, host: usize) {
         let h = &self.hosts[host];
         let (readiness, since) = (h.readiness, h.since);
-        self.out(now, Output::List { host, readiness, since });
+        self.emit(now, Output::ListingChanged { host, readiness, since });
     }
 
-    /// Hosts that a target means now; empty where there are none.
-    pub fn targets(&self, target: &Target) -> Vec<usize> {
+    /// The hosts that a target stands for at present; can be empty.
+    pub fn resolve_target(&self, target: &Target) -> Vec<usize> {
         let group = |name: &str| self.plan.groups.iter().position(|g| g.name == name);
-        let there = |host: &usize| self.hosts[*host].readiness != Readiness::Left;
+        let not_left = |host: &usize| self.hosts[*host].readiness != Readiness::Left;
         let found: Vec<usize> = match target {
-            Target::Host(name) => self.find(name).into_iter().collect(),
+            Target::Host(name) => self.find_host(name).into_iter().collect(),
             Target::Node(name) => {
                 let node = self.machines.iter().find(|m| m.name == *name);
                 node.map_or(Vec::new(), |m| m.hosts.clone())
@@ -802,57 +835,57 @@
             }
             Target::Replica(name, n) => {
                 let members = group(name).map_or(Vec::new(), |g| self.groups[g].hosts.clone());
-                let replicas = members.into_iter().filter(there).filter(|h| !self.is_primary(*h));
+                let replicas = members.into_iter().filter(not_left).filter(|h| !self.is_primary(*h));
                 replicas.skip(*n).take(1).collect()
             }
             Target::Group(name) => group(name).map_or(Vec::new(), |g| self.groups[g].hosts.clone()),
         };
-        found.into_iter().filter(there).collect()
+        found.into_iter().filter(not_left).collect()
     }
 
-    /// A fault begins; yields the hosts it stands on.
+    /// Starts a fault and returns the hosts that it affects.
     pub fn start_fault(&mut self, now: f64, fault: Fault) -> Vec<usize> {
         self.advance(now);
-        let hosts = self.targets(&fault.target);
-        self.stand(self.now, fault, hosts.clone());
+        let hosts = self.resolve_target(&fault.target);
+        self.apply_fault(self.now, fault, hosts.clone());
         hosts
     }
 
-    fn stand(&mut self, now: f64, fault: Fault, hosts: Vec<usize>) {
-        let number = self.standing.len();
+    fn apply_fault(&mut self, now: f64, fault: Fault, hosts: Vec<usize>) {
+        let fault_id = self.injected_faults.len();
         let kind = fault.kind.clone();
         if fault.lasts.is_finite() {
-            self.timers.push(now + fault.lasts, Timer::FaultEnds { fault: number });
+            self.timers.push(now + fault.lasts, Timer::FaultEnds { fault: fault_id });
         }
-        self.standing.push(Standing { fault, hosts: hosts.clone(), over: false });
+        self.injected_faults.push(InjectedFault { fault, hosts: hosts.clone(), ended: false });
         for host in hosts {
             let name = self.hosts[host].name.clone();
-            self.event(now, Event::FaultBegins { fault: kind.word().to_string(), host: name });
-            self.hosts[host].faults.push(number);
+            self.record_event(now, Event::FaultBegins { fault: kind.name().to_string(), host: name });
+            self.hosts[host].faults.push(fault_id);
             if matches!(kind, FaultKind::Drain | FaultKind::Replace) {
-                self.drain(now, host);
+                self.announce_drain(now, host);
             }
             if kind == FaultKind::Replace {
-                self.replace(now, host);
+                self.add_replacement(now, host);
             }
-            self.settle(now, host);
+            self.apply_effects(now, host);
         }
     }
 
-    fn drain(&mut self, now: f64, host: usize) {
+    fn announce_drain(&mut self, now: f64, host: usize) {
         if self.hosts[host].readiness == Readiness::Active {
-            self.list(now, host, Readiness::Leaving);
+            self.set_readiness(now, host, Readiness::Leaving);
         }
     }
 
-    fn list(&mut self, now: f64, host: usize, readiness: Readiness) {
+    fn set_readiness(&mut self, now: f64, host: usize, readiness: Readiness) {
         self.hosts[host].readiness = readiness;
-        self.event(now, Event::Listed { host: self.hosts[host].name.clone(), readiness });
-        self.relist(now, host);
+        self.record_event(now, Event::Listed { host: self.hosts[host].name.clone(), readiness });
+        self.announce_listing(now, host);
     }
 
-    /// A machine of the same kind with a cold host of a new name.
-    fn replace(&mut self, now: f64, host: usize) {
+    /// Adds a machine of the same kind with a cold host under a new name.
+    fn add_replacement(&mut self, now: f64, host: usize) {
         self.replaced += 1;
         let (group, old) = (self.hosts[host].group, self.hosts[host].node);
         let (zone, kind) = (self.machines[old].zone.clone(), self.machines[old].kind);
@@ -861,146 +894,154 @@
         self.machines.push(machine);
         self.plan.nodes.push(Node { name: name.clone(), zone, kind });
         let node = self.machines.len() - 1;
-        let born = self.host(self.plan.host_name(group, node), group, node, now);
-        self.groups[group].hosts.push(born);
-        // It starts from a copy that was made for it.
-        let end = self.groups[group].end();
-        self.hosts[born].replay = Replay::new(end, now);
-        self.hosts[born].heard_to = now;
-        let name = self.hosts[born].name.clone();
-        self.event(now, Event::Started { host: name });
-        self.out(now, Output::Born { host: born });
-        self.list(now, born, Readiness::Active);
-        self.resync(now, born);
-    }
-
-    fn fault_ends(&mut self, now: f64, number: usize) {
-        if std::mem::replace(&mut self.standing[number].over, true) {
+        let added = self.add_host(self.plan.host_name(group, node), group, node, now);
+        self.groups[group].hosts.push(added);
+        // The host starts from a copy made for it.
+        let end = self.groups[group].end_index();
+        self.hosts[added].replay = Replay::new(end, now);
+        self.hosts[added].log_known_until = now;
+        let name = self.hosts[added].name.clone();
+        self.record_event(now, Event::Started { host: name });
+        self.emit(now, Output::HostAdded { host: added });
+        self.set_readiness(now, added, Readiness::Active);
+        self.resync(now, added);
+    }
+
+    fn end_fault(&mut self, now: f64, fault_id: usize) {
+        if std::mem::replace(&mut self.injected_faults[fault_id].ended, true) {
             return;
         }
-        let (hosts, kind) = (self.standing[number].hosts.clone(), self.standing[number].fault.kind.clone());
+        let (hosts, kind) =
+            (self.injected_faults[fault_id].hosts.clone(), self.injected_faults[fault_id].fault.kind.clone());
         for host in hosts {
-            self.hosts[host].faults.retain(|f| *f != number);
+            self.hosts[host].faults.retain(|f| *f != fault_id);
             let name = self.hosts[host].name.clone();
-            self.event(now, Event::FaultEnds { fault: kind.word().to_string(), host: name });
+            self.record_event(now, Event::FaultEnds { fault: kind.name().to_string(), host: name });
             if matches!(kind, FaultKind::Drain | FaultKind::Replace)
                 && self.hosts[host].readiness != Readiness::Left
             {
-                self.stop(now, host);
-                self.list(now, host, Readiness::Left);
-                self.out(now, Output::Down { host });
+                self.stop_process(now, host);
+                self.set_readiness(now, host, Readiness::Left);
+                self.emit(now, Output::Down { host });
             }
-            self.settle(now, host);
+            self.apply_effects(now, host);
         }
     }
 
-    /// Ends all that a process does: it has died, vanished or left.
-    fn stop(&mut self, now: f64, host: usize) {
+    /// Ends all activity of a process that has died, vanished or left.
+    fn stop_process(&mut self, now: f64, host: usize) {
         let jobs: Vec<u64> = self.jobs.iter().filter(|(_, j)| j.host == host).map(|(n, _)| *n).collect();
         let node = self.hosts[host].node;
         for job in jobs {
             self.jobs.remove(&job);
             self.machines[node].cpu.stop(now, job);
         }
-        self.rearm(node);
+        self.rearm_cpu_timer(node);
         let h = &mut self.hosts[host];
-        h.deferred.clear();
-        h.withheld.clear();
-        h.suspended.clear();
-        h.cold.clear();
+        h.deferred_inputs.clear();
+        h.withheld_outputs.clear();
+        h.suspended_jobs.clear();
+        h.cold_load.clear();
         h.replay.halt();
         for conn in std::mem::take(&mut h.conns) {
             self.conns.remove(&conn);
         }
     }
 
-    /// Brings a host into the state that its faults come to together.
-    fn settle(&mut self, now: f64, host: usize) {
+    /// Applies the combined effect of a host's active faults.
+    fn apply_effects(&mut self, now: f64, host: usize) {
         if self.hosts[host].readiness == Readiness::Left {
             return;
         }
         let (group, node) = (self.hosts[host].group, self.hosts[host].node);
         let idle = self.plan.kinds[self.machines[node].kind].idle_timeout_s;
-        let kinds = self.hosts[host].faults.iter().map(|f| &self.standing[*f].fault.kind);
+        let kinds = self.hosts[host].faults.iter().map(|f| &self.injected_faults[*f].fault.kind);
         let new = Effects::of(kinds, idle);
         let old = std::mem::replace(&mut self.hosts[host].effects, new.clone());
-        if old.lives() && !new.lives() {
-            self.stop(now, host);
+        if old.is_alive() && !new.is_alive() {
+            self.stop_process(now, host);
         }
-        match (old.silent, old.dead, new.silent, new.dead) {
-            (false, _, true, _) => self.out(now, Output::Silent { host }),
-            // What vanished and is back as nothing but a dead process resets what it left open.
-            (true, _, false, true) | (false, false, false, true) => self.out(now, Output::Down { host }),
+        match (old.unreachable, old.crashed, new.unreachable, new.crashed) {
+            (false, _, true, _) => self.emit(now, Output::Unreachable { host }),
+            // A vanished machine that is back without its process resets the connections that were left open.
+            (true, _, false, true) | (false, false, false, true) => self.emit(now, Output::Down { host }),
             _ => {}
         }
-        if !old.lives() && new.lives() {
-            self.start(now, host);
+        if !old.is_alive() && new.is_alive() {
+            self.start_process(now, host);
         }
-        if new.lives() && old.refuses != new.refuses {
-            self.out(now, if new.refuses { Output::Refuse { host } } else { Output::Admit { host } });
-        } else if new.lives() && !old.lives() && new.refuses {
-            self.out(now, Output::Refuse { host });
+        if new.is_alive() && old.refuses_connections != new.refuses_connections {
+            self.emit(
+                now,
+                if new.refuses_connections {
+                    Output::RefuseConnections { host }
+                } else {
+                    Output::AcceptConnections { host }
+                },
+            );
+        } else if new.is_alive() && !old.is_alive() && new.refuses_connections {
+            self.emit(now, Output::RefuseConnections { host });
         }
         if old.speed != new.speed {
             let hosts = self.machines[node].hosts.iter();
             let share = hosts.map(|h| self.hosts[*h].effects.speed).fold(1.0, f64::min);
             self.machines[node].cpu.set_share(now, share);
-            self.rearm(node);
+            self.rearm_cpu_timer(node);
         }
-        // Its replay thread stands still with the process, and is slow with the machine.
-        let rate = if new.heard() { new.replay * new.speed } else { 0.0 };
+        // The replay thread stops with the process and slows down with the machine.
+        let rate = if new.is_reachable() { new.replay_rate * new.speed } else { 0.0 };
         self.hosts[host].replay.set_rate(now, rate);
-        self.replay_on(now, host);
-        if new.lives() && old.lives() {
-            self.stand_still_or_go_on(now, host, old.paused, new.paused);
+        self.continue_replay(now, host);
+        if new.is_alive() && old.is_alive() {
+            self.pause_or_resume(now, host, old.paused, new.paused);
         }
         if old.hung && !new.hung {
-            for (conn, output) in std::mem::take(&mut self.hosts[host].withheld) {
+            for (conn, output) in std::mem::take(&mut self.hosts[host].withheld_outputs) {
                 if self.conns.contains_key(&conn) {
-                    self.idle(now, conn);
-                    self.out(now, output);
+                    self.set_idle(now, conn);
+                    self.emit(now, output);
                 }
             }
         }
         if old.idle_timeout_s != new.idle_timeout_s {
             for conn in self.hosts[host].conns.clone() {
-                if self.conns.get(&conn).is_some_and(|c| c.doing == Doing::Idle) {
-                    self.idle(now, conn);
+                if self.conns.get(&conn).is_some_and(|c| c.state == ConnState::Idle) {
+                    self.set_idle(now, conn);
                 }
             }
         }
-        self.relink(now, group);
-        self.look(now, group);
+        self.update_log_links(now, group);
+        self.evaluate_roles(now, group);
     }
 
-    fn stand_still_or_go_on(&mut self, now: f64, host: usize, before: bool, after: bool) {
+    fn pause_or_resume(&mut self, now: f64, host: usize, before: bool, after: bool) {
         let node = self.hosts[host].node;
         if !before && after {
             let jobs: Vec<u64> = self.jobs.iter().filter(|(_, j)| j.host == host).map(|(n, _)| *n).collect();
             for job in jobs {
-                if let Some(left) = self.machines[node].cpu.stop(now, job) {
-                    self.hosts[host].suspended.push((job, left));
+                if let Some(remaining_work) = self.machines[node].cpu.stop(now, job) {
+                    self.hosts[host].suspended_jobs.push((job, remaining_work));
                 }
             }
         } else if before && !after {
-            for (job, left) in std::mem::take(&mut self.hosts[host].suspended) {
+            for (job, remaining_work) in std::mem::take(&mut self.hosts[host].suspended_jobs) {
                 if self.jobs.contains_key(&job) {
-                    self.machines[node].cpu.start(now, job, left);
+                    self.machines[node].cpu.start(now, job, remaining_work);
                 }
             }
-            for (conn, input) in std::mem::take(&mut self.hosts[host].deferred) {
-                self.take(now, host, conn, input);
+            for (conn, input) in std::mem::take(&mut self.hosts[host].deferred_inputs) {
+                self.handle_input(now, host, conn, input);
             }
         }
-        self.rearm(node);
+        self.rearm_cpu_timer(node);
     }
 
-    /// A process begins, cold.
-    fn start(&mut self, now: f64, host: usize) {
+    /// Starts a process, which is cold at first.
+    fn start_process(&mut self, now: f64, host: usize) {
         self.hosts[host].since = now;
-        self.hosts[host].cold.clear();
-        self.out(now, Output::Up { host });
-        self.event(now, Event::Started { host: self.hosts[host].name.clone() });
-        self.relist(now, host);
+        self.hosts[host].cold_load.clear();
+        self.emit(now, Output::Up { host });
+        self.record_event(now, Event::Started { host: self.hosts[host].name.clone() });
+        self.announce_listing(now, host);
     }
 }
--- a/crates/sandstile-fleet/src/group.rs
+++ b/crates/sandstile-fleet/src/group.rs
@@ -1,4 +1,5 @@
-//! What the members of a group share: the log, the roles, and what is remembered of sessions and repeats.
+//! State that the members of a group share: the log, the roles, the session marks and the statements known for
+//! deduplication.
 use crate::plan;
 use crate::roles::Roles;
 use std::collections::{BTreeMap, VecDeque};
@@ -11,89 +12,90 @@
 pub(crate) struct Group {
     pub roles: Roles,
     pub hosts: Vec<usize>,
-    /// The primary takes no writes while it hands over.
-    pub closed: bool,
+    /// The primary rejects writes during a hand-over.
+    pub writes_closed: bool,
     records: VecDeque<Record>,
-    /// How many commits came before the first that is kept.
-    base: u64,
-    last: f64,
+    /// Log index of the first record that is kept.
+    first_index: u64,
+    last_position: f64,
     marks: BTreeMap<String, f64>,
-    /// Ids of deduplicated statements, and when they ran first.
-    seen: BTreeMap<String, (f64, f64)>,
-    seen_order: VecDeque<(f64, String)>,
+    /// Ids of deduplicated statements, with the time and the position of their first run.
+    first_runs: BTreeMap<String, (f64, f64)>,
+    first_run_order: VecDeque<(f64, String)>,
 }
 
-/// Commits kept for replicas; one that lies further behind is given a copy of the whole.
-const MOST_RECORDS: usize = 200_000;
-/// Sessions remembered; beyond them those that wrote longest ago are let go.
-const MOST_MARKS: usize = 100_000;
-/// One position on the wire: they are whole milliseconds there.
-pub(crate) const STEP: f64 = 0.001;
+/// Records kept for replicas; a replica further behind gets a full copy instead.
+const MAX_RECORDS: usize = 200_000;
+/// Upper bound on session marks; above it the half with the oldest writes is dropped.
+const MAX_MARKS: usize = 100_000;
+/// Resolution of positions: on the wire they are whole milliseconds.
+pub(crate) const POSITION_STEP_S: f64 = 0.001;
 
 impl Group {
     pub fn new(plan: &plan::Group, primary: usize, hosts: Vec<usize>) -> Self {
         Group {
             roles: Roles::new(primary, plan.detect_s, plan.elect_s),
             hosts,
-            closed: false,
+            writes_closed: false,
             records: VecDeque::new(),
-            base: 0,
-            last: 0.0,
+            first_index: 0,
+            last_position: 0.0,
             marks: BTreeMap::new(),
-            seen: BTreeMap::new(),
-            seen_order: VecDeque::new(),
+            first_runs: BTreeMap::new(),
+            first_run_order: VecDeque::new(),
         }
     }
 
-    pub fn end(&self) -> u64 {
-        self.base + self.records.len() as u64
+    pub fn end_index(&self) -> u64 {
+        self.first_index + self.records.len() as u64
     }
 
-    pub fn base(&self) -> u64 {
-        self.base
+    pub fn first_index(&self) -> u64 {
+        self.first_index
     }
 
-    /// The position of the commit at this place of the log.
-    pub fn position(&self, at: u64) -> Option<f64> {
-        self.records.get(at.checked_sub(self.base)? as usize).map(|r| r.position)
+    /// The position of the commit at this log index.
+    pub fn position_at(&self, index: u64) -> Option<f64> {
+        self.records.get(index.checked_sub(self.first_index)? as usize).map(|r| r.position)
     }
 
-    /// Appends a commit. Its position is never before its time, so that whoever has come as far has it.
+    /// Appends a commit and returns its position. The position is never earlier than `now`, so that every replica that
+    /// reports the position has applied the commit.
     pub fn commit(&mut self, now: f64, id: &str) -> f64 {
-        let whole = (now / STEP - 1e-6).ceil() * STEP;
-        let position = whole.max(self.last + STEP);
-        // Whole milliseconds again, whatever adding has rounded.
-        self.last = (position / STEP).round() * STEP;
-        self.records.push_back(Record { position: self.last, id: id.to_string() });
-        if self.records.len() > MOST_RECORDS {
+        let rounded_up = (now / POSITION_STEP_S - 1e-6).ceil() * POSITION_STEP_S;
+        let position = rounded_up.max(self.last_position + POSITION_STEP_S);
+        // Removes the rounding error of the addition: positions stay whole milliseconds.
+        self.last_position = (position / POSITION_STEP_S).round() * POSITION_STEP_S;
+        self.records.push_back(Record { position: self.last_position, id: id.to_string() });
+        if self.records.len() > MAX_RECORDS {
             self.records.pop_front();
-            self.base += 1;
+            self.first_index += 1;
         }
-        self.last
+        self.last_position
     }
 
-    /// Drops what all have applied.
+    /// Drops records that all members have applied, but keeps the latest 1000.
     pub fn trim(&mut self, applied_by_all: u64) {
-        while self.base < applied_by_all && self.records.len() > 1000 {
+        while self.first_index < applied_by_all && self.records.len() > 1000 {
             self.records.pop_front();
-            self.base += 1;
+            self.first_index += 1;
         }
     }
 
-    /// Drops all commits from this place on, and yields them.
-    pub fn cut(&mut self, at: u64) -> Vec<Record> {
-        let keep = at.saturating_sub(self.base) as usize;
+    /// Removes and returns all commits from this log index on.
+    pub fn truncate(&mut self, index: u64) -> Vec<Record> {
+        let keep = index.saturating_sub(self.first_index) as usize;
         let lost: Vec<Record> = self.records.drain(keep.min(self.records.len())..).collect();
         for record in &lost {
-            // A repeat of what was lost is to have its effect.
-            self.seen.remove(&record.id);
+            // A repeat of a lost statement must take effect again.
+            self.first_runs.remove(&record.id);
         }
         lost
     }
 
-    pub fn mark(&mut self, session: &str, position: f64) {
+    pub fn set_session_mark(&mut self, session: &str, position: f64) {
         self.marks.insert(session.to_string(), position);
-        if self.marks.len() > MOST_MARKS {
+        if self.marks.len() > MAX_MARKS {
             let mut all: Vec<f64> = self.marks.values().copied().collect();
             let middle = all.len() / 2;
             let (_, median, _) = all.select_nth_unstable_by(middle, f64::total_cmp);
@@ -102,24 +104,24 @@
         }
     }
 
-    pub fn marked(&self, session: &str) -> f64 {
+    pub fn session_mark(&self, session: &str) -> f64 {
         self.marks.get(session).copied().unwrap_or(0.0)
     }
 
-    /// The position that a deduplicated statement got when it ran first, if that is remembered.
-    pub fn repeats(&mut self, now: f64, id: &str, window: f64) -> Option<f64> {
-        while self.seen_order.front().is_some_and(|(at, _)| *at < now - window) {
-            if let Some((at, id)) = self.seen_order.pop_front() {
-                if self.seen.get(&id).is_some_and(|(first, _)| *first == at) {
-                    self.seen.remove(&id);
+    /// The position of the first run of a deduplicated statement, if it ran within the window.
+    pub fn first_run_position(&mut self, now: f64, id: &str, window_s: f64) -> Option<f64> {
+        while self.first_run_order.front().is_some_and(|(at, _)| *at < now - window_s) {
+            if let Some((at, id)) = self.first_run_order.pop_front() {
+                if self.first_runs.get(&id).is_some_and(|(first, _)| *first == at) {
+                    self.first_runs.remove(&id);
                 }
             }
         }
-        self.seen.get(id).map(|(_, position)| *position)
+        self.first_runs.get(id).map(|(_, position)| *position)
     }
 
-    pub fn remember(&mut self, now: f64, id: &str, position: f64) {
-        self.seen.insert(id.to_string(), (now, position));
-        self.seen_order.push_back((now, id.to_string()));
+    pub fn remember_run(&mut self, now: f64, id: &str, position: f64) {
+        self.first_runs.insert(id.to_string(), (now, position));
+        self.first_run_order.push_back((now, id.to_string()));
     }
 }
--- a/crates/sandstile-fleet/src/lib.rs
+++ b/crates/sandstile-fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! A model of a fleet of database hosts. Pure: it opens nothing, starts nothing and reads no clock. It takes
-//! inputs with their time, says what comes out (`Output`) and what happened inside (`Event`), and when it wants to
-//! be woken. The emulator drives it on sockets; tests and later models drive it in virtual time.
+//! A model of a fleet of database hosts. It performs no I/O, starts no threads and reads no clock. Its driver passes
+//! inputs with their times and receives outputs (`Output`), a record of what happened inside (`Event`) and the time
+//! of the next wake-up. The emulator drives it on sockets; the tests and the simulation drive it in virtual time.
 //!
-//! All times are seconds as f64 on the driver's clock, work is seconds of one core at speed 1, positions are
-//! the times of commits.
+//! Times are f64 seconds on the driver's clock, work is measured in seconds of one core at speed 1, and positions are
+//! commit times.
 pub mod cpu;
 pub mod event;
 pub mod fault;
--- a/crates/sandstile-fleet/src/machine.rs
+++ b/crates/sandstile-fleet/src/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: its cores, and which hosts have them.
+//! One machine: its cores and the hosts that share them.
 use crate::cpu::Cpu;
 use crate::plan::MachineKind;
 
@@ -8,13 +8,13 @@
     pub kind: usize,
     pub cpu: Cpu,
     pub hosts: Vec<usize>,
-    /// Raised with each change of the cores' work, so that a timer of before says nothing.
-    pub turn: u64,
+    /// Incremented with each change of the jobs on the cores, so that timers set before are ignored.
+    pub version: u64,
 }
 
 impl Machine {
-    pub fn new(name: &str, zone: &str, kind: usize, of: &MachineKind, now: f64) -> Self {
-        let cpu = Cpu::new(of.discipline, &of.cores, of.queue, now);
-        Machine { name: name.to_string(), zone: zone.to_string(), kind, cpu, hosts: Vec::new(), turn: 0 }
+    pub fn new(name: &str, zone: &str, kind: usize, kind_plan: &MachineKind, now: f64) -> Self {
+        let cpu = Cpu::new(kind_plan.discipline, &kind_plan.cores, kind_plan.queue, now);
+        Machine { name: name.to_string(), zone: zone.to_string(), kind, cpu, hosts: Vec::new(), version: 0 }
     }
 }
