--- a/crates/sandstile-emulator/src/run.rs
+++ b/crates/sandstile-emulator/src/run.rs
@@ -1,4 +1,4 @@
-//! The event loop that connects the model, the script's director and the sockets. One thread owns them; it communicates
+//! The event loop that connects the model, the cue scheduler of the script and the sockets. One thread owns them; it communicates
 //! with other threads over channels.
 use crate::agent::{self, AgentRequest, Catalog, Entry};
 use crate::clock::Clock;
@@ -8,15 +8,15 @@
 use hdrhistogram::Histogram;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use sandstile_faults::fault_state::Where;
-use sandstile_faults::process::Whom;
-use sandstile_faults::{Blow, End, Strike};
+use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::process::ProcessSelector;
+use sandstile_faults::{ProcessFault, Endpoint, LinkFault};
 use sandstile_fleet::plan::Consistency;
 use sandstile_fleet::{Answer, Event, Fault, FaultKind, Fleet, Input, Output, Readiness};
 use sandstile_pgwire as pg;
 use sandstile_relay::Relay;
-use sandstile_scenario::script::{Act, AgentFault};
-use sandstile_scenario::{Director, Happening, Script};
+use sandstile_scenario::script::{CueAction, AgentFault};
+use sandstile_scenario::{CueScheduler, ScenarioEvent, Script};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind, Read, Write};
@@ -84,7 +84,7 @@
     /// The agents have moved to these addresses, one per router; the routers have to be told.
     AgentsMoved(Vec<SocketAddr>),
     /// A process fault has to be applied to router processes.
-    Process { name: String, whom: Whom, blow: Blow, spread: f64 },
+    Process { name: String, selector: ProcessSelector, process_fault: ProcessFault, spread: f64 },
     /// A cue found no target.
     NoTarget(String),
 }
@@ -203,7 +203,7 @@
     next_token: usize,
     fleet: Fleet,
     workloads: Vec<String>,
-    director: Option<Director>,
+    cue_scheduler: Option<CueScheduler>,
     hosts: Vec<HostSocket>,
     conns: BTreeMap<usize, Conn>,
     catalog: Catalog,
@@ -288,7 +288,7 @@
             token_owners: BTreeMap::from([(0, TokenOwner::Wake)]),
             next_token: 1,
             fleet,
-            director: None,
+            cue_scheduler: None,
             hosts: Vec::new(),
             conns: BTreeMap::new(),
             catalog: Catalog::default(),
@@ -308,7 +308,7 @@
             late_us: Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds"),
             max_connections: 0,
         };
-        if script.cues.iter().any(|c| matches!(c.act, Act::Link { .. })) {
+        if script.cues.iter().any(|c| matches!(c.action, CueAction::Link { .. })) {
             emulator.relay = Some(Relay::start(script.plan.seed)?);
         }
         let now = emulator.clock.now();
@@ -322,17 +322,17 @@
         emulator.start_agents()?;
         if let Some(relay) = emulator.relay.as_ref().filter(|_| script.routers.members) {
             let relay_spot = |n: usize| {
-                let (at, found_at) = members_address(net.0, n, true);
-                sandstile_relay::Spot { end: End::Router(n), found_at, at }
+                let (address, relay_address) = members_address(net.0, n, true);
+                sandstile_relay::HubMember { endpoint: Endpoint::Router(n), relay_address, address }
             };
             relay.hub((0..script.routers.count).map(relay_spot).collect())?;
         }
         if let Some(relay) = emulator.relay.as_ref().filter(|_| script.sessions.exchange) {
             let all = 0..script.routers.count;
-            for (by, number) in all.clone().flat_map(|by| all.clone().map(move |n| (by, n))) {
-                if by != number {
-                    let (at, found_at) = exchange_address(net.0, number, by, true);
-                    relay.stream(End::Router(by), End::Router(number), found_at, at)?;
+            for (peer, number) in all.clone().flat_map(|peer| all.clone().map(move |n| (peer, n))) {
+                if peer != number {
+                    let (listen_address, advertised_address) = exchange_address(net.0, number, peer, true);
+                    relay.stream(Endpoint::Router(peer), Endpoint::Router(number), advertised_address, listen_address)?;
                 }
             }
         }
@@ -367,12 +367,12 @@
         self.listen(host)?;
         let Some(relay) = &self.relay else { return Ok(()) };
         let listing = self.fleet.listing(host);
-        let end = End::Host { name: listing.name.clone(), group: listing.group, zone: listing.zone };
+        let end = Endpoint::Host { name: listing.name.clone(), group: listing.group, zone: listing.zone };
         for router in 0..self.script.routers.count {
-            if self.script.relayed(&End::Router(router), &end) {
+            if self.script.needs_relay(&Endpoint::Router(router), &end) {
                 let mut listen = address;
                 listen.set_port(RELAY_PORT + router as u16);
-                relay.stream(End::Router(router), end.clone(), listen, address)?;
+                relay.stream(Endpoint::Router(router), end.clone(), listen, address)?;
                 self.relayed_addresses.insert((router, listing.name.clone()), listen);
             }
         }
@@ -383,10 +383,10 @@
     fn client_address(&self, router: usize) -> io::Result<SocketAddr> {
         let address = router_address(self.net.0, router);
         match &self.relay {
-            Some(relay) if self.script.relayed(&End::Clients, &End::Router(router)) => {
+            Some(relay) if self.script.needs_relay(&Endpoint::Clients, &Endpoint::Router(router)) => {
                 let mut listen = address;
                 listen.set_port(RELAY_PORT);
-                relay.stream(End::Clients, End::Router(router), listen, address)?;
+                relay.stream(Endpoint::Clients, Endpoint::Router(router), listen, address)?;
                 Ok(listen)
             }
             _ => Ok(address),
@@ -423,9 +423,9 @@
             self.poll.registry().register(&mut listener, Token(token), Interest::READABLE)?;
             let mut advertised = address;
             if let Some(relay) = &self.relay {
-                if self.script.relayed(&End::Router(router), &End::Agent(router)) {
+                if self.script.needs_relay(&Endpoint::Router(router), &Endpoint::Agent(router)) {
                     advertised.set_port(RELAY_PORT);
-                    relay.stream(End::Router(router), End::Agent(router), advertised, address)?;
+                    relay.stream(Endpoint::Router(router), Endpoint::Agent(router), advertised, address)?;
                 }
             }
             self.agents.push((advertised, token, listener));
@@ -473,7 +473,7 @@
         loop {
             while let Ok(command) = commands.try_recv() {
                 match command {
-                    Command::StartScript(at) => self.director = Some(Director::new(&self.script.cues, at)),
+                    Command::StartScript(at) => self.cue_scheduler = Some(CueScheduler::new(&self.script.cues, at)),
                     Command::Stop => return self.summary(),
                 }
             }
@@ -498,7 +498,7 @@
     }
 
     fn summary(&mut self) -> io::Result<Summary> {
-        let missed = self.director.iter().flat_map(|d| d.missed()).map(|c| c.name.clone()).collect();
+        let missed = self.cue_scheduler.iter().flat_map(|d| d.missed_cues()).map(|c| c.name.clone()).collect();
         let relay = self.relay.take().map(Relay::stop).transpose()?;
         Ok(Summary { late_us: self.late_us.clone(), missed, max_connections: self.max_connections, relay })
     }
@@ -512,7 +512,7 @@
             .map(|conn| conn.closes_at.min(conn.next_keepalive.max(silent)))
             .reduce(f64::min);
         let next_change = self.catalog.next_change_at().map(|at| at.max(silent));
-        let next_cue = self.director.as_ref().and_then(Director::next);
+        let next_cue = self.cue_scheduler.as_ref().and_then(CueScheduler::next_due);
         [self.fleet.next_wake(), next_cue_end, next_agent_wake, next_change, next_cue]
             .into_iter()
             .flatten()
@@ -538,21 +538,21 @@
             let mut progressed = false;
             while let Some((t, event)) = self.fleet.next_event() {
                 progressed = true;
-                self.report_to_director(now, &event);
+                self.report_to_cue_scheduler(now, &event);
                 let _ = self.trace.send(Record { t, what: TraceEvent::Fleet(event) });
             }
             while let Some(index) = self.cue_ends.iter().position(|(at, _)| *at <= now) {
                 let (_, cue) = self.cue_ends.swap_remove(index);
                 let link =
-                    self.director.as_ref().map(|d| d.cue(cue)).filter(|c| matches!(c.act, Act::Link { .. }));
+                    self.cue_scheduler.as_ref().map(|d| d.cue(cue)).filter(|c| matches!(c.action, CueAction::Link { .. }));
                 if let (Some(relay), Some(name)) = (&self.relay, link.map(|c| c.name.clone())) {
                     relay.heal(cue);
                     self.record(now, EmulatorEvent::LinkEnds { name });
                 }
-                self.notify_director(now, &Happening::Ended { cue });
+                self.notify_cue_scheduler(now, &ScenarioEvent::CueEnded { cue });
                 progressed = true;
             }
-            while let Some(cue) = self.director.as_mut().and_then(|d| d.due(now)) {
+            while let Some(cue) = self.cue_scheduler.as_mut().and_then(|d| d.take_due(now)) {
                 self.execute_cue(now, cue)?;
                 progressed = true;
             }
@@ -570,29 +570,29 @@
         }
     }
 
-    fn notify_director(&mut self, now: f64, happening: &Happening) {
-        if let Some(director) = &mut self.director {
-            director.happened(now, happening);
+    fn notify_cue_scheduler(&mut self, now: f64, scenario_event: &ScenarioEvent) {
+        if let Some(cue_scheduler) = &mut self.cue_scheduler {
+            cue_scheduler.record_event(now, scenario_event);
         }
     }
 
-    fn report_to_director(&mut self, now: f64, event: &Event) {
+    fn report_to_cue_scheduler(&mut self, now: f64, event: &Event) {
         let index = |name: &String| self.workloads.iter().position(|w| w == name).unwrap_or(0);
-        let happening = match event {
-            Event::Taken { workload, .. } => Happening::Begun { workload: index(workload) },
-            Event::Ran { workload, .. } => Happening::Ran { workload: index(workload) },
-            Event::Primary { group, .. } => Happening::Primary { group: group.clone() },
+        let scenario_event = match event {
+            Event::Taken { workload, .. } => ScenarioEvent::Received { workload: index(workload) },
+            Event::Ran { workload, .. } => ScenarioEvent::Executed { workload: index(workload) },
+            Event::Primary { group, .. } => ScenarioEvent::PrimaryElected { group: group.clone() },
             _ => return,
         };
-        self.notify_director(now, &happening);
+        self.notify_cue_scheduler(now, &scenario_event);
     }
 
     fn execute_cue(&mut self, now: f64, cue: usize) -> io::Result<()> {
-        let Some(director) = &self.director else { return Ok(()) };
-        let (name, act) = (director.cue(cue).name.clone(), director.act(cue).clone());
+        let Some(cue_scheduler) = &self.cue_scheduler else { return Ok(()) };
+        let (name, action) = (cue_scheduler.cue(cue).name.clone(), cue_scheduler.action(cue).clone());
         let mut on = Vec::new();
-        let lasts = match act {
-            Act::Fault { kind, target, lasts } => {
+        let duration_s = match action {
+            CueAction::Fault { kind, target, duration_s } => {
                 let drains = matches!(kind, FaultKind::Drain | FaultKind::Replace);
                 // Recorded before the fault starts, so that the following change of the list is attributed to this cue.
                 let hosts = self.fleet.resolve_target(&target);
@@ -600,21 +600,21 @@
                 if drains {
                     self.announcing_cues.extend(on.iter().map(|host| (host.clone(), cue)));
                 }
-                self.fleet.start_fault(now, Fault { kind, target, lasts });
+                self.fleet.start_fault(now, Fault { kind, target, duration_s });
                 if on.is_empty() {
                     let _ = self.notifications.send(Notification::NoTarget(name.clone()));
                 }
-                lasts
+                duration_s
             }
-            Act::Agent { kind: AgentFault::Silent, lasts } => {
-                self.silent_until = now + lasts;
-                lasts
+            CueAction::Agent { kind: AgentFault::Silent, duration_s } => {
+                self.silent_until = now + duration_s;
+                duration_s
             }
-            Act::Agent { kind: AgentFault::Delay(s), lasts } => {
-                (self.delay, self.delay_until) = (s, now + lasts);
-                lasts
+            CueAction::Agent { kind: AgentFault::Delay(s), duration_s } => {
+                (self.delay, self.delay_until) = (s, now + duration_s);
+                duration_s
             }
-            Act::Agent { kind: AgentFault::Move, .. } => {
+            CueAction::Agent { kind: AgentFault::Move, .. } => {
                 self.agent_moves += 1;
                 self.start_agents()?;
                 self.agent_conns
@@ -624,64 +624,64 @@
                 let _ = self.notifications.send(Notification::AgentsMoved(addresses));
                 f64::INFINITY
             }
-            Act::Link { at, strike, lasts } => {
+            CueAction::Link { scope, link_fault, duration_s } => {
                 if let Some(relay) = &self.relay {
-                    relay.begin(cue, at.clone(), strike);
+                    relay.begin(cue, scope.clone(), link_fault);
                 }
-                let on = self.affected_ends(&at);
-                let severs = self.severed_pairs(&at, strike);
+                let on = self.affected_ends(&scope);
+                let severs = self.severed_pairs(&scope, link_fault);
                 self.record(now, EmulatorEvent::LinkBegins { name: name.clone(), on, severs });
-                lasts
+                duration_s
             }
-            Act::Process { whom, blow, spread } => {
+            CueAction::Process { selector, process_fault, spread } => {
                 let _ =
-                    self.notifications.send(Notification::Process { name: name.clone(), whom, blow, spread });
+                    self.notifications.send(Notification::Process { name: name.clone(), selector, process_fault, spread });
                 spread
-                    + match blow {
-                        Blow::Restart { back, .. } => back,
-                        Blow::Stop { lasts } | Blow::Slow { lasts, .. } => lasts,
-                        Blow::Copy => 0.0,
+                    + match process_fault {
+                        ProcessFault::Restart { back, .. } => back,
+                        ProcessFault::Stop { duration_s } | ProcessFault::Slow { duration_s, .. } => duration_s,
+                        ProcessFault::SaveState => 0.0,
                     }
             }
         };
         self.record(now, EmulatorEvent::Cue { name, on });
-        self.notify_director(now, &Happening::Began { cue });
-        if lasts.is_finite() {
-            self.cue_ends.push((now + lasts, cue));
+        self.notify_cue_scheduler(now, &ScenarioEvent::CueBegan { cue });
+        if duration_s.is_finite() {
+            self.cue_ends.push((now + duration_s, cue));
         }
         Ok(())
     }
 
     /// Pairs of routers (from, to) between which nothing gets through under this link fault.
-    fn severed_pairs(&self, at: &Where, strike: Strike) -> Vec<(usize, usize)> {
-        if !matches!(strike, Strike::Cut | Strike::Reset) {
+    fn severed_pairs(&self, scope: &FaultScope, link_fault: LinkFault) -> Vec<(usize, usize)> {
+        if !matches!(link_fault, LinkFault::Cut | LinkFault::Reset) {
             return Vec::new();
         }
         let all = 0..self.script.routers.count;
         let pairs = all.clone().flat_map(|a| all.clone().map(move |b| (a, b)));
-        pairs.filter(|(a, b)| a != b && at.touches(&End::Router(*a), &End::Router(*b))).collect()
+        pairs.filter(|(a, b)| a != b && scope.affects(&Endpoint::Router(*a), &Endpoint::Router(*b))).collect()
     }
 
     /// The kinds of link ends that a link fault affects, for the audit of the run.
-    fn affected_ends(&self, at: &Where) -> Vec<&'static str> {
-        let routers = || (0..self.script.routers.count).map(End::Router);
+    fn affected_ends(&self, scope: &FaultScope) -> Vec<&'static str> {
+        let routers = || (0..self.script.routers.count).map(Endpoint::Router);
         let hosts = (0..self.fleet.host_count()).map(|h| self.fleet.listing(h));
-        let hosts: Vec<End> = hosts
-            .map(|listing| End::Host { name: listing.name, group: listing.group, zone: listing.zone })
+        let hosts: Vec<Endpoint> = hosts
+            .map(|listing| Endpoint::Host { name: listing.name, group: listing.group, zone: listing.zone })
             .collect();
-        let affects = |ends_of: &dyn Fn(usize) -> Vec<End>| {
+        let affects = |ends_of: &dyn Fn(usize) -> Vec<Endpoint>| {
             routers()
                 .enumerate()
-                .any(|(n, r)| ends_of(n).iter().any(|end| r.talks_to(end) && at.concerns(&r, end)))
+                .any(|(n, r)| ends_of(n).iter().any(|end| r.talks_to(end) && scope.affects_either_way(&r, end)))
         };
         let mut on = Vec::new();
-        if affects(&|_| vec![End::Clients]) {
+        if affects(&|_| vec![Endpoint::Clients]) {
             on.push("clients");
         }
         if affects(&|_| hosts.clone()) {
             on.push("hosts");
         }
-        if affects(&|n| vec![End::Agent(n)]) {
+        if affects(&|n| vec![Endpoint::Agent(n)]) {
             on.push("agents");
         }
         if affects(&|_| routers().collect()) {
@@ -771,14 +771,14 @@
         let mut bytes = Vec::new();
         protocol::write_answer(answer, &name, &mut bytes);
         let partial_answer_workload =
-            workload.filter(|w| self.director.as_ref().is_some_and(|d| d.looks_for_halves(*w)));
+            workload.filter(|w| self.cue_scheduler.as_ref().is_some_and(|d| d.awaits_partial_answer(*w)));
         if let Some(workload) = partial_answer_workload {
             // The row description and part of the row.
             let split_at = bytes.len() / 3;
             self.write_to(token, |out| out.extend_from_slice(&bytes[..split_at]));
             let now = self.clock.now();
-            self.notify_director(now, &Happening::HalfSaid { workload });
-            while let Some(cue) = self.director.as_mut().and_then(|d| d.due(now)) {
+            self.notify_cue_scheduler(now, &ScenarioEvent::PartlyAnswered { workload });
+            while let Some(cue) = self.cue_scheduler.as_mut().and_then(|d| d.take_due(now)) {
                 self.execute_cue(now, cue)?;
             }
             bytes.drain(..split_at);
@@ -819,7 +819,7 @@
     /// Handles a connection that the peer has closed.
     fn connection_lost(&mut self, token: usize) {
         let now = self.clock.now();
-        if let Some(c) = self.conns.get(&token).filter(|c| self.script.planted && c.workload.is_some()) {
+        if let Some(c) = self.conns.get(&token).filter(|c| self.script.planted_defect && c.workload.is_some()) {
             self.deny_next_write.insert(c.host);
         }
         self.fleet.input(now, token as u64, Input::Closed);
@@ -891,7 +891,7 @@
     fn read_conn(&mut self, token: usize) -> io::Result<()> {
         let mut bytes = [0; 4096];
         loop {
-            let read_in_pieces = self.director.as_ref().is_some_and(Director::looks_for_parts);
+            let read_in_pieces = self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement);
             let Some(c) = self.conns.get_mut(&token).filter(|c| !c.unresponsive) else { return Ok(()) };
             let read_limit = if read_in_pieces { PARTIAL_READ_BYTES } else { bytes.len() };
             match c.stream.read(&mut bytes[..read_limit]) {
@@ -928,7 +928,7 @@
     /// Reports a partially received statement, for which cues may wait.
     fn check_partial_statement(&mut self, token: usize) -> io::Result<()> {
         let Some(c) = self.conns.get_mut(&token).filter(|c| !c.part_reported) else { return Ok(()) };
-        if c.reader.buffered_bytes() == 0 || !self.director.as_ref().is_some_and(Director::looks_for_parts) {
+        if c.reader.buffered_bytes() == 0 || !self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement) {
             return Ok(());
         }
         let Some(workload) =
@@ -940,7 +940,7 @@
         let (now, host) = (self.clock.now(), c.host);
         let (host, name) = (self.fleet.listing(host).name, self.workloads[workload].clone());
         self.record(now, EmulatorEvent::Part { host, workload: name });
-        self.notify_director(now, &Happening::Arriving { workload });
+        self.notify_cue_scheduler(now, &ScenarioEvent::PartlyReceived { workload });
         self.process_events()
     }
 
@@ -1064,7 +1064,7 @@
                 .copied()
                 .filter(|_| entry.readiness == Readiness::Leaving);
             if let Some(cue) = announcing_cue {
-                self.notify_director(now, &Happening::Announced { cue });
+                self.notify_cue_scheduler(now, &ScenarioEvent::CueAnnounced { cue });
             }
         }
     }
--- a/crates/sandstile-fleet/src/fault.rs
+++ b/crates/sandstile-fleet/src/fault.rs
@@ -79,7 +79,7 @@
     pub kind: FaultKind,
     pub target: Target,
     /// Duration in seconds; infinite for a fault without an end.
-    pub lasts: f64,
+    pub duration_s: f64,
 }
 
 /// The combined effect of all faults that are active on one host.
--- a/crates/sandstile-fleet/src/fleet.rs
+++ b/crates/sandstile-fleet/src/fleet.rs
@@ -460,7 +460,7 @@
         let name = self.hosts[host].name.clone();
         if multiple > most {
             self.record_event(now, Event::Tipped { host: name, multiple, most });
-            let fault = Fault { kind: FaultKind::Crash, target: Target::Host(String::new()), lasts: restart };
+            let fault = Fault { kind: FaultKind::Crash, target: Target::Host(String::new()), duration_s: restart };
             self.apply_fault(now, fault, vec![host]);
         } else if multiple > self.hosts[host].cold_load.peak + 0.25 {
             self.hosts[host].cold_load.peak = multiple;
@@ -854,8 +854,8 @@
     fn apply_fault(&mut self, now: f64, fault: Fault, hosts: Vec<usize>) {
         let fault_id = self.injected_faults.len();
         let kind = fault.kind.clone();
-        if fault.lasts.is_finite() {
-            self.timers.push(now + fault.lasts, Timer::FaultEnds { fault: fault_id });
+        if fault.duration_s.is_finite() {
+            self.timers.push(now + fault.duration_s, Timer::FaultEnds { fault: fault_id });
         }
         self.injected_faults.push(InjectedFault { fault, hosts: hosts.clone(), ended: false });
         for host in hosts {
--- a/crates/sandstile-fleet/tests/driver/mod.rs
+++ b/crates/sandstile-fleet/tests/driver/mod.rs
@@ -134,8 +134,8 @@
         self.collect();
     }
 
-    pub fn start_fault(&mut self, kind: FaultKind, host: &str, lasts: f64) {
-        let fault = Fault { kind, target: Target::Host(host.to_string()), lasts };
+    pub fn start_fault(&mut self, kind: FaultKind, host: &str, duration_s: f64) {
+        let fault = Fault { kind, target: Target::Host(host.to_string()), duration_s };
         assert!(!self.fleet.start_fault(self.now, fault).is_empty(), "{host}");
         self.collect();
     }
--- a/crates/sandstile-fleet/tests/theory.rs
+++ b/crates/sandstile-fleet/tests/theory.rs
@@ -138,7 +138,7 @@
             let target = sandstile_fleet::Target::Host(driver.fleet.listing(host).name);
             driver.fleet.start_fault(
                 driver.now,
-                sandstile_fleet::Fault { kind, target, lasts: rng.exponential(1.0) },
+                sandstile_fleet::Fault { kind, target, duration_s: rng.exponential(1.0) },
             );
         }
         let session = format!("u{}", rng.below(20));
--- a/crates/sandstile-simulation/tests/world.rs
+++ b/crates/sandstile-simulation/tests/world.rs
@@ -197,7 +197,7 @@
                 [n % 4]
                 .clone();
             let target = Target::Host(world.fleet.listing(host).name);
-            world.fleet.start_fault(fault_time, Fault { kind, target, lasts: 0.8 });
+            world.fleet.start_fault(fault_time, Fault { kind, target, duration_s: 0.8 });
         }
         world.run_until(&mut workers, EPOCH + 20.0);
         let tally = &workers.tally;
