--- a/crates/sandstile-emulator/src/protocol.rs
+++ b/crates/sandstile-emulator/src/protocol.rs
@@ -67,8 +67,8 @@
     workloads.iter().position(|w| w == name)
 }
 
-/// The value that a host returns for a statement. It contains the statement's id, so that an answer to another statement
-/// is recognised.
+/// The value that a host returns for a statement. It contains the statement's id, so that an answer to another
+/// statement is recognised.
 pub fn make_value(id: &str, host: &str, position: f64, bytes: usize) -> Vec<u8> {
     let mut value = format!("{id}@{host}+{}", (position * 1000.0).round()).into_bytes();
     if value.len() < bytes {
--- a/crates/sandstile-emulator/src/run.rs
+++ b/crates/sandstile-emulator/src/run.rs
@@ -1,5 +1,5 @@
-//! The event loop that connects the model, the cue scheduler of the script and the sockets. One thread owns them; it communicates
-//! with other threads over channels.
+//! The event loop that connects the model, the cue scheduler of the script and the sockets. One thread owns them; it
+//! communicates with other threads over channels.
 use crate::agent::{self, AgentRequest, Catalog, Entry};
 use crate::clock::Clock;
 use crate::protocol::{self, Query};
@@ -10,12 +10,12 @@
 use mio::{Events, Interest, Poll, Token, Waker};
 use sandstile_faults::fault_state::FaultScope;
 use sandstile_faults::process::ProcessSelector;
-use sandstile_faults::{ProcessFault, Endpoint, LinkFault};
+use sandstile_faults::{Endpoint, LinkFault, ProcessFault};
 use sandstile_fleet::plan::Consistency;
 use sandstile_fleet::{Answer, Event, Fault, FaultKind, Fleet, Input, Output, Readiness};
 use sandstile_pgwire as pg;
 use sandstile_relay::Relay;
-use sandstile_scenario::script::{CueAction, AgentFault};
+use sandstile_scenario::script::{AgentFault, CueAction};
 use sandstile_scenario::{CueScheduler, ScenarioEvent, Script};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -230,8 +230,8 @@
 
 /// Seconds between keepalive lines of a watch.
 const WATCH_KEEPALIVE_S: f64 = 2.0;
-/// Port of relays in front of agents and routers. The relay of router n listens on this port + n in front of a host, and on
-/// this port + 100 + n in front of another router's session exchange.
+/// Port of relays in front of agents and routers. The relay of router n listens on this port + n in front of a host,
+/// and on this port + 100 + n in front of another router's session exchange.
 const RELAY_PORT: u16 = 20_000;
 /// Seconds after a move at which an agent closes its old connections.
 const AGENT_MOVE_GRACE_S: f64 = 1.5;
@@ -245,8 +245,8 @@
     SocketAddr::from(([127, net, 240, number as u8 + 1], 6432))
 }
 
-/// Address at which a router receives the datagrams of its peers, and the address at which they find it; the latter is a
-/// relay's if `relayed`.
+/// Address at which a router receives the datagrams of its peers, and the address at which they find it; the latter is
+/// a relay's if `relayed`.
 pub fn members_address(net: u8, number: usize, relayed: bool) -> (SocketAddr, SocketAddr) {
     let mut listen_address = router_address(net, number);
     listen_address.set_port(7433);
@@ -255,8 +255,8 @@
     (listen_address, advertised_address)
 }
 
-/// Address at which a router receives session exchange connections, and the address at which router `peer` finds it; the
-/// latter is a relay's, one per pair of routers, if `relayed`.
+/// Address at which a router receives session exchange connections, and the address at which router `peer` finds it;
+/// the latter is a relay's, one per pair of routers, if `relayed`.
 pub fn exchange_address(net: u8, number: usize, peer: usize, relayed: bool) -> (SocketAddr, SocketAddr) {
     let mut listen_address = router_address(net, number);
     listen_address.set_port(7434);
@@ -332,7 +332,12 @@
             for (peer, number) in all.clone().flat_map(|peer| all.clone().map(move |n| (peer, n))) {
                 if peer != number {
                     let (listen_address, advertised_address) = exchange_address(net.0, number, peer, true);
-                    relay.stream(Endpoint::Router(peer), Endpoint::Router(number), advertised_address, listen_address)?;
+                    relay.stream(
+                        Endpoint::Router(peer),
+                        Endpoint::Router(number),
+                        advertised_address,
+                        listen_address,
+                    )?;
                 }
             }
         }
@@ -473,7 +478,9 @@
         loop {
             while let Ok(command) = commands.try_recv() {
                 match command {
-                    Command::StartScript(at) => self.cue_scheduler = Some(CueScheduler::new(&self.script.cues, at)),
+                    Command::StartScript(at) => {
+                        self.cue_scheduler = Some(CueScheduler::new(&self.script.cues, at))
+                    }
                     Command::Stop => return self.summary(),
                 }
             }
@@ -498,7 +505,8 @@
     }
 
     fn summary(&mut self) -> io::Result<Summary> {
-        let missed = self.cue_scheduler.iter().flat_map(|d| d.missed_cues()).map(|c| c.name.clone()).collect();
+        let missed =
+            self.cue_scheduler.iter().flat_map(|d| d.missed_cues()).map(|c| c.name.clone()).collect();
         let relay = self.relay.take().map(Relay::stop).transpose()?;
         Ok(Summary { late_us: self.late_us.clone(), missed, max_connections: self.max_connections, relay })
     }
@@ -530,8 +538,8 @@
         Ok(())
     }
 
-    /// Processes events and the cues that they trigger until none are left, then sends the outputs of the hosts. Cues run
-    /// before outputs are sent, so that a host can crash between running a statement and answering it.
+    /// Processes events and the cues that they trigger until none are left, then sends the outputs of the hosts. Cues
+    /// run before outputs are sent, so that a host can crash between running a statement and answering it.
     fn process_events(&mut self) -> io::Result<()> {
         loop {
             let now = self.clock.now();
@@ -543,8 +551,11 @@
             }
             while let Some(index) = self.cue_ends.iter().position(|(at, _)| *at <= now) {
                 let (_, cue) = self.cue_ends.swap_remove(index);
-                let link =
-                    self.cue_scheduler.as_ref().map(|d| d.cue(cue)).filter(|c| matches!(c.action, CueAction::Link { .. }));
+                let link = self
+                    .cue_scheduler
+                    .as_ref()
+                    .map(|d| d.cue(cue))
+                    .filter(|c| matches!(c.action, CueAction::Link { .. }));
                 if let (Some(relay), Some(name)) = (&self.relay, link.map(|c| c.name.clone())) {
                     relay.heal(cue);
                     self.record(now, EmulatorEvent::LinkEnds { name });
@@ -634,12 +645,18 @@
                 duration_s
             }
             CueAction::Process { selector, process_fault, spread } => {
-                let _ =
-                    self.notifications.send(Notification::Process { name: name.clone(), selector, process_fault, spread });
+                let _ = self.notifications.send(Notification::Process {
+                    name: name.clone(),
+                    selector,
+                    process_fault,
+                    spread,
+                });
                 spread
                     + match process_fault {
                         ProcessFault::Restart { back, .. } => back,
-                        ProcessFault::Stop { duration_s } | ProcessFault::Slow { duration_s, .. } => duration_s,
+                        ProcessFault::Stop { duration_s } | ProcessFault::Slow { duration_s, .. } => {
+                            duration_s
+                        }
                         ProcessFault::SaveState => 0.0,
                     }
             }
@@ -670,9 +687,9 @@
             .map(|listing| Endpoint::Host { name: listing.name, group: listing.group, zone: listing.zone })
             .collect();
         let affects = |ends_of: &dyn Fn(usize) -> Vec<Endpoint>| {
-            routers()
-                .enumerate()
-                .any(|(n, r)| ends_of(n).iter().any(|end| r.talks_to(end) && scope.affects_either_way(&r, end)))
+            routers().enumerate().any(|(n, r)| {
+                ends_of(n).iter().any(|end| r.talks_to(end) && scope.affects_either_way(&r, end))
+            })
         };
         let mut on = Vec::new();
         if affects(&|_| vec![Endpoint::Clients]) {
@@ -819,7 +836,8 @@
     /// Handles a connection that the peer has closed.
     fn connection_lost(&mut self, token: usize) {
         let now = self.clock.now();
-        if let Some(c) = self.conns.get(&token).filter(|c| self.script.planted_defect && c.workload.is_some()) {
+        if let Some(c) = self.conns.get(&token).filter(|c| self.script.planted_defect && c.workload.is_some())
+        {
             self.deny_next_write.insert(c.host);
         }
         self.fleet.input(now, token as u64, Input::Closed);
@@ -891,7 +909,8 @@
     fn read_conn(&mut self, token: usize) -> io::Result<()> {
         let mut bytes = [0; 4096];
         loop {
-            let read_in_pieces = self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement);
+            let read_in_pieces =
+                self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement);
             let Some(c) = self.conns.get_mut(&token).filter(|c| !c.unresponsive) else { return Ok(()) };
             let read_limit = if read_in_pieces { PARTIAL_READ_BYTES } else { bytes.len() };
             match c.stream.read(&mut bytes[..read_limit]) {
@@ -928,7 +947,9 @@
     /// Reports a partially received statement, for which cues may wait.
     fn check_partial_statement(&mut self, token: usize) -> io::Result<()> {
         let Some(c) = self.conns.get_mut(&token).filter(|c| !c.part_reported) else { return Ok(()) };
-        if c.reader.buffered_bytes() == 0 || !self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement) {
+        if c.reader.buffered_bytes() == 0
+            || !self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement)
+        {
             return Ok(());
         }
         let Some(workload) =
--- a/crates/sandstile-fleet/src/fleet.rs
+++ b/crates/sandstile-fleet/src/fleet.rs
@@ -460,7 +460,8 @@
         let name = self.hosts[host].name.clone();
         if multiple > most {
             self.record_event(now, Event::Tipped { host: name, multiple, most });
-            let fault = Fault { kind: FaultKind::Crash, target: Target::Host(String::new()), duration_s: restart };
+            let fault =
+                Fault { kind: FaultKind::Crash, target: Target::Host(String::new()), duration_s: restart };
             self.apply_fault(now, fault, vec![host]);
         } else if multiple > self.hosts[host].cold_load.peak + 0.25 {
             self.hosts[host].cold_load.peak = multiple;
@@ -617,7 +618,8 @@
         if writes {
             let still_primary = self.is_primary(host) && self.groups[group].roles.term == term;
             if !still_primary {
-                // The term is over, so the commit is rejected. From the error the client can't tell whether it took effect.
+                // The term is over, so the commit is rejected. From the error the client can't tell whether it took
+                // effect.
                 return match conn {
                     Some(conn) => self.send_error(now, host, conn, &request.id, "XX000"),
                     None => self.record_answer(now, host, &request.id, "XX000"),
--- a/crates/sandstile-fleet/tests/faults.rs
+++ b/crates/sandstile-fleet/tests/faults.rs
@@ -194,8 +194,8 @@
     assert_eq!(driver.count_events(|e| matches!(e, Event::Tipped { .. })), 0);
     driver.start_fault(FaultKind::Crash, "s-g-m1", 1.0);
     driver.run(1.01);
-    // The limit is 4 times the capacity of 2 cores at 0.3 over half a second, 1.2 s of work: 40 statements of 10 ms stay
-    // below it.
+    // The limit is 4 times the capacity of 2 cores at 0.3 over half a second, 1.2 s of work: 40 statements of 10 ms
+    // stay below it.
     send_many(&mut driver, "cold");
     assert_eq!(driver.count_events(|e| matches!(e, Event::Tipped { .. })), 0);
     for n in 0..90 {
--- a/crates/sandstile-fleet/tests/theory.rs
+++ b/crates/sandstile-fleet/tests/theory.rs
@@ -94,7 +94,8 @@
         let mut last = driver.now;
         for _ in 0..rounds {
             let gap = rng.exponential(apply / load);
-            // The time average of the backlog, sampled in small steps; by Little's law it is the rate times the mean delay.
+            // The time average of the backlog, sampled in small steps; by Little's law it is the rate times the mean
+            // delay.
             let steps = 32;
             for _ in 0..steps {
                 driver.run(gap / f64::from(steps));
--- a/crates/sandstile-lab/src/hunt.rs
+++ b/crates/sandstile-lab/src/hunt.rs
@@ -1,17 +1,17 @@
 //! A hunt: fault schedules drawn by seed are played short against real processes and judged; one that fails is shrunk to
 //! the least that still fails and kept as a script of its own.
-use crate::rehearse::{self, Wanted as Rehearsal};
+use crate::rehearse::{self, Options as Rehearsal};
 use crate::report;
-use sandstile_audit::returning;
-use sandstile_faults::draw::{self, Fault, Field};
-use sandstile_faults::shrink::Shrink;
+use sandstile_audit::recovery;
+use sandstile_faults::draw::{self, FaultTargets, ScheduledFault};
+use sandstile_faults::shrink::Shrinker;
 use sandstile_scenario::Script;
 use std::fmt::Write as _;
 use std::fs;
 use std::path::PathBuf;
 use tracing::{info, warn};
 
-pub struct Wanted {
+pub struct Options {
     /// The script that all schedules are added to.
     pub base: PathBuf,
     pub router: PathBuf,
@@ -41,7 +41,7 @@
     /// Broken rules by word, and what else is wrong.
     wrong: Vec<String>,
     service: f64,
-    whole_after: Option<f64>,
+    service_recovery_s: Option<f64>,
     unsound: Option<String>,
 }
 
@@ -51,12 +51,12 @@
     pub failed: usize,
 }
 
-fn text_of(wanted: &Wanted, base: &str, faults: &[Fault], seed: u64) -> String {
+fn text_of(wanted: &Options, base: &str, faults: &[ScheduledFault], seed: u64) -> String {
     let planted = if wanted.plant { "planted = true\n" } else { "" };
-    format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", draw::script(faults))
+    format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", draw::to_script(faults))
 }
 
-fn script(wanted: &Wanted, text: &str, seed: u64) -> Result<Script, String> {
+fn script(wanted: &Options, text: &str, seed: u64) -> Result<Script, String> {
     let dir = wanted.base.parent().unwrap_or(std::path::Path::new("."));
     let shared = |name: &str| fs::read_to_string(dir.join(name)).map_err(|e| e.to_string());
     let mut script = Script::read_with("drawn", text, &shared)
@@ -65,7 +65,7 @@
     Ok(script)
 }
 
-fn play(wanted: &Wanted, text: &str, seed: u64) -> Result<Played, String> {
+fn play(wanted: &Options, text: &str, seed: u64) -> Result<Played, String> {
     let script = script(wanted, text, seed)?;
     let out = wanted.out.join("run");
     let summary = rehearse::rehearse(Rehearsal {
@@ -76,17 +76,17 @@
     })?;
     let trace = report::read(&out)?;
     let mut wrong: Vec<String> = Vec::new();
-    for finding in sandstile_audit::judge(&trace)?.iter().filter(|f| f.rule.binds()) {
-        wrong.push(format!("{}: {}", finding.rule.word(), finding.what));
+    for finding in sandstile_audit::judge(&trace)?.iter().filter(|f| f.rule.is_violation()) {
+        wrong.push(format!("{}: {}", finding.rule.label(), finding.description));
     }
-    let back = returning(&trace);
+    let back = recovery(&trace);
     if let Some(service) = sandstile_audit::service(&trace) {
         // The last two seconds but one, by which the last wishes have their end.
         let (mut good, mut all) = (0, 0);
         for w in &service.workloads {
             let n = w.seconds.len().saturating_sub(1);
             for second in &w.seconds[n.saturating_sub(2)..n] {
-                (good, all) = (good + second.in_time, all + second.wishes);
+                (good, all) = (good + second.in_time, all + second.requests);
             }
         }
         if (good as f64) < LOST * all as f64 {
@@ -96,14 +96,19 @@
     // Whoever is there when the last fault is over: all of them are to see just each other, soon.
     if let Some(last) = sandstile_audit::agreement(&trace).epochs.last() {
         if last.agreed_after.is_none() && last.to - last.from > AGREES - 4.0 {
-            wrong.push(format!("members: no agreement {:.1} s after {}", last.to - last.from, last.why));
+            wrong.push(format!("members: no agreement {:.1} s after {}", last.to - last.from, last.change));
         }
     }
-    Ok(Played { wrong, service: summary.service, whole_after: back.whole_after(), unsound: summary.unsound })
+    Ok(Played {
+        wrong,
+        service: summary.service,
+        service_recovery_s: back.service_recovery_s(),
+        unsound: summary.unsound,
+    })
 }
 
 /// Whether it fails, asked more than once where it seems not to.
-fn fails(wanted: &Wanted, text: &str, seed: u64) -> Result<Option<String>, String> {
+fn fails(wanted: &Options, text: &str, seed: u64) -> Result<Option<String>, String> {
     for _ in 0..TRIES {
         if let Some(first) = play(wanted, text, seed)?.wrong.into_iter().next() {
             return Ok(Some(first));
@@ -113,13 +118,13 @@
 }
 
 /// Plays all schedules; what fails lies in the folder for results, each as a script.
-pub fn hunt(wanted: &Wanted) -> Result<Found, String> {
+pub fn hunt(wanted: &Options) -> Result<Found, String> {
     let told = |e: std::io::Error| format!("{}: {e}", wanted.out.display());
     fs::create_dir_all(&wanted.out).map_err(told)?;
     let base = fs::read_to_string(&wanted.base).map_err(|e| format!("{}: {e}", wanted.base.display()))?;
     let plain = script(wanted, &base, wanted.seed)?;
     let zones: Vec<String> = plain.plan.nodes.iter().map(|n| n.zone.clone()).collect();
-    let mut field = Field {
+    let mut field = FaultTargets {
         routers: plain.routers.count,
         groups: plain.plan.groups.iter().map(|g| g.name.clone()).collect(),
         zones,
@@ -135,10 +140,10 @@
     let mut failed = 0;
     for run in 0..wanted.runs as u64 {
         let seed = wanted.seed + run;
-        let faults = draw::draw(&field, wanted.size, seed);
+        let faults = draw::draw_schedule(&field, wanted.size, seed);
         let text = text_of(wanted, &base, &faults, seed);
         let played = play(wanted, &text, seed)?;
-        let whole = match played.whole_after {
+        let whole = match played.service_recovery_s {
             Some(after) if after.is_finite() => format!("{after:.2}"),
             Some(_) => "not before the end".to_string(),
             None => String::new(),
@@ -165,20 +170,25 @@
             least.len(),
             wanted.size
         );
-        let _ = writeln!(out, "```\n{}```\n", draw::script(&least));
+        let _ = writeln!(out, "```\n{}```\n", draw::to_script(&least));
     }
     let _ = writeln!(out, "\n{} schedules of {} faults, {failed} failed", wanted.runs, wanted.size);
     fs::write(wanted.out.join("hunt.md"), &out).map_err(told)?;
     Ok(Found { text: out, failed })
 }
 
-fn shrink(wanted: &Wanted, base: &str, faults: Vec<Fault>, seed: u64) -> Result<(Vec<Fault>, usize), String> {
-    let mut shrink = Shrink::new(faults);
-    while shrink.asked() < wanted.shrinks {
-        let Some(fewer) = shrink.to_try() else { break };
+fn shrink(
+    wanted: &Options,
+    base: &str,
+    faults: Vec<ScheduledFault>,
+    seed: u64,
+) -> Result<(Vec<ScheduledFault>, usize), String> {
+    let mut shrink = Shrinker::new(faults);
+    while shrink.runs() < wanted.shrinks {
+        let Some(fewer) = shrink.next_candidate() else { break };
         let failed = fails(wanted, &text_of(wanted, base, &fewer, seed), seed)?;
         info!(seed, faults = fewer.len(), failed, "shrinks");
-        shrink.told(failed.is_some());
+        shrink.record_result(failed.is_some());
     }
-    Ok((shrink.least().to_vec(), shrink.asked()))
+    Ok((shrink.smallest_failing().to_vec(), shrink.runs()))
 }
--- a/crates/sandstile-lab/src/main.rs
+++ b/crates/sandstile-lab/src/main.rs
@@ -315,7 +315,7 @@
                     text = text.lines().filter(other).map(|line| format!("{line}\n")).collect::<String>()
                         + &name;
                 }
-                let wanted = experiment::Wanted { file, text, out, router, quick, pairs };
+                let wanted = experiment::Options { file, text, out, router, quick, pairs };
                 println!("{}", experiment::run(&wanted)?);
                 Ok(ExitCode::SUCCESS)
             })
@@ -323,7 +323,7 @@
         Command::Hunt { base, seed, runs, size, router, out, quick, plant } => {
             beside(router).and_then(|router| {
                 let (runs, shrinks) = if quick { (6, 3) } else { (runs, 24) };
-                let wanted = hunt::Wanted { base, router, out, seed, runs, size, shrinks, plant };
+                let wanted = hunt::Options { base, router, out, seed, runs, size, shrinks, plant };
                 let found = hunt::hunt(&wanted)?;
                 println!("{}", found.text);
                 Ok(ExitCode::from(u8::from((found.failed > 0) != plant)))
@@ -331,7 +331,7 @@
         }
         Command::Soak { seed, runs, quick, large, router, shim, out } => beside(router).and_then(|router| {
             let shim = shim.map_or_else(|| sandstile_shim::library(&router), Ok)?;
-            let broken = soak::soak(&soak::Wanted { router, shim, out, seed, runs, quick, large })?;
+            let broken = soak::soak(&soak::Options { router, shim, out, seed, runs, quick, large })?;
             Ok(ExitCode::from(u8::from(broken > 0)))
         }),
         Command::Returns { out, quick } => returns::grow(&out, quick).map(|text| {
@@ -382,7 +382,7 @@
         Command::Capacity { router, rates, seconds, connections, calls, core, quick, config } => {
             let seconds = if quick { 5.0 } else { seconds };
             beside(router).and_then(|router| {
-                let wanted = capacity::Wanted { router, rates, seconds, connections, calls, core, config };
+                let wanted = capacity::Options { router, rates, seconds, connections, calls, core, config };
                 capacity::measure(&wanted).map(|table| {
                     println!("{table}");
                     ExitCode::SUCCESS
@@ -422,7 +422,7 @@
                 file.display(),
                 s.title,
                 s.seconds,
-                s.quick,
+                s.quick_seconds,
                 s.plan.groups.iter().map(|g| g.nodes.len()).sum::<usize>(),
                 s.plan.workloads.len(),
                 s.cues.len()
@@ -498,7 +498,7 @@
     let mut script = read(file)?;
     script.plan.seed = seed.unwrap_or(script.plan.seed);
     let router = beside(router)?;
-    let summary = rehearse::rehearse(rehearse::Wanted { script, quick, router, out })?;
+    let summary = rehearse::rehearse(rehearse::Options { script, quick, router, out })?;
     println!("{}", summary.text);
     info!(service = summary.service, broken = summary.broken, unsound = summary.unsound, "ended");
     Ok(ExitCode::SUCCESS)
@@ -509,13 +509,13 @@
     let findings = sandstile_audit::judge(&trace)?;
     for rule in sandstile_audit::judge::RULES {
         let of: Vec<_> = findings.iter().filter(|f| f.rule == rule).collect();
-        let kind = if rule.binds() { "rule" } else { "finding" };
-        println!("{:<10} {:<8} {}", rule.word(), kind, of.len());
+        let kind = if rule.is_violation() { "rule" } else { "finding" };
+        println!("{:<10} {:<8} {}", rule.label(), kind, of.len());
     }
-    for finding in findings.iter().filter(|f| strict || f.rule.binds()).take(stories) {
+    for finding in findings.iter().filter(|f| strict || f.rule.is_violation()).take(stories) {
         println!("\n{finding}");
     }
-    for (host, (multiple, most)) in &trace.pushed {
+    for (host, (multiple, most)) in &trace.cold_host_load {
         println!("cold {host}: offered {multiple:.1} times what it could, {most:.1} at most");
     }
     if let Some(why) = &trace.unsound {
@@ -523,12 +523,15 @@
     }
     let own = sandstile_audit::own_reads(&trace);
     println!("own reads: {} checked, {} missed, {} by replicas", own.checked, own.missed, own.by_replicas);
-    println!("within 10 s of a restart: {} checked, {} by replicas", own.soon, own.soon_by_replicas);
-    println!("\n{}", sandstile_audit::returning(&trace));
+    println!(
+        "within 10 s of a restart: {} checked, {} by replicas",
+        own.after_restart, own.after_restart_by_replicas
+    );
+    println!("\n{}", sandstile_audit::recovery(&trace));
     println!("{}", sandstile_audit::agreement(&trace));
-    print!("{}", sandstile_audit::copies(&trace));
+    print!("{}", sandstile_audit::state_convergence(&trace));
     sandstile_audit::searches(&trace).iter().for_each(|search| println!("{search}"));
-    let broken = findings.iter().filter(|f| strict || f.rule.binds()).count();
+    let broken = findings.iter().filter(|f| strict || f.rule.is_violation()).count();
     println!("{} statements, {} lines, {broken} broken", trace.statements.len(), trace.lines);
     Ok(ExitCode::from(u8::from(broken > 0)))
 }
--- a/crates/sandstile-router/src/control_client.rs
+++ b/crates/sandstile-router/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Asks a running router over its control socket, and lays out what it says.
+//! Queries a running router over its control socket and formats the answer.
 use sandstile_replicated_state::stored::{self, FileContents};
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -8,75 +8,77 @@
 use std::path::Path;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(3);
-/// A thousand members take a quarter of this.
-const MOST: u64 = 4 << 20;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// A report on a thousand members takes a quarter of this.
+const MAX_REPORT_BYTES: u64 = 4 << 20;
 
-/// What the router behind this socket says. The message is one line.
+/// The report of the router behind this socket. The error message is one line.
 pub fn members(socket: &Path) -> Result<Value, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", socket.display());
-    let stream = UnixStream::connect(socket).map_err(told)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(told)?;
+    let to_message = |e: std::io::Error| format!("{}: {e}", socket.display());
+    let stream = UnixStream::connect(socket).map_err(to_message)?;
+    stream.set_read_timeout(Some(REQUEST_TIMEOUT)).map_err(to_message)?;
     let mut text = String::new();
-    stream.take(MOST).read_to_string(&mut text).map_err(told)?;
+    stream.take(MAX_REPORT_BYTES).read_to_string(&mut text).map_err(to_message)?;
     serde_json::from_str(&text).map_err(|e| format!("{}: {e}", socket.display()))
 }
 
-/// `now` in Unix seconds.
-pub fn table(said: &Value, now: f64) -> String {
+/// Formats the report as a table; `now` is in Unix seconds.
+pub fn table(report: &Value, now: f64) -> String {
     let text = |v: &Value| v.as_str().unwrap_or("-").to_string();
-    let version = |v: &Value| v.as_f64().map_or("-".to_string(), |n| format!("{n:.0}"));
+    let number = |v: &Value| v.as_f64().map_or("-".to_string(), |n| format!("{n:.0}"));
     let mut out = format!(
         "{} sees {} others: {} for {:.1} s, view {}, {} suspects, {} dead, {} see another, {} share the hosts\n",
-        text(&said["name"]),
-        version(&said["there"]),
-        text(&said["view"]),
-        said["holds_for_s"].as_f64().unwrap_or(0.0),
-        text(&said["digest"]),
-        version(&said["suspects"]),
-        version(&said["dead"]),
-        version(&said["differing"]),
-        said["sharers"].as_f64().map_or("as the settings have it".to_string(), |n| format!("{n:.0}")),
+        text(&report["name"]),
+        number(&report["there"]),
+        text(&report["view"]),
+        report["holds_for_s"].as_f64().unwrap_or(0.0),
+        text(&report["digest"]),
+        number(&report["suspects"]),
+        number(&report["dead"]),
+        number(&report["differing"]),
+        report["sharers"].as_f64().map_or("as configured".to_string(), |n| format!("{n:.0}")),
     );
-    let head = ["member", "state", "for s", "life", "address", "round trip ms", "version", "zone", "view"];
-    let mut rows = vec![head.map(str::to_string)];
-    for m in said["members"].as_array().into_iter().flatten() {
-        let view = match m["agrees"].as_bool() {
+    let headings =
+        ["member", "state", "for s", "life", "address", "round trip ms", "version", "zone", "view"];
+    let mut rows = vec![headings.map(str::to_string)];
+    for member in report["members"].as_array().into_iter().flatten() {
+        let view = match member["agrees"].as_bool() {
             Some(true) => "ours",
             Some(false) => "another",
             None => "-",
         };
         rows.push([
-            text(&m["name"]),
-            text(&m["state"]),
-            m["since"].as_f64().map_or("-".to_string(), |at| format!("{:.1}", now - at)),
-            version(&m["life"]),
-            text(&m["address"]),
-            m["round_trip_ms"].as_f64().map_or("-".to_string(), |ms| format!("{ms:.2}")),
-            version(&m["version"]),
-            text(&m["zone"]),
+            text(&member["name"]),
+            text(&member["state"]),
+            member["since"].as_f64().map_or("-".to_string(), |at| format!("{:.1}", now - at)),
+            number(&member["life"]),
+            text(&member["address"]),
+            member["round_trip_ms"].as_f64().map_or("-".to_string(), |ms| format!("{ms:.2}")),
+            number(&member["version"]),
+            text(&member["zone"]),
             view.to_string(),
         ]);
     }
-    let wide: Vec<usize> =
-        (0..head.len()).map(|n| rows.iter().map(|r| r[n].len()).max().unwrap_or(0)).collect();
+    let widths: Vec<usize> =
+        (0..headings.len()).map(|n| rows.iter().map(|r| r[n].len()).max().unwrap_or(0)).collect();
     for row in rows {
-        let cells: Vec<String> = row.iter().zip(&wide).map(|(cell, wide)| format!("{cell:<wide$}")).collect();
+        let cells: Vec<String> =
+            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
         let _ = writeln!(out, "{}", cells.join("  ").trim_end());
     }
     out
 }
 
-/// Copies are no longer than this.
-const MOST_STATE: u64 = 1 << 30;
+/// The maximum length of a copy of the replicated state.
+const MAX_STATE_BYTES: u64 = 1 << 30;
 
-fn asked(socket: &Path, what: &str) -> Result<Vec<u8>, String> {
-    let told = |e: std::io::Error| format!("{}: {e}", socket.display());
-    let mut stream = UnixStream::connect(socket).map_err(told)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(told)?;
-    stream.write_all(format!("{what}\n").as_bytes()).map_err(told)?;
+fn request(socket: &Path, command: &str) -> Result<Vec<u8>, String> {
+    let to_message = |e: std::io::Error| format!("{}: {e}", socket.display());
+    let mut stream = UnixStream::connect(socket).map_err(to_message)?;
+    stream.set_read_timeout(Some(REQUEST_TIMEOUT)).map_err(to_message)?;
+    stream.write_all(format!("{command}\n").as_bytes()).map_err(to_message)?;
     let mut bytes = Vec::new();
-    stream.take(MOST_STATE).read_to_end(&mut bytes).map_err(told)?;
+    stream.take(MAX_STATE_BYTES).read_to_end(&mut bytes).map_err(to_message)?;
     if bytes.is_empty() {
         return Err(format!("{}: nobody answers", socket.display()));
     }
@@ -88,24 +90,24 @@
     Ok(found.file_type().is_socket())
 }
 
-/// The facts of a running router, by its socket, or of a file. The message is one line.
+/// The facts of a running router, by its socket, or of a file. The error message is one line.
 pub fn facts(path: &Path) -> Result<FileContents, String> {
     let bytes = match is_socket(path)? {
-        true => asked(path, "facts")?,
+        true => request(path, "facts")?,
         false => std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?,
     };
     let found = stored::read(&bytes);
     match found.generation {
         Some(_) => Ok(found),
-        None => Err(format!("{}: no copy of kept state", path.display())),
+        None => Err(format!("{}: not a copy of replicated state", path.display())),
     }
 }
 
-/// How a router's kept state stands at `now`, as it says itself, or what a file holds.
+/// The status of a router's replicated state at `now`, as it reports it, or a summary of a file.
 pub fn state(path: &Path, now: f64) -> Result<String, String> {
     if is_socket(path)? {
-        // What is two seconds old has come to all by now, or something is wrong.
-        let bytes = asked(path, &format!("summary {:.3}", now - 2.0))?;
+        // A fact that is two seconds old has reached all routers by now, unless something is wrong.
+        let bytes = request(path, &format!("summary {:.3}", now - 2.0))?;
         return Ok(String::from_utf8_lossy(&bytes).into_owned());
     }
     let found = facts(path)?;
--- a/crates/sandstile-router/src/lists.rs
+++ b/crates/sandstile-router/src/lists.rs
@@ -1,4 +1,4 @@
-//! Reads the lists of discovery and of the configuration.
+//! Parses host lists: those of discovery and the one in the configuration.
 use crate::pg;
 use sandstile_deployment::host_list::{readiness, HostEntry};
 use sandstile_dispatcher::HostListUpdate;
@@ -6,32 +6,33 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Reads discovery's form. What can't be read is left out; the message then names the first such thing.
-pub fn read(json: &Value) -> Result<(HostListUpdate, Option<String>), String> {
-    let index = json["index"].as_u64().ok_or("a list without an index")?;
-    let is_snapshot = json["snapshot"].as_bool().ok_or("a list without snapshot")?;
-    let listed = json["endpoints"].as_array().ok_or("a list without endpoints")?;
+/// Parses a list in discovery's format. Entries that can't be read are left out; the message then names the first
+/// of them.
+pub fn parse(json: &Value) -> Result<(HostListUpdate, Option<String>), String> {
+    let index = json["index"].as_u64().ok_or("the list has no index")?;
+    let is_snapshot = json["snapshot"].as_bool().ok_or("the list has no snapshot flag")?;
+    let endpoints = json["endpoints"].as_array().ok_or("the list has no endpoints")?;
     let mut update = HostListUpdate { index, is_snapshot, entries: Vec::new(), addresses: Vec::new() };
-    let mut wrong = None;
-    for item in listed {
-        match entry(item) {
+    let mut problem = None;
+    for item in endpoints {
+        match parse_entry(item) {
             Ok((entry, address)) => {
                 if address.is_none() && entry.readiness == Readiness::Active {
-                    wrong = wrong.or(Some(format!("{}: no usable address", entry.host)));
+                    problem = problem.or(Some(format!("{}: no usable address", entry.host)));
                 }
                 update.addresses.push((entry.host.clone(), address));
                 update.entries.push(entry);
             }
-            Err(what) => wrong = wrong.or(Some(what)),
+            Err(message) => problem = problem.or(Some(message)),
         }
     }
-    Ok((update, wrong))
+    Ok((update, problem))
 }
 
-fn entry(item: &Value) -> Result<(HostEntry, Option<SocketAddr>), String> {
-    let host = item["name"].as_str().ok_or("an entry without a name")?.to_string();
-    let word = item["status"].as_str().unwrap_or("");
-    let readiness = readiness(word).ok_or_else(|| format!("{host}: status '{word}'"))?;
+fn parse_entry(item: &Value) -> Result<(HostEntry, Option<SocketAddr>), String> {
+    let host = item["name"].as_str().ok_or("a list entry has no name")?.to_string();
+    let status = item["status"].as_str().unwrap_or("");
+    let readiness = readiness(status).ok_or_else(|| format!("{host}: unknown status '{status}'"))?;
     let address = item["address"].as_str().unwrap_or("").parse().ok();
     let group = match &item["group"] {
         Value::Null => return Err(format!("{host}: no group")),
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -1,11 +1,11 @@
-//! What sessions have seen, beside the desk: marks are taken from answers and tokens, put down in a journal, and
-//! say what an own read must reach. What is to be decided stands in `sandstile-sessions`; here it meets statements,
-//! keys and the disk.
+//! Read-your-own-writes sessions of the dispatcher. Marks come from answers and tokens, are appended to a
+//! journal, and give the position that a session's own read must reach. The rules are in
+//! `sandstile-sessions`; this module connects them to statements, keys and the disk.
 use crate::clock::Clock;
-use crate::local_config::{Durability, Sessions as Plan};
+use crate::local_config::{Durability, SessionsConfig};
 use crate::mailbox::{mailbox, Mailbox, MailboxSender};
 use crate::replicated_state::ReplicatedState;
-use crate::session_messages::{SessionMessage, Telling};
+use crate::session_messages::{PeerMessage, SessionMessage};
 use crate::statement::Workload;
 use crossbeam_channel::RecvTimeoutError;
 use sandstile_dispatcher::{Answer, DispatcherInput, Ending, FinalAnswer, Outcome, Source, StatementRequest};
@@ -24,17 +24,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What one statement wants of all this.
-struct Wish {
+/// A statement that belongs to a session, from its arrival until it is over.
+struct SessionStatement {
     key: SessionKey,
-    /// Names of groups are few and shared by many.
+    /// Shared, because there are few group names and many statements.
     group: Arc<str>,
     writes: bool,
-    /// For an own read: what it must reach.
+    /// For an own read, what its answer must include.
     required_position: Option<RequiredPosition>,
 }
 
-impl Wish {
+impl SessionStatement {
     fn read_requirement(&self) -> Option<ReadRequirement> {
         self.required_position.map(|required_position| match required_position {
             RequiredPosition::Known(position) => ReadRequirement::Position(position),
@@ -49,150 +49,166 @@
     pub known: u64,
     pub unknown: u64,
     pub nothing: u64,
-    /// Tokens that were not believed.
+    /// Tokens that failed verification.
     pub refused: u64,
-    /// Answers that told of less than was asked for, and were not passed on.
+    /// Answers from hosts that were behind the required position; they were not passed on to the client.
     pub unserved: u64,
 }
 
 pub struct Sessions {
-    plan: Plan,
+    config: SessionsConfig,
     store: Store,
-    ring: KeyRing,
-    /// Which workloads are own reads.
+    key_ring: KeyRing,
+    /// Whether a workload consists of own reads, by its index.
     own_reads: Vec<bool>,
-    /// What the statements that are open want.
-    wishes: BTreeMap<u64, Wish>,
-    words: Mailbox<SessionMessage>,
+    /// Open statements by their id.
+    statements: BTreeMap<u64, SessionStatement>,
+    messages: Mailbox<SessionMessage>,
     journal: Option<MailboxSender<Entry>>,
-    outlets: Vec<MailboxSender<Telling>>,
-    /// Instances that ended in order and told all they knew before: when, and the life that is to have it back.
-    handed: BTreeMap<String, (f64, Option<String>)>,
+    peers: Vec<MailboxSender<PeerMessage>>,
+    /// Instances that sent all their marks here and then shut down in order: when that was, and the
+    /// generation that gets the marks back once it has connected.
+    handovers: BTreeMap<String, (f64, Option<String>)>,
     complete_since: f64,
-    /// How far each group's log had come when its primary first answered this instance.
-    startup_mark: BTreeMap<Arc<str>, Mark>,
-    /// What is kept together with other instances, where our own file turns that on.
-    kept: Option<Box<ReplicatedState>>,
-    /// What others met, for the decisions.
-    warned: Vec<DispatcherInput>,
-    aged_at: f64,
+    /// Each group's log position when its primary first answered this instance.
+    startup_marks: BTreeMap<Arc<str>, Mark>,
+    /// The state replicated between instances, if the local configuration file turns it on.
+    replicated: Option<Box<ReplicatedState>>,
+    /// Warnings of other instances about hosts, for the dispatcher.
+    host_warnings: Vec<DispatcherInput>,
+    last_expiry_at: f64,
     counts: Counts,
-    told_at: f64,
+    last_logged_at: f64,
     log: Logger,
 }
 
-/// Between looks for what is too old to be remembered.
-const AGE: f64 = 5.0;
-/// A restart takes no longer; after that nobody vouches for what an instance may have written in between.
-const HANDED: f64 = 15.0;
-/// Groups whose beginning is remembered.
-const MOST_GROUPS: usize = 4096;
-/// Between lines of log that count.
-const TELL: f64 = 60.0;
+/// Seconds between removals of marks that are older than the horizon.
+const EXPIRY_INTERVAL_S: f64 = 5.0;
+/// Seconds for which a handover is valid. A restart takes no longer; afterwards the instance may have written
+/// marks that nobody here knows of.
+const HANDOVER_VALID_S: f64 = 15.0;
+/// Limit on the groups whose startup mark is stored.
+const MAX_GROUPS: usize = 4096;
+/// Seconds between log lines with the counters.
+const LOG_INTERVAL_S: f64 = 60.0;
 
 impl Sessions {
-    /// Takes up what a journal holds. The message is one line.
+    /// Loads the journal and starts its writer thread. The error message is one line.
     pub fn begin(
-        plan: Plan,
+        config: SessionsConfig,
         workloads: &[Workload],
-        words: Mailbox<SessionMessage>,
+        messages: Mailbox<SessionMessage>,
         answers: MailboxSender<FinalAnswer>,
-        kept: Option<ReplicatedState>,
+        replicated: Option<ReplicatedState>,
         clock: &Clock,
         log: &Logger,
     ) -> Result<Sessions, String> {
         let now = clock.now();
-        let ring = plan.read_keys()?;
-        let limits = StoreLimits { exact: plan.exact, cells: plan.cells, terms: 4 };
+        let key_ring = config.read_keys()?;
+        let limits = StoreLimits { exact: config.max_sessions, cells: config.sketch_cells, terms: 4 };
         let mut store = Store::new(limits);
-        // One that begins knows of nothing that was written before.
+        // Without a complete journal, writes before this start are unknown.
         let mut complete_since = now;
         let mut journal = None;
-        if let Some(path) = &plan.journal {
-            let told = |e| format!("{}: {e}", path.display());
-            let (opened, found) = open_journal(path, now - plan.horizon, log).map_err(told)?;
+        if let Some(path) = &config.journal {
+            let with_path = |e| format!("{}: {e}", path.display());
+            let (opened, found) = open_journal(path, now - config.horizon, log).map_err(with_path)?;
             found.marks.iter().for_each(|(key, seen)| store.merge(*key, seen));
-            // Nothing can be missing: each write was on the disk before anybody was told of it, or the last writer
-            // ended in order. A first journal knows of nothing before it.
-            let promised = plan.durability == Durability::BeforeAnswer || found.closed_cleanly;
-            if found.intact && promised && found.bytes > 0 {
+            // The journal is complete if each write was on the disk before its answer was sent, or if the
+            // last writer shut down in order. A new, empty journal says nothing about earlier writes.
+            let complete = config.durability == Durability::BeforeAnswer || found.closed_cleanly;
+            if found.intact && complete && found.bytes > 0 {
                 complete_since = f64::NEG_INFINITY;
             }
-            info!(log, "sessions are taken up"; "marks" => found.marks.len(), "whole" => found.intact,
+            info!(log, "sessions: journal loaded"; "marks" => found.marks.len(), "whole" => found.intact,
                 "ended" => found.closed_cleanly, "spoilt" => found.damaged_records);
-            let (post, entries) = mailbox();
-            let (file, durability, log) = (path.clone(), plan.durability, log.clone());
-            let scribe = Scribe { journal: opened, answers, path: file, durability, clock: *clock, log };
+            let (sender, entries) = mailbox();
+            let (file, durability, log) = (path.clone(), config.durability, log.clone());
+            let writer =
+                JournalWriter { journal: opened, answers, path: file, durability, clock: *clock, log };
             thread::Builder::new()
                 .name("journal".to_string())
-                .spawn(move || scribe.run(&entries))
+                .spawn(move || writer.run(&entries))
                 .map_err(|e| format!("thread journal: {e}"))?;
-            journal = Some(post);
+            journal = Some(sender);
         }
-        if let Some(kept) = &kept {
-            kept.marks().for_each(|(key, seen)| store.merge(key, &seen));
-            if kept.found_all() {
+        if let Some(replicated) = &replicated {
+            replicated.marks().for_each(|(key, seen)| store.merge(key, &seen));
+            if replicated.found_all() {
                 complete_since = f64::NEG_INFINITY;
             }
         }
-        if !plan.stay {
+        if !config.sessions_stay {
             complete_since = f64::INFINITY;
         }
         let own_reads = workloads.iter().map(|w| w.sessions && !w.writes).collect();
         let (counts, log) = (Counts::default(), log.clone());
         Ok(Sessions {
-            plan,
+            config,
             store,
-            ring,
+            key_ring,
             own_reads,
-            wishes: BTreeMap::new(),
-            words,
+            statements: BTreeMap::new(),
+            messages,
             journal,
-            outlets: Vec::new(),
-            handed: BTreeMap::new(),
+            peers: Vec::new(),
+            handovers: BTreeMap::new(),
             complete_since,
-            startup_mark: BTreeMap::new(),
-            kept: kept.map(Box::new),
-            warned: Vec::new(),
-            aged_at: now,
+            startup_marks: BTreeMap::new(),
+            replicated: replicated.map(Box::new),
+            host_warnings: Vec::new(),
+            last_expiry_at: now,
             counts,
-            told_at: now,
+            last_logged_at: now,
             log,
         })
     }
 
-    /// A statement came in; `term` is what its group's hosts have told, 0 where nothing.
-    fn asked(&mut self, now: f64, asked: &StatementRequest, term: u64) -> Option<Wish> {
-        let session = asked.session.as_deref()?;
-        if now > self.aged_at + AGE {
-            self.aged_at = now;
-            self.store.remove_expired(now, self.plan.horizon);
+    /// Works out what an arriving statement needs; `term` is the term that its group's hosts have reported,
+    /// or 0 if none has.
+    fn track_statement(
+        &mut self,
+        now: f64,
+        request: &StatementRequest,
+        term: u64,
+    ) -> Option<SessionStatement> {
+        let session = request.session.as_deref()?;
+        if now > self.last_expiry_at + EXPIRY_INTERVAL_S {
+            self.last_expiry_at = now;
+            self.store.remove_expired(now, self.config.horizon);
         }
-        if now > self.told_at + TELL {
-            self.told_at = now;
+        if now > self.last_logged_at + LOG_INTERVAL_S {
+            self.last_logged_at = now;
             info!(self.log, "sessions: {:?}", self.counts; "remembered" => self.store.len(),
-                "sketch_fill" => self.store.max_sketch_fill(), "pushed_out" => self.store.counts().pushed_out);
+                "sketch_fill" => self.store.max_sketch_fill(),
+                "pushed_out" => self.store.counts().pushed_out);
         }
-        let key = SessionKey::of(&asked.group, session);
-        let startup_mark = self.startup_mark.get_key_value(asked.group.as_str());
-        let group = startup_mark.map_or_else(|| Arc::from(asked.group.as_str()), |(name, _)| name.clone());
+        let key = SessionKey::of(&request.group, session);
+        let startup_mark = self.startup_marks.get_key_value(request.group.as_str());
+        let group = startup_mark.map_or_else(|| Arc::from(request.group.as_str()), |(name, _)| name.clone());
         let startup_mark = startup_mark.map(|(_, mark)| *mark);
-        let own = self.own_reads.get(asked.workload).copied().unwrap_or(false);
-        let required_position = own.then(|| {
-            let carried = asked.mark.as_deref().and_then(|text| {
-                let checked = self.ring.check(text, key, now, self.plan.token_lasts, self.plan.skew);
+        let is_own_read = self.own_reads.get(request.workload).copied().unwrap_or(false);
+        let required_position = is_own_read.then(|| {
+            let token_mark = request.mark.as_deref().and_then(|text| {
+                let checked = self.key_ring.check(
+                    text,
+                    key,
+                    now,
+                    self.config.token_lifetime,
+                    self.config.max_clock_skew,
+                );
                 self.counts.refused += u64::from(checked.is_err());
                 checked.ok().map(|token| token.mark)
             });
             let context = ReadContext {
                 now,
                 term: (term > 0).then_some(Term(term)),
-                horizon: self.plan.horizon,
-                skew: self.plan.skew,
+                horizon: self.config.horizon,
+                skew: self.config.max_clock_skew,
                 complete_since: self.complete_since,
                 startup_mark,
             };
-            let required_position = self.store.required_position(key, carried, &context);
+            let required_position = self.store.required_position(key, token_mark, &context);
             match required_position {
                 RequiredPosition::Known(_) => self.counts.known += 1,
                 RequiredPosition::Unknown(_) => self.counts.unknown += 1,
@@ -200,115 +216,130 @@
             }
             required_position
         });
-        let before = self.plan.unmarked_as_before && asked.mark.is_none();
+        let lenient = self.config.allow_unmarked && request.mark.is_none();
         let required_position = required_position.filter(|required_position| {
-            !(before && matches!(required_position, RequiredPosition::Unknown(_)))
+            !(lenient && matches!(required_position, RequiredPosition::Unknown(_)))
         });
-        Some(Wish { key, group, writes: asked.writes, required_position })
+        Some(SessionStatement { key, group, writes: request.writes, required_position })
     }
 
-    /// An answer by a host that turns out to hold less than the read must see is none: another host serves it. That
-    /// is no fault of the host's, which may have been demoted on the way.
-    fn verify(&mut self, wish: &Wish, outcome: &mut Outcome) {
+    /// Rejects an answer from a host that is behind what the read must see, so that another host serves it.
+    /// This is not counted as the host's failure, because it may have been demoted while the statement ran.
+    fn verify(&mut self, statement: &SessionStatement, outcome: &mut Outcome) {
         if outcome.ending != Ending::Completed || outcome.host_report.primary == Some(true) {
             return;
         }
-        let holds = match wish.required_position {
+        let up_to_date = match statement.required_position {
             None | Some(RequiredPosition::Nothing) => true,
             Some(RequiredPosition::Unknown(_)) => false,
-            // Where hosts tell no term, there is none to differ.
+            // Only positions are compared: hosts that report no term have none to compare.
             Some(RequiredPosition::Known(position)) => {
                 outcome.host_report.position.is_some_and(|at| at >= position)
             }
         };
-        if !holds {
+        if !up_to_date {
             self.counts.unserved += 1;
             outcome.ending = Ending::Missed;
         }
     }
 
-    /// What an answer tells of its session's place: after a write its commit, after a read by the primary all that it
-    /// can have written before.
-    fn mark(wish: &Wish, outcome: &Outcome) -> Option<Mark> {
-        let at_primary = wish.writes || outcome.host_report.primary == Some(true);
+    /// The session's mark after an answer: the commit position after a write; after a read on the primary,
+    /// the primary's position, which covers every earlier write of the session.
+    fn session_mark(statement: &SessionStatement, outcome: &Outcome) -> Option<Mark> {
+        let at_primary = statement.writes || outcome.host_report.primary == Some(true);
         let (term, position) = (outcome.term?, outcome.host_report.position?);
         at_primary.then_some(Mark { term: Term(term), position })
     }
 
-    /// The first word of a group's primary in this life, or under a term of its own, says how far the log had come.
-    fn led(&mut self, now: f64, wish: &Wish, outcome: &Outcome) {
-        let Some(mark) = Self::mark(wish, outcome) else { return };
-        if self.startup_mark.len() >= MOST_GROUPS && !self.startup_mark.contains_key(&wish.group) {
-            // Its unknown sessions go to the primary a little longer.
+    /// Records the log position in the first answer of a group's primary, or in its first answer under a new
+    /// term.
+    fn record_primary_position(&mut self, now: f64, statement: &SessionStatement, outcome: &Outcome) {
+        let Some(mark) = Self::session_mark(statement, outcome) else { return };
+        if self.startup_marks.len() >= MAX_GROUPS && !self.startup_marks.contains_key(&statement.group) {
+            // Without a startup mark, unknown sessions of this group only go to the primary for longer.
             return;
         }
-        if self.startup_mark.get(&wish.group).is_none_or(|b| b.term != mark.term) {
-            self.startup_mark.insert(wish.group.clone(), mark);
+        if self.startup_marks.get(&statement.group).is_none_or(|b| b.term != mark.term) {
+            self.startup_marks.insert(statement.group.clone(), mark);
         }
-        if let Some(kept) = &mut self.kept {
-            kept.led(now, &wish.group, mark);
+        if let Some(replicated) = &mut self.replicated {
+            replicated.record_primary_position(now, &statement.group, mark);
         }
     }
 
-    fn remember(&mut self, now: f64, wish: &Wish, outcome: &Outcome) -> Option<SessionMarks> {
-        if !wish.writes {
+    fn record_write(
+        &mut self,
+        now: f64,
+        statement: &SessionStatement,
+        outcome: &Outcome,
+    ) -> Option<SessionMarks> {
+        if !statement.writes {
             return None;
         }
-        let seen = match Self::mark(wish, outcome) {
+        let seen = match Self::session_mark(statement, outcome) {
             Some(mark) => SessionMarks::of(mark),
             None => SessionMarks::Lost(now),
         };
-        self.store.merge(wish.key, &seen);
-        if let Some(kept) = &mut self.kept {
-            kept.wrote(now, wish.key, &seen);
+        self.store.merge(statement.key, &seen);
+        if let Some(replicated) = &mut self.replicated {
+            replicated.record_write(now, statement.key, &seen);
         }
-        // One that does not take it in as fast as writes come is told all of it anew, later.
-        self.outlets.retain(|outlet| outlet.send(Telling::SessionMarks(wish.key, seen.clone())));
+        // A peer whose queue is full is dropped; it gets a new snapshot when it is connected again.
+        self.peers.retain(|peer| peer.send(PeerMessage::SessionMarks(statement.key, seen.clone())));
         Some(seen)
     }
 
-    /// What comes of a write that has completed goes on the disk. `answer` waits for that, where somebody is to have it.
-    fn put_down(
+    /// Queues a completed write for the journal. The journal's thread sends `answer`, if there is one, once
+    /// the write is as durable as configured; otherwise the answer is returned.
+    fn append_to_journal(
         &mut self,
         key: SessionKey,
         seen: Option<SessionMarks>,
         answer: Option<FinalAnswer>,
     ) -> Option<FinalAnswer> {
         let (Some(journal), Some(seen)) = (&self.journal, seen) else { return answer };
-        journal.send(Entry::SessionMarks { key, seen, then: answer });
+        journal.send(Entry::SessionMarks { key, seen, pending_answer: answer });
         None
     }
 
-    fn heard(&mut self, now: f64, word: SessionMessage) {
-        match word {
-            SessionMessage::Keys(ring) => self.ring = ring,
-            SessionMessage::Tell(to, outlet) => {
-                let covers_receiver = self.has_of(now, &to);
-                if let Some(kept) = self.kept.as_mut().filter(|_| sandstile_exchange::replicates_state(&to)) {
-                    kept.linked(now, to, outlet, covers_receiver);
+    fn handle_message(&mut self, now: f64, message: SessionMessage) {
+        match message {
+            SessionMessage::Keys(key_ring) => self.key_ring = key_ring,
+            SessionMessage::PeerConnected(peer_name, peer) => {
+                let covers_receiver = self.holds_all_of(now, &peer_name);
+                if let Some(replicated) =
+                    self.replicated.as_mut().filter(|_| sandstile_exchange::replicates_state(&peer_name))
+                {
+                    replicated.peer_connected(now, peer_name, peer, covers_receiver);
                     return;
                 }
-                if outlet.send(Telling::Snapshot { exact: self.store.snapshot(), covers_receiver }) {
-                    self.outlets.push(outlet);
+                if peer.send(PeerMessage::Snapshot { exact: self.store.snapshot(), covers_receiver }) {
+                    self.peers.push(peer);
                 }
             }
-            SessionMessage::Frame(from, heard) => self.learn(now, &from, heard),
-            SessionMessage::Untold(to) => self.kept.iter_mut().for_each(|k| k.parted(now, &to)),
-            SessionMessage::Written(to, bytes) => self.kept.iter_mut().for_each(|k| k.written(&to, bytes)),
-            SessionMessage::Tick => self.keep(now, true),
-            SessionMessage::Show(post) => {
-                if let Some(kept) = &self.kept {
-                    post.send(kept.show(now));
+            SessionMessage::FromPeer(from, frame) => self.apply_peer_message(now, &from, frame),
+            SessionMessage::PeerDisconnected(peer_name) => self
+                .replicated
+                .iter_mut()
+                .for_each(|replicated| replicated.peer_disconnected(now, &peer_name)),
+            SessionMessage::StateBytesWritten(peer_name, bytes) => self
+                .replicated
+                .iter_mut()
+                .for_each(|replicated| replicated.record_bytes_written(&peer_name, bytes)),
+            SessionMessage::Tick => self.update_replicated_state(now, true),
+            SessionMessage::Report(sender) => {
+                if let Some(replicated) = &self.replicated {
+                    sender.send(replicated.report(now));
                 }
             }
             SessionMessage::End(done) => {
-                self.told_at = now;
+                self.last_logged_at = now;
                 info!(self.log, "sessions: {:?}", self.counts; "remembered" => self.store.len());
-                for outlet in self.outlets.drain(..) {
-                    outlet.send(Telling::End(done.clone()));
+                for peer in self.peers.drain(..) {
+                    peer.send(PeerMessage::End(done.clone()));
                 }
-                if let Some(kept) = &mut self.kept {
-                    kept.end(now, &done);
+                if let Some(replicated) = &mut self.replicated {
+                    replicated.shut_down(now, &done);
                 }
                 if let Some(journal) = &self.journal {
                     journal.send(Entry::End(done));
@@ -317,61 +348,67 @@
         }
     }
 
-    /// Whether all that an instance knew before its present life is known here. Lives are told apart, for one in
-    /// between, even one that nobody here has met, may have written more.
-    fn has_of(&mut self, now: f64, whose: &str) -> bool {
-        let (name, life) = whose.split_once('#').unwrap_or((whose, ""));
-        let Some((at, heir)) = self.handed.get_mut(name) else { return false };
-        let fits = now < *at + HANDED && heir.get_or_insert_with(|| life.to_string()) == life;
-        if !fits {
-            self.handed.remove(name);
+    /// Whether this instance has all marks that the peer had before its present generation. Only one
+    /// generation may claim a handover: one in between, even if it never connected here, may have written
+    /// more.
+    fn holds_all_of(&mut self, now: f64, peer_id: &str) -> bool {
+        let (name, generation) = peer_id.split_once('#').unwrap_or((peer_id, ""));
+        let Some((at, claimed_by)) = self.handovers.get_mut(name) else { return false };
+        let valid = now < *at + HANDOVER_VALID_S
+            && claimed_by.get_or_insert_with(|| generation.to_string()) == generation;
+        if !valid {
+            self.handovers.remove(name);
         }
-        fits
+        valid
     }
 
-    /// What follows from what was heard of the state that is kept together; `looks` where what is due is looked for as well.
-    fn keep(&mut self, now: f64, looks: bool) {
-        let Some(kept) = &mut self.kept else { return };
-        let learnt = kept.turn(now, looks, &self.log);
-        learnt.marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen));
-        self.warned.extend(
-            learnt.warned.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)),
+    /// Applies what the replicated state has learnt from peers; `check_due` also runs its periodic work.
+    fn update_replicated_state(&mut self, now: f64, check_due: bool) {
+        let Some(replicated) = &mut self.replicated else { return };
+        let changes = replicated.process(now, check_due, &self.log);
+        changes.marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen));
+        self.host_warnings.extend(
+            changes.host_warnings.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)),
         );
-        if learnt.old_copy && self.complete_since == f64::NEG_INFINITY {
+        if changes.old_copy && self.complete_since == f64::NEG_INFINITY {
             self.complete_since = now;
-        } else if learnt.vouched && self.plan.stay {
+        } else if changes.all_received && self.config.sessions_stay {
             self.complete_since = f64::NEG_INFINITY;
         }
     }
 
-    fn learn(&mut self, now: f64, from: &str, heard: Frame) {
-        match heard {
+    fn apply_peer_message(&mut self, now: f64, from: &str, frame: Frame) {
+        match frame {
             Frame::State(message) => {
-                if let Some(kept) = &mut self.kept {
-                    kept.heard(now, from, &message);
-                    self.keep(now, false);
+                if let Some(replicated) = &mut self.replicated {
+                    replicated.receive(now, from, &message);
+                    self.update_replicated_state(now, false);
                 }
             }
             Frame::SnapshotComplete { covers_receiver }
-                if self.kept.is_some() && sandstile_exchange::replicates_state(from) =>
+                if self.replicated.is_some() && sandstile_exchange::replicates_state(from) =>
             {
-                // Believed once all that it holds is held here.
-                self.kept.iter_mut().filter(|_| covers_receiver).for_each(|k| k.vouches(from));
+                // Trusted only once all of the peer's facts have been received.
+                self.replicated
+                    .iter_mut()
+                    .filter(|_| covers_receiver)
+                    .for_each(|replicated| replicated.expect_all_from(from));
             }
-            // A further life of it: what an earlier one handed over may not be all any more.
-            Frame::Introduction(_) => drop(self.has_of(now, from)),
+            // A new generation of the peer ends the handover of an earlier one, which may be incomplete by
+            // now.
+            Frame::Introduction(_) => drop(self.holds_all_of(now, from)),
             Frame::Marks(marks) => marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen)),
             Frame::SnapshotComplete { covers_receiver } => {
-                info!(self.log, "sessions were told"; "by" => from, "all_of_ours" => covers_receiver,
+                info!(self.log, "sessions: all marks received"; "by" => from, "all_of_ours" => covers_receiver,
                     "remembered" => self.store.len());
-                if covers_receiver && self.plan.stay {
+                if covers_receiver && self.config.sessions_stay {
                     self.complete_since = f64::NEG_INFINITY;
                 }
             }
             Frame::Goodbye => {
-                info!(self.log, "an instance has handed its sessions over"; "instance" => from);
+                info!(self.log, "sessions: an instance has handed over its marks"; "instance" => from);
                 let name = from.split_once('#').map_or(from, |(name, _)| name);
-                self.handed.insert(name.to_string(), (now, None));
+                self.handovers.insert(name.to_string(), (now, None));
             }
         }
     }
@@ -379,77 +416,97 @@
 
 impl Source for Sessions {
     fn pending(&self) -> bool {
-        !self.words.is_empty()
+        !self.messages.is_empty()
     }
 
     fn take_inputs(&mut self, now: f64) -> Vec<DispatcherInput> {
-        while let Some(word) = self.words.try_recv() {
-            self.heard(now, word);
+        while let Some(message) = self.messages.try_recv() {
+            self.handle_message(now, message);
         }
-        std::mem::take(&mut self.warned)
+        std::mem::take(&mut self.host_warnings)
     }
 
     fn may_probe(&mut self, now: f64, host: &str) -> bool {
-        self.kept.as_mut().is_none_or(|kept| kept.may_probe(now, host))
+        self.replicated.as_mut().is_none_or(|replicated| replicated.may_probe(now, host))
     }
 
     fn probe_ended(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        self.kept.iter_mut().for_each(|kept| kept.probed(now, host, outcome));
+        self.replicated.iter_mut().for_each(|replicated| replicated.probe_ended(now, host, outcome));
     }
 
     fn execution_ended_on_host(&mut self, now: f64, host: &str, outcome: &Outcome) {
-        self.kept.iter_mut().for_each(|kept| kept.met(now, host, outcome));
+        self.replicated
+            .iter_mut()
+            .for_each(|replicated| replicated.execution_ended_on_host(now, host, outcome));
     }
 
-    fn read_requirement(&mut self, now: f64, asked: &StatementRequest, term: u64) -> Option<ReadRequirement> {
-        let wish = self.asked(now, asked, term)?;
-        let read_requirement = wish.read_requirement();
-        self.wishes.insert(asked.statement_id, wish);
+    fn read_requirement(
+        &mut self,
+        now: f64,
+        request: &StatementRequest,
+        term: u64,
+    ) -> Option<ReadRequirement> {
+        let statement = self.track_statement(now, request, term)?;
+        let read_requirement = statement.read_requirement();
+        self.statements.insert(request.statement_id, statement);
         read_requirement
     }
 
     fn execution_ended(&mut self, _: f64, statement_id: u64, outcome: &mut Outcome) {
-        if let Some(wish) = self.wishes.remove(&statement_id) {
-            self.verify(&wish, outcome);
-            self.wishes.insert(statement_id, wish);
+        if let Some(statement) = self.statements.remove(&statement_id) {
+            self.verify(&statement, outcome);
+            self.statements.insert(statement_id, statement);
         }
     }
 
-    /// The answer takes the session's mark along, once what durability asks for is done.
-    fn completed(&mut self, now: f64, outcome: &Outcome, mut given: FinalAnswer) -> Option<FinalAnswer> {
-        let Some(wish) = self.wishes.remove(&given.statement_id) else { return Some(given) };
-        let seen = self.remember(now, &wish, outcome);
-        if let Answer::Completed(_, token) = &mut given.answer {
-            *token = Self::mark(&wish, outcome).and_then(|mark| {
-                // All that is known of it, not the last alone: it may have come from elsewhere with more.
-                let known = self.store.session_marks(wish.key);
-                let same = known.marks().filter(|m| m.term == mark.term).map(|m| m.position);
-                let position = same.fold(mark.position, f64::max);
-                self.ring.issue(&Token { key: wish.key, mark: Mark { position, ..mark }, issued: now })
+    /// Adds the session's new token to the answer, and holds the answer back until the write is as durable as
+    /// configured.
+    fn completed(
+        &mut self,
+        now: f64,
+        outcome: &Outcome,
+        mut final_answer: FinalAnswer,
+    ) -> Option<FinalAnswer> {
+        let Some(statement) = self.statements.remove(&final_answer.statement_id) else {
+            return Some(final_answer);
+        };
+        let seen = self.record_write(now, &statement, outcome);
+        if let Answer::Completed(_, token) = &mut final_answer.answer {
+            *token = Self::session_mark(&statement, outcome).and_then(|mark| {
+                // Covers all known writes of the session, not only this one: other routers may have served
+                // later ones.
+                let known = self.store.session_marks(statement.key);
+                let positions = known.marks().filter(|m| m.term == mark.term).map(|m| m.position);
+                let position = positions.fold(mark.position, f64::max);
+                self.key_ring.issue(&Token {
+                    key: statement.key,
+                    mark: Mark { position, ..mark },
+                    issued: now,
+                })
             });
         }
-        self.led(now, &wish, outcome);
-        let key = wish.key;
-        self.wishes.insert(given.statement_id, wish);
-        self.put_down(key, seen, Some(given))
+        self.record_primary_position(now, &statement, outcome);
+        let key = statement.key;
+        self.statements.insert(final_answer.statement_id, statement);
+        self.append_to_journal(key, seen, Some(final_answer))
     }
 
-    /// A write completed whose client has left: nobody was told, and yet it may come again and ask.
+    /// Records a completed write whose client has disconnected, because the session may return and read.
     fn completed_without_client(&mut self, now: f64, statement_id: u64, outcome: &Outcome) {
-        let Some(wish) = self.wishes.remove(&statement_id) else { return };
-        let seen = self.remember(now, &wish, outcome);
-        self.put_down(wish.key, seen, None);
-        self.wishes.insert(statement_id, wish);
+        let Some(statement) = self.statements.remove(&statement_id) else { return };
+        let seen = self.record_write(now, &statement, outcome);
+        self.append_to_journal(statement.key, seen, None);
+        self.statements.insert(statement_id, statement);
     }
 
     fn statement_closed(&mut self, statement_id: u64) {
-        self.wishes.remove(&statement_id);
+        self.statements.remove(&statement_id);
     }
 }
 
-/// Takes up the journal at `path`. A disk that takes no writes at this moment keeps no router from serving: what the
-/// journal holds is taken up, and the file is made one that nobody takes for whole later, for it will lack this life's
-/// writes.
+/// Opens the journal at `path`. A disk that accepts no writes at the moment must not keep the router from
+/// serving: the journal's marks are loaded, and the file is invalidated, so that no later start takes it for
+/// complete although it lacks the writes of this generation.
 fn open_journal(
     path: &Path,
     since: f64,
@@ -466,18 +523,19 @@
         Err(e) => return Err(e.into()),
     };
     sandstile_journal::invalidate(path)?;
-    warn!(log, "sessions are kept without a journal: {error}");
+    warn!(log, "sessions: running without a journal: {error}");
     Ok((None, found))
 }
 
 enum Entry {
-    SessionMarks { key: SessionKey, seen: SessionMarks, then: Option<FinalAnswer> },
+    SessionMarks { key: SessionKey, seen: SessionMarks, pending_answer: Option<FinalAnswer> },
     End(MailboxSender<()>),
 }
 
-/// The journal's actor: all that waits in its mailbox shares one sync.
-struct Scribe {
-    /// `None` once the disk has failed.
+/// Writes the journal on its own thread, with group commit: all entries that wait in the mailbox share one
+/// sync.
+struct JournalWriter {
+    /// `None` after a failure of the disk.
     journal: Option<Journal>,
     answers: MailboxSender<FinalAnswer>,
     path: PathBuf,
@@ -486,13 +544,13 @@
     log: Logger,
 }
 
-/// For so long it is tried to make a journal invalid, with pauses between.
-const INVALIDATE_PATIENCE: Duration = Duration::from_millis(200);
-const INVALIDATE_PAUSE: Duration = Duration::from_millis(10);
-/// A journal that has grown beyond this is written anew, each session once.
-const LONGEST: u64 = 64 << 20;
+/// How long an invalidation of the journal is retried, and the pause between attempts.
+const INVALIDATE_TIMEOUT: Duration = Duration::from_millis(200);
+const INVALIDATE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// A journal larger than this, in bytes, is compacted to one record per session.
+const MAX_JOURNAL_BYTES: u64 = 64 << 20;
 
-impl Scribe {
+impl JournalWriter {
     fn run(mut self, entries: &Mailbox<Entry>) {
         let mut pace = match self.durability {
             Durability::Every(s) => Some(SyncSchedule::new(s)),
@@ -509,74 +567,75 @@
             let mut next = first;
             while let Some(entry) = next {
                 match entry {
-                    Entry::SessionMarks { key, seen, then } => {
-                        self.tried(|journal| journal.append(key, &seen));
+                    Entry::SessionMarks { key, seen, pending_answer } => {
+                        self.try_journal(|journal| journal.append(key, &seen));
                         if let Some(pace) = &mut pace {
                             pace.record_write(self.clock.now());
                         }
-                        answers.extend(then);
+                        answers.extend(pending_answer);
                     }
                     Entry::End(done) => {
-                        self.tried(|journal| journal.end());
+                        self.try_journal(|journal| journal.end());
                         drop(done);
-                        self.give(&mut answers);
+                        self.send_answers(&mut answers);
                         return;
                     }
                 }
                 next = entries.try_recv();
             }
             match self.durability {
-                Durability::BeforeAnswer => self.tried(Journal::sync),
+                Durability::BeforeAnswer => self.try_journal(Journal::sync),
                 Durability::Every(_) if pace.as_mut().is_some_and(|p| p.due(self.clock.now())) => {
-                    self.tried(Journal::sync);
+                    self.try_journal(Journal::sync);
                 }
-                _ => self.tried(Journal::flush),
+                _ => self.try_journal(Journal::flush),
             }
-            self.give(&mut answers);
-            if self.journal.as_ref().is_some_and(|j| j.bytes() > LONGEST) {
-                self.renew();
+            self.send_answers(&mut answers);
+            if self.journal.as_ref().is_some_and(|j| j.bytes() > MAX_JOURNAL_BYTES) {
+                self.compact();
             }
         }
     }
 
-    fn give(&self, answers: &mut Vec<FinalAnswer>) {
-        for given in answers.drain(..) {
-            self.answers.send(given);
+    fn send_answers(&self, answers: &mut Vec<FinalAnswer>) {
+        for final_answer in answers.drain(..) {
+            self.answers.send(final_answer);
         }
     }
 
-    /// A disk that fails takes the journal with it: one that lacks writes must not be found whole later.
-    fn tried(&mut self, act: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
+    /// Runs an operation on the journal. After an error the journal is abandoned and invalidated: it lacks
+    /// writes, and a later start must not take it for complete.
+    fn try_journal(&mut self, operation: impl FnOnce(&mut Journal) -> std::io::Result<()>) {
         let Some(journal) = &mut self.journal else { return };
-        if let Err(e) = act(journal) {
-            warn!(self.log, "the journal of sessions is given up: {e}");
+        if let Err(e) = operation(journal) {
+            warn!(self.log, "journal of sessions abandoned after a disk error: {e}");
             self.journal = None;
             self.invalidate();
         }
     }
 
-    /// Nobody is to find the file whole later. Answers wait for that, for as long as they may.
+    /// Marks the file as incomplete. Answers wait for this, up to the timeout.
     fn invalidate(&self) {
-        let give_up_at = Instant::now() + INVALIDATE_PATIENCE;
+        let give_up_at = Instant::now() + INVALIDATE_TIMEOUT;
         while let Err(e) = sandstile_journal::invalidate(&self.path) {
             if Instant::now() >= give_up_at {
-                warn!(self.log, "the journal of sessions could not be made invalid: {e}; remove it by hand";
+                warn!(self.log, "journal of sessions could not be invalidated: {e}; remove the file by hand";
                     "file" => %self.path.display());
                 return;
             }
-            thread::sleep(INVALIDATE_PAUSE);
+            thread::sleep(INVALIDATE_RETRY_INTERVAL);
         }
     }
 
-    fn renew(&mut self) {
-        self.tried(Journal::sync);
+    fn compact(&mut self) {
+        self.try_journal(Journal::sync);
         let read = std::fs::read(&self.path).ok().and_then(|bytes| sandstile_journal::read(&bytes).ok());
         let Some(found) = read else { return };
         let mut merged = std::collections::BTreeMap::<SessionKey, SessionMarks>::new();
         found.marks.iter().for_each(|(key, seen)| merged.entry(*key).or_default().merge(seen));
         match Journal::replace(&self.path, merged.iter().map(|(key, seen)| (*key, seen))) {
             Ok(journal) => self.journal = Some(journal),
-            Err(e) => warn!(self.log, "the journal of sessions goes on as it is: {e}"),
+            Err(e) => warn!(self.log, "journal of sessions could not be compacted and is used as it is: {e}"),
         }
     }
 }
--- a/crates/sandstile-router/src/socket.rs
+++ b/crates/sandstile-router/src/socket.rs
@@ -1,6 +1,6 @@
-//! A socket on the readiness loop, and what is known of it between events. Readiness is told once, at its edge: it
-//! stands until the platform says that there is nothing more. Nothing rests on that word alone: a socket that waits is
-//! looked at again, each time after twice as long, so that news that was never told costs no more than the wait before.
+//! A socket registered with the event loop, and its readiness. Readiness events are edge-triggered: readiness holds
+//! until a call returns `WouldBlock`. The router doesn't depend on events alone: a waiting socket is also rechecked
+//! at intervals that double each time, so that a missed event costs no more than the wait before it.
 use crate::errno::is_short_of_memory;
 use mio::event::Event;
 use mio::net::TcpStream;
@@ -8,54 +8,54 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-/// Seconds from the last bytes to the first look that no readiness calls for.
-const FIRST_LOOK: f64 = 0.025;
+/// Seconds from the last transfer to the first recheck without an event.
+const FIRST_RECHECK_S: f64 = 0.025;
 
-pub struct Wire {
+pub struct Socket {
     stream: TcpStream,
     readable: bool,
     writable: bool,
-    /// The other side has ended its sending: reads go on until they have met that end.
-    ending: bool,
-    /// Readiness that was told has not been used up.
+    /// The peer has closed its sending side, or the connection broke: reads go on until they reach that end.
+    read_closed: bool,
+    /// A readiness event was reported since a read last returned `WouldBlock`.
     announced: bool,
-    /// When it is looked at next, and after how many seconds that is.
-    look_at: f64,
-    look_gap: f64,
+    /// When the socket is rechecked next, and the current interval in seconds.
+    recheck_at: f64,
+    recheck_interval: f64,
 }
 
-/// What a read or a write came to.
+/// Result of a read or a write.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Moved {
+pub enum Transfer {
     Bytes(usize),
-    Nothing,
-    /// The machine was short of memory for the call, and nothing was moved: the connection stands.
-    Later,
-    /// The other side has ended its sending, and all that it sent was read.
+    NotReady,
+    /// The call failed for lack of memory and transferred nothing; the connection is intact.
+    OutOfMemory,
+    /// The peer has closed its sending side, and everything it sent has been read.
     Ended,
     /// The connection broke, with this error number where the platform gave one.
     Broken(Option<i32>),
 }
 
-impl Wire {
-    /// Registers the socket; one that can't be registered now is handed back.
+impl Socket {
+    /// Registers the socket. A socket that can't be registered now is returned with the error.
     pub fn new(
         registry: &Registry,
         mut stream: TcpStream,
         token: Token,
         writable: bool,
-    ) -> Result<Wire, (TcpStream, io::Error)> {
+    ) -> Result<Socket, (TcpStream, io::Error)> {
         match registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE) {
-            Ok(()) => Ok(Wire {
+            Ok(()) => Ok(Socket {
                 stream,
                 readable: false,
                 writable,
-                ending: false,
+                read_closed: false,
                 announced: true,
-                look_at: f64::INFINITY,
-                look_gap: FIRST_LOOK,
+                recheck_at: f64::INFINITY,
+                recheck_interval: FIRST_RECHECK_S,
             }),
-            // Made anew: the library takes one whose registration failed for registered.
+            // Wrapped anew: mio treats a socket whose registration failed as registered.
             Err(e) => Err((TcpStream::from_std(stream.into()), e)),
         }
     }
@@ -64,42 +64,43 @@
         &self.stream
     }
 
-    pub fn told(&mut self, event: &Event) {
-        // A connection that broke is found out by whichever comes first.
+    pub fn on_event(&mut self, event: &Event) {
+        // A broken connection is reported by the next read or write, so both are allowed.
         let broken = event.is_error();
         self.announced = true;
-        self.ending |= event.is_read_closed() || broken;
-        self.readable |= event.is_readable() || self.ending;
+        self.read_closed |= event.is_read_closed() || broken;
+        self.readable |= event.is_readable() || self.read_closed;
         self.writable |= event.is_writable() || event.is_write_closed() || broken;
     }
 
-    /// Has the next read look, whatever was told: at the end of a time, or before something is said.
-    pub fn look(&mut self) {
+    /// Has the next read try the socket without an event: when a deadline has passed, or before an action that
+    /// depends on what has been received.
+    pub fn force_read(&mut self) {
         self.readable = true;
     }
 
-    /// Bytes went one way or the other at `now`: the next look is soon.
-    pub fn moved(&mut self, now: f64) {
-        self.look_gap = FIRST_LOOK;
-        self.look_at = now + self.look_gap;
+    /// Bytes were transferred at `now`: the recheck interval starts over.
+    pub fn record_progress(&mut self, now: f64) {
+        self.recheck_interval = FIRST_RECHECK_S;
+        self.recheck_at = now + self.recheck_interval;
     }
 
-    /// When it is to be looked at though nothing was told.
-    pub fn look_due(&self) -> f64 {
-        self.look_at
+    /// When the socket is rechecked without an event.
+    pub fn recheck_due(&self) -> f64 {
+        self.recheck_at
     }
 
-    /// Has the next read and write try, where a look is due at `now`.
-    pub fn look_again(&mut self, now: f64) {
-        if now >= self.look_at {
+    /// Lets the next read and write try the socket, if a recheck is due at `now`.
+    pub fn recheck(&mut self, now: f64) {
+        if now >= self.recheck_at {
             (self.readable, self.writable) = (true, true);
-            self.look_gap *= 2.0;
-            self.look_at = now + self.look_gap;
+            self.recheck_interval *= 2.0;
+            self.recheck_at = now + self.recheck_interval;
         }
     }
 
-    /// Whether the bytes that were read just now came without a word of readiness.
-    pub fn unannounced(&self) -> bool {
+    /// Whether the bytes just read came without a readiness event.
+    pub fn is_unannounced(&self) -> bool {
         !self.announced
     }
 
@@ -107,67 +108,68 @@
         self.readable
     }
 
-    /// Whether the other side has ended its sending, or the connection broke: known even while there was no room
-    /// to read what came before that.
-    pub fn ending(&self) -> bool {
-        self.ending
+    /// Whether the peer has closed its sending side or the connection broke. Known even while there is no room to
+    /// read what was sent before that.
+    pub fn read_closed(&self) -> bool {
+        self.read_closed
     }
 
     pub fn writable(&self) -> bool {
         self.writable
     }
 
-    pub fn unwritable(&mut self) {
+    pub fn clear_writable(&mut self) {
         self.writable = false;
     }
 
-    pub fn read(&mut self, bytes: &mut [u8]) -> Moved {
+    pub fn read(&mut self, bytes: &mut [u8]) -> Transfer {
         if !self.readable || bytes.is_empty() {
-            return Moved::Nothing;
+            return Transfer::NotReady;
         }
         loop {
             match self.stream.read(bytes) {
-                Ok(0) => return Moved::Ended,
-                // However little came, it proves nothing of what is left: readiness stands until a read would block.
-                Ok(got) => return Moved::Bytes(got),
+                Ok(0) => return Transfer::Ended,
+                // A short read doesn't prove that nothing is left: readiness holds until a read returns
+                // `WouldBlock`.
+                Ok(received) => return Transfer::Bytes(received),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     (self.readable, self.announced) = (false, false);
-                    return Moved::Nothing;
+                    return Transfer::NotReady;
                 }
                 Err(e) if is_short_of_memory(&e) => {
                     self.readable = false;
-                    return Moved::Later;
+                    return Transfer::OutOfMemory;
                 }
-                Err(e) => return Moved::Broken(e.raw_os_error()),
+                Err(e) => return Transfer::Broken(e.raw_os_error()),
             }
         }
     }
 
-    pub fn write(&mut self, bytes: &[u8]) -> Moved {
+    pub fn write(&mut self, bytes: &[u8]) -> Transfer {
         if !self.writable || bytes.is_empty() {
-            return Moved::Nothing;
+            return Transfer::NotReady;
         }
         loop {
             match self.stream.write(bytes) {
-                Ok(0) => return Moved::Broken(None),
-                Ok(put) => return Moved::Bytes(put),
+                Ok(0) => return Transfer::Broken(None),
+                Ok(written) => return Transfer::Bytes(written),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     self.writable = false;
-                    return Moved::Nothing;
+                    return Transfer::NotReady;
                 }
                 Err(e) if is_short_of_memory(&e) => {
                     self.writable = false;
-                    return Moved::Later;
+                    return Transfer::OutOfMemory;
                 }
-                Err(e) => return Moved::Broken(e.raw_os_error()),
+                Err(e) => return Transfer::Broken(e.raw_os_error()),
             }
         }
     }
 
-    /// Whether nothing has come: bytes or an end on an idle connection mean that it is of no use any more.
-    pub fn quiet(&self) -> bool {
+    /// Whether nothing can be read: bytes or an end of stream on an idle connection make it unusable.
+    pub fn is_silent(&self) -> bool {
         loop {
             match self.stream.peek(&mut [0]) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -178,7 +180,7 @@
     }
 
     pub fn close(self, registry: &Registry) {
-        let Wire { mut stream, .. } = self;
+        let Socket { mut stream, .. } = self;
         let _ = registry.deregister(&mut stream);
         let _ = stream.shutdown(Shutdown::Both);
     }
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Pairs of events that cross: each order is forced by a barrier or by what a stand-in waits for, never by luck.
-//! `docs/design/crossings.md` lists them.
+//! Races between pairs of events; each order is forced by a barrier or by what a stand-in waits for. They are
+//! listed in `docs/design/crossings.md`.
 #[allow(dead_code)]
 mod stand_ins;
 
@@ -7,35 +7,37 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-/// A pipelined statement's client counts its time from the sending, whatever stood before it on the connection.
+/// Guards against the time limit of a pipelined statement being counted from the answer before it: the client
+/// counts from its sending.
 #[test]
-fn a_pipelined_statement_is_told_within_the_time_from_its_own_sending() {
+fn a_pipelined_statement_is_answered_within_its_own_time_limit() {
     let primary = Host::scripted(true, &[HostReply::Slow(300, b"first"), HostReply::Silent]);
     let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     let begun = Instant::now();
     client.send(&[query(&write(700)), query(&write(700))].concat());
     assert_eq!(value(&client.answer()), b"first");
-    let got = client.answer();
+    let response = client.answer();
     let took = begun.elapsed();
-    assert!(got.ready && got.code.as_deref() == Some("57014"), "{got:?}");
+    assert!(response.ready && response.code.as_deref() == Some("57014"), "{response:?}");
     assert!(took < Duration::from_millis(950), "{took:?}");
 }
 
-/// A client that fills its connection with commands and leaves is gone at once: what it left unread hides no end.
+/// Guards against unread commands hiding the end of a connection: a client that fills its connection with commands
+/// and disconnects is noticed at once.
 #[test]
-fn a_client_that_leaves_behind_unread_commands_is_gone() {
+fn a_client_that_disconnects_with_unread_commands_is_noticed() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
     let router = Router::start_with_hosts(&primary, &[]);
-    let mut leaver = router.client();
+    let mut leaving_client = router.client();
     let burst: Vec<u8> = (0..100).flat_map(|_| query(&write(1900))).collect();
-    leaver.send(&burst);
+    leaving_client.send(&burst);
     wait_for("the first write", || primary.count() == 1);
     let left = Instant::now();
-    drop(leaver);
-    wait_for("the withdrawal", || primary.ended.load(SeqCst) == 1);
+    drop(leaving_client);
+    wait_for("the cancellation", || primary.ended.load(SeqCst) == 1);
     assert!(left.elapsed() < Duration::from_millis(1500), "{:?}", left.elapsed());
-    // Nothing of what it left behind is begun: the next at the host is another client's.
+    // None of the unread commands was started: the next query at the host is another client's.
     let mut other = router.client();
     assert_eq!(value(&other.ask(&write(800))), b"primary");
     assert_eq!(primary.count(), 2);
@@ -43,36 +45,38 @@
     assert!(ok && (count(&log, "taken"), count(&log, "clients_gone")) == (2, 1), "{log}");
 }
 
-/// A statement that is wrong in itself, or has no time left, stands before good ones on a connection.
+/// Guards against good statements being lost behind a malformed one, or behind one without time left, on the same
+/// connection.
 #[test]
-fn statements_behind_an_unreadable_one_are_answered() {
+fn statements_behind_a_malformed_one_are_answered() {
     let primary = Host::start(true);
     let router = Router::start_with_hosts(&primary, &[]);
     let mut client = router.client();
     let late = write(0);
     client.send(&[query("SELECT 1"), query(&late), query(&write(800))].concat());
-    let got = client.answer();
-    assert!(got.ready && got.code.as_deref() == Some("42601"), "{got:?}");
-    let got = client.answer();
-    assert!(got.ready && got.code.as_deref() == Some("53300"), "{got:?}");
+    let response = client.answer();
+    assert!(response.ready && response.code.as_deref() == Some("42601"), "{response:?}");
+    let response = client.answer();
+    assert!(response.ready && response.code.as_deref() == Some("53300"), "{response:?}");
     assert_eq!(value(&client.answer()), b"primary");
-    assert_eq!(primary.count(), 1, "nothing begins for one whose time is up");
+    assert_eq!(primary.count(), 1, "no execution starts after its time limit");
 }
 
-/// What the agent has counts as told from a process's first moment: nobody is let in before that is in. Nor does anyone
-/// wait in the listening socket meanwhile, for a client's time runs there unseen.
+/// Guards against statements routed by the old list of the launch configuration: no client is accepted before
+/// discovery's first list. Clients must not wait in the listen queue meanwhile either, as their statements' time
+/// runs there.
 #[test]
-fn a_new_process_lets_nobody_in_before_the_agent_has_told_its_list() {
+fn no_client_is_accepted_before_the_agents_first_list() {
     let (primary, replica) = (Host::start(true), Host::start(false));
     let agent = DiscoveryAgent::start();
     let text = config(agent.address, &known(&primary, &[&replica]));
-    // On a machine that holds this test up the half second may be over as it looks: then once more.
+    // On a machine that delays this test, the half second may be over at the check: then it is repeated.
     let (router, mut watch) = loop {
         let begun = Instant::now();
-        let (router, watch) = (Router::begin(&text), agent.watch());
+        let (router, watch) = (Router::spawn(&text), agent.watch());
         let refused = std::net::TcpStream::connect(router.address).is_err();
         if begun.elapsed() < Duration::from_millis(450) {
-            assert!(refused, "let in by an old list");
+            assert!(refused, "accepted with an old list");
             break (router, watch);
         }
     };
@@ -83,9 +87,9 @@
     assert_eq!(replica.count(), 0);
 }
 
-/// An agent that is silent, for discovery is down, keeps no process from serving.
+/// Guards against a router that waits for discovery without end: a silent agent must not keep it from serving.
 #[test]
-fn a_new_process_serves_by_the_list_of_the_start_where_the_agent_is_silent() {
+fn a_router_serves_by_its_configured_list_where_the_agent_is_silent() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
     let begun = Instant::now();
@@ -95,7 +99,8 @@
     assert_eq!(value(&client.ask(&write(800))), b"primary");
 }
 
-/// Lists may come indented, over several lines and in any pieces.
+/// Guards against lists being split at line ends: a list may be indented over several lines and arrive in any
+/// pieces.
 #[test]
 fn a_list_over_many_lines_is_one_list() {
     let (old, new) = (Host::start(true), Host::scripted(true, &[HostReply::Row(b"new")]));
@@ -117,9 +122,9 @@
     assert!(ok && count(&log, "bad_lists") == 0 && count(&log, "watches") == 1, "{log}");
 }
 
-/// Bytes that drip are no word from discovery: a watch that says nothing whole is opened anew in time.
+/// Guards against single bytes counting as a sign of life: a watch that sends nothing complete is reopened in time.
 #[test]
-fn a_watch_that_drips_is_a_silent_one() {
+fn a_watch_that_trickles_bytes_is_reopened() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
     let router = Router::start(&config(agent.address, &known(&primary, &[])));
@@ -127,46 +132,47 @@
     watch.begin();
     watch.chunk(&(list(41, false, &[]) + "\n"));
     let begun = Instant::now();
-    let drip = std::thread::spawn(move || {
-        while begun.elapsed() < Duration::from_secs(8) && watch.drips() {
+    let trickle = std::thread::spawn(move || {
+        while begun.elapsed() < Duration::from_secs(8) && watch.send_blank() {
             std::thread::sleep(Duration::from_millis(100));
         }
         begun.elapsed()
     });
-    let again = agent.watch();
+    let reopened_watch = agent.watch();
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
-    assert!(again.request.contains("since=41"));
-    assert!(drip.join().expect("a watch") < Duration::from_secs(7), "the former one was left open");
+    assert!(reopened_watch.request.contains("since=41"));
+    assert!(trickle.join().expect("a watch") < Duration::from_secs(7), "the previous watch was left open");
     drop(router);
 }
 
-/// Its client left while it waited for a connection: it is not begun, though executions may not be withdrawn here.
+/// Guards against a statement being started after its client has disconnected while it waited for a connection,
+/// even where executions may not be cancelled.
 #[test]
-fn a_statement_that_waits_for_a_connection_goes_with_its_client() {
+fn a_statement_that_waits_for_a_connection_is_dropped_with_its_client() {
     let primary = Host::scripted(true, &[HostReply::Slow(340, b"first")]);
-    primary.script.lock().expect("script").greet = Some(1);
+    primary.script.lock().expect("script").startups_to_answer = Some(1);
     let text = config(DiscoveryAgent::start().address, &known(&primary, &[]))
         .replace("\"probes\":true", "\"probes\":false")
         .replace("\"mayCancel\":true", "\"mayCancel\":false")
         .replace("\"dialTimeoutMs\":250.0", "\"dialTimeoutMs\":1500.0");
     let router = Router::start(&text);
-    let (mut first, mut leaver) = (router.client(), router.client());
+    let (mut first, mut leaving_client) = (router.client(), router.client());
     first.send(&query(&write(1500)));
     wait_for("the first write", || primary.count() == 1);
-    leaver.send(&query(&write(1500)));
-    wait_for("the dial for the second", || primary.met.load(SeqCst) == 2);
-    drop(leaver);
+    leaving_client.send(&query(&write(1500)));
+    wait_for("the dial for the second", || primary.accepted.load(SeqCst) == 2);
+    drop(leaving_client);
     assert_eq!(value(&first.answer()), b"first");
     assert_eq!(value(&first.ask(&write(1500))), b"primary");
-    assert_eq!(primary.count(), 2, "begun for a client that had gone");
+    assert_eq!(primary.count(), 2, "started for a client that had disconnected");
     let (ok, log) = router.end();
     assert!(ok && (count(&log, "clients_gone"), count(&log, "WithdrawnUnsent")) == (1, 1), "{log}");
 }
 
-/// A discovery that refuses is asked less and less often, or hundreds of routers would keep it refusing; never so
-/// seldom that what it has counts as told unheard.
+/// Guards against an overloaded discovery being kept overloaded by hundreds of routers: refused requests are
+/// repeated at growing intervals, but often enough that no change counts as received unread.
 #[test]
-fn a_discovery_that_refuses_is_not_hammered() {
+fn refused_discovery_requests_are_repeated_at_growing_intervals() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
     let text = config(agent.address, &known(&primary, &[]));
@@ -182,9 +188,10 @@
     drop(router);
 }
 
-/// The window after SIGTERM closes while half of a command has come: its rest is taken and answered.
+/// Guards against a command being lost that is half received when the window after SIGTERM closes: the rest is read
+/// and answered.
 #[test]
-fn a_command_that_is_half_there_as_the_door_closes_is_answered() {
+fn a_half_received_command_is_answered_after_the_shutdown_window() {
     let primary = Host::start(true);
     let router = Router::start_with_hosts(&primary, &[]);
     let (mut half, mut idle) = (router.client(), router.client());
@@ -193,54 +200,56 @@
     let command = query(&write(800));
     half.send(&command[..30]);
     router.signal("TERM");
-    // The one that rests is closed, and by then the other would have been.
-    assert_eq!(idle.answer(), Got::default());
+    // The idle one is closed, and by then the other one would have been closed too.
+    assert_eq!(idle.answer(), QueryResponse::default());
     half.send(&command[30..]);
     assert_eq!(value(&half.answer()), b"primary");
-    assert_eq!(half.answer(), Got::default(), "and then it goes like any other");
+    assert_eq!(half.answer(), QueryResponse::default(), "and then it is closed like any other");
     let (ok, log) = router.end();
     assert!(ok && (count(&log, "taken"), count(&log, "completed")) == (3, 3), "{log}");
 }
 
-/// Told to end before the first list is in: nobody has been let in, and it ends well.
+/// Guards against a failed exit where SIGTERM arrives before the first list: no client has been accepted, and the
+/// router exits with success.
 #[test]
-fn an_end_before_the_first_list_is_an_end() {
+fn sigterm_before_the_first_list_exits_with_success() {
     let primary = Host::start(true);
     let agent = DiscoveryAgent::start();
-    let mut router = Router::begin(&config(agent.address, &known(&primary, &[])));
+    let mut router = Router::spawn(&config(agent.address, &known(&primary, &[])));
     let _silent = agent.watch();
     router.signal("TERM");
     assert!(router.child.wait().expect("an end").success());
-    assert_eq!(primary.met.load(SeqCst), 0);
+    assert_eq!(primary.accepted.load(SeqCst), 0);
 }
 
-/// Killed under a statement and started again: the host is asked nothing on behalf of the dead, and the first statement
-/// of the new life is served.
+/// Guards against effects of a killed process on its successor: the host gets no query on behalf of the dead
+/// process, and the first statement of the new one is served.
 #[test]
-fn a_process_that_is_killed_under_a_statement_leaves_nothing_to_its_next_life() {
+fn a_restarted_process_is_not_affected_by_statements_of_the_killed_one() {
     let primary = Host::scripted(true, &[HostReply::Silent]);
     let text = config(DiscoveryAgent::start().address, &known(&primary, &[]));
-    let mut former = Router::start(&text);
-    let mut client = former.client();
+    let mut killed_router = Router::start(&text);
+    let mut client = killed_router.client();
     client.send(&query(&write(1900)));
     wait_for("the write", || primary.count() == 1);
-    former.child.kill().expect("our own process");
-    wait_for("the end of its links", || primary.ended.load(SeqCst) == primary.met.load(SeqCst));
-    assert_eq!(client.answer(), Got::default());
+    killed_router.child.kill().expect("a child process");
+    wait_for("the end of its connections", || primary.ended.load(SeqCst) == primary.accepted.load(SeqCst));
+    assert_eq!(client.answer(), QueryResponse::default());
     let router = Router::start(&text);
     assert_eq!(value(&router.client().ask(&write(800))), b"primary");
     assert_eq!(primary.count(), 2);
 }
 
-/// The answer stands in the socket as the withdrawal is ordered: it counts, or nobody would know whether it ran.
+/// Guards against an answer being dropped that is already in the socket when its execution is cancelled: nobody
+/// would know whether the statement ran.
 #[test]
-fn an_answer_that_has_come_as_its_execution_is_withdrawn_counts() {
+fn an_answer_received_before_its_cancellation_counts() {
     use sandstile_dispatcher::{Command, DispatcherMessage, HostTask, Outcome, TaskKind};
     use sandstile_router::{
         budget::Budget, clock::Clock, counters::Counters, hosts::Hosts, loop_context::LoopContext, mailbox,
     };
-    struct Text;
-    impl sandstile_dispatcher::StatementPayload for Text {
+    struct TestPayload;
+    impl sandstile_dispatcher::StatementPayload for TestPayload {
         fn message(&self, _: f64) -> Vec<u8> {
             query("SELECT 1")
         }
@@ -260,21 +269,22 @@
         queue: Default::default(),
         scratch: vec![0; 65536],
     };
-    let (post, mail) = mailbox::mailbox::<DispatcherMessage>();
-    let mut hosts = Hosts::new(post, counters, log, 1.0, 30.0);
-    hosts.order(
+    let (sender, dispatcher_mailbox) = mailbox::mailbox::<DispatcherMessage>();
+    let mut hosts = Hosts::new(sender, counters, log, 1.0, 30.0);
+    hosts.handle_command(
         Command::UpdateHost { host: 0, name: "s-0".to_string(), address: Some(primary.address) },
         &mut context,
     );
-    let kind = TaskKind::Statement { statement_id: 7, execution: 0, payload: std::sync::Arc::new(Text) };
-    hosts.order(Command::Start(0, HostTask { kind, deadline: clock.now() + 5.0 }), &mut context);
+    let kind =
+        TaskKind::Statement { statement_id: 7, execution: 0, payload: std::sync::Arc::new(TestPayload) };
+    hosts.handle_command(Command::Start(0, HostTask { kind, deadline: clock.now() + 5.0 }), &mut context);
     let mut events = mio::Events::with_capacity(16);
-    // Until the statement is written: from then on nothing is told of the socket any more.
+    // Polls until the statement is written; from then on no event of the socket is delivered.
     wait_for("the statement at its host", || {
         if context.budget.claim(sandstile_router::budget::Holder::UpstreamConnection)
             == sandstile_router::budget::Claim::Granted
         {
-            if hosts.wanting(clock.now()) {
+            if hosts.next_dial_ready(clock.now()) {
                 hosts.dial(&mut context);
             } else {
                 context.budget.release(sandstile_router::budget::Holder::UpstreamConnection);
@@ -283,20 +293,20 @@
         if primary.count() == 0 {
             poll.poll(&mut events, Some(Duration::from_millis(1))).expect("readiness");
             for event in &events {
-                hosts.told((event.token().0 - 3) / 2, event, &mut context);
+                hosts.on_event((event.token().0 - 3) / 2, event, &mut context);
             }
             while let Some(token) = context.queue.pop_front() {
-                hosts.called((token.0 - 3) / 2, &mut context);
+                hosts.run_queued((token.0 - 3) / 2, &mut context);
             }
         }
         primary.count() == 1
     });
     wait_for("the answer in the socket", || primary.answered.load(SeqCst) == 1);
-    hosts.order(Command::Cancel { host: 0, statement_id: 7, execution: 0 }, &mut context);
-    match mail.try_recv() {
+    hosts.handle_command(Command::Cancel { host: 0, statement_id: 7, execution: 0 }, &mut context);
+    match dispatcher_mailbox.try_recv() {
         Some(DispatcherMessage::Ended { outcome: Outcome { ending, .. }, .. }) => {
             assert_eq!(ending, sandstile_dispatcher::Ending::Completed);
         }
-        _ => panic!("no ending"),
+        _ => panic!("no outcome"),
     }
 }
--- a/crates/sandstile-simulation/src/world.rs
+++ b/crates/sandstile-simulation/src/world.rs
@@ -87,8 +87,8 @@
         &mut self.instances[router]
     }
 
-    /// Updates the wake-up times of touched routers. Times are positive, and the bit patterns of positive floats sort like
-    /// the floats.
+    /// Updates the wake-up times of touched routers. Times are positive, and the bit patterns of positive floats sort
+    /// like the floats.
     fn schedule_wakes(&mut self) {
         for router in std::mem::take(&mut self.touched) {
             let is_running = !self.stopped_routers.contains(&router);
--- a/crates/sandstile-simulation/tests/world.rs
+++ b/crates/sandstile-simulation/tests/world.rs
@@ -145,8 +145,8 @@
 }
 
 /// Guards against long waits after one slow answer of a rarely used database, in a deployment with many small databases
-/// whose work is far shorter than their SLO time. When the policy judged answers by the SLO time, some statements waited
-/// for 23 s, although no queue had to drain, and 922 statements per second completed.
+/// whose work is far shorter than their SLO time. When the policy judged answers by the SLO time, some statements
+/// waited for 23 s, although no queue had to drain, and 922 statements per second completed.
 #[test]
 fn one_slow_answer_delays_no_statement_for_long() {
     let mut plan = plan(100, 10, 2, 1);
@@ -173,8 +173,8 @@
     assert_eq!(run(), run());
 }
 
-/// Hosts crash, vanish, pause, return errors and recover under load: each statement gets one answer, none stays pending,
-/// and no write runs twice.
+/// Hosts crash, vanish, pause, return errors and recover under load: each statement gets one answer, none stays
+/// pending, and no write runs twice.
 #[test]
 fn every_statement_has_one_answer_when_hosts_fail() {
     let mut failed_answers = 0;
