--- a/crates/sandstile-audit/src/lib.rs
+++ b/crates/sandstile-audit/src/lib.rs
@@ -1,5 +1,5 @@
-//! The audit of a rehearsal: a trace of JSON lines goes in, violations with their stories and the service come
-//! out. Whoever wrote the router's decisions wrote nothing here, and no code is shared with them.
+//! Checks a rehearsal afterwards: reads its trace of JSON lines, and reports violations with the lines about them and
+//! the service that clients got. Shares no code with the router, so that a fault in its decisions can't hide itself.
 pub mod agreement;
 pub mod copies;
 pub mod judge;
--- a/crates/sandstile-audit/src/trace.rs
+++ b/crates/sandstile-audit/src/trace.rs
@@ -1,17 +1,20 @@
-//! The trace, read whole and sorted by what each line is about. Times are Unix seconds.
+//! The trace of a rehearsal, parsed and sorted by kind of record. Times are Unix seconds.
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the run held its parts to.
+/// The settings of the run.
 #[derive(Clone, Debug)]
 pub struct RunSettings {
     pub title: String,
     pub seed: u64,
+    /// When the measured part of the run began and ended.
     pub begin: f64,
     pub end: f64,
-    /// Seconds at the start that service leaves out.
+    /// Seconds at the start that the totals of service leave out.
     pub settle: f64,
+    /// Seconds for which a draining host may still be sent new statements.
     pub grace: f64,
+    /// Seconds by which an answer or a drain may be late because of the machine.
     pub slack: f64,
     pub routers: usize,
     pub workloads: BTreeMap<String, Workload>,
@@ -22,8 +25,11 @@
     pub effect: Effect,
     /// `write`, `fresh`, `session`, `bounded` or `any`.
     pub consistency: String,
+    /// Seconds within which an answer counts as served in time.
     pub slo: f64,
+    /// Seconds that clients wait for an answer.
     pub timeout: f64,
+    /// Weight of one request of this workload in the overall service.
     pub importance: f64,
 }
 
@@ -34,24 +40,26 @@
     NonIdempotent,
 }
 
-/// One try of a client.
+/// One attempt of a client's request.
 #[derive(Clone, Debug)]
-pub struct ClientRequest {
+pub struct RequestAttempt {
+    /// When it was sent.
     pub t: f64,
-    /// When it was meant to be asked.
+    /// When the load schedule called for the request.
     pub due: f64,
-    /// The id of the first try of the same wish.
+    /// The id of the first attempt of the same request.
     pub first: String,
     pub workload: String,
     pub group: String,
     pub session: String,
     pub router: usize,
+    /// Seconds that the client waits for an answer.
     pub wait: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// The value's own words: for which statement, by which host, at which position.
+    /// What the value itself says: the statement it was made for, the host that made it and that host's log position.
     Completed {
         made_for: Option<String>,
         by: Option<String>,
@@ -63,33 +71,38 @@
     },
 }
 
-/// A host read a statement whole.
+/// A host read a complete statement from its connection.
 #[derive(Clone, Debug)]
 pub struct ReceivedStatement {
     pub t: f64,
     pub host: String,
 }
 
+/// An execution of a statement at a host.
 #[derive(Clone, Debug)]
 pub struct Execution {
     pub t: f64,
     pub host: String,
+    /// The position of its commit in the group's log; `None` for reads.
     pub commit: Option<f64>,
+    /// The log position that the host had applied.
     pub reached: f64,
+    /// The least log position that the statement asked for.
     pub need: f64,
 }
 
-/// All that is on record of one statement.
+/// Everything the trace records about one statement.
 #[derive(Clone, Debug, Default)]
 pub struct Statement {
-    pub request: Option<ClientRequest>,
+    pub request: Option<RequestAttempt>,
     pub answers: Vec<(f64, FinalAnswer)>,
-    /// When and how a try ended without an answer.
+    /// When and how the attempt ended without an answer.
     pub unanswered: Option<(f64, String)>,
     pub received: Vec<ReceivedStatement>,
     pub executions: Vec<Execution>,
-    /// Hosts' own words: host and code.
+    /// Responses of hosts: time, host and SQLSTATE or kind of the response.
     pub responses: Vec<(f64, String, String)>,
+    /// The trace's own lines about it, with their times.
     pub lines: Vec<(f64, String)>,
 }
 
@@ -97,109 +110,117 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterState {
     Started,
-    /// It answers.
+    /// It answers statements.
     Ready,
-    /// It stands still, or does so most of the time, and goes on.
+    /// It was suspended by a signal, all of the time or, where it is `Slow`, most of the time; `Continued` ends both.
     Stopped,
     Slow,
     Continued,
     Term,
     Killed,
-    /// With its exit code, if it had one.
+    /// It ended, with its exit code unless a signal ended it.
     Ended(Option<i64>),
 }
 
-/// What a router process holds at one time.
+/// The resources of a router process at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessSample {
     pub t: f64,
     pub router: usize,
     pub rss_kb: f64,
     pub descriptors: f64,
-    /// Milliseconds of processor time so far.
+    /// Milliseconds of CPU time since the process started.
     pub cpu_ms: f64,
 }
 
-/// A cue of links: which kinds of ends it touches, and when it stood.
+/// A fault of network links: which kinds of endpoints it affects, and when it was active.
 #[derive(Clone, Debug)]
 pub struct LinkFault {
     pub name: String,
     pub clients: bool,
     pub hosts: bool,
     pub agents: bool,
-    /// From which router to which nothing gets through.
+    /// Pairs of routers, from and to, between which no traffic passes.
     pub severs: Vec<(usize, usize)>,
     pub begin: f64,
     pub end: f64,
 }
 
-/// Whom a router held for there, from this time on.
+/// The members that a router considered present from this time on.
 #[derive(Clone, Debug)]
 pub struct MembershipSample {
     pub t: f64,
     pub router: usize,
-    /// In its own words: agreed, settling, cut off from some, alone.
+    /// The router's own view: agreed, settling, cut off from some, alone.
     pub view: String,
+    /// The other routers that it considers present.
     pub there: BTreeSet<usize>,
+    /// How many routers it assumes to share the hosts.
     pub router_counts: Option<f64>,
 }
 
-/// How the state stood that a router keeps with others.
+/// A router's copy of the replicated state at one time.
 #[derive(Clone, Debug)]
 pub struct StateSample {
     pub t: f64,
     pub router: usize,
+    /// `in step`, or what the copy still lacks, in the router's own words.
     pub standing: String,
+    /// Entries in the copy.
     pub facts: f64,
-    /// The sum of what is older than `as_of`.
+    /// The digest of all entries older than `as_of`.
     pub digest: String,
     pub as_of: f64,
+    /// Bytes that the process has sent to other routers since it started.
     pub bytes_out: f64,
     pub contradictions: f64,
+    /// The process found an outdated copy on its disk.
     pub old_copy: bool,
 }
 
-/// Seconds after a heal in which what a link held back still arrives: a retransmission, and what queues behind it.
-const SETTLES: f64 = 1.0;
+/// Seconds after the end of a link fault in which delayed traffic still arrives: retransmissions and what queued behind them.
+const LINK_RECOVERY_S: f64 = 1.0;
 
 #[derive(Clone, Debug, Default)]
 pub struct Trace {
     pub settings: Option<RunSettings>,
-    /// It ended as it should, not in the middle.
+    /// The last line is the regular end of the run.
     pub complete: bool,
     pub statements: BTreeMap<String, Statement>,
-    /// When a router was first told that a host leaves.
+    /// When a router was first notified that a host leaves.
     pub leaving: BTreeMap<(usize, String), f64>,
     pub routers: Vec<(f64, usize, RouterState)>,
-    /// Faults that stood: kind, host, begin, end.
+    /// Faults of hosts: kind, host, begin, end.
     pub faults: Vec<(String, String, f64, f64)>,
+    /// Cold hosts that collapsed: when, host, the offered multiple of its capacity, the multiple it tolerates.
     pub overloaded_hosts: Vec<(f64, String, f64, f64)>,
-    /// The greatest multiple that a cold host was offered, and what it bears.
+    /// For each cold host, the highest offered multiple of its capacity and the multiple it tolerates.
     pub cold_host_load: BTreeMap<String, (f64, f64)>,
-    /// Commits that no host has any more: when, group, statement, position.
+    /// Commits that no host has any more: time, group, statement, log position.
     pub lost_commits: Vec<(f64, String, String, f64)>,
+    /// New primaries: time, group, host.
     pub primaries: Vec<(f64, String, String)>,
-    /// Cues that were carried out.
+    /// Cues that were executed: time and name.
     pub cues: Vec<(f64, String)>,
     pub link_faults: Vec<LinkFault>,
     pub membership_samples: Vec<MembershipSample>,
     pub state_samples: Vec<StateSample>,
-    /// Dials, handshakes and probes at hosts.
+    /// Connection attempts, handshakes and probes at hosts: time, host, kind.
     pub host_contacts: Vec<(f64, String, &'static str)>,
-    /// When routers asked for lists.
+    /// When routers asked discovery for lists.
     pub lists: Vec<(f64, usize)>,
-    /// When a router was told, last, that a host is primary.
+    /// When a router was last notified that a host is primary.
     pub notified_primary: BTreeMap<(usize, String), f64>,
-    /// When hosts left for good.
+    /// When hosts left their list for good.
     pub left: BTreeMap<String, f64>,
     pub process_samples: Vec<ProcessSample>,
-    /// Why the run itself says little, where it does.
+    /// Why the figures of this run can't be relied on, if they can't.
     pub unsound: Option<String>,
     pub lines: usize,
 }
 
 impl Trace {
-    /// Reads all lines. The message names the line that can't be read.
+    /// Parses all lines. An error names the line that is malformed.
     pub fn read(text: &str) -> Result<Trace, String> {
         let mut trace = Trace::default();
         for (n, line) in text.lines().enumerate() {
@@ -207,7 +228,7 @@
                 continue;
             }
             let json: Value = serde_json::from_str(line).map_err(|e| format!("line {}: {e}", n + 1))?;
-            trace.take(&json, line).map_err(|what| format!("line {}: {what}", n + 1))?;
+            trace.add(&json, line).map_err(|problem| format!("line {}: {problem}", n + 1))?;
             trace.lines += 1;
         }
         for statement in trace.statements.values_mut() {
@@ -221,27 +242,28 @@
         Ok(trace)
     }
 
-    fn take(&mut self, json: &Value, line: &str) -> Result<(), String> {
-        let t = json["t"].as_f64().ok_or("no time")?;
-        let what = json["what"].as_str().ok_or("no what")?;
-        let text =
-            |key: &str| json[key].as_str().map(str::to_string).ok_or_else(|| format!("{what} lacks {key}"));
-        let number = |key: &str| json[key].as_f64().ok_or_else(|| format!("{what} lacks {key}"));
+    fn add(&mut self, json: &Value, line: &str) -> Result<(), String> {
+        let t = json["t"].as_f64().ok_or("missing number: t")?;
+        let kind = json["what"].as_str().ok_or("missing string: what")?;
+        let text = |key: &str| {
+            json[key].as_str().map(str::to_string).ok_or_else(|| format!("{kind}: missing string {key}"))
+        };
+        let number = |key: &str| json[key].as_f64().ok_or_else(|| format!("{kind}: missing number {key}"));
         if let Some(id) = json["id"].as_str() {
-            let of = self.statements.entry(id.to_string()).or_default();
-            of.lines.push((t, line.to_string()));
+            let statement = self.statements.entry(id.to_string()).or_default();
+            statement.lines.push((t, line.to_string()));
         }
-        match what {
-            "run" => self.settings = Some(terms(json, t)?),
+        match kind {
+            "run" => self.settings = Some(run_settings(json, t)?),
             "end" => {
                 self.complete = true;
-                if let Some(terms) = &mut self.settings {
-                    terms.end = t;
+                if let Some(settings) = &mut self.settings {
+                    settings.end = t;
                 }
                 self.unsound = json["unsound"].as_str().map(str::to_string);
             }
             "asked" => {
-                let asked = ClientRequest {
+                let attempt = RequestAttempt {
                     t,
                     due: json["intended"].as_f64().unwrap_or(t),
                     first: text("first")?,
@@ -251,43 +273,43 @@
                     router: number("router")? as usize,
                     wait: number("wait")?,
                 };
-                let of = self.of(&text("id")?);
-                if of.request.is_none() {
-                    of.request = Some(asked);
+                let statement = self.statement(&text("id")?);
+                if statement.request.is_none() {
+                    statement.request = Some(attempt);
                 }
             }
             "answered" => {
-                let word = |key: &str| json[key].as_str().map(str::to_string);
-                let how = match json["how"].as_str() {
+                let optional_text = |key: &str| json[key].as_str().map(str::to_string);
+                let answer = match json["how"].as_str() {
                     Some("completed") => FinalAnswer::Completed {
-                        made_for: word("made_for"),
-                        by: word("by"),
+                        made_for: optional_text("made_for"),
+                        by: optional_text("by"),
                         position: json["position"].as_f64(),
                     },
                     Some("rejected") => FinalAnswer::Rejected,
-                    _ => FinalAnswer::Failed { code: word("code").unwrap_or_default() },
+                    _ => FinalAnswer::Failed { code: optional_text("code").unwrap_or_default() },
                 };
-                self.of(&text("id")?).answers.push((t, how));
+                self.statement(&text("id")?).answers.push((t, answer));
             }
-            "unanswered" => self.of(&text("id")?).unanswered = Some((t, text("how")?)),
+            "unanswered" => self.statement(&text("id")?).unanswered = Some((t, text("how")?)),
             "taken" => {
                 let host = text("host")?;
-                self.of(&text("id")?).received.push(ReceivedStatement { t, host });
+                self.statement(&text("id")?).received.push(ReceivedStatement { t, host });
             }
             "ran" => {
                 let (host, commit) = (text("host")?, json["commit"].as_f64());
                 let (reached, need) = (number("reached")?, number("need")?);
-                self.of(&text("id")?).executions.push(Execution { t, host, commit, reached, need });
+                self.statement(&text("id")?).executions.push(Execution { t, host, commit, reached, need });
             }
             "said" => {
-                let (host, how) = (text("host")?, text("how")?);
-                self.of(&text("id")?).responses.push((t, host, how));
+                let (host, response) = (text("host")?, text("how")?);
+                self.statement(&text("id")?).responses.push((t, host, response));
             }
             "told" => {
                 if matches!(json["readiness"].as_str(), Some("leaving" | "left")) {
                     let key = (number("router")? as usize, text("host")?);
-                    let at = self.leaving.entry(key).or_insert(t);
-                    *at = at.min(t);
+                    let first = self.leaving.entry(key).or_insert(t);
+                    *first = first.min(t);
                 }
                 if json["primary"] == true {
                     self.notified_primary.insert((number("router")? as usize, text("host")?), t);
@@ -295,13 +317,14 @@
             }
             "cue" => self.cues.push((t, text("name")?)),
             "link_begins" => {
-                let touches =
-                    |what: &str| json["on"].as_array().is_some_and(|on| on.iter().any(|w| w == what));
+                let affects = |endpoint: &str| {
+                    json["on"].as_array().is_some_and(|on| on.iter().any(|name| name == endpoint))
+                };
                 self.link_faults.push(LinkFault {
                     name: text("name")?,
-                    clients: touches("clients"),
-                    hosts: touches("hosts"),
-                    agents: touches("agents"),
+                    clients: affects("clients"),
+                    hosts: affects("hosts"),
+                    agents: affects("agents"),
                     severs: pairs(&json["severs"]),
                     begin: t,
                     end: f64::INFINITY,
@@ -357,7 +380,7 @@
                     Some("term") => RouterState::Term,
                     Some("killed") => RouterState::Killed,
                     Some("ended") => RouterState::Ended(json["code"].as_i64()),
-                    other => return Err(format!("router state {other:?}")),
+                    other => return Err(format!("unknown router state {other:?}")),
                 };
                 self.routers.push((t, number("number")? as usize, state));
             }
@@ -381,32 +404,32 @@
         Ok(())
     }
 
-    fn of(&mut self, id: &str) -> &mut Statement {
+    fn statement(&mut self, id: &str) -> &mut Statement {
         self.statements.entry(id.to_string()).or_default()
     }
 
-    fn link(&self, which: impl Fn(&LinkFault) -> bool, from: f64, to: f64) -> bool {
-        self.link_faults.iter().any(|l| which(l) && l.begin <= to && from <= l.end + SETTLES)
+    fn has_link_fault(&self, affects: impl Fn(&LinkFault) -> bool, from: f64, to: f64) -> bool {
+        self.link_faults.iter().any(|l| affects(l) && l.begin <= to && from <= l.end + LINK_RECOVERY_S)
     }
 
-    /// Whether a link between clients and routers was in trouble between these times.
-    pub fn clients_cut_off(&self, from: f64, to: f64) -> bool {
-        self.link(|l| l.clients, from, to)
+    /// Whether links between clients and routers were faulty in this period.
+    pub fn client_links_faulty(&self, from: f64, to: f64) -> bool {
+        self.has_link_fault(|l| l.clients, from, to)
     }
 
-    /// Whether news could be late for a router, or what it sent for a host, between these times.
-    pub fn routers_cut_off(&self, router: usize, from: f64, to: f64) -> bool {
-        self.link(|l| l.hosts || l.agents, from, to) || self.was_stopped(router, from, to)
+    /// Whether in this period notifications could reach a router late, or its statements reach a host late.
+    pub fn router_news_may_be_late(&self, router: usize, from: f64, to: f64) -> bool {
+        self.has_link_fault(|l| l.hosts || l.agents, from, to) || self.was_stopped(router, from, to)
     }
 
-    /// Whether a router stood still at some time between these.
+    /// Whether a router was suspended at some time in this period.
     pub fn was_stopped(&self, router: usize, from: f64, to: f64) -> bool {
         let mut stopped = None;
         for (t, _, state) in self.routers.iter().filter(|(_, n, _)| *n == router) {
             match state {
                 RouterState::Stopped | RouterState::Slow => stopped = Some(*t),
                 RouterState::Continued
-                    if stopped.take().is_some_and(|since| since <= to && from <= *t + SETTLES) =>
+                    if stopped.take().is_some_and(|since| since <= to && from <= *t + LINK_RECOVERY_S) =>
                 {
                     return true;
                 }
@@ -416,15 +439,15 @@
         stopped.is_some_and(|since| since <= to)
     }
 
-    /// Whether what this host read now may have been sent long before: it stood still, or a link held it back.
+    /// Whether what this host reads at `t` may have been sent much earlier: the host was paused, or a link delayed it.
     pub fn may_be_delayed(&self, host: &str, t: f64) -> bool {
-        let still = |(kind, on, begin, end): &(String, String, f64, f64)| {
-            kind == "pause" && on == host && *begin <= t && t <= end + SETTLES
+        let was_paused = |(kind, paused, begin, end): &(String, String, f64, f64)| {
+            kind == "pause" && paused == host && *begin <= t && t <= end + LINK_RECOVERY_S
         };
-        self.faults.iter().any(still) || self.link(|l| l.hosts, t, t)
+        self.faults.iter().any(was_paused) || self.has_link_fault(|l| l.hosts, t, t)
     }
 
-    /// Whether a router was killed, or had ended, between these times.
+    /// Whether a router was killed in this period.
     pub fn was_killed(&self, router: usize, from: f64, to: f64) -> bool {
         self.routers
             .iter()
@@ -432,24 +455,25 @@
     }
 }
 
-fn terms(json: &Value, t: f64) -> Result<RunSettings, String> {
-    let number = |key: &str| json[key].as_f64().ok_or_else(|| format!("run lacks {key}"));
+fn run_settings(json: &Value, t: f64) -> Result<RunSettings, String> {
+    let number = |key: &str| json[key].as_f64().ok_or_else(|| format!("run: missing number {key}"));
     let mut workloads = BTreeMap::new();
-    for w in json["workloads"].as_array().ok_or("run lacks workloads")? {
-        let name = w["name"].as_str().ok_or("a workload without a name")?;
+    for w in json["workloads"].as_array().ok_or("run: missing array workloads")? {
+        let name = w["name"].as_str().ok_or("run: a workload has no name")?;
         let effect = match w["effect"].as_str() {
             Some("idempotent") => Effect::Idempotent,
             Some("deduplicated") => Effect::Deduplicated,
-            // What nobody has vouched for is not to be repeated.
+            // A workload that isn't declared safe to repeat must not be repeated.
             _ => Effect::NonIdempotent,
         };
-        let of = |key: &str| w[key].as_f64().ok_or_else(|| format!("workload {name} lacks {key}"));
+        let seconds =
+            |key: &str| w[key].as_f64().ok_or_else(|| format!("workload {name}: missing number {key}"));
         let workload = Workload {
             effect,
             consistency: w["consistency"].as_str().unwrap_or("fresh").to_string(),
-            slo: of("slo")?,
-            timeout: of("timeout")?,
-            importance: of("importance")?,
+            slo: seconds("slo")?,
+            timeout: seconds("timeout")?,
+            importance: seconds("importance")?,
         };
         workloads.insert(name.to_string(), workload);
     }
--- a/crates/sandstile-audit/tests/agreement.rs
+++ b/crates/sandstile-audit/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Traces written by hand: when all agree, and who was wrongly held for gone.
+//! Membership, convergence and probing, judged on traces written by hand.
 use sandstile_audit::{agreement, Trace};
 use std::fmt::Write as _;
 
@@ -11,7 +11,7 @@
         let _ = write!(text, "\n{}", router(99.1 + n as f64 * 0.1, n, "ready"));
     }
     Trace::read(&format!("{text}{lines}\n{{\"t\":130.0,\"what\":\"end\",\"unsound\":null}}"))
-        .expect("a trace")
+        .expect("a valid trace")
 }
 
 fn router(t: f64, n: usize, state: &str) -> String {
@@ -22,7 +22,7 @@
     format!("\n{{\"t\":{t},\"what\":\"sight\",\"number\":{n},\"view\":\"{view}\",\"there\":{there:?},\"sharers\":3.0}}")
 }
 
-fn calm() -> String {
+fn all_agreed() -> String {
     (0..3).map(|n| sight(100.5, n, "agreed", &(0..3).filter(|m| *m != n).collect::<Vec<_>>())).collect()
 }
 
@@ -32,7 +32,7 @@
 
 #[test]
 fn agreement_is_timed_from_each_change() {
-    let lines = calm()
+    let lines = all_agreed()
         + CUT
         + &sight(112.0, 1, "settling", &[2])
         + &sight(113.0, 2, "settling", &[1])
@@ -46,50 +46,50 @@
     assert_eq!(after[1..], [Some(3.5), Some(1.0)], "{found}");
     assert_eq!(found.epochs[1].sides.len(), 2);
     assert_eq!(found.false_deaths(), 0);
-    // One that reaches nobody and does not say so has not agreed.
+    // A router that reaches nobody and does not report it has not agreed.
     let unaware = lines.replace("alone", "agreed");
     assert_eq!(agreement(&trace(&unaware)).epochs[1].agreed_after, None);
 }
 
 #[test]
-fn whoever_is_there_and_reached_was_wrongly_held_for_gone() {
-    let lines = calm() + &sight(115.0, 1, "settling", &[2]) + &sight(116.0, 1, "settling", &[0, 2]);
+fn a_present_and_reachable_router_declared_gone_is_a_false_death() {
+    let lines = all_agreed() + &sight(115.0, 1, "settling", &[2]) + &sight(116.0, 1, "settling", &[0, 2]);
     let found = agreement(&trace(&lines));
     assert_eq!(found.false_deaths(), 1, "{found}");
     let (t, by, whom) = found.epochs[0].false_deaths[0];
     assert_eq!(((t * 10.0).round(), by, whom), (150.0, 1, 0));
-    // By way of another nobody is out of reach, and a cut between two excuses no death.
+    // Routers that reach each other through a third one are not cut off, so a cut between two of them excuses nothing.
     let bridge = r#"
 {"t":110.0,"what":"link_begins","name":"bridge","on":["routers"],"severs":[[0,1],[1,0]]}"#;
     assert_eq!(agreement(&trace(&(lines + bridge))).false_deaths(), 1);
 }
 
-/// A process that comes back is met by the others before it says that it is ready: that is no disagreement on its death.
+/// Guards against counting as disagreement that the others see a restarted process before it reports that it is ready.
 #[test]
-fn a_new_life_that_is_met_before_it_is_ready_spoils_no_agreement() {
-    let lines = |met: f64| {
-        calm()
+fn a_restarted_router_seen_before_it_is_ready_does_not_break_agreement() {
+    let lines = |seen_at: f64| {
+        all_agreed()
             + "\n"
             + &router(110.0, 2, "killed")
             + &sight(111.0, 0, "agreed", &[1])
             + &sight(111.4, 1, "agreed", &[0])
             + "\n"
             + &router(115.0, 2, "started")
-            + &sight(met, 0, "settling", &[1, 2])
-            + &sight(met, 1, "settling", &[0, 2])
+            + &sight(seen_at, 0, "settling", &[1, 2])
+            + &sight(seen_at, 1, "settling", &[0, 2])
             + "\n"
             + &router(115.2, 2, "ready")
     };
-    for met in [115.1, 115.3] {
-        let found = agreement(&trace(&lines(met)));
+    for seen_at in [115.1, 115.3] {
+        let found = agreement(&trace(&lines(seen_at)));
         let after = found.epochs[1].agreed_after.map(|s| (s * 10.0).round() / 10.0);
-        assert_eq!(after, Some(1.4), "met at {met}: {found}");
+        assert_eq!(after, Some(1.4), "seen at {seen_at}: {found}");
     }
 }
 
 #[test]
-fn the_dead_and_the_stopped_are_to_be_missed() {
-    let lines = calm()
+fn agreement_requires_that_dead_and_stopped_routers_are_missed() {
+    let lines = all_agreed()
         + "\n"
         + &router(110.0, 2, "killed")
         + &sight(111.0, 0, "agreed", &[1])
@@ -110,10 +110,10 @@
     assert_eq!((found.not_agreed(), found.false_deaths()), (1, 0));
 }
 
-/// One that is back before anybody missed it knows nobody all the same, until it says otherwise.
+/// A router that is back before the others missed it knows nobody until it reports otherwise.
 #[test]
-fn what_a_former_life_saw_is_gone_with_it() {
-    let lines = calm()
+fn a_restarted_router_does_not_keep_what_its_predecessor_saw() {
+    let lines = all_agreed()
         + "\n"
         + &router(110.0, 2, "killed")
         + "\n"
@@ -135,20 +135,20 @@
     )
 }
 
-/// Copies are compared side by side, each with those that it can reach; one that stays behind is told, a moment's difference is not.
+/// Copies are compared within each side of a split. A copy that stays behind is reported, a momentary difference is not.
 #[test]
-fn copies_come_to_one_from_each_change() {
+fn convergence_of_copies_is_timed_from_each_change() {
     let play = |behind: bool| {
         let mut lines = CUT.to_string();
         let mut at = 100.0_f64;
         while at < 129.0 {
             for n in 0..3 {
-                let apart = (110.0..121.5).contains(&(at + 1.0));
-                let moment = n == 2 && (at - 104.0).abs() < 0.1;
+                let is_apart = (110.0..121.5).contains(&(at + 1.0));
+                let is_momentary = n == 2 && (at - 104.0).abs() < 0.1;
                 let digest = match n {
-                    0 if apart => "alone",
+                    0 if is_apart => "alone",
                     1 if behind && at > 123.0 => "behind",
-                    _ if moment => "moment",
+                    _ if is_momentary => "moment",
                     _ => "same",
                 };
                 lines += &kept(at, n, "in step", digest);
@@ -166,7 +166,7 @@
     assert_eq!(found.epochs[2].after_s, None, "{found}");
 }
 
-/// The longest time for which a member was looked at by nobody, and how often it was, while nobody led.
+/// The rate of probes at the members of a group without a primary, and the longest gap between probes.
 #[test]
 fn searches_for_a_primary_are_measured() {
     let mut lines = String::from(
@@ -174,7 +174,7 @@
     );
     for n in 0..50 {
         let t = 110.5 + f64::from(n) * 0.2;
-        // Nobody for two seconds.
+        // No probes for two seconds.
         if !(114.0..116.0).contains(&t) {
             lines += &format!("\n{{\"t\":{t},\"what\":\"probed\",\"host\":\"s-1-b\"}}");
         }
--- a/crates/sandstile-audit/tests/planted_faults.rs
+++ b/crates/sandstile-audit/tests/planted_faults.rs
@@ -1,4 +1,4 @@
-//! The judge on traces in which one thing at a time is wrong. The good trace has none of it.
+//! Each rule on a trace with one planted violation. The base trace `GOOD` breaks no rule.
 use sandstile_audit::{judge, service, Rule, Trace};
 
 const GOOD: &str = r#"
@@ -30,22 +30,22 @@
 "#;
 
 fn found(trace: &str) -> Vec<(Rule, String)> {
-    let trace = Trace::read(trace).expect("a trace");
-    judge(&trace).expect("whole").into_iter().map(|f| (f.rule, f.to_string())).collect()
+    let trace = Trace::read(trace).expect("a valid trace");
+    judge(&trace).expect("a complete trace").into_iter().map(|f| (f.rule, f.to_string())).collect()
 }
 
-/// The good trace with these lines behind it.
+/// The good trace with these lines appended.
 fn with(lines: &str) -> String {
     format!("{GOOD}{lines}\n")
 }
 
 #[test]
-fn the_good_trace_is_good() {
+fn a_good_trace_breaks_no_rule() {
     assert_eq!(found(GOOD), []);
 }
 
 #[test]
-fn each_planted_violation_is_found_with_its_story() {
+fn each_planted_violation_is_found_and_its_statement_shown() {
     let asked = |id: &str, workload: &str, router: u32, t: f64| {
         format!(
             r#"{{"t":{t},"what":"asked","id":"{id}","first":"{id}","workload":"{workload}","group":"1","session":"cid","router":{router},"wait":0.8}}"#
@@ -105,7 +105,7 @@
             "rejected though it may have run",
             vec![asked("x", "save", 0, 101.0), taken("x", "s-1-a", 101.01), answered("x", "rejected", 101.3)],
         ),
-        (Rule::Effect, "no client asked", vec![taken("x", "s-1-a", 103.01)]),
+        (Rule::Effect, "no client sent", vec![taken("x", "s-1-a", 103.01)]),
         (Rule::Answer, "answered 2 times", vec![answered("w1", "failed", 100.5)]),
         (Rule::Answer, "after its time", vec![asked("x", "own", 0, 103.0), answered("x", "failed", 103.9)]),
         (
@@ -125,14 +125,22 @@
                 answered("x", "completed", 103.1).replace(r#""made_for":"x""#, r#""made_for":null"#),
             ],
         ),
-        (Rule::Answer, "ran nowhere", vec![asked("x", "own", 0, 103.0), answered("x", "completed", 103.1)]),
+        (
+            Rule::Answer,
+            "without an execution",
+            vec![asked("x", "own", 0, 103.0), answered("x", "completed", 103.1)],
+        ),
         (
             Rule::Answer,
             "closed by router 0",
             vec![asked("x", "own", 0, 103.0), unanswered("x", "closed", 103.1)],
         ),
-        (Rule::Silence, "nothing came", vec![asked("x", "own", 0, 103.0), unanswered("x", "silence", 103.8)]),
-        (Rule::Silence, "no end for it", vec![asked("x", "own", 0, 103.0)]),
+        (
+            Rule::Silence,
+            "no answer before",
+            vec![asked("x", "own", 0, 103.0), unanswered("x", "silence", 103.8)],
+        ),
+        (Rule::Silence, "does not say how it ended", vec![asked("x", "own", 0, 103.0)]),
         (
             Rule::Drain,
             "after it was told",
@@ -140,7 +148,7 @@
         ),
         (
             Rule::Cold,
-            "fell over",
+            "collapsed",
             vec![r#"{"t":103.0,"what":"tipped","host":"s-1-c","multiple":5.1,"most":4.0}"#.to_string()],
         ),
         (
@@ -169,7 +177,7 @@
         ),
         (
             Rule::Crash,
-            "unasked",
+            "unexpectedly",
             vec![r#"{"t":103.0,"what":"router","number":0,"state":"ended","code":101}"#.to_string()],
         ),
         (
@@ -178,26 +186,29 @@
             vec![r#"{"t":103.0,"what":"lost_commit","group":"1","id":"w1","commit":100.11}"#.to_string()],
         ),
     ];
-    for (rule, says, lines) in cases {
+    for (rule, message, lines) in cases {
         let all = found(&with(&lines.join("\n")));
-        assert!(all.iter().any(|(r, text)| *r == rule && text.contains(says)), "{rule:?} {says}: {all:?}");
+        assert!(
+            all.iter().any(|(r, text)| *r == rule && text.contains(message)),
+            "{rule:?} {message}: {all:?}"
+        );
         if !matches!(rule, Rule::Cold | Rule::Crash) {
-            assert!(all[0].1.lines().count() > 1, "{says}: no story in {all:?}");
+            assert!(all[0].1.lines().count() > 1, "{message}: no lines of the trace in {all:?}");
         }
     }
 }
 
-/// What looks like a violation and is none.
+/// Traces that look like violations and are none.
 #[test]
-fn what_the_rules_allow_is_not_held_against_anybody() {
+fn what_the_rules_allow_is_not_reported() {
     for lines in [
-        // The router was killed under it.
+        // The router was killed while it had the statement.
         r#"{"t":103.0,"what":"asked","id":"x","first":"x","workload":"own","group":"1","session":"c","router":1,"wait":0.8}
 {"t":103.05,"what":"router","number":1,"state":"killed"}
 {"t":103.05,"what":"router","number":1,"state":"ended","code":null}
 {"t":103.06,"what":"unanswered","id":"x","how":"reset"}
 {"t":103.5,"what":"router","number":1,"state":"started"}"#,
-        // Within the grace; or sent before and read after a pause.
+        // Within the grace; or sent before the host was paused and read after it.
         r#"{"t":102.5,"what":"asked","id":"x","first":"x","workload":"own","group":"1","session":"c","router":0,"wait":0.8}
 {"t":102.9,"what":"taken","host":"s-1-b","id":"x","workload":"own"}
 {"t":103.0,"what":"answered","id":"x","how":"failed","code":"XX000"}
@@ -206,12 +217,12 @@
 {"t":104.0,"what":"fault_ends","fault":"pause","host":"s-1-b"}
 {"t":104.0,"what":"taken","host":"s-1-b","id":"y","workload":"own"}
 {"t":102.5,"what":"answered","id":"y","how":"failed","code":"57014"}"#,
-        // Aborted though it ran, which is what has to be said.
+        // Reported as failed though it ran, as required of an execution that may have run.
         r#"{"t":103.0,"what":"asked","id":"x","first":"x","workload":"save","group":"1","session":"c","router":0,"wait":0.8}
 {"t":103.01,"what":"taken","host":"s-1-a","id":"x","workload":"save"}
 {"t":103.02,"what":"ran","host":"s-1-a","id":"x","workload":"save","session":"c","commit":103.02,"reached":103.02,"need":0.0}
 {"t":103.4,"what":"answered","id":"x","how":"failed","code":"57014"}"#,
-        // An own write that was lost with its primary binds nobody's later read.
+        // A write that was lost with its primary obliges no later read of its session.
         r#"{"t":103.0,"what":"asked","id":"x","first":"x","workload":"own","group":"1","session":"bob","router":1,"wait":0.8}
 {"t":103.01,"what":"taken","host":"s-1-c","id":"x","workload":"own"}
 {"t":103.02,"what":"ran","host":"s-1-c","id":"x","workload":"own","session":"bob","commit":null,"reached":99.0,"need":0.0}
@@ -222,28 +233,28 @@
 }
 
 #[test]
-fn a_trace_that_was_cut_off_or_garbled_is_not_judged() {
+fn a_truncated_or_malformed_trace_is_not_judged() {
     let cut = &GOOD[..GOOD.len() - 60];
     let broken = Trace::read(cut);
     assert!(broken.is_err() || judge(&broken.unwrap()).is_err());
-    let whole_lines = GOOD.trim_end().rsplit_once('\n').expect("lines").0;
-    assert!(judge(&Trace::read(whole_lines).expect("lines")).unwrap_err().contains("cut off"));
-    assert!(judge(&Trace::read("").expect("nothing")).is_err());
+    let complete_lines = GOOD.trim_end().rsplit_once('\n').expect("several lines").0;
+    assert!(judge(&Trace::read(complete_lines).expect("valid lines")).unwrap_err().contains("cut off"));
+    assert!(judge(&Trace::read("").expect("an empty trace")).is_err());
     assert!(Trace::read("{\"t\":1.0}").unwrap_err().contains("line 1"));
 }
 
 #[test]
-fn service_counts_wishes_over_all_their_tries() {
+fn service_counts_a_request_once_over_all_its_attempts() {
     let retry = r#"{"t":101.3,"what":"asked","id":"w3","first":"w2","intended":101.0,"workload":"save","group":"1","session":"bob","router":0,"wait":0.5}
 {"t":101.31,"what":"taken","host":"s-1-a","id":"w3","workload":"save"}
 {"t":101.32,"what":"ran","host":"s-1-a","id":"w3","workload":"save","session":"bob","commit":101.32,"reached":101.32,"need":0.0}
 {"t":101.33,"what":"answered","id":"w3","how":"completed","made_for":"w3"}"#;
-    let trace = Trace::read(&with(retry)).expect("a trace");
-    assert_eq!(judge(&trace).expect("whole").len(), 0);
-    let service = service(&trace).expect("terms");
+    let trace = Trace::read(&with(retry)).expect("a valid trace");
+    assert_eq!(judge(&trace).expect("a complete trace").len(), 0);
+    let service = service(&trace).expect("settings in the trace");
     let save = service.workloads.iter().find(|w| w.name == "save").expect("a workload");
     assert_eq!((save.tally.requests, save.tally.in_time, save.tally.late, save.tally.tries), (2, 1, 1, 3));
-    // 2 in time of importance 2 and 1, of 2 + 2 + 1.
+    // In time are one request of importance 2 and one of importance 1, out of two of importance 2 and one of 1.
     assert!((service.overall() - 3.0 / 5.0).abs() < 1e-9);
     assert_eq!(save.seconds.len(), 2);
 }
