--- a/crates/sandstile-shim/src/lib.rs
+++ b/crates/sandstile-shim/src/lib.rs
@@ -1,19 +1,19 @@
-//! Test-only: system-call faults for one process. Rules are handed over in an environment variable to a library that
-//! is loaded into the process by `LD_PRELOAD` (the example `sandstile_shim`); this half builds the rules and finds
-//! the library.
+//! Test-only: system-call faults for one process. A library that is loaded into the process by `LD_PRELOAD` (the
+//! example `sandstile_shim`) reads fault rules from an environment variable. This crate builds the rules and finds the
+//! library.
 #![forbid(unsafe_code)]
 use std::fmt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The variable in which the preloaded library finds its rules.
+/// The environment variable from which the preloaded library reads its rules.
 pub const RULES_VARIABLE: &str = "SANDSTILE_SHIM";
 const LIBRARY: &str = "libsandstile_shim.so";
 
-/// A system call that rules can name.
+/// A system call that a rule can apply to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// `recv` on an Internet socket, but for looks that take nothing (`MSG_PEEK`).
+    /// `recv` on an Internet socket without `MSG_PEEK`.
     Recv,
     /// `recv` with `MSG_PEEK`.
     Peek,
@@ -22,10 +22,10 @@
     Accept,
     Socket,
     Connect,
-    /// `epoll_ctl` that adds a descriptor.
+    /// `epoll_ctl` that registers a descriptor.
     EpollAdd,
     EpollWait,
-    /// `poll`, by which blocking connects with a time limit wait.
+    /// `poll`, which blocking connects with a timeout use to wait.
     Poll,
     SetSockOpt,
     /// `write` to an event descriptor, by which threads wake each other.
@@ -44,7 +44,7 @@
 }
 
 impl Call {
-    /// Its name in the rules.
+    /// The call's name in the rules.
     pub fn name(self) -> &'static str {
         match self {
             Call::Recv => "recv",
@@ -68,21 +68,21 @@
     }
 }
 
-/// What a call does in place of its work.
+/// How a call misbehaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It moves so many bytes at the most, though it could move more.
+    /// It transfers at most this many bytes, even if it could transfer more.
     Short(usize),
-    /// It fails with this error number (`errno`). Where the error means that a connection is dead, it is dead for the
-    /// other side too.
+    /// It fails with this error number (`errno`). If the error means that the connection is dead, the connection is
+    /// closed for the peer too.
     Errno(i32),
-    /// It is held up for so many milliseconds first, and then does its work.
+    /// It is delayed by this many milliseconds and then works normally.
     HoldMs(u64),
-    /// The clock it reads is off by so many milliseconds.
+    /// The clock is off by this many milliseconds.
     StepMs(i64),
 }
 
-/// Error numbers of Linux that rules use.
+/// Linux error numbers that rules use.
 pub mod errno {
     pub const EINTR: i32 = 4;
     pub const EIO: i32 = 5;
@@ -104,7 +104,7 @@
     pub const EHOSTUNREACH: i32 = 113;
 }
 
-/// One rule: a fault of one call, how often, and when.
+/// One rule: the call, its fault, how often and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
     call: Call,
@@ -114,44 +114,44 @@
     most: u64,
     from_ms: u64,
     until_ms: u64,
-    /// 0 for any.
+    /// The peer's port; 0 for any.
     port: u16,
 }
 
 impl Rule {
-    /// Applies every time.
+    /// A rule that always applies.
     pub fn new(call: Call, fault: Fault) -> Rule {
         Rule { call, fault, chance: 1.0, skip: 0, most: u64::MAX, from_ms: 0, until_ms: u64::MAX, port: 0 }
     }
 
-    /// The call fails with this error number.
+    /// A rule by which the call fails with this error number.
     pub fn fails(call: Call, errno: i32) -> Rule {
         Rule::new(call, Fault::Errno(errno))
     }
 
-    /// Applies with this probability, 0 to 1.
+    /// Applies with this probability, from 0 to 1.
     pub fn probability(self, chance: f64) -> Rule {
         Rule { chance, ..self }
     }
 
-    /// Leaves the first so many calls alone.
+    /// Leaves the first `skip` calls alone.
     pub fn after(self, skip: u64) -> Rule {
         Rule { skip, ..self }
     }
 
-    /// Applies so many times at the most.
+    /// Applies this many times at most.
     pub fn times(self, most: u64) -> Rule {
         Rule { most, ..self }
     }
 
-    /// Applies from then until then, in milliseconds since the process began.
+    /// Applies only in this period, in milliseconds since the process began.
     pub fn between(self, from_ms: u64, until_ms: u64) -> Rule {
         Rule { from_ms, until_ms, ..self }
     }
 }
 
 impl Rule {
-    /// Applies only sockets whose other side has this port: for `Recv`, `Peek`, `Send` and `Connect`.
+    /// Applies only to sockets whose peer has this port; for `Recv`, `Peek`, `Send` and `Connect`.
     pub fn port(self, port: u16) -> Rule {
         Rule { port, ..self }
     }
@@ -170,7 +170,7 @@
     }
 }
 
-/// The rules of one process, with the seed of their chances.
+/// The rules of one process, and the seed for their probabilities.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub seed: u64,
@@ -178,7 +178,7 @@
 }
 
 impl Plan {
-    /// Has `command` start its program under these rules, with the library at `library`.
+    /// Makes `command` start its program under these rules, with the library at `library`.
     pub fn apply(&self, command: &mut Command, library: &Path) {
         command.env("LD_PRELOAD", library).env(RULES_VARIABLE, self.to_string());
     }
@@ -191,7 +191,7 @@
     }
 }
 
-/// The preloaded library, where it is built: among the examples of the profile whose program lies at `program`
+/// The path of the preloaded library: among the examples of the build profile that `program` belongs to
 /// (`target/debug/sandstile`, or a test in `target/debug/deps`).
 pub fn library(program: &Path) -> Result<PathBuf, String> {
     let found = program
--- a/crates/sandstile-soak/src/acceptor.rs
+++ b/crates/sandstile-soak/src/acceptor.rs
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// The longest time between looks at which hosts are down.
-const LOOK: Duration = Duration::from_millis(5);
+/// The longest time between two checks of which hosts are down.
+const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The listening sockets of all hosts; that of a host that is down is closed.
+/// The listening sockets of all hosts; a host that is down has none.
 pub struct Acceptor {
     poll: Poll,
     hosts: Vec<Host>,
@@ -17,8 +17,8 @@
 }
 
 impl Acceptor {
-    /// Listens for all hosts until `over` says so.
-    pub fn start(hosts: Vec<Host>, over: impl Fn() -> bool + Send + 'static) -> io::Result<()> {
+    /// Listens for all hosts until `is_over` returns true.
+    pub fn start(hosts: Vec<Host>, is_over: impl Fn() -> bool + Send + 'static) -> io::Result<()> {
         let listeners = hosts.iter().map(|_| None).collect();
         let mut acceptor = Acceptor { poll: Poll::new()?, hosts, listeners };
         for number in 0..acceptor.hosts.len() {
@@ -26,8 +26,8 @@
         }
         thread::spawn(move || {
             let mut events = Events::with_capacity(256);
-            while !over() {
-                if acceptor.poll.poll(&mut events, Some(LOOK)).is_err() {
+            while !is_over() {
+                if acceptor.poll.poll(&mut events, Some(FAULT_CHECK_INTERVAL)).is_err() {
                     continue;
                 }
                 events.iter().for_each(|event| acceptor.accept(event.token().0));
@@ -44,21 +44,21 @@
         Ok(())
     }
 
-    /// Takes all that waits for this host.
+    /// Accepts all pending connections to this host.
     fn accept(&mut self, number: usize) {
         while let Some(Ok((stream, _))) = self.listeners[number].as_ref().map(TcpListener::accept) {
             self.hosts[number].accepted(stream.into());
         }
     }
 
-    /// Closes the listeners of hosts that went down and opens those of hosts that are back.
+    /// Closes the listeners of hosts that went down and reopens those of hosts that are up again.
     fn follow_faults(&mut self) {
         for number in 0..self.hosts.len() {
             let (down, closed) = (self.hosts[number].is_down(), self.listeners[number].is_none());
             if down && !closed {
                 self.listeners[number] = None;
             } else if closed && !down {
-                // Taken by nobody else; a later look tries again.
+                // The address is this host's alone; a failed attempt is repeated at the next check.
                 let _ = self.listen(number);
             }
         }
--- a/crates/sandstile-soak/src/agent.rs
+++ b/crates/sandstile-soak/src/agent.rs
@@ -1,6 +1,6 @@
-//! A stand-in for discovery's agent: lists as watches, which can fall silent or be reset.
+//! A stand-in for the discovery agent. It serves lists of hosts to watches, and can fall silent or reset them.
 use crate::host;
-use crate::record::{Happened, Recorder};
+use crate::record::{Recorder, RunEvent};
 use std::fmt::Write as _;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,11 +8,11 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-const LOOK: Duration = Duration::from_millis(2);
-/// Seconds for which watches are answered by the whole list, once they were reset for that.
-const WHOLE_S: f64 = 1.0;
-/// Seconds between empty lines while nothing changes.
-const HEARTBEAT: f64 = 2.0;
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Seconds for which new watches get the whole list after a reset that asked for it.
+const WHOLE_LIST_S: f64 = 1.0;
+/// Seconds between empty lines to a watch while nothing changes.
+const HEARTBEAT_S: f64 = 2.0;
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -22,7 +22,7 @@
     primary: bool,
     leaving: bool,
     since_ms: u128,
-    /// The version in which it changed last.
+    /// The version of the list in which the entry last changed.
     index: u64,
 }
 
@@ -32,7 +32,7 @@
     index: u64,
     silent_until: f64,
     resets: u64,
-    /// Watches that begin before this are answered by the whole list.
+    /// Watches that begin before this time get the whole list.
     whole_until: f64,
 }
 
@@ -44,15 +44,15 @@
 }
 
 impl Agent {
-    /// Hosts are dealt out to the groups in turn.
+    /// Host `n` belongs to group `n % groups`; the first host of each group is its primary.
     pub fn start(
         address: SocketAddr,
         hosts: &[SocketAddr],
         groups: usize,
         recorder: Recorder,
     ) -> io::Result<Agent> {
-        let entry = |(n, at): (usize, &SocketAddr)| Entry {
-            address: *at,
+        let entry = |(n, address): (usize, &SocketAddr)| Entry {
+            address: *address,
             group: n % groups,
             zone: "a",
             primary: n < groups,
@@ -69,7 +69,7 @@
         thread::spawn(move || {
             while !served.recorder.is_over() {
                 let Ok((stream, _)) = listener.accept() else {
-                    thread::sleep(LOOK);
+                    thread::sleep(POLL_INTERVAL);
                     continue;
                 };
                 let agent = served.clone();
@@ -79,34 +79,34 @@
         Ok(agent)
     }
 
-    /// The whole list, in the form of a configuration's `known`.
+    /// The whole list, in the form of the `known` setting of a router's configuration.
     pub fn known(&self) -> String {
         list(&self.state.lock().expect("state"), 0)
     }
 
-    fn change(&self, host: usize, what: Happened, change: impl FnOnce(&mut Entry)) {
+    fn change(&self, host: usize, event: RunEvent, change: impl FnOnce(&mut Entry)) {
         let mut state = self.state.lock().expect("state");
         state.index += 1;
         let index = state.index;
         let entry = &mut state.entries[host];
         entry.index = index;
         change(entry);
-        let told_in = state.silent_until - self.recorder.now();
+        let notified_in = state.silent_until - self.recorder.now();
         let recorder = self.recorder.clone();
         thread::spawn(move || {
-            thread::sleep(Duration::from_secs_f64(told_in.max(0.0)));
-            recorder.happened(what);
+            thread::sleep(Duration::from_secs_f64(notified_in.max(0.0)));
+            recorder.record_event(event);
         });
     }
 
     pub fn drain(&self, host: usize) {
-        self.change(host, Happened::HostDrains { host }, |entry| entry.leaving = true);
+        self.change(host, RunEvent::HostDrains { host }, |entry| entry.leaving = true);
     }
 
-    /// The host has started anew just now, and takes statements.
+    /// The host has just restarted and takes statements.
     pub fn restarted(&self, host: usize) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis());
-        self.change(host, Happened::HostCold { host }, |entry| {
+        self.change(host, RunEvent::HostCold { host }, |entry| {
             (entry.since_ms, entry.leaving) = (now, false);
         });
     }
@@ -120,14 +120,14 @@
         self.state.lock().expect("state").resets += 1;
     }
 
-    /// Watches are reset, and those that follow get the whole list.
-    pub fn tell_whole(&self) {
-        let until = self.recorder.now() + WHOLE_S;
+    /// Resets all watches; those that follow get the whole list.
+    pub fn send_whole_list(&self) {
+        let until = self.recorder.now() + WHOLE_LIST_S;
         let mut state = self.state.lock().expect("state");
         (state.resets, state.whole_until) = (state.resets + 1, until);
     }
 
-    /// Tells of one host in another zone: a change of the list that takes nothing from anybody.
+    /// Moves a host to another zone: a change of the list that doesn't affect where statements can go.
     pub fn change_zone(&self, host: usize) {
         let mut state = self.state.lock().expect("state");
         state.index += 1;
@@ -138,17 +138,17 @@
     }
 
     fn serve(&self, mut stream: &TcpStream) {
-        let Some(mut told) = self.asked(stream) else { return };
+        let Some(mut sent_index) = self.requested_index(stream) else { return };
         let resets = {
             let state = self.state.lock().expect("state");
             if self.recorder.now() < state.whole_until {
-                told = 0;
+                sent_index = 0;
             }
             state.resets
         };
-        let (mut greeted, mut said_at) = (false, self.recorder.now());
+        let (mut greeted, mut sent_at) = (false, self.recorder.now());
         loop {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
             let now = self.recorder.now();
             let text = {
                 let state = self.state.lock().expect("state");
@@ -158,11 +158,11 @@
                 if now < state.silent_until {
                     continue;
                 }
-                let text = match state.index > told || !greeted {
-                    true => Some(list(&state, told)),
-                    false => (now >= said_at + HEARTBEAT).then(|| "\n".to_string()),
+                let text = match state.index > sent_index || !greeted {
+                    true => Some(list(&state, sent_index)),
+                    false => (now >= sent_at + HEARTBEAT_S).then(|| "\n".to_string()),
                 };
-                told = state.index;
+                sent_index = state.index;
                 text
             };
             let Some(text) = text else { continue };
@@ -171,12 +171,12 @@
             if stream.write_all(chunk.as_bytes()).is_err() {
                 return;
             }
-            (greeted, said_at) = (true, now);
+            (greeted, sent_at) = (true, now);
         }
     }
 
-    /// The version that a watch starts from; `None` where nothing sensible was asked.
-    fn asked(&self, mut stream: &TcpStream) -> Option<u64> {
+    /// The version that a watch starts from; `None` where the request is malformed.
+    fn requested_index(&self, mut stream: &TcpStream) -> Option<u64> {
         stream.set_nonblocking(false).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
         let (mut head, mut byte) = (Vec::new(), [0]);
@@ -190,7 +190,7 @@
     }
 }
 
-/// The entries that changed after this version, or all of them for 0.
+/// The entries that changed after version `since`; all of them for 0.
 fn list(state: &State, since: u64) -> String {
     let mut entries = String::new();
     for (number, entry) in state.entries.iter().enumerate().filter(|(_, e)| e.index > since) {
--- a/crates/sandstile-soak/src/client.rs
+++ b/crates/sandstile-soak/src/client.rs
@@ -1,5 +1,5 @@
-//! One client: it keeps a connection for as long as that stays open, asks one statement after the other, and puts on
-//! record how each ended.
+//! A simulated client. It keeps a connection for as long as the router does, sends one statement after the other, and
+//! records how each ended.
 use crate::record::{Effect, End, Recorder, Request};
 use oorandom::Rand64;
 use sandstile_pgwire as pg;
@@ -11,21 +11,21 @@
 use std::thread;
 use std::time::Duration;
 
-/// A final answer may come so many seconds after a request's time; then the client counts it as silent.
+/// Seconds after a request's timeout within which the final answer has to come.
 pub const GRACE_S: f64 = 0.5;
-/// Seconds beyond that for which the client still listens, to tell late from never.
-const LISTENS_ON_S: f64 = 0.4;
+/// Seconds after that for which the client still listens, to tell a late answer from none.
+const LATE_ANSWER_S: f64 = 0.4;
 
-/// A router as clients find it.
+/// A router's address, and whether clients may connect to it.
 #[derive(Debug)]
 pub struct Endpoint {
     pub address: SocketAddr,
-    /// New connections come only while this holds.
+    /// Clients open new connections only while this is true.
     pub open: AtomicBool,
     pub generation: AtomicUsize,
 }
 
-/// Where a session's last write in each group stands in that group's log.
+/// The log position of a session's last write, by group.
 type Writes = BTreeMap<u64, u64>;
 
 struct Connection {
@@ -36,19 +36,20 @@
     buf: Vec<u8>,
 }
 
-/// What a client needs to know of its run.
+/// The settings of a client.
 pub struct Client {
     pub number: usize,
     pub seed: u64,
+    /// Writes its messages in small pieces.
     pub pieces: bool,
-    /// It keeps to one router, as its session does.
+    /// Always connects to the same router, which keeps its session.
     pub stays: bool,
-    /// It asks this router alone.
+    /// Connects to this router only.
     pub router: Option<usize>,
     pub groups: usize,
-    /// After so many statements it closes its connection.
+    /// Closes its connection after this many statements.
     pub asks_each: Option<u64>,
-    /// The longest pause between two statements, in milliseconds; the shortest is a ninth of it.
+    /// The longest pause between two statements in milliseconds; the shortest is a ninth of it.
     pub pause_ms: u64,
     pub endpoints: Arc<Vec<Endpoint>>,
     pub over: Arc<AtomicBool>,
@@ -56,30 +57,30 @@
 }
 
 impl Client {
-    /// Asks until the run is over.
+    /// Sends statements until the run is over.
     pub fn run(self) {
-        let mut draw = Rand64::new(u128::from(self.seed) << 32 | self.number as u128);
-        let mut connection: Option<Connection> = None;
-        let (mut asked, mut wrote) = (0_u64, Writes::new());
+        let mut rng = Rand64::new(u128::from(self.seed) << 32 | self.number as u128);
+        let mut idle: Option<Connection> = None;
+        let (mut sent, mut writes) = (0_u64, Writes::new());
         while !self.over.load(SeqCst) {
-            thread::sleep(Duration::from_millis(draw.rand_range(self.pause_ms / 9..self.pause_ms.max(1))));
-            if connection.is_none() {
-                connection = self.connect(&mut draw);
+            thread::sleep(Duration::from_millis(rng.rand_range(self.pause_ms / 9..self.pause_ms.max(1))));
+            if idle.is_none() {
+                idle = self.connect(&mut rng);
             }
-            let Some(mut open) = connection.take() else { continue };
-            asked += 1;
-            let id = format!("{:x}{:04x}{asked:06x}", self.seed, self.number);
-            let goes_on = self.ask(&mut open, &id, &mut draw, &mut wrote);
-            if goes_on && self.asks_each.is_none_or(|most| asked % most > 0) {
-                connection = Some(open);
+            let Some(mut connection) = idle.take() else { continue };
+            sent += 1;
+            let id = format!("{:x}{:04x}{sent:06x}", self.seed, self.number);
+            let stays_open = self.ask(&mut connection, &id, &mut rng, &mut writes);
+            if stays_open && self.asks_each.is_none_or(|max| sent % max > 0) {
+                idle = Some(connection);
             }
         }
     }
 
-    fn connect(&self, draw: &mut Rand64) -> Option<Connection> {
-        let drawn = draw.rand_range(0..self.endpoints.len() as u64) as usize;
-        let own = if self.stays { self.number % self.endpoints.len() } else { drawn };
-        let router = self.router.unwrap_or(own);
+    fn connect(&self, rng: &mut Rand64) -> Option<Connection> {
+        let drawn = rng.rand_range(0..self.endpoints.len() as u64) as usize;
+        let preferred = if self.stays { self.number % self.endpoints.len() } else { drawn };
+        let router = self.router.unwrap_or(preferred);
         let endpoint = &self.endpoints[router];
         if !endpoint.open.load(SeqCst) {
             return None;
@@ -95,16 +96,16 @@
         })
     }
 
-    /// One statement; `true` where the connection goes on.
-    fn ask(&self, open: &mut Connection, id: &str, draw: &mut Rand64, wrote: &mut Writes) -> bool {
-        let (class, effect) = match draw.rand_range(0..10) {
+    /// Sends one statement and awaits its answer; returns whether the connection stays open.
+    fn ask(&self, connection: &mut Connection, id: &str, rng: &mut Rand64, writes: &mut Writes) -> bool {
+        let (class, effect) = match rng.rand_range(0..10) {
             0 | 1 => ("book", Effect::NonIdempotent),
             2 => ("once", Effect::Deduplicated),
             3 | 4 if self.stays => ("own", Effect::Idempotent),
             _ => ("look", Effect::Idempotent),
         };
-        let wait_ms = draw.rand_range(250..1001);
-        let group = if self.groups > 1 { draw.rand_range(0..self.groups as u64) } else { 0 };
+        let wait_ms = rng.rand_range(250..1001);
+        let group = if self.groups > 1 { rng.rand_range(0..self.groups as u64) } else { 0 };
         let verb = match effect {
             Effect::Idempotent => format!("SELECT payload FROM entries WHERE ref = 's{}'", self.number),
             _ => format!(
@@ -113,24 +114,25 @@
             ),
         };
         let text = format!("/* id={id},c={class},d={wait_ms},cluster={} */ {verb}", group + 1);
-        let mut bytes = if open.fresh { pg::startup_message() } else { Vec::new() };
+        let mut bytes = if connection.fresh { pg::startup_message() } else { Vec::new() };
         pg::query(&mut bytes, text.as_bytes());
-        // A statement that was not written whole was not taken.
-        if self.write(&mut open.stream, &bytes).is_err() {
+        // The router did not receive a statement that was not written completely.
+        if self.write(&mut connection.stream, &bytes).is_err() {
             return false;
         }
         let (written_at, wait) = (self.recorder.now(), wait_ms as f64 / 1e3);
-        let leaves = (draw.rand_range(0..40) == 0).then(|| written_at + draw.rand_float() * 0.2);
+        let leaves_at = (rng.rand_range(0..40) == 0).then(|| written_at + rng.rand_float() * 0.2);
         let mut position = None;
-        let end = self.await_end(open, written_at + wait + GRACE_S + LISTENS_ON_S, leaves, &mut position);
-        let wrote_before = wrote.get(&group).copied().filter(|_| class == "own");
+        let end =
+            self.await_end(connection, written_at + wait + GRACE_S + LATE_ANSWER_S, leaves_at, &mut position);
+        let wrote_before = writes.get(&group).copied().filter(|_| class == "own");
         if let Some(position) = position.filter(|_| effect != Effect::Idempotent) {
-            let last = wrote.entry(group).or_default();
+            let last = writes.entry(group).or_default();
             *last = position.max(*last);
         }
-        let goes_on = matches!(&end, End::Answered { .. });
-        let (router, life, fresh) = (open.router, open.generation, open.fresh);
-        open.fresh = false;
+        let stays_open = matches!(&end, End::Answered { .. });
+        let (router, life, fresh) = (connection.router, connection.generation, connection.fresh);
+        connection.fresh = false;
         let id = id.to_string();
         self.recorder.request(Request {
             id,
@@ -145,7 +147,7 @@
             position,
             wrote_before,
         });
-        goes_on
+        stays_open
     }
 
     fn write(&self, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
@@ -161,29 +163,30 @@
 
     fn await_end(
         &self,
-        open: &mut Connection,
+        connection: &mut Connection,
         until: f64,
-        leaves: Option<f64>,
+        leaves_at: Option<f64>,
         position: &mut Option<u64>,
     ) -> End {
-        let mut greeting = open.fresh;
-        let (mut code, mut any, mut bytes) = (None, false, [0; 4096]);
+        let mut greeting = connection.fresh;
+        let (mut code, mut any_byte, mut bytes) = (None, false, [0; 4096]);
         loop {
             while let Some(end) =
-                pg::frame_end(&open.buf, 1 << 20).ok().flatten().filter(|e| open.buf.len() >= *e)
+                pg::frame_end(&connection.buf, 1 << 20).ok().flatten().filter(|e| connection.buf.len() >= *e)
             {
-                let tag = open.buf[0];
-                let error =
-                    (tag == b'E').then(|| pg::sqlstate(&open.buf[5..end]).map(str::to_string)).flatten();
+                let tag = connection.buf[0];
+                let error = (tag == b'E')
+                    .then(|| pg::sqlstate(&connection.buf[5..end]).map(str::to_string))
+                    .flatten();
                 if tag == b'D' {
-                    // One column: its count and its length come first.
-                    let value = open.buf.get(11..end).map(String::from_utf8_lossy);
+                    // The row has one column; the column count and the value's length come before it.
+                    let value = connection.buf.get(11..end).map(String::from_utf8_lossy);
                     *position = value.and_then(|text| text.parse().ok());
                 }
-                open.buf.drain(..end);
-                any |= !greeting;
+                connection.buf.drain(..end);
+                any_byte |= !greeting;
                 if let Some(error) = error {
-                    any = true;
+                    any_byte = true;
                     code = Some(error);
                 }
                 if tag == b'Z' && !std::mem::take(&mut greeting) {
@@ -191,29 +194,29 @@
                 }
             }
             let now = self.recorder.now();
-            if leaves.is_some_and(|at| now >= at) {
+            if leaves_at.is_some_and(|at| now >= at) {
                 return End::Left { at: now };
             }
             if now >= until {
                 return End::Silent;
             }
-            let next = leaves.map_or(until, |at| at.min(until));
+            let next = leaves_at.map_or(until, |at| at.min(until));
             let wait = Duration::from_secs_f64((next - now).max(0.001));
-            let _ = open.stream.set_read_timeout(Some(wait));
-            match open.stream.read(&mut bytes) {
-                Ok(0) => return self.closed(code, any),
-                Ok(got) => open.buf.extend_from_slice(&bytes[..got]),
+            let _ = connection.stream.set_read_timeout(Some(wait));
+            match connection.stream.read(&mut bytes) {
+                Ok(0) => return self.closed(code, any_byte),
+                Ok(n) => connection.buf.extend_from_slice(&bytes[..n]),
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.closed(code, any),
+                Err(_) => return self.closed(code, any_byte),
             }
         }
     }
 
-    /// ReadyForQuery is not required after an error that ends a connection.
-    fn closed(&self, code: Option<String>, any: bool) -> End {
+    /// How a request ended whose connection was closed. No ReadyForQuery is needed after an error that closes it.
+    fn closed(&self, code: Option<String>, any_byte: bool) -> End {
         let at = self.recorder.now();
-        match (code, any) {
+        match (code, any_byte) {
             (Some(code), _) => End::Answered { code: Some(code), at },
             (None, true) => End::CutShort { at },
             (None, false) => End::Closed { at },
--- a/crates/sandstile-soak/src/host.rs
+++ b/crates/sandstile-soak/src/host.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a database host: one thread a connection, with faults that events turn on for a while. Connections
-//! come from `acceptor`, which listens for all hosts of a run.
+//! A stand-in for a database host: one thread per connection, with faults that events activate for a while.
+//! `acceptor` listens for all hosts of a run and hands over their connections.
 use crate::plan::Plan;
 use crate::record::{Arrival, Recorder};
 use sandstile_pgwire as pg;
@@ -13,11 +13,12 @@
 
 /// Seconds for which hosts drop repeats of a deduplicated statement.
 pub const DEDUP_WINDOW_S: f64 = 0.8;
-/// Replicas stand so far behind their primary.
+/// How far replicas lag behind their primary, in milliseconds.
 const LAG_MS: u64 = 250;
-const READ_LOOK: Duration = Duration::from_millis(20);
+/// How often a thread checks for faults and for the end of the run while it waits.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Until when each fault lasts, in seconds of the run.
+/// The end of each fault, in seconds since the run began.
 #[derive(Debug, Default)]
 struct ActiveFaults {
     hangs_until: f64,
@@ -26,19 +27,19 @@
     turns_away_until: f64,
 }
 
-/// What all members of a group share: which deduplicated statements ran when.
+/// When each deduplicated statement was executed; shared by all members of a group.
 pub type ExecutedStatements = Arc<Mutex<BTreeMap<String, f64>>>;
 
 struct Inner {
     number: usize,
     address: SocketAddr,
     primary: AtomicBool,
-    /// How far its log had come when it last was primary: a log never goes back.
-    came_to: AtomicU64,
+    /// Its log position at its last change of role; the position never goes back.
+    position_at_switch: AtomicU64,
     work: Duration,
-    pieces: bool,
+    in_pieces: bool,
     faults: Mutex<ActiveFaults>,
-    repeats: ExecutedStatements,
+    executed: ExecutedStatements,
     recorder: Recorder,
 }
 
@@ -47,23 +48,23 @@
 pub struct Host(Arc<Inner>);
 
 impl Host {
-    /// A host of this address, which serves what it is handed.
+    /// A host with this address; it serves the connections that it is given.
     pub fn new(
         number: usize,
         address: SocketAddr,
         plan: &Plan,
-        repeats: ExecutedStatements,
+        executed: ExecutedStatements,
         recorder: Recorder,
     ) -> Host {
         Host(Arc::new(Inner {
             number,
             address,
             primary: AtomicBool::new(number < plan.groups),
-            came_to: AtomicU64::new(0),
+            position_at_switch: AtomicU64::new(0),
             work: Duration::from_millis(plan.work_ms),
-            pieces: plan.pieces,
+            in_pieces: plan.pieces,
             faults: Mutex::default(),
-            repeats,
+            executed,
             recorder,
         }))
     }
@@ -72,13 +73,13 @@
         self.0.primary.load(SeqCst)
     }
 
-    /// Takes this role.
-    pub fn becomes(&self, primary: bool) {
-        self.0.came_to.store(self.position(), SeqCst);
+    /// Makes the host primary or replica of its group.
+    pub fn set_primary(&self, primary: bool) {
+        self.0.position_at_switch.store(self.position(), SeqCst);
         self.0.primary.store(primary, SeqCst);
     }
 
-    /// Serves a connection on a thread of its own.
+    /// Serves a connection on a new thread.
     pub fn accepted(&self, stream: TcpStream) {
         let host = self.clone();
         thread::spawn(move || {
@@ -91,39 +92,39 @@
         self.0.address
     }
 
-    fn turn(&self, ms: u64, fault: impl FnOnce(&mut ActiveFaults, f64)) {
+    fn set_fault(&self, ms: u64, fault: impl FnOnce(&mut ActiveFaults, f64)) {
         let until = self.0.recorder.now() + ms as f64 / 1e3;
         fault(&mut self.0.faults.lock().expect("faults"), until);
     }
 
     pub fn hang(&self, ms: u64) {
-        self.turn(ms, |faults, until| faults.hangs_until = until);
+        self.set_fault(ms, |faults, until| faults.hangs_until = until);
     }
 
     pub fn go_down(&self, ms: u64) {
-        self.turn(ms, |faults, until| faults.down_until = until);
+        self.set_fault(ms, |faults, until| faults.down_until = until);
     }
 
     pub fn reset(&self, ms: u64) {
-        self.turn(ms, |faults, until| faults.resets_until = until);
+        self.set_fault(ms, |faults, until| faults.resets_until = until);
     }
 
     pub fn turn_away(&self, ms: u64) {
-        self.turn(ms, |faults, until| faults.turns_away_until = until);
+        self.set_fault(ms, |faults, until| faults.turns_away_until = until);
     }
 
-    fn is(&self, fault: impl Fn(&ActiveFaults) -> f64) -> bool {
+    fn is_active(&self, fault: impl Fn(&ActiveFaults) -> f64) -> bool {
         self.0.recorder.now() < fault(&self.0.faults.lock().expect("faults"))
     }
 
     pub fn is_down(&self) -> bool {
-        self.is(|faults| faults.down_until)
+        self.is_active(|faults| faults.down_until)
     }
 
     fn serve(&self, mut stream: &TcpStream) -> io::Result<()> {
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(READ_LOOK))?;
+        stream.set_read_timeout(Some(POLL_INTERVAL))?;
         let (mut buf, mut bytes, mut greeted) = (Vec::new(), [0; 8192], false);
         loop {
             if self.is_down() || self.0.recorder.is_over() {
@@ -131,20 +132,20 @@
             }
             match stream.read(&mut bytes) {
                 Ok(0) => return Ok(()),
-                Ok(got) => buf.extend_from_slice(&bytes[..got]),
+                Ok(n) => buf.extend_from_slice(&bytes[..n]),
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => continue,
                 Err(e) => return Err(e),
             }
-            let wrong = |e: pg::BadFrame| io::Error::other(e.0);
+            let to_io_error = |e: pg::BadFrame| io::Error::other(e.0);
             if !greeted {
-                let Some((_, length)) = pg::startup(&buf).map_err(wrong)? else { continue };
+                let Some((_, length)) = pg::startup(&buf).map_err(to_io_error)? else { continue };
                 buf.drain(..length);
                 greeted = true;
                 let mut out = Vec::new();
                 pg::startup_response(&mut out);
-                self.say(stream, &out)?;
+                self.send(stream, &out)?;
             }
-            while let Some((tag, body)) = pg::frame(&buf).map_err(wrong)? {
+            while let Some((tag, body)) = pg::frame(&buf).map_err(to_io_error)? {
                 let text = String::from_utf8_lossy(&buf[body.clone()]).into_owned();
                 buf.drain(..body.end);
                 if tag != b'Q' || !self.answer(stream, &text)? {
@@ -154,16 +155,16 @@
         }
     }
 
-    /// `false` where the connection is to end.
+    /// Answers a statement; `false` where the connection is to be closed.
     fn answer(&self, stream: &TcpStream, text: &str) -> io::Result<bool> {
         let mut out = Vec::new();
         if text.starts_with("SHOW") {
             self.row(&mut out);
-            return self.say(stream, &out).map(|()| true);
+            return self.send(stream, &out).map(|()| true);
         }
-        let turned_away = self.is(|faults| faults.turns_away_until);
-        let misses = !self.is_primary() && text.contains("INSERT");
-        let ran = !turned_away && !misses && !self.is_repeat(text);
+        let turned_away = self.is_active(|faults| faults.turns_away_until);
+        let is_misrouted = !self.is_primary() && text.contains("INSERT");
+        let ran = !turned_away && !is_misrouted && !self.is_repeat(text);
         self.0.recorder.arrival(Arrival {
             id: field(text, "id").unwrap_or_default().to_string(),
             host: self.0.number,
@@ -173,49 +174,49 @@
         });
         if turned_away {
             pg::error(&mut out, false, "53300", "turned away", None);
-            self.end(&mut out);
-            return self.say(stream, &out).map(|()| true);
+            self.finish_answer(&mut out);
+            return self.send(stream, &out).map(|()| true);
         }
-        if misses {
+        if is_misrouted {
             pg::error(&mut out, false, "25006", "this is a replica", None);
-            self.end(&mut out);
-            return self.say(stream, &out).map(|()| true);
+            self.finish_answer(&mut out);
+            return self.send(stream, &out).map(|()| true);
         }
         thread::sleep(self.0.work);
-        while self.is(|faults| faults.hangs_until) && !self.is_down() && !self.0.recorder.is_over() {
-            thread::sleep(READ_LOOK);
+        while self.is_active(|faults| faults.hangs_until) && !self.is_down() && !self.0.recorder.is_over() {
+            thread::sleep(POLL_INTERVAL);
         }
         self.row(&mut out);
-        if self.is(|faults| faults.resets_until) {
-            self.say(stream, &out[..out.len() / 2])?;
+        if self.is_active(|faults| faults.resets_until) {
+            self.send(stream, &out[..out.len() / 2])?;
             return Ok(false);
         }
         if self.is_down() {
             return Ok(false);
         }
-        self.say(stream, &out).map(|()| true)
+        self.send(stream, &out).map(|()| true)
     }
 
-    /// Whether this is a repeat that the group drops; else it counts as run from now.
+    /// Whether this is a repeat that the group drops; otherwise records the execution.
     fn is_repeat(&self, text: &str) -> bool {
         if field(text, "c") != Some("once") {
             return false;
         }
         let now = self.0.recorder.now();
-        let mut repeats = self.0.repeats.lock().expect("repeats");
+        let mut executed = self.0.executed.lock().expect("repeats");
         let id = field(text, "id").unwrap_or_default().to_string();
-        let dropped = repeats.get(&id).is_some_and(|ran| now < ran + DEDUP_WINDOW_S);
+        let dropped = executed.get(&id).is_some_and(|executed_at| now < executed_at + DEDUP_WINDOW_S);
         if !dropped {
-            repeats.insert(id, now);
+            executed.insert(id, now);
         }
         dropped
     }
 
-    /// How far its log has come, in Unix milliseconds: its answers' values and their positions.
+    /// Its log position in Unix milliseconds; answers return it as their value and as their position.
     fn position(&self) -> u64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
         let position = now - if self.is_primary() { 0 } else { LAG_MS };
-        position.max(self.0.came_to.load(SeqCst))
+        position.max(self.0.position_at_switch.load(SeqCst))
     }
 
     fn row(&self, out: &mut Vec<u8>) {
@@ -224,10 +225,10 @@
         pg::write_frame(out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
         pg::write_frame(out, b'D', &[&[0, 1], &(value.len() as u32).to_be_bytes(), value]);
         pg::write_frame(out, b'C', &[b"SELECT 1\0"]);
-        self.end(out);
+        self.finish_answer(out);
     }
 
-    fn end(&self, out: &mut Vec<u8>) {
+    fn finish_answer(&self, out: &mut Vec<u8>) {
         let mode: &[u8] = if self.is_primary() { b"read-write" } else { b"read-only" };
         pg::write_frame(out, b'S', &[b"mode\0", mode, b"\0"]);
         pg::write_frame(out, b'S', &[b"timeline\0", b"1\0"]);
@@ -235,8 +236,8 @@
         pg::ready(out);
     }
 
-    fn say(&self, mut stream: &TcpStream, bytes: &[u8]) -> io::Result<()> {
-        if !self.0.pieces {
+    fn send(&self, mut stream: &TcpStream, bytes: &[u8]) -> io::Result<()> {
+        if !self.0.in_pieces {
             return stream.write_all(bytes);
         }
         for piece in bytes.chunks(23) {
@@ -247,19 +248,19 @@
     }
 }
 
-/// A field of a statement's comment.
+/// A field of the comment that precedes a statement.
 fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let comment = text.split_once("/*")?.1.split_once("*/")?.0;
     let pairs = comment.split(',').filter_map(|pair| pair.trim().split_once('='));
     pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
 }
 
-/// The names of all hosts, for lists.
+/// The names of all hosts, as in lists.
 pub fn names(hosts: usize) -> BTreeSet<String> {
     (0..hosts).map(name).collect()
 }
 
-/// The name of one host.
+/// The name of a host.
 pub fn name(number: usize) -> String {
     format!("s-{number}")
 }
--- a/crates/sandstile-soak/src/lib.rs
+++ b/crates/sandstile-soak/src/lib.rs
@@ -1,6 +1,7 @@
-//! Fault soak: several real router processes between stand-ins for clients, database hosts and discovery, with faults
-//! drawn by a seed: system calls that fail (`sandstile-shim`), signals in series, hosts that hang, refuse, reset or
-//! drain, discovery that is silent. What clients and hosts saw is judged afterwards; the seed repeats the plan.
+//! Fault soak: runs several real router processes between stand-ins for clients, database hosts and discovery, under
+//! faults drawn from a seed: failing system calls (`sandstile-shim`), bursts of signals, hosts that hang, refuse, reset
+//! or drain, and a silent discovery. What clients and hosts observed is judged afterwards; a seed always gives the same
+//! plan.
 pub mod acceptor;
 pub mod agent;
 pub mod client;
--- a/crates/sandstile-soak/src/process.rs
+++ b/crates/sandstile-soak/src/process.rs
@@ -1,7 +1,7 @@
-//! One router as a process of its own, under a shim, in one life after the other.
+//! A router process, started with a shim.
 use crate::host::DEDUP_WINDOW_S;
 use crate::plan::{Plan, COLD_INITIAL_SHARE, COLD_S, MAX_DEADLINE_MS};
-use crate::record::{Happened, Recorder};
+use crate::record::{Recorder, RunEvent};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::fs::{self, File};
@@ -10,12 +10,12 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// What all routers of a run are started with.
+/// The programs and files of a run.
 #[derive(Clone, Debug)]
 pub struct Programs {
     pub router: PathBuf,
     pub shim: PathBuf,
-    /// Where configurations, logs and journals lie.
+    /// The directory of configurations, logs and journals.
     pub dir: PathBuf,
 }
 
@@ -30,7 +30,7 @@
 }
 
 fn settings(plan: &Plan) -> String {
-    // Where routers keep sessions, hosts judge no read.
+    // Where routers keep sessions themselves, hosts don't reject stale reads.
     let guards = if plan.lasting { "off" } else { "reject" };
     let class = |name: &str, effect: &str| {
         format!(
@@ -53,7 +53,7 @@
 }
 
 impl Router {
-    /// Starts the next life of router `number`.
+    /// Starts generation `life` of router `number`.
     pub fn start(
         plan: &Plan,
         programs: &Programs,
@@ -77,11 +77,11 @@
         command.arg("serve").env("LB_CONFIG", &config).stdin(Stdio::null()).stdout(Stdio::null());
         command.stderr(File::create(&log)?);
         if plan.lasting {
-            command.arg("--config").arg(own_file(&programs.dir, &name)?);
+            command.arg("--config").arg(write_local_config(&programs.dir, &name)?);
         }
         plan.shims[number].apply(&mut command, &programs.shim);
         let child = command.spawn()?;
-        recorder.happened(Happened::Started { router: number, life });
+        recorder.record_event(RunEvent::Started { router: number, life });
         Ok(Router { number, generation: life, address, child, log, recorder: recorder.clone() })
     }
 
@@ -91,48 +91,48 @@
     }
 
     pub fn terminate(&self) {
-        self.recorder.happened(Happened::Terminated { router: self.number, life: self.generation });
+        self.recorder.record_event(RunEvent::Terminated { router: self.number, life: self.generation });
         self.signal(Signal::SIGTERM);
     }
 
-    /// Whether it has ended by itself; that is put on record once.
+    /// Whether the process has ended by itself; the first `true` records that.
     pub fn has_ended(&mut self) -> bool {
         match self.child.try_wait() {
             Ok(Some(status)) => {
                 let (router, life, code) = (self.number, self.generation, status.code());
-                self.recorder.happened(Happened::Ended { router, life, code });
+                self.recorder.record_event(RunEvent::Ended { router, life, code });
                 true
             }
             _ => false,
         }
     }
 
-    /// SIGKILL.
+    /// Ends the process by SIGKILL.
     pub fn kill(&mut self) {
         let (router, life) = (self.number, self.generation);
-        self.recorder.happened(Happened::Killed { router, life });
+        self.recorder.record_event(RunEvent::Killed { router, life });
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Puts on record what the process holds.
-    pub fn measure(&self) {
+    /// Records the resident memory of the process.
+    pub fn record_memory(&self) {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kilobytes = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
         if let Some(kilobytes) = kilobytes {
             let (router, life) = (self.number, self.generation);
-            self.recorder.happened(Happened::Memory { router, life, kilobytes });
+            self.recorder.record_event(RunEvent::Memory { router, life, kilobytes });
         }
     }
 
-    /// Reads the log of a life that is over for a panic.
-    pub fn examine(&self) {
+    /// Searches the log of an ended process for a panic and records it.
+    pub fn check_log_for_panic(&self) {
         let text = fs::read(&self.log).unwrap_or_default();
         let text = String::from_utf8_lossy(&text).into_owned();
         if let Some(line) = text.lines().find(|line| line.contains("panicked at")) {
             let (router, life) = (self.number, self.generation);
-            self.recorder.happened(Happened::Panicked { router, life, line: line.to_string() });
+            self.recorder.record_event(RunEvent::Panicked { router, life, line: line.to_string() });
         }
     }
 }
@@ -144,8 +144,8 @@
     }
 }
 
-/// Our own file, with a journal of sessions in a folder that outlives the process.
-fn own_file(dir: &Path, name: &str) -> io::Result<PathBuf> {
+/// Writes the local configuration file, with a journal of sessions in a directory that outlives the process.
+fn write_local_config(dir: &Path, name: &str) -> io::Result<PathBuf> {
     let path = dir.join(format!("{name}.hcl"));
     let journal = dir.join(format!("{name}.marks"));
     let text = format!(
--- a/crates/sandstile-soak/src/record.rs
+++ b/crates/sandstile-soak/src/record.rs
@@ -1,36 +1,38 @@
-//! What clients and hosts saw of each statement, collected while a run goes on.
+//! What clients and hosts observed of each statement, collected during a run.
 use crate::plan::Event;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread;
 use std::time::{Duration, Instant};
 
-const STALL_LOOK: Duration = Duration::from_millis(5);
-const LEAST_STALL_S: f64 = 0.02;
+/// How long the stall watcher sleeps between two checks.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// A wake-up that is later than this, in seconds, counts as a stall.
+const MIN_STALL_S: f64 = 0.02;
 
-/// What a statement may do.
+/// How often a statement may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Any number of executions will do.
+    /// It may be executed any number of times.
     Idempotent,
-    /// Hosts drop repeats for a while.
+    /// Hosts drop repeated executions for a while.
     Deduplicated,
-    /// One execution at the most.
+    /// It may be executed once at most.
     NonIdempotent,
 }
 
-/// How a request ended at its client. Times are seconds of the run.
+/// How a request ended at its client. Times are seconds since the run began.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    /// A whole final answer.
+    /// A complete final answer came, with the SQLSTATE of an error.
     Answered { code: Option<String>, at: f64 },
-    /// The connection ended without a byte of an answer.
+    /// The connection was closed before the first byte of an answer.
     Closed { at: f64 },
-    /// The connection ended in the midst of an answer.
+    /// The connection was closed in the middle of an answer.
     CutShort { at: f64 },
-    /// Nothing came within the time of a final answer.
+    /// No answer came before the client stopped listening.
     Silent,
-    /// The client closed its connection, and did not wait.
+    /// The client closed the connection without waiting for the answer.
     Left { at: f64 },
 }
 
@@ -40,36 +42,36 @@
     pub id: String,
     pub group: usize,
     pub router: usize,
-    /// The life of the router's process, counted from 0.
+    /// The generation of the router process, counted from 0.
     pub life: usize,
     pub effect: Effect,
-    /// Seconds that the client waits.
+    /// The client's timeout in seconds.
     pub wait: f64,
     /// When its last byte was written.
     pub written_at: f64,
     /// The first request on its connection.
     pub fresh: bool,
     pub end: End,
-    /// The position that the answer was read at, and the one that the session had written before; milliseconds.
+    /// The log position that the answer was read at, and that of the session's last write before; in milliseconds.
     pub position: Option<u64>,
     pub wrote_before: Option<u64>,
 }
 
-/// One execution's arrival at a host.
+/// A statement's arrival at a host.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: String,
     pub host: usize,
     pub at: f64,
-    /// Seconds that it was told, where it was told any.
+    /// The remaining time in seconds that the statement was sent with, if any.
     pub told: Option<f64>,
-    /// It was executed, as far as the host knows: turned away, or dropped as a repeat, it was not.
+    /// The host executed it, neither rejecting it nor dropping it as a repeat.
     pub ran: bool,
 }
 
-/// What happened to processes and hosts.
+/// An event of a router process or a host.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happened {
+pub enum RunEvent {
     Started {
         router: usize,
         life: usize,
@@ -82,7 +84,7 @@
         router: usize,
         life: usize,
     },
-    /// It ended by itself, with this code; `None` where a signal ended it.
+    /// The process ended by itself, with this code; `None` where a signal ended it.
     Ended {
         router: usize,
         life: usize,
@@ -98,7 +100,7 @@
         life: usize,
         kilobytes: u64,
     },
-    /// Discovery wrote this to all open watches.
+    /// Discovery has written this change to all open watches.
     HostDrains {
         host: usize,
     },
@@ -108,17 +110,17 @@
     Applied(Event),
 }
 
-/// All that was seen.
+/// Everything that was observed in a run.
 #[derive(Debug, Default)]
 pub struct Observations {
     pub requests: Vec<Request>,
     pub arrivals: Vec<Arrival>,
-    pub happened: Vec<(f64, Happened)>,
-    /// When this process woke late, and by how many seconds: what it saw then is off by as much.
+    pub events: Vec<(f64, RunEvent)>,
+    /// When this process woke late, and by how many seconds. Its observations at such a time are late by as much.
     pub stalls: Vec<(f64, f64)>,
 }
 
-/// Shared by all threads of a run.
+/// Collects observations; shared by all threads of a run.
 #[derive(Clone)]
 pub struct Recorder {
     began: Instant,
@@ -148,25 +150,25 @@
         self.observations().arrivals.push(arrival);
     }
 
-    pub fn happened(&self, what: Happened) {
+    pub fn record_event(&self, event: RunEvent) {
         let at = self.now();
-        self.observations().happened.push((at, what));
+        self.observations().events.push((at, event));
     }
 
-    /// Notes how late this process wakes, until the run is over.
+    /// Records how late this process wakes, until the run is over.
     pub fn watch_stalls(&self) {
         while !self.is_over() {
-            let due = self.now() + STALL_LOOK.as_secs_f64();
-            thread::sleep(STALL_LOOK);
+            let due = self.now() + STALL_CHECK_INTERVAL.as_secs_f64();
+            thread::sleep(STALL_CHECK_INTERVAL);
             let late = self.now() - due;
-            if late > LEAST_STALL_S {
+            if late > MIN_STALL_S {
                 let at = self.now();
                 self.observations().stalls.push((at, late));
             }
         }
     }
 
-    /// The run is over: stand-ins let go of their addresses.
+    /// Ends the run: the stand-ins release their addresses.
     pub fn end(&self) {
         self.over.store(true, SeqCst);
     }
@@ -175,7 +177,7 @@
         self.over.load(SeqCst)
     }
 
-    /// Takes all that was seen.
+    /// Takes all observations out of the recorder.
     pub fn take(&self) -> Observations {
         std::mem::take(&mut *self.observations())
     }
--- a/crates/sandstile-soak/src/run.rs
+++ b/crates/sandstile-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan: starts the stand-ins and the routers, applies the events, and hands over what was seen.
+//! Runs a plan: starts the stand-ins and the routers, applies the events, and returns what was observed.
 use crate::acceptor::Acceptor;
 use crate::agent::Agent;
 use crate::client::{Client, Endpoint};
@@ -6,7 +6,7 @@
 use crate::judge::{judge, Finding};
 use crate::plan::{Event, Plan, HOST_PORT, KILL_AFTER};
 use crate::process::{Programs, Router};
-use crate::record::{Effect, End, Happened, Observations, Recorder, Request};
+use crate::record::{Effect, End, Observations, Recorder, Request, RunEvent};
 use nix::sys::signal::Signal;
 use sandstile_pgwire as pg;
 use std::io::{self, Read, Write};
@@ -16,19 +16,20 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// New connections still come for so long after SIGTERM.
-const CONNECTS_ON: Duration = Duration::from_millis(300);
-/// A started router is ready within this, or counts as crashed.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(5);
-/// Within this, stand-ins let go of their addresses.
-const LET_GO: Duration = Duration::from_millis(100);
-/// A router with a tenth of a core runs for a tenth of this and stands for the rest.
-const PROCESSOR_TURN: Duration = Duration::from_millis(20);
-/// An idle crowd stays for so long.
-const CROWD_STAYS: Duration = Duration::from_secs(3);
+/// How long clients still open new connections after SIGTERM.
+const NEW_CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
+/// A router that is not ready within this time after its start counts as crashed.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often the state of a process is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The time for the stand-ins to release their addresses.
+const RELEASE_TIME: Duration = Duration::from_millis(100);
+/// A router limited to a tenth of a core runs for a tenth of this period and is stopped for the rest.
+const CPU_PERIOD: Duration = Duration::from_millis(20);
+/// How long an idle crowd stays connected.
+const CROWD_DURATION: Duration = Duration::from_secs(3);
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
     pub observations: Observations,
@@ -36,28 +37,29 @@
 }
 
 impl Outcome {
-    /// What happened to processes and hosts, and each request that was not served, in the order of their times.
+    /// Events of processes and hosts, and each request that was not served, sorted by time.
     pub fn timeline(&self) -> String {
-        let happened = self.observations.happened.iter().map(|(at, what)| (*at, format!("{what:?}")));
+        let events = self.observations.events.iter().map(|(at, event)| (*at, format!("{event:?}")));
         let unserved = |r: &&Request| !matches!(r.end, End::Answered { code: None, .. });
         let requests =
             self.observations.requests.iter().filter(unserved).map(|r| (r.written_at, format!("{r:?}")));
-        let mut lines: Vec<(f64, String)> = happened.chain(requests).collect();
-        lines.sort_by(|one, other| one.0.total_cmp(&other.0));
+        let mut lines: Vec<(f64, String)> = events.chain(requests).collect();
+        lines.sort_by(|a, b| a.0.total_cmp(&b.0));
         lines.iter().map(|(at, line)| format!("{at:.3} {line}\n")).collect()
     }
 
     /// One line of counts.
     pub fn summary(&self) -> String {
-        let count = |is: fn(&End) -> bool| self.observations.requests.iter().filter(|r| is(&r.end)).count();
+        let count =
+            |matches: fn(&End) -> bool| self.observations.requests.iter().filter(|r| matches(&r.end)).count();
         let served = count(|e| matches!(e, End::Answered { code: None, .. }));
         let refused = count(|e| matches!(e, End::Answered { code: Some(_), .. }));
-        let crossed = count(|e| matches!(e, End::Closed { .. }));
+        let closed = count(|e| matches!(e, End::Closed { .. }));
         let writes = self.observations.requests.iter().filter(|r| r.effect != Effect::Idempotent).count();
-        let lives =
-            self.observations.happened.iter().filter(|(_, w)| matches!(w, Happened::Started { .. })).count();
+        let starts =
+            self.observations.events.iter().filter(|(_, e)| matches!(e, RunEvent::Started { .. })).count();
         format!(
-            "{} requests ({writes} writes), {served} served, {refused} refused or failed, {crossed} closed, {} executions, {lives} lives, {} broken",
+            "{} requests ({writes} writes), {served} served, {refused} refused or failed, {closed} closed, {} executions, {starts} starts of routers, {} broken rules",
             self.observations.requests.len(),
             self.observations.arrivals.len(),
             self.findings.len(),
@@ -65,21 +67,21 @@
     }
 }
 
-/// Runs that can go on side by side.
+/// How many runs can use separate addresses at the same time.
 const BLOCKS: u16 = 30 * 256;
 
-/// Kinds of addresses.
+/// Kinds of addresses, by which the second byte differs.
 const HOSTS: u8 = 0;
 const AGENT: u8 = 1;
 const ROUTERS: u8 = 2;
 
-/// Runs of large fleets that can go on side by side, and the addresses of hosts that each has.
+/// How many runs of large fleets can go on at the same time, and how many host addresses each has.
 const LARGE_BLOCKS: usize = 512;
 const LARGE_BLOCK: usize = 8_192;
-/// Hosts that one run's own block of addresses has room for.
+/// The highest number of hosts that fit into the block of addresses of one run.
 const BLOCK_HOSTS: usize = 250;
 
-/// Addresses of this run alone, on loopback.
+/// A loopback address that no other run uses.
 fn address(block: u16, kind: u8, number: usize) -> SocketAddr {
     let last = 1 + u8::try_from(number).unwrap_or(u8::MAX - 1);
     let [high, low] = (block % BLOCKS).to_be_bytes();
@@ -87,7 +89,7 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 64 + high * 4 + kind, low, last)), port)
 }
 
-/// The address of a host: those of a large fleet lie in a range of their own.
+/// The address of a host. Large fleets have a separate range of addresses.
 fn host_address(block: u16, hosts: usize, number: usize) -> SocketAddr {
     if hosts <= BLOCK_HOSTS {
         return address(block, HOSTS, number);
@@ -97,7 +99,7 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 188 + high, middle, low)), HOST_PORT)
 }
 
-/// A router slot: its present process, if any.
+/// The current process of a router, if any.
 struct Slot {
     router: Mutex<Option<Router>>,
 }
@@ -108,16 +110,16 @@
     recorder: Recorder,
     hosts: Vec<Host>,
     agent: Agent,
-    agent_at: SocketAddr,
+    agent_address: SocketAddr,
     endpoints: Arc<Vec<Endpoint>>,
     slots: Vec<Slot>,
-    /// Clients of rushes so far, which numbers the next.
-    rushed: AtomicUsize,
+    /// Clients of rushes so far; numbers the clients of the next rush.
+    rush_clients: AtomicUsize,
 }
 
-/// Plays a plan; `block` keeps the addresses of runs side by side apart.
+/// Runs a plan. Runs at the same time need different values of `block`, which selects their addresses.
 pub fn play(plan: &Plan, programs: &Programs, block: u16) -> io::Result<Outcome> {
-    let fleet = Arc::new(Fleet::set(plan, programs, block)?);
+    let fleet = Arc::new(Fleet::set_up(plan, programs, block)?);
     let over = Arc::new(AtomicBool::new(false));
     if !plan.at_once {
         (0..plan.routers).try_for_each(|number| fleet.start(number, 0))?;
@@ -142,26 +144,26 @@
     restarts.into_iter().for_each(|restart| restart.join().expect("a restart"));
     (0..plan.routers).for_each(|number| fleet.end(number));
     fleet.recorder.end();
-    thread::sleep(LET_GO);
+    thread::sleep(RELEASE_TIME);
     let observations = fleet.recorder.take();
     let findings = judge(plan, &observations);
     Ok(Outcome { observations, findings })
 }
 
 impl Fleet {
-    fn set(plan: &Plan, programs: &Programs, block: u16) -> io::Result<Fleet> {
+    fn set_up(plan: &Plan, programs: &Programs, block: u16) -> io::Result<Fleet> {
         let recorder = Recorder::begin();
-        let repeats = ExecutedStatements::default();
+        let executed = ExecutedStatements::default();
         let host = |n| {
-            let at = host_address(block, plan.hosts, n);
-            Host::new(n, at, plan, repeats.clone(), recorder.clone())
+            let address = host_address(block, plan.hosts, n);
+            Host::new(n, address, plan, executed.clone(), recorder.clone())
         };
         let hosts: Vec<Host> = (0..plan.hosts).map(host).collect();
         let watched = recorder.clone();
         Acceptor::start(hosts.clone(), move || watched.is_over())?;
         let addresses: Vec<SocketAddr> = hosts.iter().map(Host::address).collect();
-        let agent_at = address(block, AGENT, 0);
-        let agent = Agent::start(agent_at, &addresses, plan.groups, recorder.clone())?;
+        let agent_address = address(block, AGENT, 0);
+        let agent = Agent::start(agent_address, &addresses, plan.groups, recorder.clone())?;
         let endpoint = |n| Endpoint {
             address: address(block, ROUTERS, n),
             open: AtomicBool::new(false),
@@ -176,10 +178,10 @@
             recorder,
             hosts,
             agent,
-            agent_at,
+            agent_address,
             endpoints,
             slots,
-            rushed: AtomicUsize::new(0),
+            rush_clients: AtomicUsize::new(0),
         })
     }
 
@@ -200,10 +202,10 @@
         (0..self.plan.clients).map(client).map(|client| thread::spawn(move || client.run())).collect()
     }
 
-    /// Clients that ask one statement a connection, until their time is over.
+    /// Starts clients that send one statement per connection, for this time.
     fn rush(self: &Arc<Self>, router: usize, clients: u64, ms: u64) -> JoinHandle<()> {
         let fleet = self.clone();
-        let first = self.plan.clients + self.rushed.fetch_add(clients as usize, SeqCst);
+        let first = self.plan.clients + self.rush_clients.fetch_add(clients as usize, SeqCst);
         thread::spawn(move || {
             let over = Arc::new(AtomicBool::new(false));
             let client = |number| Client {
@@ -228,15 +230,15 @@
         })
     }
 
-    /// The next member of the group takes over.
+    /// Makes the next member of the group its primary.
     fn new_primary(&self, group: usize) {
         let members: Vec<&Host> = self.hosts.iter().skip(group).step_by(self.plan.groups).collect();
         let old = members.iter().position(|host| host.is_primary()).unwrap_or(0);
-        members[old].becomes(false);
-        members[(old + 1) % members.len()].becomes(true);
+        members[old].set_primary(false);
+        members[(old + 1) % members.len()].set_primary(true);
     }
 
-    /// A change of one host of the list after the other.
+    /// Changes the list one host at a time.
     fn list_changes(self: &Arc<Self>, count: u64, pause_ms: u64) -> JoinHandle<()> {
         let fleet = self.clone();
         thread::spawn(move || {
@@ -247,54 +249,55 @@
         })
     }
 
-    /// Runs a router a tenth of the time.
-    fn little_processor(self: &Arc<Self>, router: usize, ms: u64) -> JoinHandle<()> {
+    /// Limits a router to a tenth of the CPU time.
+    fn limit_cpu(self: &Arc<Self>, router: usize, ms: u64) -> JoinHandle<()> {
         let fleet = self.clone();
         thread::spawn(move || {
             let until = Instant::now() + Duration::from_millis(ms);
             while Instant::now() < until {
                 fleet.signal(router, Signal::SIGSTOP);
-                thread::sleep(PROCESSOR_TURN * 9 / 10);
+                thread::sleep(CPU_PERIOD * 9 / 10);
                 fleet.signal(router, Signal::SIGCONT);
-                thread::sleep(PROCESSOR_TURN / 10);
+                thread::sleep(CPU_PERIOD / 10);
             }
         })
     }
 
-    /// Starts a life and waits until it answers an empty query, as the front does.
-    fn start(&self, number: usize, life: usize) -> io::Result<()> {
+    /// Starts a generation of a router and waits until it answers an empty query, as the load balancer in front does.
+    fn start(&self, number: usize, generation: usize) -> io::Result<()> {
         let endpoint = &self.endpoints[number];
-        let at = (endpoint.address, self.agent_at);
+        let addresses = (endpoint.address, self.agent_address);
         let known = self.agent.known();
-        let router = Router::start(&self.plan, &self.programs, number, life, at, &known, &self.recorder)?;
+        let router =
+            Router::start(&self.plan, &self.programs, number, generation, addresses, &known, &self.recorder)?;
         *self.slots[number].router.lock().expect("a slot") = Some(router);
-        let give_up_at = Instant::now() + READY_WITHIN;
-        while !answers(endpoint.address) {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while !is_ready(endpoint.address) {
             let ended =
                 self.slots[number].router.lock().expect("a slot").as_mut().is_some_and(Router::has_ended);
-            if ended || Instant::now() >= give_up_at {
+            if ended || Instant::now() >= deadline {
                 let code = None;
-                self.recorder.happened(Happened::Ended { router: number, life, code });
+                self.recorder.record_event(RunEvent::Ended { router: number, life: generation, code });
                 return Ok(());
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
-        endpoint.generation.store(life, SeqCst);
+        endpoint.generation.store(generation, SeqCst);
         endpoint.open.store(true, SeqCst);
         Ok(())
     }
 
-    /// Applies each event at its time; yields what still goes on behind the last.
+    /// Applies each event at its time; returns the threads that are still running after the last.
     fn apply_events(self: &Arc<Self>) -> Vec<JoinHandle<()>> {
         let began = Instant::now();
-        let mut going_on = Vec::new();
+        let mut unfinished = Vec::new();
         for (at, event) in &self.plan.events {
             thread::sleep(at.saturating_sub(began.elapsed()));
-            self.recorder.happened(Happened::Applied(*event));
-            going_on.extend(self.apply(*event));
+            self.recorder.record_event(RunEvent::Applied(*event));
+            unfinished.extend(self.apply(*event));
         }
         thread::sleep(self.plan.length.saturating_sub(began.elapsed()));
-        going_on
+        unfinished
     }
 
     fn apply(self: &Arc<Self>, event: Event) -> Option<JoinHandle<()>> {
@@ -335,10 +338,10 @@
             }
             Event::Crowd { router, clients } => self.crowd(router, clients),
             Event::NewPrimary { group } => self.new_primary(group),
-            Event::WholeList => self.agent.tell_whole(),
+            Event::WholeList => self.agent.send_whole_list(),
             Event::Rush { router, clients, ms } => return Some(self.rush(router, clients, ms)),
             Event::ListChanges { count, pause_ms } => return Some(self.list_changes(count, pause_ms)),
-            Event::LittleProcessor { router, ms } => return Some(self.little_processor(router, ms)),
+            Event::LittleProcessor { router, ms } => return Some(self.limit_cpu(router, ms)),
         }
         None
     }
@@ -350,16 +353,16 @@
     }
 
     fn crowd(&self, router: usize, clients: u64) {
-        let at = self.endpoints[router].address;
+        let address = self.endpoints[router].address;
         thread::spawn(move || {
-            let connect = |_| TcpStream::connect_timeout(&at, Duration::from_millis(200)).ok();
+            let connect = |_| TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
             let crowd: Vec<TcpStream> = (0..clients).filter_map(connect).collect();
-            thread::sleep(CROWD_STAYS);
+            thread::sleep(CROWD_DURATION);
             drop(crowd);
         });
     }
 
-    /// Takes the process out of its slot, unless somebody else restarts it just now.
+    /// Takes the process out of its slot, unless it is being restarted.
     fn take(&self, number: usize) -> Option<Router> {
         if !self.endpoints[number].open.load(SeqCst) {
             return None;
@@ -369,43 +372,43 @@
 
     fn restart(&self, number: usize) {
         let Some(mut router) = self.take(number) else { return };
-        let life = router.generation;
+        let generation = router.generation;
         self.finish(number, &mut router);
         drop(router);
-        self.start(number, life + 1).expect("a process that starts");
+        self.start(number, generation + 1).expect("a process that starts");
     }
 
-    /// SIGTERM, and SIGKILL at the earliest time if it is still there.
+    /// Sends SIGTERM, and SIGKILL at the earliest allowed time if the process still runs.
     fn finish(&self, number: usize, router: &mut Router) {
-        router.measure();
-        let told_at = Instant::now();
+        router.record_memory();
+        let terminated_at = Instant::now();
         router.terminate();
-        thread::sleep(CONNECTS_ON);
+        thread::sleep(NEW_CONNECTIONS_AFTER_TERM);
         self.endpoints[number].open.store(false, SeqCst);
         loop {
             if router.has_ended() {
                 break;
             }
-            if told_at.elapsed() >= KILL_AFTER {
+            if terminated_at.elapsed() >= KILL_AFTER {
                 router.kill();
                 break;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
-        router.examine();
+        router.check_log_for_panic();
     }
 
     fn kill(&self, number: usize) {
         let Some(mut router) = self.take(number) else { return };
         self.endpoints[number].open.store(false, SeqCst);
-        let life = router.generation;
+        let generation = router.generation;
         router.kill();
-        router.examine();
+        router.check_log_for_panic();
         drop(router);
-        self.start(number, life + 1).expect("a process that starts");
+        self.start(number, generation + 1).expect("a process that starts");
     }
 
-    /// At the end of the run: all that was taken has been answered by now.
+    /// Ends a router at the end of the run; by now all requests have been answered.
     fn end(&self, number: usize) {
         let router = self.slots[number].router.lock().expect("a slot").take();
         if let Some(mut router) = router {
@@ -417,18 +420,20 @@
 }
 
 /// Whether a router answers an empty query.
-fn answers(at: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_millis(200)) else { return false };
+fn is_ready(address: SocketAddr) -> bool {
+    let Ok(mut stream) = TcpStream::connect_timeout(&address, Duration::from_millis(200)) else {
+        return false;
+    };
     let mut bytes = pg::startup_message();
     pg::query(&mut bytes, b"");
     let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
     if stream.write_all(&bytes).is_err() {
         return false;
     }
-    let (mut got, mut piece) = (Vec::new(), [0; 512]);
-    while !got.windows(5).any(|w| w == b"I\0\0\0\x04") {
+    let (mut received, mut piece) = (Vec::new(), [0; 512]);
+    while !received.windows(5).any(|w| w == b"I\0\0\0\x04") {
         match stream.read(&mut piece) {
-            Ok(n) if n > 0 => got.extend_from_slice(&piece[..n]),
+            Ok(n) if n > 0 => received.extend_from_slice(&piece[..n]),
             _ => return false,
         }
     }
