--- a/crates/sandstile-experiment/src/lib.rs
+++ b/crates/sandstile-experiment/src/lib.rs
@@ -1,6 +1,6 @@
-//! Experiments: a script played by two or more arms, in pairs under the same seed, in an order drawn anew for each
-//! pair. What has been run stands in rows that are only ever added to; what is still to be run follows from them, so
-//! that an experiment that was killed goes on where it stopped.
+//! Experiments: two or more arms run a script in pairs with the same seed, in an order that is drawn for each pair.
+//! Finished runs are rows of an append-only file, from which follows what still has to be run, so that a killed
+//! experiment resumes where it stopped.
 pub mod analysis;
 pub mod plan;
 pub mod rows;
--- a/crates/sandstile-experiment/src/plan.rs
+++ b/crates/sandstile-experiment/src/plan.rs
@@ -1,33 +1,34 @@
-//! What is compared with what, how often, and in which order.
+//! The definition of an experiment: its script, its arms, the number of pairs and the order of runs.
 use sandstile_fleet::random::Rng;
 use sandstile_hcl::{Problem, Section, Source};
 use sandstile_scenario::script::SessionTracking;
 use sandstile_scenario::Script;
 use sandstile_stats::Plan;
 
-/// One way of running the script.
+/// One variant of the script. Settings that are absent stay as in the script.
 #[derive(Clone, Debug, Default)]
 pub struct Arm {
     pub name: String,
-    /// Another program than the usual one.
+    /// The path of a router program other than the default.
     pub router: Option<String>,
     pub executions: Option<usize>,
+    /// The longest delay in seconds that routers may ask clients to wait before a retry.
     pub return_s: Option<f64>,
     pub retries: Option<usize>,
     pub routers: Option<usize>,
     pub sessions: Option<SessionTracking>,
-    /// How routers come back, in the words of our own file.
+    /// How routers pace connections after a restart, as in the local configuration file.
     pub pace: Option<String>,
     pub limits: Option<bool>,
-    /// Routers know each other, and shares at hosts follow how many are there.
+    /// Routers know each other (`members`), and divide the hosts' capacity by their current number (`share`).
     pub members: Option<bool>,
     pub share: Option<bool>,
-    /// All arrivals times this.
+    /// All arrival rates are multiplied by this.
     pub load: f64,
 }
 
 impl Arm {
-    /// The script as this arm plays it.
+    /// The script with this arm's settings.
     pub fn apply_to(&self, script: &Script, seed: u64) -> Script {
         let mut script = script.clone();
         script.plan.seed = seed;
@@ -48,17 +49,18 @@
 #[derive(Clone, Debug)]
 pub struct Experiment {
     pub title: String,
-    /// The script's path, from where the experiment is run.
+    /// The script's path, relative to the working directory.
     pub script: String,
     pub seed: u64,
-    /// The first is what the others are held against.
+    /// The others are compared with the first.
     pub arms: Vec<Arm>,
     pub pairs: usize,
     pub quick_pairs: usize,
+    /// The share of experiments without a true difference that may claim one.
     pub level: f64,
-    /// Differences of service smaller than this are of no interest.
+    /// Smaller differences of service are irrelevant.
     pub min_relevant_difference: f64,
-    /// Of the file as it was read: rows of another are not this experiment's.
+    /// The hash of the experiment's file. Rows with another hash belong to another version of it.
     pub hash: String,
 }
 
@@ -73,17 +75,18 @@
         }
     }
 
-    /// When it is looked at, and what each look may spend.
+    /// The looks at the results, with the level that each may spend.
     pub fn analysis_plan(&self, pairs: usize) -> Plan {
         Plan { level: self.level, first_at: 6.min(pairs), step: 2, max_pairs: pairs }
     }
 
-    /// The seed of a pair: both arms play the same evening.
+    /// The seed of a pair, which both arms run with.
     pub fn pair_seed(&self, pair: usize) -> u64 {
         self.seed + pair as u64
     }
 
-    /// The order in which a pair's arms are played, drawn anew for each, or a machine that grows warm would favour one.
+    /// The order in which a pair's arms are run. It is drawn for each pair; a fixed order would favour one arm on a
+    /// machine whose speed drifts, as when it grows warm.
     pub fn arm_order(&self, pair: usize) -> Vec<usize> {
         let mut rng = Rng::new(self.seed, &format!("order {pair}"));
         let mut left: Vec<usize> = (0..self.arms.len()).collect();
@@ -98,9 +101,9 @@
 fn experiment(file: &Section, text: &str) -> Experiment {
     let mut arms = Vec::new();
     for s in file.blocks("arm", true) {
-        let count = |key: &str, most: f64| s.has(key).then(|| s.count(key, 0.0..most, 0));
+        let count = |key: &str, max: f64| s.has(key).then(|| s.count(key, 0.0..max, 0));
         let off = SessionTracking::OFF;
-        let words = [
+        let choices = [
             ("off", off),
             ("tokens", SessionTracking { tokens: true, ..off }),
             ("journal", SessionTracking { journal: true, ..off }),
@@ -116,7 +119,7 @@
             return_s: s.optional_number("return_ms", 0.0..60_000.0).map(|ms| ms / 1000.0),
             retries: count("retries", 10.0),
             routers: count("routers", 64.0).map(|n| n.max(1)),
-            sessions: s.has("sessions").then(|| s.choice("sessions", &words, Some(off))),
+            sessions: s.has("sessions").then(|| s.choice("sessions", &choices, Some(off))),
             pace: s.text("pace"),
             limits: s.has("limits").then(|| s.boolean("limits", false)),
             members: s.has("members").then(|| s.boolean("members", false)),
@@ -126,8 +129,8 @@
         s.finish();
     }
     if arms.len() < 2 {
-        let hint = Some("arm \"NAME\" { … }, the first is what others are held against".to_string());
-        file.source().problem(0, "an experiment has two arms or more", hint);
+        let hint = Some("arm \"NAME\" { … }; the others are compared with the first".to_string());
+        file.source().problem(0, "an experiment needs two arms or more", hint);
     }
     let pairs = file.count("pairs", 1.0..1000.0, 12);
     let experiment = Experiment {
--- a/crates/sandstile-load/src/arrivals.rs
+++ b/crates/sandstile-load/src/arrivals.rs
@@ -1,22 +1,22 @@
-//! When statements are meant to be asked. Pure and seeded.
+//! When statements are due; deterministic for a seed.
 use sandstile_fleet::random::Rng;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Shape {
-    /// Memoryless, at this rate a second.
+    /// A Poisson process at this rate a second.
     Poisson(f64),
-    /// Evenly spaced.
+    /// Evenly spaced, at this rate a second.
     Constant(f64),
-    /// Memoryless at the first rate for so long, then at the second for so long, in turns.
+    /// Poisson processes in turns: at rate `on` for `on_s` seconds, then at rate `off` for `off_s` seconds.
     OnOff { on: f64, on_s: f64, off: f64, off_s: f64 },
-    /// A day's curve: rates at equal steps over the whole time, straight lines between them.
+    /// A curve: rates at equal steps over the whole time, with linear interpolation between them.
     Curve(Vec<f64>),
-    /// At these times, as somebody recorded them.
+    /// At these times, taken from a recording.
     Recorded(Vec<f64>),
 }
 
 impl Shape {
-    /// The rate at this time of so many seconds in all.
+    /// The rate at time `at` of a load that lasts `seconds`.
     pub fn rate(&self, at: f64, seconds: f64) -> f64 {
         match self {
             Shape::Poisson(rate) | Shape::Constant(rate) => *rate,
@@ -26,16 +26,16 @@
             },
             Shape::Curve(rates) => {
                 let last = rates.len().saturating_sub(1);
-                let place = (at / seconds).clamp(0.0, 1.0) * last as f64;
-                let (low, part) = (place.floor() as usize, place.fract());
-                let of = |n: usize| rates.get(n.min(last)).copied().unwrap_or(0.0);
-                of(low) + part * (of(low + 1) - of(low))
+                let position = (at / seconds).clamp(0.0, 1.0) * last as f64;
+                let (low, fraction) = (position.floor() as usize, position.fract());
+                let rate = |n: usize| rates.get(n.min(last)).copied().unwrap_or(0.0);
+                rate(low) + fraction * (rate(low + 1) - rate(low))
             }
             Shape::Recorded(_) => 0.0,
         }
     }
 
-    fn most(&self) -> f64 {
+    fn max_rate(&self) -> f64 {
         match self {
             Shape::Poisson(rate) | Shape::Constant(rate) => *rate,
             Shape::OnOff { on, off, .. } => on.max(*off),
@@ -45,10 +45,10 @@
     }
 }
 
-/// Times in seconds from the start, in order.
+/// Arrival times in seconds since the start, sorted.
 pub struct Arrivals {
     shape: Shape,
-    /// In place of the shape: times as they are read from somewhere, so that no more than one is held.
+    /// Replaces the shape: times that are read one by one from a recording, so that it is never held as a whole.
     stream: Option<Box<dyn Iterator<Item = f64>>>,
     seconds: f64,
     rng: Rng,
@@ -62,7 +62,7 @@
         Arrivals { shape, stream: None, seconds, rng, now: 0.0, count: 0 }
     }
 
-    /// Times in order, as they come.
+    /// Sorted times that are read one by one.
     pub fn streamed(times: impl Iterator<Item = f64> + 'static, seconds: f64) -> Self {
         Arrivals { stream: Some(Box::new(times)), ..Arrivals::new(Shape::Constant(0.0), seconds, 0) }
     }
@@ -80,17 +80,18 @@
             Shape::Recorded(times) => *times.get(self.count - 1)?,
             Shape::Constant(rate) => (self.count - 1) as f64 / rate,
             shape => {
-                // A stream of the highest rate, thinned to what the time asks for.
-                let most = shape.most();
-                if most <= 0.0 {
+                // Thinning: a Poisson process at the highest rate, of which an arrival is kept with probability current
+                // rate / highest rate.
+                let max_rate = shape.max_rate();
+                if max_rate <= 0.0 {
                     return None;
                 }
                 loop {
-                    self.now += self.rng.exponential(1.0 / most);
+                    self.now += self.rng.exponential(1.0 / max_rate);
                     if self.now > self.seconds {
                         return None;
                     }
-                    if self.rng.uniform() * most <= shape.rate(self.now, self.seconds) {
+                    if self.rng.uniform() * max_rate <= shape.rate(self.now, self.seconds) {
                         break self.now;
                     }
                 }
--- a/crates/sandstile-load/src/engine.rs
+++ b/crates/sandstile-load/src/engine.rs
@@ -1,5 +1,5 @@
-//! One thread, one readiness loop, thousands of connections. Each connection has one statement at a time; what is
-//! meant to be asked while all are busy waits here, and its time runs.
+//! The load loop: one thread and one poll for thousands of connections. Each connection has one statement in flight at a
+//! time; statements that are due while all connections are busy wait in a queue, and their timeouts run.
 use crate::arrivals::Arrivals;
 use hdrhistogram::Histogram;
 use mio::net::TcpStream;
@@ -10,67 +10,71 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The text of the n-th statement, for a client that waits so many milliseconds from now.
+/// The text of the n-th statement, for a client that waits this many milliseconds from now.
 pub type StatementText<'a> = dyn FnMut(u64, u64) -> String + 'a;
 
 pub struct Load {
-    /// Connections are spread over these evenly.
+    /// Connections are spread evenly over these.
     pub targets: Vec<SocketAddr>,
     pub connections: usize,
-    /// Seconds that a client waits for an answer.
+    /// Seconds that a client waits for an answer, counted from when its statement was due.
     pub timeout_s: f64,
     /// Seconds at the start whose statements are not counted.
     pub warm_up_s: f64,
-    /// Each connection asks again as soon as it is answered, and arrivals say nothing.
+    /// Each connection sends the next statement as soon as the last is answered; arrival times are ignored.
     pub closed_loop: bool,
+    /// How long the load lasts, warm-up included.
     pub seconds: f64,
 }
 
 pub struct Report {
-    /// Microseconds from when statements were meant to be asked to their last byte.
+    /// Microseconds from when a statement was due to the last byte of its answer.
     pub latency_from_due_us: Histogram<u64>,
-    /// From when they were written.
+    /// Microseconds from when it was sent.
     pub latency_from_send_us: Histogram<u64>,
-    /// By which this tool was itself late in noticing that one was due.
+    /// Microseconds by which this tool noticed late that a statement was due.
     pub scheduling_delay_us: Histogram<u64>,
+    /// Counted statements.
     pub asked: u64,
     pub completed: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// Not answered in their time, those that never found a connection among them.
+    /// Not answered before the timeout, including those that never got a connection.
     pub unanswered: u64,
-    /// Connections that ended or could not be made.
+    /// Connections that were closed or could not be established.
     pub broken_connections: u64,
+    /// Seconds of the counted time, without the warm-up.
     pub seconds: f64,
-    /// The share of the time in which this tool's thread had something to do.
+    /// The share of time in which the tool's thread was not waiting.
     pub busy_share: f64,
 }
 
 impl Report {
-    /// Why these figures are the tool's and not its target's, if they are.
+    /// Why these figures describe the tool rather than its target, if they do.
     pub fn unsound(&self) -> Option<String> {
         let late = self.scheduling_delay_us.value_at_quantile(0.99);
         if late > 5_000 {
-            return Some(format!("the load tool noticed what was due {late} us late at p99"));
+            return Some(format!("the load tool noticed due statements {late} us late at p99"));
         }
         (self.busy_share > 0.9)
             .then(|| format!("the load tool was busy {:.0}% of the time", 100.0 * self.busy_share))
     }
 
-    /// Completed a second of the counted time.
+    /// Completed statements a second of the counted time.
     pub fn rate(&self) -> f64 {
         self.completed as f64 / self.seconds.max(1e-9)
     }
 }
 
-struct Open {
-    meant: f64,
-    written: f64,
-    until: f64,
+/// The statement that a connection waits for; times in seconds since the start of the load.
+struct InFlight {
+    due: f64,
+    sent_at: f64,
+    expires_at: f64,
     counted: bool,
 }
 
-struct Conn {
+struct Connection {
     stream: TcpStream,
     target: usize,
     buf: Vec<u8>,
@@ -78,10 +82,10 @@
     sent: usize,
     greeted: bool,
     answer: pg::Answer,
-    open: Option<Open>,
+    in_flight: Option<InFlight>,
 }
 
-enum End {
+enum Outcome {
     Completed,
     Rejected,
     Failed,
@@ -89,13 +93,13 @@
 
 struct Engine<'a, 'b> {
     load: &'a Load,
-    wording: &'a mut StatementText<'b>,
+    statement_text: &'a mut StatementText<'b>,
     poll: Poll,
-    begun: Instant,
-    conns: Vec<Option<Conn>>,
-    /// Connections with nothing to do, the latest used last.
+    started: Instant,
+    connections: Vec<Option<Connection>>,
+    /// Idle connections; the most recently used is last.
     idle: Vec<usize>,
-    /// Meant to be asked, and waiting for a connection.
+    /// Due times of statements that wait for a connection.
     waiting: VecDeque<f64>,
     asked: u64,
     report: Report,
@@ -105,8 +109,8 @@
     Histogram::new_with_bounds(1, 600_000_000, 3).expect("usable bounds")
 }
 
-/// Plays a load until its time is up and all that was asked is answered or out of time.
-pub fn run(load: &Load, arrivals: Arrivals, wording: &mut StatementText) -> io::Result<Report> {
+/// Runs a load until its time is over and all statements are answered or have timed out.
+pub fn run(load: &Load, arrivals: Arrivals, statement_text: &mut StatementText) -> io::Result<Report> {
     let report = Report {
         latency_from_due_us: histogram(),
         latency_from_send_us: histogram(),
@@ -122,61 +126,69 @@
     };
     let mut engine = Engine {
         load,
-        wording,
+        statement_text,
         poll: Poll::new()?,
-        begun: Instant::now(),
-        conns: Vec::new(),
+        started: Instant::now(),
+        connections: Vec::new(),
         idle: Vec::new(),
         waiting: VecDeque::new(),
         asked: 0,
         report,
     };
     for n in 0..load.connections {
-        engine.conns.push(None);
+        engine.connections.push(None);
         engine.dial(n, n % load.targets.len());
     }
-    engine.play(arrivals)?;
+    engine.run(arrivals)?;
     Ok(engine.report)
 }
 
 impl Engine<'_, '_> {
     fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64()
+        self.started.elapsed().as_secs_f64()
     }
 
-    fn dial(&mut self, at: usize, target: usize) {
-        let made = TcpStream::connect(self.load.targets[target]).and_then(|mut stream| {
+    fn dial(&mut self, slot: usize, target: usize) {
+        let connected = TcpStream::connect(self.load.targets[target]).and_then(|mut stream| {
             let _ = stream.set_nodelay(true);
             let interest = Interest::READABLE | Interest::WRITABLE;
-            self.poll.registry().register(&mut stream, Token(at), interest)?;
+            self.poll.registry().register(&mut stream, Token(slot), interest)?;
             Ok(stream)
         });
-        match made {
+        match connected {
             Ok(stream) => {
                 let (out, answer) = (pg::startup_message(), pg::Answer::default());
                 let buf = Vec::new();
-                self.conns[at] =
-                    Some(Conn { stream, target, buf, out, sent: 0, greeted: false, answer, open: None });
+                self.connections[slot] = Some(Connection {
+                    stream,
+                    target,
+                    buf,
+                    out,
+                    sent: 0,
+                    greeted: false,
+                    answer,
+                    in_flight: None,
+                });
             }
             Err(_) => self.report.broken_connections += 1,
         }
     }
 
-    fn play(&mut self, arrivals: Arrivals) -> io::Result<()> {
+    fn run(&mut self, arrivals: Arrivals) -> io::Result<()> {
         let mut arrivals = arrivals.peekable();
         let mut events = Events::with_capacity(4096);
-        // Connections come up before the first statement.
+        // Connections are established before the first statement.
         let ready_by = self.now() + 2.0;
         while self.idle.len() < self.load.connections && self.now() < ready_by {
             self.poll.poll(&mut events, Some(Duration::from_millis(10)))?;
             self.handle(&events);
         }
-        self.begun = Instant::now();
+        self.started = Instant::now();
         let mut idle_time = Duration::ZERO;
-        let mut swept = 0.0;
+        let mut last_expiry = 0.0;
         loop {
             let now = self.now();
-            while let Some(due) = arrivals.next_if(|at| !self.load.closed_loop && *at <= now) {
+            while let Some(due) = arrivals.next_if(|due| !self.load.closed_loop && *due <= now) {
                 let late = ((now - due) * 1e6) as u64;
                 self.report.scheduling_delay_us.saturating_record(late);
                 self.waiting.push_back(due);
@@ -184,15 +196,15 @@
             if self.load.closed_loop && now < self.load.seconds {
                 self.waiting.extend(std::iter::repeat_n(now, self.idle.len()));
             }
-            self.hand_out(now);
-            if now - swept > 0.02 {
-                swept = now;
-                self.give_up(now);
+            self.send_due(now);
+            if now - last_expiry > 0.02 {
+                last_expiry = now;
+                self.expire(now);
             }
-            let over = now >= self.load.seconds;
-            let open = self.conns.iter().flatten().any(|c| c.open.is_some());
-            if over
-                && !open
+            let is_over = now >= self.load.seconds;
+            let any_in_flight = self.connections.iter().flatten().any(|c| c.in_flight.is_some());
+            if is_over
+                && !any_in_flight
                 && self.waiting.is_empty()
                 && (self.load.closed_loop || arrivals.peek().is_none())
             {
@@ -200,175 +212,181 @@
                 return Ok(());
             }
             let next = if self.load.closed_loop { None } else { arrivals.peek().copied() };
-            let sleep = next.map_or(0.02, |at| (at - self.now()).clamp(0.0, 0.02));
-            let slept = Instant::now();
+            let sleep = next.map_or(0.02, |due| (due - self.now()).clamp(0.0, 0.02));
+            let poll_started = Instant::now();
             match self.poll.poll(&mut events, Some(Duration::from_secs_f64(sleep))) {
                 Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e),
                 _ => {}
             }
-            idle_time += slept.elapsed();
+            idle_time += poll_started.elapsed();
             self.handle(&events);
         }
     }
 
-    fn hand_out(&mut self, now: f64) {
-        while let Some(&meant) = self.waiting.front() {
-            let Some(at) = self.idle.pop() else { return };
-            let Some(conn) = self.conns[at].as_mut() else { continue };
+    fn send_due(&mut self, now: f64) {
+        while let Some(&due) = self.waiting.front() {
+            let Some(slot) = self.idle.pop() else { return };
+            let Some(connection) = self.connections[slot].as_mut() else { continue };
             self.waiting.pop_front();
-            let until = meant + self.load.timeout_s;
-            let counted = meant >= self.load.warm_up_s;
+            let expires_at = due + self.load.timeout_s;
+            let counted = due >= self.load.warm_up_s;
             self.report.asked += u64::from(counted);
-            if until <= now {
+            if expires_at <= now {
                 self.report.unanswered += u64::from(counted);
-                self.idle.push(at);
+                self.idle.push(slot);
                 continue;
             }
-            let ms = ((until - now) * 1000.0).floor().max(1.0) as u64;
-            let text = (self.wording)(self.asked, ms);
+            let ms = ((expires_at - now) * 1000.0).floor().max(1.0) as u64;
+            let text = (self.statement_text)(self.asked, ms);
             self.asked += 1;
-            pg::query(&mut conn.out, text.as_bytes());
-            conn.answer = pg::Answer::default();
-            conn.open = Some(Open { meant, written: now, until, counted });
-            self.flush(at);
+            pg::query(&mut connection.out, text.as_bytes());
+            connection.answer = pg::Answer::default();
+            connection.in_flight = Some(InFlight { due, sent_at: now, expires_at, counted });
+            self.flush(slot);
         }
     }
 
-    /// Statements whose time is over: their connections are of no use any more.
-    fn give_up(&mut self, now: f64) {
-        for at in 0..self.conns.len() {
-            let over = self.conns[at].as_ref().and_then(|c| c.open.as_ref()).filter(|o| o.until <= now);
-            if let Some(counted) = over.map(|o| o.counted) {
+    /// Drops statements that have timed out, and replaces the connections that waited for them.
+    fn expire(&mut self, now: f64) {
+        for slot in 0..self.connections.len() {
+            let expired = self.connections[slot]
+                .as_ref()
+                .and_then(|c| c.in_flight.as_ref())
+                .filter(|s| s.expires_at <= now);
+            if let Some(counted) = expired.map(|s| s.counted) {
                 self.report.unanswered += u64::from(counted);
-                self.again(at);
+                self.reconnect(slot);
             }
         }
-        while self.waiting.front().is_some_and(|meant| meant + self.load.timeout_s <= now) {
-            let counted = self.waiting.pop_front().is_some_and(|meant| meant >= self.load.warm_up_s);
+        while self.waiting.front().is_some_and(|due| due + self.load.timeout_s <= now) {
+            let counted = self.waiting.pop_front().is_some_and(|due| due >= self.load.warm_up_s);
             self.report.asked += u64::from(counted);
             self.report.unanswered += u64::from(counted);
         }
     }
 
-    /// A new connection in place of this one.
-    fn again(&mut self, at: usize) {
-        let target = self.conns[at].take().map_or(0, |c| c.target);
-        self.idle.retain(|n| *n != at);
-        self.dial(at, target);
+    /// Replaces a connection by a new one to the same target.
+    fn reconnect(&mut self, slot: usize) {
+        let target = self.connections[slot].take().map_or(0, |c| c.target);
+        self.idle.retain(|n| *n != slot);
+        self.dial(slot, target);
     }
 
-    fn lost(&mut self, at: usize) {
+    fn connection_lost(&mut self, slot: usize) {
         self.report.broken_connections += 1;
-        if let Some(c) = self.conns[at].as_mut() {
-            // Closed while it rested, and the statement crossed that: asked once more, as clients do. Its time runs on.
-            let crossed = c.greeted && c.buf.is_empty() && c.answer.stage == pg::Stage::Nothing;
-            match c.open.take() {
-                Some(open) if crossed => {
-                    self.report.asked -= u64::from(open.counted);
-                    self.waiting.push_front(open.meant);
+        if let Some(connection) = self.connections[slot].as_mut() {
+            // An idle connection was closed while the statement was sent. It is sent once more, as clients do, and its
+            // timeout keeps running.
+            let closed_idle = connection.greeted
+                && connection.buf.is_empty()
+                && connection.answer.stage == pg::Stage::Nothing;
+            match connection.in_flight.take() {
+                Some(statement) if closed_idle => {
+                    self.report.asked -= u64::from(statement.counted);
+                    self.waiting.push_front(statement.due);
                 }
-                Some(open) => self.report.unanswered += u64::from(open.counted),
+                Some(statement) => self.report.unanswered += u64::from(statement.counted),
                 None => {}
             }
         }
         if self.now() < self.load.seconds {
-            self.again(at);
+            self.reconnect(slot);
         } else {
-            self.conns[at] = None;
-            self.idle.retain(|n| *n != at);
+            self.connections[slot] = None;
+            self.idle.retain(|n| *n != slot);
         }
     }
 
     fn handle(&mut self, events: &Events) {
         for event in events {
-            let at = event.token().0;
+            let slot = event.token().0;
             if event.is_writable() {
-                self.flush(at);
+                self.flush(slot);
             }
             if event.is_readable() || event.is_error() {
-                self.read(at);
+                self.read(slot);
             }
         }
     }
 
-    fn flush(&mut self, at: usize) {
-        let Some(c) = self.conns.get_mut(at).and_then(Option::as_mut) else { return };
-        while c.sent < c.out.len() {
-            match c.stream.write(&c.out[c.sent..]) {
-                Ok(0) => return self.lost(at),
-                Ok(n) => c.sent += n,
+    fn flush(&mut self, slot: usize) {
+        let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else { return };
+        while connection.sent < connection.out.len() {
+            match connection.stream.write(&connection.out[connection.sent..]) {
+                Ok(0) => return self.connection_lost(slot),
+                Ok(n) => connection.sent += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock || e.kind() == ErrorKind::NotConnected => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return self.lost(at),
+                Err(_) => return self.connection_lost(slot),
             }
         }
-        c.out.clear();
-        c.sent = 0;
+        connection.out.clear();
+        connection.sent = 0;
     }
 
-    fn read(&mut self, at: usize) {
+    fn read(&mut self, slot: usize) {
         let mut bytes = [0; 16 * 1024];
         loop {
-            let Some(c) = self.conns.get_mut(at).and_then(Option::as_mut) else { return };
-            match c.stream.read(&mut bytes) {
-                Ok(0) => return self.lost(at),
-                Ok(n) => c.buf.extend_from_slice(&bytes[..n]),
+            let Some(connection) = self.connections.get_mut(slot).and_then(Option::as_mut) else { return };
+            match connection.stream.read(&mut bytes) {
+                Ok(0) => return self.connection_lost(slot),
+                Ok(n) => connection.buf.extend_from_slice(&bytes[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock || e.kind() == ErrorKind::NotConnected => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => return self.lost(at),
+                Err(_) => return self.connection_lost(slot),
             }
-            if self.frames(at).is_err() {
-                return self.lost(at);
+            if self.process_messages(slot).is_err() {
+                return self.connection_lost(slot);
             }
         }
     }
 
-    /// What has come whole.
-    fn frames(&mut self, at: usize) -> Result<(), pg::BadFrame> {
+    /// Processes all complete messages in the connection's buffer.
+    fn process_messages(&mut self, slot: usize) -> Result<(), pg::BadFrame> {
         let now = self.now();
-        let Some(c) = self.conns[at].as_mut() else { return Ok(()) };
+        let Some(connection) = self.connections[slot].as_mut() else { return Ok(()) };
         let mut from = 0;
-        while let Some((tag, body)) = pg::frame(&c.buf[from..])? {
+        while let Some((tag, body)) = pg::frame(&connection.buf[from..])? {
             let end = body.end;
-            let body = &c.buf[from..][body];
+            let body = &connection.buf[from..][body];
             from += end;
             match tag {
                 b'R' | b'K' => {}
-                b'Z' if !c.greeted => {
-                    c.greeted = true;
-                    self.idle.push(at);
+                b'Z' if !connection.greeted => {
+                    connection.greeted = true;
+                    self.idle.push(slot);
                 }
-                _ if c.open.is_none() => {}
+                _ if connection.in_flight.is_none() => {}
                 _ => {
-                    if !c.answer.take(tag, body)? {
+                    if !connection.answer.take(tag, body)? {
                         continue;
                     }
-                    let Some(open) = c.open.take() else { continue };
-                    let end = match &c.answer.stage {
-                        pg::Stage::Complete => End::Completed,
+                    let Some(statement) = connection.in_flight.take() else { continue };
+                    let outcome = match &connection.answer.stage {
+                        pg::Stage::Complete => Outcome::Completed,
                         pg::Stage::Failed(code) if matches!(code.as_str(), "53300" | "57P03") => {
-                            End::Rejected
+                            Outcome::Rejected
                         }
-                        _ => End::Failed,
+                        _ => Outcome::Failed,
                     };
-                    self.idle.push(at);
-                    if !open.counted {
+                    self.idle.push(slot);
+                    if !statement.counted {
                         continue;
                     }
-                    match end {
-                        End::Completed => {
+                    match outcome {
+                        Outcome::Completed => {
                             self.report.completed += 1;
                             let us = |since: f64| ((now - since).max(0.0) * 1e6) as u64;
-                            self.report.latency_from_due_us.saturating_record(us(open.meant));
-                            self.report.latency_from_send_us.saturating_record(us(open.written));
+                            self.report.latency_from_due_us.saturating_record(us(statement.due));
+                            self.report.latency_from_send_us.saturating_record(us(statement.sent_at));
                         }
-                        End::Rejected => self.report.rejected += 1,
-                        End::Failed => self.report.failed += 1,
+                        Outcome::Rejected => self.report.rejected += 1,
+                        Outcome::Failed => self.report.failed += 1,
                     }
                 }
             }
         }
-        c.buf.drain(..from);
+        connection.buf.drain(..from);
         Ok(())
     }
 }
--- a/crates/sandstile-load/src/lib.rs
+++ b/crates/sandstile-load/src/lib.rs
@@ -1,6 +1,6 @@
-//! Load for a router or a host: arrivals that wait for nobody, over thousands of connections from one thread. Times
-//! count from when a statement was *meant* to be asked; beside them stand the times from when it was, which is what
-//! tools that wait report.
+//! Open-loop load generator for a router or a host: arrivals don't wait for answers, over thousands of connections from
+//! one thread. Latency counts from when a statement was *due*, so that stalls of the target are not hidden (coordinated
+//! omission). The latency from when it was sent, which closed-loop tools report, is recorded beside it.
 pub mod arrivals;
 pub mod engine;
 
--- a/crates/sandstile-load/tests/latency.rs
+++ b/crates/sandstile-load/tests/latency.rs
@@ -1,4 +1,4 @@
-//! The tool against hosts whose delays are known.
+//! The load generator against hosts with known delays.
 use sandstile_load::{run, Arrivals, Load, Shape};
 use sandstile_pgwire as pg;
 use std::io::{Read, Write};
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A host that answers the n-th statement after so long, as told.
+/// A host that answers the n-th statement after `delay(n)`.
 fn host(delay: impl Fn(u64) -> Duration + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -16,24 +16,24 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let (count, delay) = (count.clone(), delay.clone());
-            thread::spawn(move || drop(talk(stream, &count, &*delay)));
+            thread::spawn(move || drop(serve(stream, &count, &*delay)));
         }
     });
     address
 }
 
-fn talk(mut stream: TcpStream, count: &AtomicU64, delay: &dyn Fn(u64) -> Duration) -> std::io::Result<()> {
+fn serve(mut stream: TcpStream, count: &AtomicU64, delay: &dyn Fn(u64) -> Duration) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    let (mut ear, mut bytes) = (pg::MessageReader::default(), [0; 4096]);
+    let (mut reader, mut bytes) = (pg::MessageReader::default(), [0; 4096]);
     loop {
         let n = stream.read(&mut bytes)?;
         if n == 0 {
             return Ok(());
         }
-        ear.receive(&bytes[..n]);
-        while let Ok(Some(heard)) = ear.message() {
+        reader.receive(&bytes[..n]);
+        while let Ok(Some(message)) = reader.message() {
             let mut out = Vec::new();
-            match heard {
+            match message {
                 pg::ClientMessage::Begin => pg::startup_response(&mut out),
                 pg::ClientMessage::Query(_) => {
                     thread::sleep(delay(count.fetch_add(1, SeqCst)));
@@ -51,27 +51,27 @@
     Load { targets, connections, timeout_s: 5.0, warm_up_s: 0.0, closed_loop: false, seconds }
 }
 
-/// Delays of 20 to 119 ms, each as often as every other: percentiles are known.
+/// The delays are 20 to 119 ms, each equally often, so the percentiles are known.
 #[test]
-fn percentiles_are_those_of_the_host() {
+fn percentiles_match_the_delays_of_the_host() {
     let address = host(|n| Duration::from_millis(20 + (n * 37) % 100));
     let arrivals = Arrivals::new(Shape::Constant(500.0), 4.0, 1);
     let report = run(&load(vec![address], 200, 4.0), arrivals, &mut |n, _| format!("q{n}")).expect("a load");
     assert_eq!((report.asked, report.completed, report.broken_connections), (2001, 2001, 0));
     for (share, truth) in [(0.1, 29.5), (0.5, 69.5), (0.9, 109.5), (0.99, 118.5)] {
         let seen = report.latency_from_send_us.value_at_quantile(share) as f64 / 1000.0;
-        // Whole milliseconds of the scripted delays lie one apart; the rest is the machine's.
+        // The scripted delays are whole milliseconds apart; the rest of the tolerance is for the machine.
         assert!((seen - truth).abs() < 0.02 * truth + 1.5, "p{share}: {seen} of {truth}");
     }
 }
 
-/// A host that stands still for 200 ms, on connections that wait for it: what was meant to be asked in that time shows
-/// it, and the plain figures show next to nothing.
+/// A host stalls for 200 ms while its connections wait for it. The latency from the due time shows the stall; the latency
+/// from sending hardly does (coordinated omission).
 #[test]
-fn a_stall_is_seen_by_what_was_meant_and_hidden_from_what_was_written() {
-    let begun = Instant::now();
+fn a_stall_shows_in_the_latency_from_due_but_not_from_send() {
+    let started = Instant::now();
     let stall = move |_| {
-        let since = begun.elapsed().as_millis() as u64;
+        let since = started.elapsed().as_millis() as u64;
         let left = if (1000..1200).contains(&since) { 1200 - since } else { 0 };
         Duration::from_millis(2 + left)
     };
@@ -79,17 +79,17 @@
     let arrivals = Arrivals::new(Shape::Constant(300.0), 3.0, 1);
     let report = run(&load(vec![address], 2, 3.0), arrivals, &mut |n, _| format!("q{n}")).expect("a load");
     assert_eq!(report.completed, 901);
-    let (meant, written) = (
+    let (from_due, from_send) = (
         report.latency_from_due_us.value_at_quantile(0.97),
         report.latency_from_send_us.value_at_quantile(0.97),
     );
-    assert!(meant > 60_000, "{meant} us");
-    assert!(written < 20_000, "{written} us");
+    assert!(from_due > 60_000, "{from_due} us");
+    assert!(from_send < 20_000, "{from_send} us");
     assert!(report.latency_from_due_us.max() > 150_000);
 }
 
 #[test]
-fn what_is_not_answered_in_time_is_counted_and_holds_up_nobody() {
+fn statements_that_time_out_are_counted_and_delay_no_others() {
     let address = host(|n| Duration::from_millis(if n % 10 == 0 { 1500 } else { 1 }));
     let load = Load { timeout_s: 0.3, ..load(vec![address], 50, 2.0) };
     let arrivals = Arrivals::new(Shape::Poisson(200.0), 2.0, 3);
@@ -101,14 +101,14 @@
 }
 
 #[test]
-fn a_closed_loop_asks_as_fast_as_it_is_answered() {
+fn a_closed_loop_sends_as_fast_as_it_is_answered() {
     let address = host(|_| Duration::from_millis(10));
     let load = Load { closed_loop: true, ..load(vec![address], 8, 2.0) };
     let report =
         run(&load, Arrivals::new(Shape::Poisson(1.0), 2.0, 1), &mut |n, _| format!("q{n}")).expect("a load");
     let rate = report.rate();
     assert!((600.0..800.0).contains(&rate), "{rate} a second of 8 connections at 10 ms");
-    // Nobody listens: told, not waited for.
+    // No listener: refused connections are reported, not waited for.
     let nobody = "127.0.0.2:1".parse().expect("an address");
     let report =
         run(&self::load(vec![nobody], 2, 0.2), Arrivals::new(Shape::Constant(20.0), 0.2, 1), &mut |_, _| {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn arrivals_have_the_shape_they_were_given() {
+fn arrivals_follow_their_shape() {
     let count = |shape: Shape, seconds: f64| Arrivals::new(shape, seconds, 4).count() as f64;
     assert!((count(Shape::Poisson(1000.0), 20.0) / 20_000.0 - 1.0).abs() < 0.03);
     assert_eq!(count(Shape::Constant(10.0), 2.0), 21.0);
--- a/crates/sandstile-stats/src/sequential.rs
+++ b/crates/sandstile-stats/src/sequential.rs
@@ -1,21 +1,21 @@
-//! Looking at an experiment while it runs without cheating: the share of false claims that is allowed is spent over
-//! the looks (Lan and DeMets, Discrete sequential boundaries for clinical trials, 1983), here evenly over the pairs
-//! between them. The sum over all looks bounds the share of experiments that ever claim falsely, whatever
-//! the looks have in common.
+//! Interim looks at a running experiment without more false claims (alpha spending): the allowed share of false claims
+//! is divided among the looks (Lan and DeMets, Discrete sequential boundaries for clinical trials, 1983), here in
+//! proportion to the pairs between them. The sum over all looks bounds the share of experiments that ever make a false
+//! claim, however the looks are correlated.
 
-/// When an experiment is looked at, and what each look may spend.
+/// At how many pairs an experiment is looked at, and its significance level.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The share of experiments without a true difference that may claim one.
     pub level: f64,
-    /// Pairs at the first look, between looks, and at the last.
+    /// Numbers of pairs: at the first look, between looks, and at the last look.
     pub first_at: usize,
     pub step: usize,
     pub max_pairs: usize,
 }
 
 impl Plan {
-    /// The pairs at which there are looks, in order; the last always among them.
+    /// The numbers of pairs at which there are looks, sorted; the last look is always included.
     pub fn looks(&self) -> Vec<usize> {
         let mut looks: Vec<usize> =
             (self.first_at.max(1)..self.max_pairs).step_by(self.step.max(1)).collect();
@@ -24,32 +24,33 @@
     }
 }
 
-/// Keeps count of what has been spent.
+/// Tracks which looks were taken.
 pub struct InterimAnalyses {
     plan: Plan,
-    seen: usize,
+    /// The number of pairs at the last look; 0 for none.
+    last_look: usize,
 }
 
 impl InterimAnalyses {
     pub fn new(plan: Plan) -> InterimAnalyses {
-        InterimAnalyses { plan, seen: 0 }
+        InterimAnalyses { plan, last_look: 0 }
     }
 
-    /// With so many pairs there: the level for a look now, or `None` where none is due. Each look is given out once,
-    /// and what was not looked at is not lost: it goes to the next.
+    /// The significance level for a look after this many pairs, or `None` if none is due. Each look is due once. What
+    /// skipped looks could have spent is added to the next.
     pub fn level_at(&mut self, pairs: usize) -> Option<f64> {
-        let due = self.plan.looks().into_iter().filter(|at| *at <= pairs && *at > self.seen).max()?;
-        let part = (due - self.seen) as f64 / self.plan.max_pairs.max(1) as f64;
-        self.seen = due;
-        Some(self.plan.level * part)
+        let due = self.plan.looks().into_iter().filter(|at| *at <= pairs && *at > self.last_look).max()?;
+        let share = (due - self.last_look) as f64 / self.plan.max_pairs.max(1) as f64;
+        self.last_look = due;
+        Some(self.plan.level * share)
     }
 
     pub fn is_over(&self) -> bool {
-        self.seen >= self.plan.max_pairs
+        self.last_look >= self.plan.max_pairs
     }
 
-    /// Where an experiment that was broken off goes on: looks up to here were taken.
+    /// Resumes an interrupted experiment after this many pairs; all looks up to there count as taken.
     pub fn resume(&mut self, pairs: usize) {
-        self.seen = self.plan.looks().into_iter().filter(|at| *at <= pairs).max().unwrap_or(0);
+        self.last_look = self.plan.looks().into_iter().filter(|at| *at <= pairs).max().unwrap_or(0);
     }
 }
--- a/crates/sandstile-stats/src/signs.rs
+++ b/crates/sandstile-stats/src/signs.rs
@@ -1,57 +1,57 @@
-//! The sign-flip test: without a true difference, each pair's difference could as well have had the other sign. How
-//! often would signs thrown by chance give a mean so far off?
+//! The sign-flip test: without a true difference, each pair's difference could as well have had the opposite sign. The
+//! p-value is the share of random sign assignments whose mean is at least as extreme as the observed one.
 use oorandom::Rand64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// Off in either direction.
+    /// Two-sided.
     Both,
-    /// Above.
+    /// The mean is greater than zero.
     Above,
-    /// Below.
+    /// The mean is less than zero.
     Below,
 }
 
-/// Up to so many pairs all throws are gone through, and the answer is exact.
-const EXACT: usize = 14;
-/// Else so many are drawn.
-const DRAWN: u32 = 4_000;
+/// Up to this many pairs, all sign assignments are evaluated and the p-value is exact.
+const MAX_EXACT_PAIRS: usize = 14;
+/// For more pairs, this many assignments are drawn.
+const DRAWN_ASSIGNMENTS: u32 = 4_000;
 
-/// The share of throws whose sum is at least as far off as the one seen; 1 for no pairs. Valid as it stands: the
-/// throw that was seen counts among them.
+/// The share of sign assignments whose sum is at least as extreme as the observed one; 1 for no pairs. The test is valid
+/// also with drawn assignments, because the observed assignment counts as one of them.
 pub fn p_value(differences: &[f64], side: Side, seed: u64) -> f64 {
-    let seen: f64 = differences.iter().sum();
-    let size = differences.iter().map(|d| d.abs()).fold(0.0, f64::max);
-    if size == 0.0 {
+    let observed: f64 = differences.iter().sum();
+    let max_difference = differences.iter().map(|d| d.abs()).fold(0.0, f64::max);
+    if max_difference == 0.0 {
         return 1.0;
     }
-    // Sums in another order round otherwise: what is equal but for that counts as equal.
-    let slack = size * differences.len() as f64 * 1e-12;
-    let as_far = |sum: f64| match side {
-        Side::Both => sum.abs() >= seen.abs() - slack,
-        Side::Above => sum >= seen - slack,
-        Side::Below => sum <= seen + slack,
+    // Sums in another order are rounded differently; sums that differ by no more than that count as equal.
+    let slack = max_difference * differences.len() as f64 * 1e-12;
+    let is_as_extreme = |sum: f64| match side {
+        Side::Both => sum.abs() >= observed.abs() - slack,
+        Side::Above => sum >= observed - slack,
+        Side::Below => sum <= observed + slack,
     };
     let n = differences.len();
-    if n <= EXACT {
-        let throws = 1u32 << n;
-        let flipped = |throw: u32| -> f64 {
-            differences.iter().enumerate().map(|(k, d)| if throw >> k & 1 == 1 { -d } else { *d }).sum()
+    if n <= MAX_EXACT_PAIRS {
+        let assignments = 1u32 << n;
+        let flipped = |assignment: u32| -> f64 {
+            differences.iter().enumerate().map(|(k, d)| if assignment >> k & 1 == 1 { -d } else { *d }).sum()
         };
-        let far = (0..throws).filter(|throw| as_far(flipped(*throw))).count();
-        return far as f64 / f64::from(throws);
+        let extreme = (0..assignments).filter(|assignment| is_as_extreme(flipped(*assignment))).count();
+        return extreme as f64 / f64::from(assignments);
     }
-    let mut chance = Rand64::new(u128::from(seed));
-    let mut far = 1u32;
-    for _ in 0..DRAWN {
+    let mut rng = Rand64::new(u128::from(seed));
+    let mut extreme = 1u32;
+    for _ in 0..DRAWN_ASSIGNMENTS {
         let (mut sum, mut bits) = (0.0, 0u64);
         for (k, d) in differences.iter().enumerate() {
             if k % 64 == 0 {
-                bits = chance.rand_u64();
+                bits = rng.rand_u64();
             }
             sum += if bits >> (k % 64) & 1 == 1 { -d } else { *d };
         }
-        far += u32::from(as_far(sum));
+        extreme += u32::from(is_as_extreme(sum));
     }
-    f64::from(far) / f64::from(DRAWN + 1)
+    f64::from(extreme) / f64::from(DRAWN_ASSIGNMENTS + 1)
 }
--- a/crates/sandstile-stats/src/verdict.rs
+++ b/crates/sandstile-stats/src/verdict.rs
@@ -1,15 +1,15 @@
-//! The verdict on several measures at once, corrected for their number (Holm, A simple sequentially rejective multiple
-//! test procedure, 1979).
+//! The verdict on several measures at once, corrected for multiple testing (Holm, A simple sequentially rejective
+//! multiple test procedure, 1979).
 use crate::interval::{interval, Interval};
 use crate::signs::{p_value, Side};
 
-/// One thing measured in both arms, pair by pair.
+/// A quantity measured in both arms, pair by pair.
 #[derive(Clone, Debug)]
 pub struct Measure {
     pub name: String,
-    /// The second arm less the first; more is better.
+    /// The second arm minus the first; positive is better.
     pub differences: Vec<f64>,
-    /// A difference smaller than this is of no interest.
+    /// Smaller differences are irrelevant.
     pub min_relevant_difference: f64,
 }
 
@@ -17,7 +17,7 @@
 pub enum Verdict {
     Better,
     Worse,
-    /// Whatever the difference is, it is smaller than what matters.
+    /// The difference, whatever it is, is smaller than the smallest relevant one.
     NoDifference,
     NotEnough,
 }
@@ -41,22 +41,22 @@
     pub p: f64,
 }
 
-/// Judges all measures together: with none truly different, the share of experiments in which any is called better or
-/// worse stays within `level`.
+/// Judges all measures together: if none truly differs, the share of experiments in which any is called better or worse
+/// is at most `level`.
 pub fn judge(measures: &[Measure], level: f64, seed: u64) -> Vec<MeasureResult> {
-    let p: Vec<f64> = measures.iter().map(|m| p_value(&m.differences, Side::Both, seed)).collect();
+    let p_values: Vec<f64> = measures.iter().map(|m| p_value(&m.differences, Side::Both, seed)).collect();
     let mut order: Vec<usize> = (0..measures.len()).collect();
-    order.sort_by(|a, b| p[*a].total_cmp(&p[*b]));
+    order.sort_by(|a, b| p_values[*a].total_cmp(&p_values[*b]));
     let mut claimed = vec![false; measures.len()];
-    for (rank, at) in order.iter().enumerate() {
-        if p[*at] > level / (measures.len() - rank) as f64 {
+    for (rank, measure) in order.iter().enumerate() {
+        if p_values[*measure] > level / (measures.len() - rank) as f64 {
             break;
         }
-        claimed[*at] = true;
+        claimed[*measure] = true;
     }
-    let share = level / measures.len().max(1) as f64;
-    let one = |(n, m): (usize, &Measure)| {
-        let interval = interval(&m.differences, share, seed);
+    let miss_rate = level / measures.len().max(1) as f64;
+    let judge_one = |(n, m): (usize, &Measure)| {
+        let interval = interval(&m.differences, miss_rate, seed);
         let verdict = match (claimed[n], interval.mean > 0.0) {
             (true, true) => Verdict::Better,
             (true, false) => Verdict::Worse,
@@ -67,7 +67,7 @@
             }
             _ => Verdict::NotEnough,
         };
-        MeasureResult { name: m.name.clone(), verdict, interval, p: p[n] }
+        MeasureResult { name: m.name.clone(), verdict, interval, p: p_values[n] }
     };
-    measures.iter().enumerate().map(one).collect()
+    measures.iter().enumerate().map(judge_one).collect()
 }
