--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -290,7 +290,9 @@
             PeerMessage::Snapshot { exact, covers_receiver } => {
                 let all: Vec<_> = exact.iter().collect();
                 for chunk in all.chunks(MAX_MARKS_PER_FRAME / 4) {
-                    stream.write_all(&encoder.marks(chunk.iter().map(|(key, seen)| (**key, *seen))))?;
+                    stream.write_all(
+                        &encoder.marks(chunk.iter().map(|(key, session_marks)| (**key, *session_marks))),
+                    )?;
                 }
                 stream.write_all(&encoder.snapshot_complete(covers_receiver))?;
                 info!(log, "exchange: all marks sent"; "instance" => &peer_name, "marks" => all.len());
@@ -302,13 +304,15 @@
                 stream.write_all(&encoder.state(&state))?;
                 dispatcher.send(SessionMessage::StateBytesWritten(peer_name.clone(), state.len()));
             }
-            PeerMessage::SessionMarks(key, seen) => {
+            PeerMessage::SessionMarks(key, session_marks) => {
                 // Sends all queued marks in one frame.
-                let mut marks = vec![(key, seen)];
+                let mut marks = vec![(key, session_marks)];
                 let mut other_message = None;
                 while marks.len() < MAX_MARKS_PER_FRAME / 4 {
                     match messages.try_recv() {
-                        Some(PeerMessage::SessionMarks(key, seen)) => marks.push((key, seen)),
+                        Some(PeerMessage::SessionMarks(key, session_marks)) => {
+                            marks.push((key, session_marks))
+                        }
                         Some(other) => {
                             other_message = Some(other);
                             break;
@@ -316,7 +320,9 @@
                         None => break,
                     }
                 }
-                stream.write_all(&encoder.marks(marks.iter().map(|(key, seen)| (*key, seen))))?;
+                stream.write_all(
+                    &encoder.marks(marks.iter().map(|(key, session_marks)| (*key, session_marks))),
+                )?;
                 if let Some(PeerMessage::End(done)) = other_message {
                     stream.write_all(&encoder.goodbye())?;
                     drop(done);
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -33,7 +33,7 @@
 /// Seconds between writes to the disk.
 const WRITE_INTERVAL_S: f64 = 0.25;
 /// Seconds between two facts about the log position of one group.
-const FLOOR_INTERVAL_S: f64 = 1.0;
+const POSITION_INTERVAL_S: f64 = 1.0;
 /// Timeout for reading a request from the control socket, and for writing the answer.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -91,7 +91,7 @@
     warnings: Warnings,
     trust: Trust,
     old_copy: bool,
-    twins: u64,
+    duplicate_names: u64,
     contradictions: u64,
 }
 
@@ -113,8 +113,8 @@
 
 fn to_mark((key, fact): (&sandstile_replicated_state::Key, &Fact)) -> Option<(SessionKey, SessionMarks)> {
     match (key.kind, &fact.value) {
-        (Kind::Mark, Value::SessionMarks(seen)) => {
-            Some((SessionKey(u64::from_str_radix(&key.subject, 16).ok()?), seen.clone()))
+        (Kind::Mark, Value::SessionMarks(session_marks)) => {
+            Some((SessionKey(u64::from_str_radix(&key.subject, 16).ok()?), session_marks.clone()))
         }
         _ => None,
     }
@@ -133,9 +133,9 @@
         let (mut disk, mut trust, mut stored_generation, mut facts) = (None, Trust::None, None, Vec::new());
         let (result_sender, result_mailbox) = mailbox();
         if let Some(dir) = &config.dir {
-            let folder = StateDirectory::open(dir, config.witness.as_deref())?;
+            let directory = StateDirectory::open(dir, config.witness.as_deref())?;
             let OpenedState { found, stored, witness, state_file } =
-                sandstile_durable_state::open(Box::new(folder), settings.generation);
+                sandstile_durable_state::open(Box::new(directory), settings.generation);
             trust = assess_trust(stored, witness);
             info!(log, "state: copy loaded from the disk"; "facts" => found.facts.len(),
                 "spoilt" => found.corrupt, "ended" => found.ended_cleanly, "believed" => ?trust, "witness" => ?witness.file);
@@ -191,7 +191,7 @@
             warnings: Warnings::default(),
             trust,
             old_copy: false,
-            twins: 0,
+            duplicate_names: 0,
             contradictions: 0,
         })
     }
@@ -206,8 +206,8 @@
         self.trust == Trust::All
     }
 
-    pub fn record_write(&mut self, now: f64, key: SessionKey, seen: &SessionMarks) {
-        self.replication.learn(now, Kind::Mark, &subject(key), Value::SessionMarks(seen.clone()));
+    pub fn record_write(&mut self, now: f64, key: SessionKey, session_marks: &SessionMarks) {
+        self.replication.learn(now, Kind::Mark, &subject(key), Value::SessionMarks(session_marks.clone()));
     }
 
     /// Publishes the log position that a group's primary has reported.
@@ -215,7 +215,7 @@
         let term = mark.term.0;
         let previous = self.published_positions.get(group).copied();
         if previous.is_some_and(|(published_at, published_term)| {
-            published_term == term && now < published_at + FLOOR_INTERVAL_S
+            published_term == term && now < published_at + POSITION_INTERVAL_S
         }) {
             return;
         }
@@ -381,10 +381,12 @@
         let mut changes = StateChanges::default();
         for event in self.replication.take_events() {
             match event {
-                ReplicationEvent::FactLearned(key, Value::SessionMarks(seen)) if key.kind == Kind::Mark => {
-                    changes
-                        .marks
-                        .extend(u64::from_str_radix(&key.subject, 16).ok().map(|k| (SessionKey(k), seen)));
+                ReplicationEvent::FactLearned(key, Value::SessionMarks(session_marks))
+                    if key.kind == Kind::Mark =>
+                {
+                    changes.marks.extend(
+                        u64::from_str_radix(&key.subject, 16).ok().map(|k| (SessionKey(k), session_marks)),
+                    );
                 }
                 ReplicationEvent::FactLearned(key, Value::Report(claim)) => {
                     self.apply_claim(now, &key, &claim, &mut changes)
@@ -407,8 +409,8 @@
                         "a later one" => met);
                 }
                 ReplicationEvent::DuplicateName(generation) => {
-                    self.twins += 1;
-                    if self.twins == 1 {
+                    self.duplicate_names += 1;
+                    if self.duplicate_names == 1 {
                         warn!(log, "state: a process with this router's name and a later life is running";
                             "life" => generation);
                     }
@@ -462,7 +464,7 @@
             "digest": format!("{:016x}", replica.digest()),
             "linked": self.replication.connected_peers().collect::<Vec<_>>(), "number": replica.version(),
             "believed": format!("{:?}", self.trust).to_lowercase(), "old_copy": self.old_copy,
-            "disk": self.disk.is_some(), "twins": self.twins, "contradictions": self.contradictions,
+            "disk": self.disk.is_some(), "twins": self.duplicate_names, "contradictions": self.contradictions,
             "bytes_in": counts.bytes_in, "bytes_out": counts.bytes_out, "messages_in": counts.messages_in,
             "messages_out": counts.messages_out, "rounds": counts.rounds, "rounds_lost": counts.rounds_lost,
             "unreadable": counts.unreadable, "refused": counts.refused, "shed": counts.shed,
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -113,7 +113,7 @@
         if let Some(path) = &config.journal {
             let with_path = |e| format!("{}: {e}", path.display());
             let (opened, found) = open_journal(path, now - config.horizon, log).map_err(with_path)?;
-            found.marks.iter().for_each(|(key, seen)| store.merge(*key, seen));
+            found.marks.iter().for_each(|(key, session_marks)| store.merge(*key, session_marks));
             // The journal is complete if each write was on the disk before its answer was sent, or if the
             // last writer shut down in order. A new, empty journal says nothing about earlier writes.
             let complete = config.durability == Durability::BeforeAnswer || found.closed_cleanly;
@@ -133,7 +133,7 @@
             journal = Some(sender);
         }
         if let Some(replicated) = &replicated {
-            replicated.marks().for_each(|(key, seen)| store.merge(key, &seen));
+            replicated.marks().for_each(|(key, session_marks)| store.merge(key, &session_marks));
             if replicated.found_all() {
                 complete_since = f64::NEG_INFINITY;
             }
@@ -276,17 +276,17 @@
         if !statement.writes {
             return None;
         }
-        let seen = match Self::session_mark(statement, outcome) {
+        let session_marks = match Self::session_mark(statement, outcome) {
             Some(mark) => SessionMarks::of(mark),
             None => SessionMarks::Lost(now),
         };
-        self.store.merge(statement.key, &seen);
+        self.store.merge(statement.key, &session_marks);
         if let Some(replicated) = &mut self.replicated {
-            replicated.record_write(now, statement.key, &seen);
+            replicated.record_write(now, statement.key, &session_marks);
         }
         // A peer whose queue is full is dropped; it gets a new snapshot when it is connected again.
-        self.peers.retain(|peer| peer.send(PeerMessage::SessionMarks(statement.key, seen.clone())));
-        Some(seen)
+        self.peers.retain(|peer| peer.send(PeerMessage::SessionMarks(statement.key, session_marks.clone())));
+        Some(session_marks)
     }
 
     /// Queues a completed write for the journal. The journal's thread sends `answer`, if there is one, once
@@ -294,11 +294,11 @@
     fn append_to_journal(
         &mut self,
         key: SessionKey,
-        seen: Option<SessionMarks>,
+        session_marks: Option<SessionMarks>,
         answer: Option<FinalAnswer>,
     ) -> Option<FinalAnswer> {
-        let (Some(journal), Some(seen)) = (&self.journal, seen) else { return answer };
-        journal.send(Entry::SessionMarks { key, seen, pending_answer: answer });
+        let (Some(journal), Some(session_marks)) = (&self.journal, session_marks) else { return answer };
+        journal.send(Entry::SessionMarks { key, session_marks, pending_answer: answer });
         None
     }
 
@@ -366,7 +366,7 @@
     fn update_replicated_state(&mut self, now: f64, check_due: bool) {
         let Some(replicated) = &mut self.replicated else { return };
         let changes = replicated.process(now, check_due, &self.log);
-        changes.marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen));
+        changes.marks.iter().for_each(|(key, session_marks)| self.store.merge(*key, session_marks));
         self.host_warnings.extend(
             changes.host_warnings.into_iter().map(|(host, age)| DispatcherInput::RefusedElsewhere(host, age)),
         );
@@ -397,7 +397,9 @@
             // A new generation of the peer ends the handover of an earlier one, which may be incomplete by
             // now.
             Frame::Introduction(_) => drop(self.holds_all_of(now, from)),
-            Frame::Marks(marks) => marks.iter().for_each(|(key, seen)| self.store.merge(*key, seen)),
+            Frame::Marks(marks) => {
+                marks.iter().for_each(|(key, session_marks)| self.store.merge(*key, session_marks))
+            }
             Frame::SnapshotComplete { covers_receiver } => {
                 info!(self.log, "sessions: all marks received"; "by" => from, "all_of_ours" => covers_receiver,
                     "remembered" => self.store.len());
@@ -470,7 +472,7 @@
         let Some(statement) = self.statements.remove(&final_answer.statement_id) else {
             return Some(final_answer);
         };
-        let seen = self.record_write(now, &statement, outcome);
+        let session_marks = self.record_write(now, &statement, outcome);
         if let Answer::Completed(_, token) = &mut final_answer.answer {
             *token = Self::session_mark(&statement, outcome).and_then(|mark| {
                 // Covers all known writes of the session, not only this one: other routers may have served
@@ -488,14 +490,14 @@
         self.record_primary_position(now, &statement, outcome);
         let key = statement.key;
         self.statements.insert(final_answer.statement_id, statement);
-        self.append_to_journal(key, seen, Some(final_answer))
+        self.append_to_journal(key, session_marks, Some(final_answer))
     }
 
     /// Records a completed write whose client has disconnected, because the session may return and read.
     fn completed_without_client(&mut self, now: f64, statement_id: u64, outcome: &Outcome) {
         let Some(statement) = self.statements.remove(&statement_id) else { return };
-        let seen = self.record_write(now, &statement, outcome);
-        self.append_to_journal(statement.key, seen, None);
+        let session_marks = self.record_write(now, &statement, outcome);
+        self.append_to_journal(statement.key, session_marks, None);
         self.statements.insert(statement_id, statement);
     }
 
@@ -528,7 +530,7 @@
 }
 
 enum Entry {
-    SessionMarks { key: SessionKey, seen: SessionMarks, pending_answer: Option<FinalAnswer> },
+    SessionMarks { key: SessionKey, session_marks: SessionMarks, pending_answer: Option<FinalAnswer> },
     End(MailboxSender<()>),
 }
 
@@ -567,8 +569,8 @@
             let mut next = first;
             while let Some(entry) = next {
                 match entry {
-                    Entry::SessionMarks { key, seen, pending_answer } => {
-                        self.try_journal(|journal| journal.append(key, &seen));
+                    Entry::SessionMarks { key, session_marks, pending_answer } => {
+                        self.try_journal(|journal| journal.append(key, &session_marks));
                         if let Some(pace) = &mut pace {
                             pace.record_write(self.clock.now());
                         }
@@ -632,8 +634,11 @@
         let read = std::fs::read(&self.path).ok().and_then(|bytes| sandstile_journal::read(&bytes).ok());
         let Some(found) = read else { return };
         let mut merged = std::collections::BTreeMap::<SessionKey, SessionMarks>::new();
-        found.marks.iter().for_each(|(key, seen)| merged.entry(*key).or_default().merge(seen));
-        match Journal::replace(&self.path, merged.iter().map(|(key, seen)| (*key, seen))) {
+        found
+            .marks
+            .iter()
+            .for_each(|(key, session_marks)| merged.entry(*key).or_default().merge(session_marks));
+        match Journal::replace(&self.path, merged.iter().map(|(key, session_marks)| (*key, session_marks))) {
             Ok(journal) => self.journal = Some(journal),
             Err(e) => warn!(self.log, "journal of sessions could not be compacted and is used as it is: {e}"),
         }
