--- a/crates/sandstile-router/src/mailbox.rs
+++ b/crates/sandstile-router/src/mailbox.rs
@@ -1,9 +1,9 @@
-//! Mailboxes of actors: crossbeam's channels, whose reader sleeps at once. On its own, a blocking receive first
-//! spins and yields for a while, which pays where the writer runs on another core; a router has one core, or
-//! part of it, and the spinning took a third of that.
+//! Message queues of the actors: crossbeam channels whose reader goes to sleep at once. Crossbeam's own blocking
+//! receive spins and yields for a while first, which pays where the writer runs on another core; a router has one
+//! core or a part of one, and spinning took a third of that.
 //!
-//! A reader is a thread of its own, which is parked while there is nothing, or an actor that the carrier's thread
-//! carries, which is woken by a bell; within that thread mail is a push and a pop, and no bell is rung.
+//! A reader is either a thread of its own, which is parked while its queue is empty, or an actor on the event loop,
+//! which is woken by a waker. Within the event loop's thread a message is a push and a pop, and nothing is woken.
 use crate::errno::retry_interrupted;
 use crossbeam_channel::{bounded, unbounded, Receiver, RecvTimeoutError, Sender, TryRecvError};
 use mio::Waker;
@@ -12,31 +12,32 @@
 use std::thread::{self, Thread};
 use std::time::{Duration, Instant};
 
-/// Wakes the carrier's thread where it sleeps.
-pub struct Bell {
+/// Wakes the event loop while it sleeps.
+pub struct LoopWaker {
     waker: Waker,
     asleep: AtomicBool,
 }
 
-impl Bell {
-    pub fn new(waker: Waker) -> Arc<Bell> {
-        Arc::new(Bell { waker, asleep: AtomicBool::new(false) })
+impl LoopWaker {
+    pub fn new(waker: Waker) -> Arc<LoopWaker> {
+        Arc::new(LoopWaker { waker, asleep: AtomicBool::new(false) })
     }
 
-    /// From now on mail rings. What came before is to be looked for once more behind this.
-    pub fn sleeps(&self) {
+    /// From now on a new message wakes the loop. The caller has to check the queues once more after this call, for
+    /// messages that were sent before it.
+    pub fn prepare_sleep(&self) {
         self.asleep.store(true, SeqCst);
         fence(SeqCst);
     }
 
-    pub fn wakes(&self) {
+    pub fn end_sleep(&self) {
         self.asleep.store(false, SeqCst);
     }
 
-    fn ring(&self) {
+    fn wake_loop(&self) {
         fence(SeqCst);
         if self.asleep.swap(false, SeqCst) && retry_interrupted(|| self.waker.wake()).is_err() {
-            // Not woken: whoever rings next tries again, and the carrier's own times wake it meanwhile.
+            // The wake-up failed: the next sender tries again, and the loop's own timers wake it meanwhile.
             self.asleep.store(true, SeqCst);
         }
     }
@@ -45,53 +46,57 @@
 #[derive(Clone)]
 enum Reader {
     Thread(Arc<OnceLock<Thread>>),
-    Carried(Arc<Bell>),
+    EventLoop(Arc<LoopWaker>),
 }
 
-/// The writing end; any number of them.
+/// The sending end; it can be cloned.
 pub struct MailboxSender<T> {
     sender: Option<Sender<T>>,
     reader: Reader,
 }
 
-/// The reading end, for one thread.
+/// The receiving end, for one thread.
 pub struct Mailbox<T> {
     receiver: Receiver<T>,
     reader: Reader,
 }
 
 pub fn mailbox<T>() -> (MailboxSender<T>, Mailbox<T>) {
-    with(unbounded(), Reader::Thread(Arc::default()))
+    new_mailbox(unbounded(), Reader::Thread(Arc::default()))
 }
 
-/// For an actor that the carrier's thread carries.
-pub fn carried<T>(bell: &Arc<Bell>) -> (MailboxSender<T>, Mailbox<T>) {
-    with(unbounded(), Reader::Carried(bell.clone()))
+/// A mailbox whose reader runs on the event loop.
+pub fn event_loop_mailbox<T>(loop_waker: &Arc<LoopWaker>) -> (MailboxSender<T>, Mailbox<T>) {
+    new_mailbox(unbounded(), Reader::EventLoop(loop_waker.clone()))
 }
 
-/// For one piece of mail at a time.
+/// A mailbox for one message at a time.
 pub fn single_slot_mailbox<T>() -> (MailboxSender<T>, Mailbox<T>) {
     bounded_mailbox(1)
 }
 
-/// For so many pieces of mail at the most.
-pub fn bounded_mailbox<T>(most: usize) -> (MailboxSender<T>, Mailbox<T>) {
-    with(bounded(most), Reader::Thread(Arc::default()))
+/// A mailbox for at most `capacity` messages.
+pub fn bounded_mailbox<T>(capacity: usize) -> (MailboxSender<T>, Mailbox<T>) {
+    new_mailbox(bounded(capacity), Reader::Thread(Arc::default()))
 }
 
-fn with<T>((sender, receiver): (Sender<T>, Receiver<T>), reader: Reader) -> (MailboxSender<T>, Mailbox<T>) {
+fn new_mailbox<T>(
+    (sender, receiver): (Sender<T>, Receiver<T>),
+    reader: Reader,
+) -> (MailboxSender<T>, Mailbox<T>) {
     (MailboxSender { sender: Some(sender), reader: reader.clone() }, Mailbox { receiver, reader })
 }
 
 impl<T> MailboxSender<T> {
-    /// Never waits. `false` where nobody will read it: the reader has gone, or a slot is taken.
-    pub fn send(&self, mail: T) -> bool {
-        let sent = self.sender.as_ref().is_some_and(|sender| sender.try_send(mail).is_ok());
+    /// Never blocks. Returns `false` where nobody will read the message: the reader is gone, or the mailbox is
+    /// full.
+    pub fn send(&self, message: T) -> bool {
+        let sent = self.sender.as_ref().is_some_and(|sender| sender.try_send(message).is_ok());
         self.wake();
         sent
     }
 
-    /// Mail that nobody has read yet.
+    /// Messages that have not been read yet.
     pub fn queued(&self) -> usize {
         self.sender.as_ref().map_or(0, Sender::len)
     }
@@ -103,7 +108,7 @@
                     reader.unpark();
                 }
             }
-            Reader::Carried(bell) => bell.ring(),
+            Reader::EventLoop(loop_waker) => loop_waker.wake_loop(),
         }
     }
 }
@@ -116,7 +121,8 @@
 
 impl<T> Drop for MailboxSender<T> {
     fn drop(&mut self) {
-        // The last one gone ends a reader's wait, so the channel has to know first.
+        // Dropping the last sender ends the reader's wait, so the channel has to be closed before the reader is
+        // woken.
         self.sender = None;
         if matches!(self.reader, Reader::Thread(_)) {
             self.wake();
@@ -133,28 +139,28 @@
         self.receiver.is_empty()
     }
 
-    /// Waits without end where there is no limit. Not for an actor that is carried.
-    pub fn recv(&self, limit: Option<Duration>) -> Result<T, RecvTimeoutError> {
-        // Who writes before this is known wakes nobody, and is found by the look below.
+    /// Waits without limit where `timeout` is `None`. Not for a reader on the event loop.
+    pub fn recv(&self, timeout: Option<Duration>) -> Result<T, RecvTimeoutError> {
+        // A sender that runs before the thread is known wakes nobody; the loop below finds its message.
         if let Reader::Thread(reader) = &self.reader {
             reader.get_or_init(thread::current);
         }
-        let until = limit.map(|limit| Instant::now() + limit);
+        let deadline = timeout.map(|timeout| Instant::now() + timeout);
         loop {
             match self.receiver.try_recv() {
-                Ok(mail) => return Ok(mail),
+                Ok(message) => return Ok(message),
                 Err(TryRecvError::Disconnected) => return Err(RecvTimeoutError::Disconnected),
                 Err(TryRecvError::Empty) => {}
             }
-            let Some(until) = until else {
+            let Some(deadline) = deadline else {
                 thread::park();
                 continue;
             };
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Err(RecvTimeoutError::Timeout);
             }
-            thread::park_timeout(left);
+            thread::park_timeout(remaining);
         }
     }
 }
