--- a/crates/sandstile-durable-state/src/lib.rs
+++ b/crates/sandstile-durable-state/src/lib.rs
@@ -5,12 +5,12 @@
 //! A start reads all facts that it finds, but the file is trusted to be complete only if the witness confirms
 //! it (`sandstile_replicated_state::catchup::assess_trust`). A failing disk ends the writing and is reported,
 //! but has no other effect: the file then lacks its end record and is never taken for complete.
-mod folder;
+mod state_directory;
 
-pub use folder::StateDirectory;
 use sandstile_replicated_state::catchup::{StoredCopy, Witness};
 use sandstile_replicated_state::stored::{self, FileContents};
 use sandstile_replicated_state::Snapshot;
+pub use state_directory::StateDirectory;
 use std::io;
 
 /// The storage of the state file and the witness. [`StateDirectory`] uses real disks; tests have
--- a/crates/sandstile-emulator/examples/holding.rs
+++ b/crates/sandstile-emulator/examples/many_connections.rs
@@ -1,7 +1,7 @@
 //! Compares an event loop with a thread per connection for many connections: HOSTS listeners with CONNECTIONS
 //! connections each, a constant rate of statements over all of them, each answered 10 ms after it arrives. Prints how
 //! late the answers were.
-//! `taskset -c 0 cargo run --release -p sandstile-emulator --example holding [loop|threads] HOSTS CONNECTIONS`
+//! `taskset -c 0 cargo run --release -p sandstile-emulator --example many_connections [loop|threads] HOSTS CONNECTIONS`
 //! (the clients run in a separate process on cores 1-7, so `taskset` should limit the server to another core).
 use hdrhistogram::Histogram;
 use sandstile_fleet::timers::TimerWheel;
--- a/crates/sandstile-emulator/src/run.rs
+++ b/crates/sandstile-emulator/src/emulator.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::link_faults::FaultScope;
 use sandstile_faults::process::ProcessSelector;
 use sandstile_faults::{Endpoint, LinkFault, ProcessFault};
 use sandstile_fleet::plan::Consistency;
@@ -654,10 +654,9 @@
                 spread
                     + match process_fault {
                         ProcessFault::Restart { back, .. } => back,
-                        ProcessFault::Stop { duration_s } | ProcessFault::Slow { duration_s, .. } => {
-                            duration_s
-                        }
-                        ProcessFault::SaveState => 0.0,
+                        ProcessFault::Stop { lasts: duration_s }
+                        | ProcessFault::Slow { lasts: duration_s, .. } => duration_s,
+                        ProcessFault::Copy => 0.0,
                     }
             }
         };
--- a/crates/sandstile-emulator/src/lib.rs
+++ b/crates/sandstile-emulator/src/lib.rs
@@ -3,12 +3,12 @@
 //! network faults. It uses no router code.
 pub mod agent;
 pub mod clock;
+pub mod emulator;
 pub mod protocol;
-pub mod run;
 mod sockets;
 
 pub use clock::Clock;
-pub use run::{
+pub use emulator::{
     exchange_address, members_address, router_address, Emulator, Handle, Notification, Record, Summary,
     TraceEvent,
 };
--- a/crates/sandstile-faults/src/lane.rs
+++ b/crates/sandstile-faults/src/channel.rs
@@ -1,6 +1,6 @@
 //! Bytes and datagrams in flight in one direction of a link. A stream channel keeps the order of its bytes
 //! under every condition; a datagram channel does not keep order.
-use crate::fault_state::LinkCondition;
+use crate::link_faults::LinkCondition;
 use oorandom::Rand64;
 use std::collections::VecDeque;
 
--- a/crates/sandstile-faults/src/lib.rs
+++ b/crates/sandstile-faults/src/lib.rs
@@ -5,14 +5,14 @@
 //! process and reads no clock: the relays and the lab do.
 //!
 //! Times are seconds as f64 on the caller's clock.
-pub mod draw;
-pub mod ends;
-pub mod fault_state;
-pub mod lane;
+pub mod channel;
+pub mod endpoints;
+pub mod link_faults;
 pub mod process;
+pub mod schedule;
 pub mod shrink;
 
-pub use ends::{Endpoint, EndpointSelector};
-pub use fault_state::{ActiveFaults, LinkCondition, LinkFault};
-pub use lane::{DatagramChannel, StreamChannel};
+pub use channel::{DatagramChannel, StreamChannel};
+pub use endpoints::{Endpoint, EndpointSelector};
+pub use link_faults::{ActiveFaults, LinkCondition, LinkFault};
 pub use process::{ProcessFault, StateAfterRestart};
--- a/crates/sandstile-faults/src/fault_state.rs
+++ b/crates/sandstile-faults/src/link_faults.rs
@@ -1,6 +1,6 @@
 //! The faults that are active on links. Faults begin and heal; the condition of one direction of a link is
 //! the combination of all active faults that affect it.
-use crate::ends::{Endpoint, EndpointSelector};
+use crate::endpoints::{Endpoint, EndpointSelector};
 use std::collections::BTreeMap;
 
 /// One kind of link fault. Shares are fractions of 1, times are seconds.
--- a/crates/sandstile-faults/src/process.rs
+++ b/crates/sandstile-faults/src/process.rs
@@ -7,19 +7,19 @@
     Kept,
     Lost,
     /// The state is replaced by a copy that was saved earlier; without such a copy it is lost.
-    OlderCopy,
+    Older,
     /// The second half of the file is missing.
     Cut,
     /// Some bytes are changed.
-    Corrupted,
+    Spoilt,
 }
 
 pub const STATE_NAMES: [(&str, StateAfterRestart); 5] = [
     ("kept", StateAfterRestart::Kept),
     ("lost", StateAfterRestart::Lost),
-    ("older", StateAfterRestart::OlderCopy),
+    ("older", StateAfterRestart::Older),
     ("cut", StateAfterRestart::Cut),
-    ("spoilt", StateAfterRestart::Corrupted),
+    ("spoilt", StateAfterRestart::Spoilt),
 ];
 
 impl StateAfterRestart {
@@ -29,9 +29,9 @@
         match self {
             StateAfterRestart::Kept => Some(bytes),
             StateAfterRestart::Lost => None,
-            StateAfterRestart::OlderCopy => copy.map(<[u8]>::to_vec),
+            StateAfterRestart::Older => copy.map(<[u8]>::to_vec),
             StateAfterRestart::Cut => Some(bytes[..bytes.len() / 2].to_vec()),
-            StateAfterRestart::Corrupted => {
+            StateAfterRestart::Spoilt => {
                 let mut bytes = bytes;
                 let mut rng = Rand64::new(u128::from(seed));
                 // Changes one byte in a thousand, at least one.
@@ -54,11 +54,11 @@
     /// this condition.
     Restart { kill: bool, back: f64, state: StateAfterRestart },
     /// SIGSTOP, and SIGCONT after this time.
-    Stop { duration_s: f64 },
+    Stop { lasts: f64 },
     /// The process is stopped for this share of the time, in short intervals.
-    Slow { share: f64, duration_s: f64 },
-    /// Saves a copy of the stored state, for `OlderCopy`.
-    SaveState,
+    Slow { share: f64, lasts: f64 },
+    /// Saves a copy of the stored state, for `StateAfterRestart::Older`.
+    Copy,
 }
 
 /// The processes that a fault affects.
--- a/crates/sandstile-faults/src/draw.rs
+++ b/crates/sandstile-faults/src/schedule.rs
@@ -1,7 +1,7 @@
 //! Draws fault schedules from a seed, for hunts. A drawn schedule is written out in the format of rehearsal
 //! scripts, so that a schedule that fails can be kept and replayed as an ordinary script.
-use crate::ends::EndpointSelector;
-use crate::fault_state::{FaultScope, LinkFault};
+use crate::endpoints::EndpointSelector;
+use crate::link_faults::{FaultScope, LinkFault};
 use crate::process::{ProcessFault, ProcessSelector, StateAfterRestart};
 use oorandom::Rand64;
 use std::fmt::Write;
@@ -157,8 +157,7 @@
             }
         }
         7 => {
-            let process_fault =
-                ProcessFault::Stop { duration_s: round_to_tenth(0.5 + 2.5 * rng.rand_float()) };
+            let process_fault = ProcessFault::Stop { lasts: round_to_tenth(0.5 + 2.5 * rng.rand_float()) };
             FaultAction::Process {
                 selector: ProcessSelector::One(router as usize),
                 process_fault,
@@ -166,7 +165,7 @@
             }
         }
         8 => {
-            let process_fault = ProcessFault::Slow { share: 0.6, duration_s };
+            let process_fault = ProcessFault::Slow { share: 0.6, lasts: duration_s };
             FaultAction::Process {
                 selector: ProcessSelector::One(router as usize),
                 process_fault,
@@ -237,14 +236,14 @@
                             "restart \"drawn-{n}\" {{\n  {selector}\n  kind = \"{kind}\"\n  back = {back}\n  spread = {spread}\n  at = {at}\n}}"
                         )
                     }
-                    ProcessFault::Stop { duration_s } => {
+                    ProcessFault::Stop { lasts: duration_s } => {
                         writeln!(out, "stop \"drawn-{n}\" {{\n  {selector}\n  at = {at}\n  for = {duration_s}\n}}")
                     }
-                    ProcessFault::Slow { share, duration_s } => writeln!(
+                    ProcessFault::Slow { share, lasts: duration_s } => writeln!(
                         out,
                         "stop \"drawn-{n}\" {{\n  {selector}\n  of_the_time = {share}\n  at = {at}\n  for = {duration_s}\n}}"
                     ),
-                    ProcessFault::SaveState => writeln!(out, "state \"drawn-{n}\" {{\n  {selector}\n  at = {at}\n}}"),
+                    ProcessFault::Copy => writeln!(out, "state \"drawn-{n}\" {{\n  {selector}\n  at = {at}\n}}"),
                 };
             }
             FaultAction::Host { kind, on, keys, duration_s } => {
--- a/crates/sandstile-faults/tests/faults.rs
+++ b/crates/sandstile-faults/tests/faults.rs
@@ -1,10 +1,10 @@
 //! Tests of the fault model: channels, scopes, selection of processes, stored state, drawn schedules and
 //! shrinking.
 use oorandom::Rand64;
-use sandstile_faults::draw::{self, FaultTargets};
-use sandstile_faults::fault_state::FaultScope;
-use sandstile_faults::lane::{RETRANSMIT_DELAY_S, WINDOW_BYTES};
+use sandstile_faults::channel::{RETRANSMIT_DELAY_S, WINDOW_BYTES};
+use sandstile_faults::link_faults::FaultScope;
 use sandstile_faults::process::ProcessSelector;
+use sandstile_faults::schedule::{self, FaultTargets};
 use sandstile_faults::shrink::Shrinker;
 use sandstile_faults::{
     ActiveFaults, DatagramChannel, Endpoint, EndpointSelector, LinkCondition, LinkFault, StateAfterRestart,
@@ -155,9 +155,9 @@
     let copy = b"older".to_vec();
     assert_eq!(StateAfterRestart::Kept.apply(bytes.clone(), None, 1).as_ref(), Some(&bytes));
     assert_eq!(StateAfterRestart::Lost.apply(bytes.clone(), Some(&copy), 1), None);
-    assert_eq!(StateAfterRestart::OlderCopy.apply(bytes.clone(), Some(&copy), 1), Some(copy));
+    assert_eq!(StateAfterRestart::Older.apply(bytes.clone(), Some(&copy), 1), Some(copy));
     assert_eq!(StateAfterRestart::Cut.apply(bytes.clone(), None, 1).unwrap().len(), 2500);
-    let corrupted = StateAfterRestart::Corrupted.apply(bytes.clone(), None, 1).unwrap();
+    let corrupted = StateAfterRestart::Spoilt.apply(bytes.clone(), None, 1).unwrap();
     let differing = corrupted.iter().zip(&bytes).filter(|(a, b)| a != b).count();
     assert!(corrupted.len() == 5000 && (1..=5).contains(&differing));
 }
@@ -172,17 +172,19 @@
         to: 8.0,
         members: false,
     };
-    let drawn = draw::draw_schedule(&targets, 6, 1);
-    assert_eq!(drawn, draw::draw_schedule(&targets, 6, 1));
-    assert_ne!(drawn, draw::draw_schedule(&targets, 6, 2));
+    let drawn = schedule::draw_schedule(&targets, 6, 1);
+    assert_eq!(drawn, schedule::draw_schedule(&targets, 6, 1));
+    assert_ne!(drawn, schedule::draw_schedule(&targets, 6, 2));
     assert!(drawn.windows(2).all(|w| w[0].at <= w[1].at));
     for seed in 0..600 {
         targets.members = seed >= 300;
-        for fault in draw::draw_schedule(&targets, 6, seed) {
+        for fault in schedule::draw_schedule(&targets, 6, seed) {
             assert!((2.0..=8.0).contains(&fault.at));
-            let is_link_fault =
-                matches!(fault.action, draw::FaultAction::Link { .. } | draw::FaultAction::Partition { .. });
-            assert_eq!(draw::as_link_fault(&fault.action).is_some(), is_link_fault, "{fault:?}");
+            let is_link_fault = matches!(
+                fault.action,
+                schedule::FaultAction::Link { .. } | schedule::FaultAction::Partition { .. }
+            );
+            assert_eq!(schedule::as_link_fault(&fault.action).is_some(), is_link_fault, "{fault:?}");
         }
     }
 }
--- a/crates/sandstile-journal/src/lib.rs
+++ b/crates/sandstile-journal/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! The caller decides when records are made durable (`sync`). For group commit it appends many marks before
 //! one `sync`.
-pub mod pace;
+pub mod sync_schedule;
 
 use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 use sandstile_sessions::store::SessionKey;
--- a/crates/sandstile-journal/tests/damage.rs
+++ b/crates/sandstile-journal/tests/damage.rs
@@ -173,7 +173,7 @@
 /// Marks that arrive faster than syncs are due do not delay a sync: no mark waits longer than the interval.
 #[test]
 fn steady_writes_do_not_delay_a_sync() {
-    let mut schedule = sandstile_journal::pace::SyncSchedule::new(0.100);
+    let mut schedule = sandstile_journal::sync_schedule::SyncSchedule::new(0.100);
     assert!(schedule.wait(0.0).is_none() && !schedule.due(5.0));
     let (mut syncs, mut oldest) = (0, None::<f64>);
     for n in 0..1000 {
--- a/crates/sandstile-lab/src/hunt.rs
+++ b/crates/sandstile-lab/src/hunt.rs
@@ -3,7 +3,7 @@
 use crate::rehearse::{self, Options as Rehearsal};
 use crate::report;
 use sandstile_audit::recovery;
-use sandstile_faults::draw::{self, FaultTargets, ScheduledFault};
+use sandstile_faults::schedule::{self, FaultTargets, ScheduledFault};
 use sandstile_faults::shrink::Shrinker;
 use sandstile_scenario::Script;
 use std::fmt::Write as _;
@@ -53,7 +53,7 @@
 
 fn text_of(wanted: &Options, base: &str, faults: &[ScheduledFault], seed: u64) -> String {
     let planted = if wanted.plant { "planted = true\n" } else { "" };
-    format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", draw::to_script(faults))
+    format!("{base}\n# Drawn with seed {seed}.\n{planted}{}", schedule::to_script(faults))
 }
 
 fn script(wanted: &Options, text: &str, seed: u64) -> Result<Script, String> {
@@ -140,7 +140,7 @@
     let mut failed = 0;
     for run in 0..wanted.runs as u64 {
         let seed = wanted.seed + run;
-        let faults = draw::draw_schedule(&field, wanted.size, seed);
+        let faults = schedule::draw_schedule(&field, wanted.size, seed);
         let text = text_of(wanted, &base, &faults, seed);
         let played = play(wanted, &text, seed)?;
         let whole = match played.service_recovery_s {
@@ -170,7 +170,7 @@
             least.len(),
             wanted.size
         );
-        let _ = writeln!(out, "```\n{}```\n", draw::to_script(&least));
+        let _ = writeln!(out, "```\n{}```\n", schedule::to_script(&least));
     }
     let _ = writeln!(out, "\n{} schedules of {} faults, {failed} failed", wanted.runs, wanted.size);
     fs::write(wanted.out.join("hunt.md"), &out).map_err(told)?;
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -115,7 +115,7 @@
             ProcessFault::Restart { kill, back, state } => {
                 self.restart(number, kill, back, state, crew, emulator)
             }
-            ProcessFault::Stop { duration_s } => {
+            ProcessFault::Stop { lasts: duration_s } => {
                 self.note(number, "stopped", None);
                 self.with(number, Router::stop);
                 self.sleep(duration_s);
@@ -123,7 +123,7 @@
                 self.note(number, "continued", None);
                 Ok(())
             }
-            ProcessFault::Slow { share, duration_s } => {
+            ProcessFault::Slow { share, lasts: duration_s } => {
                 let until = self.clock.now() + duration_s;
                 self.note(number, "slow", None);
                 while self.clock.now() < until && !self.over.load(SeqCst) {
@@ -135,7 +135,7 @@
                 self.note(number, "continued", None);
                 Ok(())
             }
-            ProcessFault::SaveState => {
+            ProcessFault::Copy => {
                 let file = processes::state_file(&self.script, &self.out, number);
                 match std::fs::copy(&file, file.with_extension("copy")) {
                     Ok(_) => Ok(()),
--- a/crates/sandstile-limits/src/lib.rs
+++ b/crates/sandstile-limits/src/lib.rs
@@ -1,17 +1,17 @@
-//! Limits for storms of returning clients: detects a storm (`storm`), budgets retries (`budget`) and assigns
-//! times to return (`slots`). `Limits` combines the three. It leaves the decisions of `sandstile-policy`
+//! Limits for storms of returning clients: detects a storm (`storm_detector`), budgets retries (`retry_budget`) and assigns
+//! times to return (`return_slots`). `Limits` combines the three. It leaves the decisions of `sandstile-policy`
 //! unchanged: the policy decides on admitted statements, and for those that it rejects only the retry delay
 //! is set here.
 //!
 //! Times are Unix seconds supplied by the caller; no clock is read here. `docs/design/limits.md` compares the
 //! alternatives.
-pub mod budget;
-pub mod slots;
-pub mod storm;
+pub mod retry_budget;
+pub mod return_slots;
+pub mod storm_detector;
 
-use budget::RetryBudgets;
-use slots::ReturnSlots;
-use storm::{Storm, StormChange, StormDetector};
+use retry_budget::RetryBudgets;
+use return_slots::ReturnSlots;
+use storm_detector::{Storm, StormChange, StormDetector};
 
 /// Settings from the local configuration file. Shares are fractions of 1.
 #[derive(Clone, Debug, PartialEq)]
@@ -44,7 +44,7 @@
     budgets: RetryBudgets,
     slots: ReturnSlots,
     /// Completions per second, averaged over the last seconds.
-    completions: storm::Rate,
+    completions: storm_detector::Rate,
 }
 
 impl Limits {
@@ -53,7 +53,7 @@
             detector: StormDetector::new(settings.false_alarms_per_day, now),
             budgets: RetryBudgets::new(settings.retry_ratio),
             slots: ReturnSlots::new(settings.returning_share, seed),
-            completions: storm::Rate::new(2.0, now),
+            completions: storm_detector::Rate::new(2.0, now),
         }
     }
 
--- a/crates/sandstile-limits/tests/limits.rs
+++ b/crates/sandstile-limits/tests/limits.rs
@@ -2,9 +2,9 @@
 //! within the capacity set aside for them.
 use oorandom::Rand64;
 use quickcheck::{Gen, QuickCheck};
-use sandstile_limits::budget::RetryBudgets;
-use sandstile_limits::slots::{ReturnSlots, SLOT_SECONDS};
-use sandstile_limits::storm::{Rate, Sign, StormDetector};
+use sandstile_limits::retry_budget::RetryBudgets;
+use sandstile_limits::return_slots::{ReturnSlots, SLOT_SECONDS};
+use sandstile_limits::storm_detector::{Rate, Sign, StormDetector};
 use sandstile_limits::{Limits, RetryAdmission, Settings};
 use std::collections::BTreeMap;
 
--- a/crates/sandstile-membership-view/src/lib.rs
+++ b/crates/sandstile-membership-view/src/lib.rs
@@ -1,10 +1,10 @@
 //! Decides when a router may act on information from its peers. Gossip provides no ownership, ordering or mutual exclusion, and
 //! nothing here relies on any of them. The rule that holds in every state: information from a peer may make a router more careful
 //! at once, and less careful only where the router has observed the same itself. `may_act` is the only place that applies it.
-pub mod share;
+pub mod sharing_routers;
 pub mod view;
 
-pub use share::SharingRouters;
+pub use sharing_routers::SharingRouters;
 pub use view::{Observation, View, ViewTracker};
 
 /// What the information from a peer is about.
--- a/crates/sandstile-membership/src/lib.rs
+++ b/crates/sandstile-membership/src/lib.rs
@@ -6,7 +6,7 @@
 //! datagrams and limits their rate. Times are seconds on the caller's clock; no decision depends on another member's clock.
 pub mod sim;
 pub mod swim;
-pub mod updates;
+pub mod update_queue;
 pub mod wire;
 
 pub use swim::{Change, Settings, Swim};
--- a/crates/sandstile-membership/src/swim.rs
+++ b/crates/sandstile-membership/src/swim.rs
@@ -1,6 +1,6 @@
 //! The SWIM state machine of one member. The driver passes in datagrams and the time, sends the outgoing datagrams, and calls
 //! `on_timer` when `due` is reached.
-use crate::updates::UpdateQueue;
+use crate::update_queue::UpdateQueue;
 use crate::wire::{
     accuser_id, encoded_size, Datagram, MemberId, MemberUpdate, Message, Meta, State, MAX_DATAGRAM_BYTES,
 };
--- a/crates/sandstile-peers/src/peers.rs
+++ b/crates/sandstile-peers/src/peers.rs
@@ -1,5 +1,5 @@
 //! Combines membership, view and sealing, and derives the events for the rest of the router.
-use crate::gate::TokenBucket;
+use crate::rate_limit::TokenBucket;
 use crate::seal::{OpenError, Opener, Sealer, Secret};
 use sandstile_membership::swim::MemberStatus;
 use sandstile_membership::{Change, Meta, State, Swim};
--- a/crates/sandstile-peers/src/seal.rs
+++ b/crates/sandstile-peers/src/seal.rs
@@ -4,7 +4,7 @@
 //!
 //! Limitation: a receiver that has just started accepts a datagram again that its former process had accepted. This is only an old
 //! member update, which newer updates override; it never affects the statements sent to hosts.
-use crate::gate::TokenBucket;
+use crate::rate_limit::TokenBucket;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/sandstile-policy/src/policy.rs
+++ b/crates/sandstile-policy/src/policy.rs
@@ -20,7 +20,7 @@
 //! No input and no decision iterates over all hosts or groups: what has to be checked is kept in queues and
 //! sets.
 
-mod listing;
+mod host_updates;
 mod pacing;
 mod slow_start;
 
--- a/crates/sandstile-policy/tests/rules.rs
+++ b/crates/sandstile-policy/tests/rules.rs
@@ -1,11 +1,11 @@
 //! Random runs (each number is one input) that check every decision against the rules, and a few specific
 //! cases.
-mod simulation;
+mod simulated_hosts;
 
 use quickcheck::{Gen, QuickCheck};
 use sandstile_policy::policy::Instance;
 use sandstile_policy::terms::*;
-use simulation::{terms, World, HOST_COUNT};
+use simulated_hosts::{terms, World, HOST_COUNT};
 
 fn outcome(n: usize) -> OutcomeClass {
     use OutcomeClass::*;
--- a/crates/sandstile-relay/src/lib.rs
+++ b/crates/sandstile-relay/src/lib.rs
@@ -2,13 +2,13 @@
 //! its peer's address, and the relay forwards the traffic under the condition of that link. One thread with
 //! an event loop runs all relays of a rehearsal; it needs no privileges. `sandstile-faults` decides what a
 //! condition does to bytes; this crate only handles sockets.
-mod forward;
+mod relay_loop;
 
 use crossbeam_channel::{unbounded, Sender};
-use forward::{Command, RelayLoop};
 use hdrhistogram::Histogram;
 use mio::{Poll, Token, Waker};
-use sandstile_faults::fault_state::FaultScope;
+use relay_loop::{Command, RelayLoop};
+use sandstile_faults::link_faults::FaultScope;
 use sandstile_faults::{Endpoint, LinkFault};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
--- a/crates/sandstile-relay/src/forward.rs
+++ b/crates/sandstile-relay/src/relay_loop.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 use mio::net::{TcpListener, TcpStream, UdpSocket};
 use mio::{Events, Interest, Poll, Token};
-use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::link_faults::FaultScope;
 use sandstile_faults::{ActiveFaults, DatagramChannel, Endpoint, LinkCondition, LinkFault, StreamChannel};
 use socket2::SockRef;
 use std::cmp::Reverse;
--- a/crates/sandstile-relay/tests/links.rs
+++ b/crates/sandstile-relay/tests/links.rs
@@ -1,5 +1,5 @@
 //! Tests of relays on loopback sockets: the effects of link faults as both endpoints see them.
-use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::link_faults::FaultScope;
 use sandstile_faults::{Endpoint, EndpointSelector, LinkFault};
 use sandstile_relay::{DatagramPeer, Relay};
 use std::io::{ErrorKind, Read, Write};
--- a/crates/sandstile-replicated-state/examples/differ/main.rs
+++ b/crates/sandstile-replicated-state/examples/compare_copies/main.rs
@@ -1,5 +1,5 @@
 //! Measures the cost of finding the differences between two copies and prints one table:
-//! `cargo run --release -p sandstile-replicated-state --example differ`
+//! `cargo run --release -p sandstile-replicated-state --example compare_copies`
 //!
 //! Bytes are counted in both directions. Except in the column *all*, the differing facts themselves are left out,
 //! because every method sends the same ones. Time is that of both sides on one core. The tree's sums are maintained
--- a/crates/sandstile-replicated-state/src/lib.rs
+++ b/crates/sandstile-replicated-state/src/lib.rs
@@ -3,8 +3,8 @@
 //! a restarted router may trust. Pure logic: no sockets, no disk, no clock. Times are seconds on the caller's clock,
 //! and nothing is ordered by another machine's clock.
 pub mod catchup;
+pub mod compare;
 pub mod deltas;
-pub mod differ;
 pub mod fact;
 pub mod state;
 pub mod stored;
--- a/crates/sandstile-replication/src/sim.rs
+++ b/crates/sandstile-replication/src/sim.rs
@@ -1,6 +1,6 @@
 //! Simulation of many replication peers in virtual time, connected by streams that keep their order, add delay and
 //! stall during a partition. It runs the same code as the routers, and no other part of a router.
-use crate::near::select_neighbours;
+use crate::neighbours::select_neighbours;
 use crate::replicator::{ReplicationEvent, ReplicationPeer, ReplicationSettings};
 use oorandom::Rand64;
 use sandstile_replicated_state::catchup::{SyncState, Trust};
--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -2,9 +2,9 @@
 use crate::budget::{Holder, IdleKey};
 use crate::client_connection::{ClientAction, ClientConnection, ClientContext, ClientEvent};
 use crate::close_reason::CloseReason;
+use crate::log_limiter::LogLimiter;
 use crate::loop_context::{LoopContext, MAX_STEPS_PER_TURN};
 use crate::mailbox::MailboxSender;
-use crate::rate::LogLimiter;
 use crate::socket::{Socket, Transfer};
 use crate::statement::Workload;
 use mio::event::Event;
--- a/crates/sandstile-router/src/control_client.rs
+++ b/crates/sandstile-router/src/control_client.rs
@@ -112,7 +112,7 @@
     }
     let found = facts(path)?;
     let mut kinds = std::collections::BTreeMap::<&str, usize>::new();
-    let facts = sandstile_replicated_state::differ::merge_by_key(&found.facts);
+    let facts = sandstile_replicated_state::compare::merge_by_key(&found.facts);
     facts.keys().for_each(|key| *kinds.entry(key.kind.name()).or_default() += 1);
     let kinds: Vec<String> = kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
     Ok(format!(
--- a/crates/sandstile-router/src/main.rs
+++ b/crates/sandstile-router/src/main.rs
@@ -129,10 +129,10 @@
         ["compare", one, other] => {
             let (one, other) =
                 (control_client::facts(Path::new(one))?, control_client::facts(Path::new(other))?);
-            let differences = sandstile_replicated_state::differ::compare(&one.facts, &other.facts);
+            let differences = sandstile_replicated_state::compare::compare(&one.facts, &other.facts);
             differences.iter().for_each(|difference| println!("{difference}"));
             let counts = [&one, &other]
-                .map(|found| sandstile_replicated_state::differ::merge_by_key(&found.facts).len());
+                .map(|found| sandstile_replicated_state::compare::merge_by_key(&found.facts).len());
             println!("{} facts, {} facts, {} differ", counts[0], counts[1], differences.len());
             match differences.is_empty() {
                 true => Ok(()),
--- a/crates/sandstile-router/tests/agreement.rs
+++ b/crates/sandstile-router/tests/agreement.rs
@@ -1,16 +1,16 @@
 //! Runs the same small scripts against the emulator and against this package's stand-ins, and compares the
 //! final answers statement by statement. Results from the emulator are meaningful only while both agree.
 #[allow(dead_code)]
-mod stand_ins;
+mod test_doubles;
 
 use crossbeam_channel::unbounded;
 use sandstile_emulator::{protocol, Clock, Emulator, Handle, Record};
 use sandstile_scenario::Script;
-use stand_ins::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering::SeqCst};
 use std::thread;
 use std::time::Duration;
+use test_doubles::*;
 
 const FLEET: &str = r#"
 title = "agreement"
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -1,7 +1,7 @@
 //! Membership among several router processes, with faults between them: short forms of the membership
 //! rehearsals. Also checks the `members` section of the local configuration file, and what runs without it.
 #[allow(dead_code)]
-mod stand_ins;
+mod test_doubles;
 
 use sandstile_audit::agreement::Agreement;
 use sandstile_audit::{agreement, judge, Trace};
@@ -12,11 +12,11 @@
 use sandstile_router::{control_client, keys};
 use sandstile_scenario::Script;
 use serde_json::Value;
-use stand_ins::{config, known, run, wait_for, DiscoveryAgent, Host, Router};
 use std::fs;
 use std::net::{SocketAddr, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
+use test_doubles::{config, known, run, wait_for, DiscoveryAgent, Host, Router};
 
 const FLEET: &str = r#"
 title = "Members, small"
@@ -261,7 +261,7 @@
     }
     // Reads are served in the meantime.
     let mut client = routers[0].client();
-    assert!(client.ask(&stand_ins::read(1000)).value.is_some());
+    assert!(client.ask(&test_doubles::read(1000)).value.is_some());
     wait_for("the routers to agree again", || {
         (0..3).all(|n| {
             let report = report_of(n);
--- a/crates/sandstile-router/tests/program.rs
+++ b/crates/sandstile-router/tests/program.rs
@@ -1,13 +1,13 @@
 //! The program as operators start it, between stand-ins on loopback.
-mod stand_ins;
+mod test_doubles;
 
 use sandstile_router::pg;
-use stand_ins::*;
 use std::io::{ErrorKind, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::Ordering::SeqCst;
 use std::thread;
 use std::time::{Duration, Instant};
+use test_doubles::*;
 
 #[test]
 fn statements_are_routed_by_workload_and_answered_with_the_hosts_bytes() {
--- a/crates/sandstile-router/tests/waiting.rs
+++ b/crates/sandstile-router/tests/queueing.rs
@@ -1,7 +1,7 @@
 //! No connection and no request may wait unnoticed until its deadline: in the listen queue, behind others, or for a
 //! list.
 #[allow(dead_code)]
-mod stand_ins;
+mod test_doubles;
 
 use mio::{Poll, Token};
 use sandstile_policy::terms::Readiness;
@@ -9,10 +9,10 @@
 use sandstile_router::list_stream::{ListStream, WatchItem};
 use sandstile_router::listener::{AcceptResult, Listener};
 use sandstile_router::lists;
-use stand_ins::*;
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
+use test_doubles::*;
 
 /// Time after its deadline in which a request may still get its final answer.
 const GRACE: Duration = Duration::from_millis(500);
--- a/crates/sandstile-router/tests/crossings.rs
+++ b/crates/sandstile-router/tests/races.rs
@@ -1,11 +1,11 @@
 //! Races between pairs of events; each order is forced by a barrier or by what a stand-in waits for. They are
 //! listed in `docs/design/crossings.md`.
 #[allow(dead_code)]
-mod stand_ins;
+mod test_doubles;
 
-use stand_ins::*;
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
+use test_doubles::*;
 
 /// Guards against the time limit of a pipelined statement being counted from the answer before it: the client
 /// counts from its sending.
--- a/crates/sandstile-router/tests/readiness.rs
+++ b/crates/sandstile-router/tests/readiness.rs
@@ -1,16 +1,16 @@
 //! What a single thread for all connections must not do: starve one connection for another, stall, or use CPU time
 //! while idle.
 #[allow(dead_code)]
-mod stand_ins;
+mod test_doubles;
 
 use sandstile_router::pg;
-use stand_ins::*;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
+use test_doubles::*;
 
 /// Clients that send empty queries without end, and a host that sends long answers, get their share of turns and no
 /// more.
--- a/crates/sandstile-router/tests/recorder.rs
+++ b/crates/sandstile-router/tests/recorder.rs
@@ -1,12 +1,12 @@
 //! Features that the local configuration file turns on, and a check that none of them is on without the file.
 #[allow(dead_code)]
-mod stand_ins;
+mod test_doubles;
 
 use sandstile_recording::RecordingReader;
-use stand_ins::*;
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::PathBuf;
+use test_doubles::*;
 
 fn temporary_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("sandstile-{}-{name}", std::process::id()))
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -1,7 +1,7 @@
 //! Own reads across restarts and routers: runs this program in front of emulated hosts that do not check
 //! positions themselves.
 #[allow(dead_code)]
-mod stand_ins;
+mod test_doubles;
 
 use crossbeam_channel::{unbounded, Receiver};
 use sandstile_emulator::{protocol, Clock, Emulator, Handle, Record};
@@ -10,7 +10,6 @@
 use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{wire, Fact, Key, Kind, Message, Value};
 use sandstile_scenario::Script;
-use stand_ins::{wait_for, TEST_TIMEOUT};
 use std::fs;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -20,6 +19,7 @@
 use std::sync::atomic::{AtomicU8, AtomicUsize, Ordering::SeqCst};
 use std::thread;
 use std::time::Duration;
+use test_doubles::{wait_for, TEST_TIMEOUT};
 
 /// Replication is slow (700 ms), so a read from a replica right after a write misses it.
 const FLEET: &str = r#"
--- a/crates/sandstile-router/tests/system_calls.rs
+++ b/crates/sandstile-router/tests/system_calls.rs
@@ -1,14 +1,14 @@
 //! Tests what the router concludes from the results of system calls: the program runs with a shim that makes calls
 //! return short or fail as Linux documents, and has to keep its guarantees.
 #[allow(dead_code)]
-mod stand_ins;
+mod test_doubles;
 
 use sandstile_router::pg;
 use sandstile_shim::errno::*;
 use sandstile_shim::{Call, Fault, Plan, Rule};
-use stand_ins::*;
 use std::path::Path;
 use std::time::{Duration, Instant};
+use test_doubles::*;
 
 /// A router whose system calls follow these rules, with one primary and the given replicas.
 fn router_under(rules: &[Rule], primary: &Host, replicas: &[&Host]) -> Router {
--- a/crates/sandstile-scenario/src/script.rs
+++ b/crates/sandstile-scenario/src/script.rs
@@ -1,6 +1,6 @@
 //! A rehearsal script: fleet, workloads, traffic, routers and cues. References between them are checked
 //! before anything starts.
-use sandstile_faults::fault_state::FaultScope;
+use sandstile_faults::link_faults::FaultScope;
 use sandstile_faults::process::{ProcessSelector, STATE_NAMES};
 use sandstile_faults::{Endpoint, EndpointSelector, LinkFault, ProcessFault, StateAfterRestart};
 use sandstile_fleet::plan::*;
@@ -713,17 +713,18 @@
         let (selector, duration_s) =
             (process_selector(section, routers), section.required_number("for", 0.01..3600.0));
         let process_fault = match section.has("of_the_time") {
-            true => {
-                ProcessFault::Slow { share: section.required_number("of_the_time", 0.01..0.99), duration_s }
-            }
-            false => ProcessFault::Stop { duration_s },
+            true => ProcessFault::Slow {
+                share: section.required_number("of_the_time", 0.01..0.99),
+                lasts: duration_s,
+            },
+            false => ProcessFault::Stop { lasts: duration_s },
         };
         let spread = section.number("spread", 0.0..3600.0, 0.0);
         push(section, CueAction::Process { selector, process_fault, spread });
     }
     for section in &states {
         let selector = process_selector(section, routers);
-        push(section, CueAction::Process { selector, process_fault: ProcessFault::SaveState, spread: 0.0 });
+        push(section, CueAction::Process { selector, process_fault: ProcessFault::Copy, spread: 0.0 });
     }
     let known_endpoints = KnownEndpoints { plan, groups, routers };
     for section in &links {
--- a/crates/sandstile-scenario/tests/scripts.rs
+++ b/crates/sandstile-scenario/tests/scripts.rs
@@ -209,7 +209,7 @@
     assert!(!script.needs_relay(&Endpoint::Router(1), &Endpoint::Agent(1)), "no fault affects that link");
     assert!(!script.needs_relay(&Endpoint::Clients, &host("s-1-a", "a")), "no link exists between them");
     let restarts_with_older_copy = script.cues.iter().any(|c| {
-        matches!(c.action, CueAction::Process { process_fault: ProcessFault::Restart { kill: true, state: StateAfterRestart::OlderCopy, .. }, spread, .. } if spread == 1.0)
+        matches!(c.action, CueAction::Process { process_fault: ProcessFault::Restart { kill: true, state: StateAfterRestart::Older, .. }, spread, .. } if spread == 1.0)
     });
     assert!(restarts_with_older_copy);
     for (from, to, expected) in [
--- a/crates/sandstile-sessions/examples/cost.rs
+++ b/crates/sandstile-sessions/examples/cost.rs
@@ -1,8 +1,8 @@
 //! Measures the time to issue and check a token, to record a mark and to compute a required position.
 //!
 //! `cargo run --release -p sandstile-sessions --example cost`
-use sandstile_sessions::floor::ReadContext;
 use sandstile_sessions::mark::{Mark, Term};
+use sandstile_sessions::required_position::ReadContext;
 use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use sandstile_sessions::token::{KeyRing, Token, TOKEN_LENGTH};
 use std::hint::black_box;
--- a/crates/sandstile-sessions/examples/marks.rs
+++ b/crates/sandstile-sessions/examples/marks.rs
@@ -2,8 +2,8 @@
 //! sessions.
 //!
 //! `cargo run --release -p sandstile-sessions --example marks`
-use sandstile_sessions::floor::{ReadContext, RequiredPosition};
 use sandstile_sessions::mark::{Mark, Term};
+use sandstile_sessions::required_position::{ReadContext, RequiredPosition};
 use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
--- a/crates/sandstile-sessions/src/store.rs
+++ b/crates/sandstile-sessions/src/store.rs
@@ -1,7 +1,7 @@
 //! The marks that one instance remembers: exact for the sessions that wrote most recently, and in sketches
 //! for the sessions that were evicted.
-use crate::floor::{required_position, ReadContext, RequiredPosition};
 use crate::mark::{Mark, SessionMarks, Term};
+use crate::required_position::{required_position, ReadContext, RequiredPosition};
 use crate::sketch::{hash_parts, Sketch};
 use imbl::{OrdMap, OrdSet};
 
--- a/crates/sandstile-sessions/tests/walk.rs
+++ b/crates/sandstile-sessions/tests/failover_model.rs
@@ -1,8 +1,8 @@
 //! Model check of a small installation: three hosts, two routers, one session, a failover, restarts and a
 //! token. No reachable state serves a session's read from a replica that lacks a write acknowledged to that
 //! session. If marks carry no term, the check finds such a state.
-use sandstile_sessions::floor::{ReadContext, RequiredPosition};
 use sandstile_sessions::mark::{Mark, Term};
+use sandstile_sessions::required_position::{ReadContext, RequiredPosition};
 use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use stateright::{Checker, Model, Property};
 
--- a/crates/sandstile-sessions/tests/joins.rs
+++ b/crates/sandstile-sessions/tests/marks.rs
@@ -1,10 +1,10 @@
 //! Marks merge in any order and repeatedly, and sketches never underestimate a position.
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use sandstile_sessions::floor::{
+use sandstile_sessions::mark::{Mark, SessionMarks, Term};
+use sandstile_sessions::required_position::{
     required_position, required_position as compute_required_position, ReadContext, RequiredPosition,
     UnknownReason,
 };
-use sandstile_sessions::mark::{Mark, SessionMarks, Term};
 use sandstile_sessions::sketch::Sketch;
 use sandstile_sessions::store::{SessionKey, Store, StoreLimits};
 use std::collections::BTreeMap;
