--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-pub struct Wanted {
+pub struct Options {
     pub script: Script,
     pub quick: bool,
     pub router: PathBuf,
@@ -115,7 +115,7 @@
             ProcessFault::Restart { kill, back, state } => {
                 self.restart(number, kill, back, state, crew, emulator)
             }
-            ProcessFault::Stop { duration_s } => {
+            ProcessFault::Stop { lasts: duration_s } => {
                 self.note(number, "stopped", None);
                 self.with(number, Router::stop);
                 self.sleep(duration_s);
@@ -123,7 +123,7 @@
                 self.note(number, "continued", None);
                 Ok(())
             }
-            ProcessFault::Slow { share, duration_s } => {
+            ProcessFault::Slow { share, lasts: duration_s } => {
                 let until = self.clock.now() + duration_s;
                 self.note(number, "slow", None);
                 while self.clock.now() < until && !self.over.load(SeqCst) {
@@ -135,7 +135,7 @@
                 self.note(number, "continued", None);
                 Ok(())
             }
-            ProcessFault::SaveState => {
+            ProcessFault::Copy => {
                 let file = processes::state_file(&self.script, &self.out, number);
                 match std::fs::copy(&file, file.with_extension("copy")) {
                     Ok(_) => Ok(()),
@@ -310,7 +310,7 @@
 }
 
 /// Plays a script; the trace and the summary lie in `out` afterwards.
-pub fn rehearse(wanted: Wanted) -> Result<report::Summary, String> {
+pub fn rehearse(wanted: Options) -> Result<report::Summary, String> {
     let told = |what: &'static str| move |e: io::Error| format!("{what}: {e}");
     let script = if wanted.quick { wanted.script.shortened() } else { wanted.script };
     std::fs::create_dir_all(&wanted.out).map_err(told("the folder for results"))?;
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -1,22 +1,22 @@
 //! Membership among several router processes, with faults between them: short forms of the membership
 //! rehearsals. Also checks the `members` section of the local configuration file, and what runs without it.
 #[allow(dead_code)]
-mod stand_ins;
+mod test_doubles;
 
 use sandstile_audit::agreement::Agreement;
 use sandstile_audit::{agreement, judge, Trace};
-use sandstile_lab::rehearse::{rehearse, Wanted};
+use sandstile_lab::rehearse::{rehearse, Options};
 use sandstile_membership::{Datagram, MemberId, MemberUpdate, Message, Meta, State};
 use sandstile_peers::Sealer;
 use sandstile_router::members::CONTEXT;
 use sandstile_router::{control_client, keys};
 use sandstile_scenario::Script;
 use serde_json::Value;
-use stand_ins::{config, known, run, wait_for, DiscoveryAgent, Host, Router};
 use std::fs;
 use std::net::{SocketAddr, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
+use test_doubles::{config, known, run, wait_for, DiscoveryAgent, Host, Router};
 
 const FLEET: &str = r#"
 title = "Members, small"
@@ -51,7 +51,7 @@
     let script = Script::read(name, &text).unwrap_or_else(|p| panic!("{p:?}"));
     let out = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
     let router = Path::new(env!("CARGO_BIN_EXE_sandstile")).to_path_buf();
-    rehearse(Wanted { script, quick: false, router, out: out.clone() }).expect("rehearsal failed");
+    rehearse(Options { script, quick: false, router, out: out.clone() }).expect("rehearsal failed");
     let trace = Trace::read(&fs::read_to_string(out.join("trace.jsonl")).expect("no trace file"))
         .expect("malformed trace");
     let found = judge(&trace).expect("incomplete trace");
@@ -261,7 +261,7 @@
     }
     // Reads are served in the meantime.
     let mut client = routers[0].client();
-    assert!(client.ask(&stand_ins::read(1000)).value.is_some());
+    assert!(client.ask(&test_doubles::read(1000)).value.is_some());
     wait_for("the routers to agree again", || {
         (0..3).all(|n| {
             let report = report_of(n);
