--- a/crates/sandstile-lab/tests/cli.rs
+++ b/crates/sandstile-lab/tests/cli.rs
@@ -114,7 +114,7 @@
     while serde_json::from_str::<serde_json::Value>(&text).is_err() {
         assert!(out.read_line(&mut text).expect("output is not UTF-8") > 0, "{text}");
     }
-    let config: serde_json::Value = serde_json::from_str(&text).expect("output is not JSON");
+    let config: serde_json::Value = serde_json::from_str(&text).expect("cannot parse the output as json");
     assert_eq!(config["known"]["endpoints"].as_array().map(Vec::len), Some(6));
     let pid = nix::unistd::Pid::from_raw(child.id() as i32);
     let mut log = BufReader::new(child.stderr.take().expect("no pipe"));
