--- a/crates/sandstile-lab/src/clients.rs
+++ b/crates/sandstile-lab/src/clients.rs
@@ -294,8 +294,8 @@
             return home;
         }
         (0..count)
-            .map(|k| (home + k) % count)
-            .find(|d| self.endpoints[*d].accepts_clients.load(SeqCst))
+            .map(|offset| (home + offset) % count)
+            .find(|router| self.endpoints[*router].accepts_clients.load(SeqCst))
             .unwrap_or(home)
     }
 
@@ -561,24 +561,30 @@
         }
     }
 
-    fn classify_answer(&self, id: &str, t: f64, answer: &pg::Answer, retry_after_ms: Option<f64>) -> Outcome {
+    fn classify_answer(
+        &self,
+        id: &str,
+        answered_at: f64,
+        answer: &pg::Answer,
+        retry_after_ms: Option<f64>,
+    ) -> Outcome {
         match &answer.stage {
             pg::Stage::Complete => {
                 let value = &answer.rows[answer.value.clone()];
                 let served = protocol::parse_value(value);
-                self.record_answer(id, t, "completed", None, served);
+                self.record_answer(id, answered_at, "completed", None, served);
                 Outcome::Completed(served.map(|(_, _, position)| position))
             }
             pg::Stage::Failed(code) if matches!(code.as_str(), "53300" | "57P03") => {
-                self.record_answer(id, t, "rejected", Some(code), None);
+                self.record_answer(id, answered_at, "rejected", Some(code), None);
                 Outcome::Rejected(retry_after_ms.map(|ms| ms / 1e3))
             }
             pg::Stage::Failed(code) => {
-                self.record_answer(id, t, "failed", Some(code), None);
+                self.record_answer(id, answered_at, "failed", Some(code), None);
                 Outcome::Failed
             }
             _ => {
-                self.record_answer(id, t, "failed", Some("empty"), None);
+                self.record_answer(id, answered_at, "failed", Some("empty"), None);
                 Outcome::Failed
             }
         }
@@ -587,7 +593,7 @@
     fn record_answer(
         &self,
         id: &str,
-        t: f64,
+        answered_at: f64,
         how: &'static str,
         code: Option<&str>,
         served: Option<(&str, &str, f64)>,
@@ -600,7 +606,7 @@
             by: served.map(|(_, host, _)| host.to_string()),
             position: served.map(|(_, _, position)| position),
         };
-        self.trace.write(t, answered_line);
+        self.trace.write(answered_at, answered_line);
     }
 }
 
--- a/crates/sandstile-lab/src/copies.rs
+++ b/crates/sandstile-lab/src/copies.rs
@@ -38,8 +38,8 @@
     format!("{:016x}", (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-fn write_mark(at: f64) -> Value {
-    Value::SessionMarks(SessionMarks::of(Mark { term: Term(1), position: at }))
+fn write_mark(position_s: f64) -> Value {
+    Value::SessionMarks(SessionMarks::of(Mark { term: Term(1), position: position_s }))
 }
 
 fn play(routers: usize, sessions: usize, loss: f64, seed: u64) -> Run {
@@ -47,11 +47,11 @@
     // All routers start with the same state: writes of the last minutes.
     let mut replica = Replica::new(HORIZON_S);
     for n in 0..sessions {
-        let at = START_TIME - 120.0 + n as f64 / sessions.max(1) as f64 * 100.0;
+        let written_at = START_TIME - 120.0 + n as f64 / sessions.max(1) as f64 * 100.0;
         replica.learn(
             START_TIME,
             &Key::shared(Kind::Mark, &session_name(n)),
-            &Fact { value: write_mark(at), created_at: at },
+            &Fact { value: write_mark(written_at), created_at: written_at },
         );
     }
     for router in 0..routers {
@@ -59,31 +59,31 @@
         sim.replication(router).expect("just started").replace_replica(replica.clone());
     }
     sim.run(START_TIME + 8.0);
-    let (bytes_before, from) = (sim.bytes_sent.iter().sum::<u64>(), sim.now());
+    let (bytes_before, watched_from) = (sim.bytes_sent.iter().sum::<u64>(), sim.now());
     let (mut facts, mut n) = (Vec::new(), 0);
-    while sim.now() < from + WATCH_S {
-        let (at, subject) = (sim.now(), session_name(sessions + n));
+    while sim.now() < watched_from + WATCH_S {
+        let (created_at, subject) = (sim.now(), session_name(sessions + n));
         let key = Key::shared(Kind::Mark, &subject);
         if n % 10 == 0 {
             sim.watch(&key);
-            facts.push((key, at, n % routers));
+            facts.push((key, created_at, n % routers));
         }
         sim.replication(n % routers).expect("all routers run").learn(
-            at,
+            created_at,
             Kind::Mark,
             &subject,
-            write_mark(at),
+            write_mark(created_at),
         );
         n += 1;
-        sim.run(from + n as f64 / WRITES_PER_S);
+        sim.run(watched_from + n as f64 / WRITES_PER_S);
     }
     let bytes = (sim.bytes_sent.iter().sum::<u64>() - bytes_before) as f64 / WATCH_S / routers as f64;
-    sim.run(from + WATCH_S + 3.0);
+    sim.run(watched_from + WATCH_S + 3.0);
     let (mut reached_all_s, mut never_reached) = (Vec::new(), 0);
-    for (key, at, writer) in &facts {
-        let arrival_delays = sim.arrival_delays(key, *at);
+    for (key, created_at, writer) in &facts {
+        let arrival_delays = sim.arrival_delays(key, *created_at);
         let others = arrival_delays.iter().enumerate().filter(|(router, _)| router != writer);
-        match others.map(|(_, at)| *at).collect::<Option<Vec<f64>>>() {
+        match others.map(|(_, delay)| *delay).collect::<Option<Vec<f64>>>() {
             Some(all) => reached_all_s.push(all.into_iter().fold(0.0, f64::max)),
             None => never_reached += 1,
         }
@@ -92,12 +92,12 @@
     let restarted = routers / 2;
     sim.kill(restarted);
     sim.run(sim.now() + 1.0);
-    let (bytes_at_restart, at) = (sim.bytes_sent.clone(), sim.now());
+    let (bytes_at_restart, restarted_at) = (sim.bytes_sent.clone(), sim.now());
     sim.start(restarted, Vec::new(), Trust::None, None);
-    while !sim.in_sync(restarted) && sim.now() < at + RESYNC_LIMIT_S {
+    while !sim.in_sync(restarted) && sim.now() < restarted_at + RESYNC_LIMIT_S {
         sim.run(sim.now() + 0.05);
     }
-    let in_sync = sim.in_sync(restarted).then(|| sim.now() - at);
+    let in_sync = sim.in_sync(restarted).then(|| sim.now() - restarted_at);
     let bytes_since: Vec<u64> = sim.bytes_sent.iter().zip(&bytes_at_restart).map(|(a, b)| a - b).collect();
     let sent_by_one =
         bytes_since.iter().enumerate().filter(|(n, _)| *n != restarted).map(|(_, b)| *b).max().unwrap_or(0);
--- a/crates/sandstile-lab/src/hunt.rs
+++ b/crates/sandstile-lab/src/hunt.rs
@@ -84,9 +84,9 @@
     if let Some(service) = sandstile_audit::service(&trace) {
         // The two seconds before the last one, whose requests have all ended.
         let (mut in_time, mut total) = (0, 0);
-        for w in &service.workloads {
-            let end = w.seconds.len().saturating_sub(1);
-            for second in &w.seconds[end.saturating_sub(2)..end] {
+        for workload in &service.workloads {
+            let end = workload.seconds.len().saturating_sub(1);
+            for second in &workload.seconds[end.saturating_sub(2)..end] {
                 (in_time, total) = (in_time + second.in_time, total + second.requests);
             }
         }
--- a/crates/sandstile-lab/src/report.rs
+++ b/crates/sandstile-lab/src/report.rs
@@ -21,8 +21,11 @@
 
 pub struct Summary {
     pub text: String,
+    /// The number of findings that break a rule.
     pub broken: usize,
+    /// The share of requests in time, weighted by importance.
     pub service: f64,
+    /// Why the figures of the run are unreliable, if they are.
     pub unsound: Option<String>,
 }
 
