--- a/crates/sandstile-audit/src/copies.rs
+++ b/crates/sandstile-audit/src/convergence.rs
@@ -165,7 +165,7 @@
         for s in &self.starts {
             let after =
                 s.in_step_after.map_or("not in step".to_string(), |s| format!("in step after {s:.2} s"));
-            let old = if s.old_copy { "; its disk round an outdated copy" } else { "" };
+            let old = if s.old_copy { "; its disk held an outdated copy" } else { "" };
             writeln!(f, "router {} started at {:.2}: {after}{old}", s.router, s.at)?;
         }
         writeln!(
--- a/crates/sandstile-audit/tests/returns.rs
+++ b/crates/sandstile-audit/tests/recovery.rs
@@ -1,5 +1,5 @@
 //! The evaluation of recovery on synthetic traces whose results are known.
-use sandstile_audit::returning::StaleReason;
+use sandstile_audit::recovery::StaleReason;
 use sandstile_audit::{judge, recovery, Trace};
 use std::fmt::Write;
 
--- a/crates/sandstile-lab/src/capacity.rs
+++ b/crates/sandstile-lab/src/capacity.rs
@@ -1,6 +1,6 @@
 //! The capacity of one router on one core: rising rates of reads and writes against hosts with ample capacity.
-use crate::processes::{self, Router};
 use crate::rehearse;
+use crate::router_process::{self, Router};
 use nix::sched::{sched_getaffinity, sched_setaffinity, CpuSet};
 use nix::unistd::Pid;
 use sandstile_emulator::Clock;
@@ -221,7 +221,7 @@
         rehearse::new_emulator(&script, clock, records).map_err(|e| e.to_string())?;
     let emulator = emulator.spawn().map_err(|e| e.to_string())?;
     let address = rehearse::router_address(net, 0);
-    let config = processes::config(&script, 0, address, emulator.agents[0], &emulator.discovery_list(0));
+    let config = router_process::config(&script, 0, address, emulator.agents[0], &emulator.discovery_list(0));
     let mut router = start_pinned(options, &dir, &config)?;
     router.wait_ready(Duration::from_secs(10)).map_err(|e| e.to_string())?;
     let mut table = String::from(
--- a/crates/sandstile-lab/src/main.rs
+++ b/crates/sandstile-lab/src/main.rs
@@ -2,8 +2,8 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use sandstile_emulator::Clock;
 use sandstile_lab::{
-    capacity, copies, experiment, hunt, members, processes, recordings, rehearse, report, returns, scale_out,
-    soak,
+    capacity, experiment, hunt, membership_scaling, recordings, rehearse, replication_scaling, report,
+    restart_scaling, router_process, scale_out, soak,
 };
 use sandstile_scenario::Script;
 use std::path::{Path, PathBuf};
@@ -337,15 +337,15 @@
                 Ok(ExitCode::from(u8::from(broken > 0)))
             })
         }
-        Command::Returns { out, quick } => returns::grow(&out, quick).map(|text| {
+        Command::Returns { out, quick } => restart_scaling::grow(&out, quick).map(|text| {
             println!("{text}");
             ExitCode::SUCCESS
         }),
-        Command::Members { out, quick } => members::grow(&out, quick).map(|text| {
+        Command::Members { out, quick } => membership_scaling::grow(&out, quick).map(|text| {
             println!("{text}");
             ExitCode::SUCCESS
         }),
-        Command::Copies { out, quick } => copies::grow(&out, quick).map(|text| {
+        Command::Copies { out, quick } => replication_scaling::grow(&out, quick).map(|text| {
             println!("{text}");
             ExitCode::SUCCESS
         }),
@@ -455,7 +455,7 @@
         rehearse::new_emulator(&script, clock, records).map_err(|e| e.to_string())?;
     let emulator = emulator.spawn().map_err(|e| e.to_string())?;
     let listen = rehearse::router_address(net, 0);
-    let config = processes::config(&script, 0, listen, emulator.agents[0], &emulator.discovery_list(0));
+    let config = router_process::config(&script, 0, listen, emulator.agents[0], &emulator.discovery_list(0));
     // Registered before the program reports that it is up: an earlier signal would end it without its summary.
     let mut signals =
         signal_hook::iterator::Signals::new([signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM])
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -1,8 +1,8 @@
 //! Runs one rehearsal: the emulator, router processes, clients, process faults, and the trace of all of them.
 use crate::clients::ClientPool;
 use crate::control_queries;
-use crate::processes::{self, ProcessGuard, Router};
 use crate::report;
+use crate::router_process::{self, ProcessGuard, Router};
 use crate::trace_writer::{self, Line, TraceSender};
 use crossbeam_channel::{unbounded, Receiver, RecvTimeoutError};
 pub use sandstile_emulator::router_address;
@@ -92,8 +92,8 @@
     fn start(&self, number: usize, known: &str) -> io::Result<()> {
         let agent = self.agents.lock().expect("no thread panics under the lock")[number];
         let listen = router_address(self.net, number);
-        let config = processes::config(&self.script, number, listen, agent, known);
-        let local_config = processes::write_local_config(&self.script, &self.out, self.net, number)?;
+        let config = router_process::config(&self.script, number, listen, agent, known);
+        let local_config = router_process::write_local_config(&self.script, &self.out, self.net, number)?;
         let router =
             Router::start(&self.router_program, &self.out, number, &config, local_config.as_deref())?;
         let mut router = router.guarded_by(&self.guard);
@@ -137,7 +137,7 @@
                 Ok(())
             }
             ProcessFault::Copy => {
-                let file = processes::state_file(&self.script, &self.out, number);
+                let file = router_process::state_file(&self.script, &self.out, number);
                 match std::fs::copy(&file, file.with_extension("copy")) {
                     Ok(_) => Ok(()),
                     Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
@@ -163,7 +163,7 @@
 
     /// Changes the state file to what the restarted process is to find.
     fn prepare_state(&self, number: usize, state: StateAfterRestart) -> io::Result<()> {
-        let file = processes::state_file(&self.script, &self.out, number);
+        let file = router_process::state_file(&self.script, &self.out, number);
         let Ok(bytes) = std::fs::read(&file) else { return Ok(()) };
         let copy = std::fs::read(file.with_extension("copy")).ok();
         match state.apply(bytes, copy.as_deref(), self.script.plan.seed ^ number as u64) {
@@ -232,7 +232,7 @@
 
     /// Polls a router's view of the members and records each change.
     fn poll_members(&self, number: usize) {
-        let socket = processes::control_socket(self.net, number);
+        let socket = router_process::control_socket(self.net, number);
         let mut last_view = None;
         while !self.is_over.load(SeqCst) {
             let polled_at = self.clock.now();
@@ -253,7 +253,7 @@
 
     /// Polls the replicated state of a router, at times that are the same for all routers.
     fn poll_state(&self, number: usize) {
-        let socket = processes::state_socket(self.net, number);
+        let socket = router_process::state_socket(self.net, number);
         let mut round = (self.clock.now() / STATE_POLL_INTERVAL_S).ceil();
         while !self.is_over.load(SeqCst) {
             thread::sleep(self.clock.until(round * STATE_POLL_INTERVAL_S));
--- a/crates/sandstile-lab/src/report.rs
+++ b/crates/sandstile-lab/src/report.rs
@@ -54,7 +54,7 @@
         measures["agreement not reached"] = member_agreement.not_agreed().into();
         measures["false deaths"] = member_agreement.false_deaths().into();
     }
-    if let Some(us) = sandstile_audit::returning::cpu_us_per_statement(&trace) {
+    if let Some(us) = sandstile_audit::recovery::cpu_us_per_statement(&trace) {
         if !json["returning"].is_object() {
             json["returning"] = json!({});
         }
@@ -130,7 +130,7 @@
     if let Some(lowest) = overall().map(|f| f.lowest).reduce(f64::min) {
         out.insert("least second".to_string(), lowest.into());
     }
-    for contact_kind in sandstile_audit::returning::CONTACT_KINDS {
+    for contact_kind in sandstile_audit::recovery::CONTACT_KINDS {
         if let Some(peak) = recovery_report.worst(contact_kind) {
             out.insert(format!("{contact_kind} at a host in 100 ms"), peak.max.into());
             out.insert(format!("{contact_kind}, times usual"), peak.ratio().into());
--- a/crates/sandstile-lab/src/scale_out.rs
+++ b/crates/sandstile-lab/src/scale_out.rs
@@ -1,8 +1,8 @@
 //! The paper's own experiment: many small databases whose primaries are all on one machine, without and with satellites
 //! that hold a copy each. Played in virtual time with the real decision module, and on a smaller scale on sockets.
 use crate::charts::{self, Curve};
-use crate::processes::{self, Router};
 use crate::rehearse;
+use crate::router_process::{self, Router};
 use hdrhistogram::Histogram;
 use sandstile_emulator::Clock;
 use sandstile_fleet::plan::*;
@@ -308,7 +308,7 @@
         rehearse::new_emulator(&script, clock, records).map_err(|e| e.to_string())?;
     let emulator = emulator.spawn().map_err(|e| e.to_string())?;
     let address = rehearse::router_address(net, 0);
-    let config = processes::config(&script, 0, address, emulator.agents[0], &emulator.discovery_list(0));
+    let config = router_process::config(&script, 0, address, emulator.agents[0], &emulator.discovery_list(0));
     let mut router = Router::start(program, &dir, 0, &config, None).map_err(|e| e.to_string())?;
     router.wait_ready(Duration::from_secs(10)).map_err(|e| e.to_string())?;
     let mut points = Vec::new();
--- a/crates/sandstile-router/tests/restarts.rs
+++ b/crates/sandstile-router/tests/restarts.rs
@@ -1,5 +1,5 @@
 //! Several router processes with faults between them: short forms of the rehearsals of restarts.
-use sandstile_audit::returning::Recovery;
+use sandstile_audit::recovery::Recovery;
 use sandstile_audit::{judge, recovery, Trace};
 use sandstile_lab::rehearse::{rehearse, Options};
 use sandstile_scenario::Script;
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -5,7 +5,7 @@
 
 use crossbeam_channel::{unbounded, Receiver};
 use sandstile_emulator::{protocol, Clock, Emulator, Handle, Record};
-use sandstile_lab::processes;
+use sandstile_lab::router_process;
 use sandstile_pgwire as pg;
 use sandstile_replicated_state::fact::Report;
 use sandstile_replicated_state::{wire, Fact, Key, Kind, Message, Value};
@@ -112,7 +112,7 @@
     fn router(&self, n: usize, settings: Option<&str>) -> Router {
         let address = SocketAddr::from(([127, self.net.0, self.net.1 + 100, n as u8 + 1], 6432));
         let known = self.emulator.discovery_list(0);
-        let config = processes::config(&self.script, n, address, self.emulator.agents[n], &known);
+        let config = router_process::config(&self.script, n, address, self.emulator.agents[n], &known);
         let file = self.dir.join(format!("config-{n}.json"));
         fs::write(&file, config.to_string()).expect("cannot write the test's files");
         let mut command = Command::new(env!("CARGO_BIN_EXE_sandstile"));
--- a/crates/sandstile-stats/src/lib.rs
+++ b/crates/sandstile-stats/src/lib.rs
@@ -6,12 +6,12 @@
 //! have one sign as the other (Fisher's randomisation test, The Design of Experiments, 1935).
 pub mod interval;
 pub mod sequential;
-pub mod signs;
+pub mod sign_flip_test;
 pub mod verdict;
 
 pub use interval::{interval, Interval};
 pub use sequential::{InterimAnalyses, Plan};
-pub use signs::{p_value, Side};
+pub use sign_flip_test::{p_value, Side};
 pub use verdict::{judge, Measure, Verdict};
 
 /// The arithmetic mean; 0 for no values.
--- a/crates/sandstile-stats/src/verdict.rs
+++ b/crates/sandstile-stats/src/verdict.rs
@@ -1,7 +1,7 @@
 //! The verdict on several measures at once, corrected for multiple testing (Holm, A simple sequentially rejective
 //! multiple test procedure, 1979).
 use crate::interval::{interval, Interval};
-use crate::signs::{p_value, Side};
+use crate::sign_flip_test::{p_value, Side};
 
 /// A quantity measured in both arms, pair by pair.
 #[derive(Clone, Debug)]
