--- a/crates/sandstile-audit/src/agreement.rs
+++ b/crates/sandstile-audit/src/agreement.rs
@@ -1,11 +1,11 @@
 //! Whether routers that know each other agree on who is present: how long after each fault, crash, stop, restart and
 //! heal every running router lists exactly those that it can reach, directly or through others. A router that reaches
-//! nobody, or that nobody hears, has to say so.
+//! no other, or whose messages reach no other, has to report that.
 use crate::trace::{MembershipSample, RouterState, Trace};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Seconds into an epoch in which a router may still declare one dead because of what was before.
+/// Seconds from the beginning of an epoch in which a router may still declare another dead because of the epoch before.
 pub const OLD_VERDICT_S: f64 = 3.0;
 /// Seconds; changes closer together than this count as one.
 const SAME_CHANGE_S: f64 = 0.15;
@@ -20,7 +20,7 @@
     pub change: String,
     /// The running routers, by who can reach whom.
     pub sides: Vec<BTreeSet<usize>>,
-    /// Seconds until all agreed and stayed so to the end of the epoch; `None` if they did not.
+    /// Seconds until all agreed and kept agreeing to the end of the epoch; `None` if they did not.
     pub agreed_after: Option<f64>,
     /// When which router declared which other dead though it was running and could be reached.
     pub false_deaths: Vec<(f64, usize, usize)>,
@@ -62,18 +62,18 @@
     /// Sets of routers that reach one another in both directions, directly or through others.
     fn sides(&self) -> Vec<BTreeSet<usize>> {
         let cut: BTreeSet<(usize, usize)> = self.cuts.values().flatten().copied().collect();
-        let mut left: BTreeSet<usize> = self.running.difference(&self.stopped).copied().collect();
+        let mut remaining: BTreeSet<usize> = self.running.difference(&self.stopped).copied().collect();
         let mut sides = Vec::new();
-        while let Some(first) = left.pop_first() {
+        while let Some(first) = remaining.pop_first() {
             let (mut side, mut frontier) = (BTreeSet::from([first]), vec![first]);
             while let Some(router) = frontier.pop() {
-                let neighbours: Vec<usize> = left
+                let neighbours: Vec<usize> = remaining
                     .iter()
                     .copied()
                     .filter(|n| !cut.contains(&(router, *n)) && !cut.contains(&(*n, router)))
                     .collect();
                 for n in neighbours {
-                    left.remove(&n);
+                    remaining.remove(&n);
                     side.insert(n);
                     frontier.push(n);
                 }
@@ -103,7 +103,7 @@
         };
         events.push((*t, description.to_string(), Event::Router(*n, state.clone())));
     }
-    for (n, link) in trace.link_faults.iter().enumerate().filter(|(_, l)| !l.severs.is_empty()) {
+    for (n, link) in trace.link_faults.iter().enumerate().filter(|(_, l)| !l.severed_pairs.is_empty()) {
         events.push((link.begin, format!("{} begins", link.name), Event::Cut(n, true)));
         if link.end.is_finite() {
             events.push((link.end, format!("{} heals", link.name), Event::Cut(n, false)));
@@ -122,7 +122,7 @@
                 topology.running.remove(&n);
                 topology.stopped.remove(&n);
             }
-            Event::Cut(n, true) => drop(topology.cuts.insert(n, trace.link_faults[n].severs.clone())),
+            Event::Cut(n, true) => drop(topology.cuts.insert(n, trace.link_faults[n].severed_pairs.clone())),
             Event::Cut(n, false) => drop(topology.cuts.remove(&n)),
         }
         if t > end {
@@ -134,7 +134,7 @@
         }
         let (from, change) = (t - begin, format!("1 {description}"));
         match out.last_mut() {
-            // What affects several routers at nearly the same time, or happens before the run begins, is one change.
+            // Events at nearly the same time, and all events before the run begins, count as one change.
             Some(last) if from - last.to < SAME_CHANGE_S || from < 0.0 => {
                 let count = last.change.split_once(' ').filter(|(_, w)| *w == description);
                 let count = count.and_then(|(n, _)| n.parse::<usize>().ok());
@@ -184,7 +184,7 @@
         if views.insert(s.router, &s.view) != Some(&s.view) {
             *out.views.entry(s.view.clone()).or_default() += 1;
         }
-        if let Some(n) = s.router_counts {
+        if let Some(n) = s.sharing_routers {
             let (min, max) = out.router_counts.unwrap_or((n, n));
             out.router_counts = Some((min.min(n), max.max(n)));
         }
@@ -209,8 +209,9 @@
     let nobody = BTreeSet::new();
     let all_agree = |latest: &BTreeMap<usize, &MembershipSample>| {
         side.iter().all(|(n, side)| {
-            let there = latest.get(n).map_or(&nobody, |s| &s.there);
-            let is_exact = there.len() + 1 == side.len() && there.iter().all(|m| m != n && side.contains(m));
+            let present = latest.get(n).map_or(&nobody, |s| &s.present);
+            let is_exact =
+                present.len() + 1 == side.len() && present.iter().all(|m| m != n && side.contains(m));
             // A router that reaches nobody need not declare the others dead, as long as it reports its isolation.
             let reports_isolation =
                 |s: &&MembershipSample| matches!(s.view.as_str(), "alone" | "cut off from some");
@@ -248,15 +249,15 @@
             continue;
         }
         if let (Some(former), Some(side)) = (former, side.get(&router)) {
-            let lost = former.there.difference(&sample.there);
+            let lost = former.present.difference(&sample.present);
             let lost = lost.filter(|n| side.contains(n) && t > epoch.from + OLD_VERDICT_S);
             epoch.false_deaths.extend(lost.map(|n| (t, router, *n)));
         }
-        let now = all_agree(&latest);
-        if now && !agreed {
+        let agrees_now = all_agree(&latest);
+        if agrees_now && !agreed {
             since = t;
         }
-        agreed = now;
+        agreed = agrees_now;
     }
     if !has_begun {
         agreed = all_agree(&latest);
--- a/crates/sandstile-audit/src/convergence.rs
+++ b/crates/sandstile-audit/src/convergence.rs
@@ -61,7 +61,7 @@
         self.epochs.iter().filter(|e| e.after_s.is_none()).count()
     }
 
-    pub fn slowest_start(&self) -> Option<f64> {
+    pub fn slowest_restart(&self) -> Option<f64> {
         self.starts.iter().filter_map(|s| s.in_step_after).reduce(f64::max)
     }
 }
--- a/crates/sandstile-audit/src/judge.rs
+++ b/crates/sandstile-audit/src/judge.rs
@@ -7,11 +7,11 @@
 pub enum Rule {
     /// Each request gets one final answer, in time, with the value that was made for it.
     Answer,
-    /// No effect takes place twice, and nothing that may have run is rejected.
+    /// No write takes effect twice, and no write that may have run is rejected.
     Effect,
     /// A leaving host gets no new statements once the grace is over.
     Drain,
-    /// Cold hosts are not offered more than the multiple of their capacity that they tolerate.
+    /// No cold host is offered more than the multiple of its capacity that it tolerates.
     Cold,
     /// No read returns a state older than its consistency allows.
     Stale,
@@ -116,12 +116,12 @@
         for execution in statement.executions.iter().filter(|e| e.commit.is_none() && was_passed_on(&e.host))
         {
             let own_write = match workload.consistency.as_str() {
-                "session" => own_need(&session_writes, &attempt.group, &attempt.session, attempt.t),
+                "session" => last_own_write(&session_writes, &attempt.group, &attempt.session, attempt.t),
                 _ => 0.0,
             };
-            let need = own_write.max(execution.need);
-            if execution.reached + POSITION_ROUNDING_S < need {
-                let behind = need - execution.reached;
+            let required_position = own_write.max(execution.required_position);
+            if execution.applied_position + POSITION_ROUNDING_S < required_position {
+                let behind = required_position - execution.applied_position;
                 report(
                     Rule::Stale,
                     execution.t,
@@ -186,7 +186,7 @@
         report(
             Rule::Answer,
             *t,
-            format!("{id}: its connection {how} by router {} without an answer", attempt.router),
+            format!("{id}: its connection was {how} by router {} without an answer", attempt.router),
         );
     } else if how == "silence" {
         report(Rule::Silence, *t, format!("{id}: no answer before its timeout"));
@@ -227,7 +227,7 @@
                 && received.t <= end + PAUSE_END_S
         });
         let late = received.t - notified;
-        let may_be_late = trace.router_news_may_be_late(attempt.router, *notified, received.t);
+        let may_be_late = trace.notifications_may_be_late(attempt.router, *notified, received.t);
         if late > settings.grace + settings.slack && !was_paused && !may_be_late {
             let host = &received.host;
             report(
@@ -260,7 +260,7 @@
 }
 
 /// The position of the session's last write that was answered before `sent_at`; 0 for none.
-fn own_need(session_writes: &SessionWrites, group: &str, session: &str, sent_at: f64) -> f64 {
+fn last_own_write(session_writes: &SessionWrites, group: &str, session: &str, sent_at: f64) -> f64 {
     let writes = session_writes.get(&(group, session)).into_iter().flatten();
     writes.filter(|(t, _)| *t < sent_at).map(|(_, position)| *position).fold(0.0, f64::max)
 }
@@ -291,10 +291,10 @@
         // The execution whose result was passed on: the last one before the answer.
         let Some((t, FinalAnswer::Completed { by, .. })) = statement.answers.first() else { continue };
         let served = statement.executions.iter().rev().find(|e| e.t <= *t && Some(&e.host) == by.as_ref());
-        let need = own_need(&session_writes, &attempt.group, &attempt.session, attempt.t);
-        let (Some(execution), true) = (served, need > 0.0) else { continue };
+        let required_position = last_own_write(&session_writes, &attempt.group, &attempt.session, attempt.t);
+        let (Some(execution), true) = (served, required_position > 0.0) else { continue };
         counts.checked += 1;
-        counts.missed += usize::from(execution.reached + POSITION_ROUNDING_S < need);
+        counts.missed += usize::from(execution.applied_position + POSITION_ROUNDING_S < required_position);
         let primary =
             trace.primaries.iter().rev().find(|(at, g, _)| *g == attempt.group && *at <= execution.t);
         let by_replica = primary.is_some_and(|(_, _, host)| *host != execution.host);
@@ -312,20 +312,20 @@
 fn crashes(trace: &Trace, findings: &mut Vec<Finding>) {
     for (t, number, state) in &trace.routers {
         let RouterState::Ended(code) = state else { continue };
-        let is_order_to_end = |s: &RouterState| matches!(s, RouterState::Term | RouterState::Killed);
-        // The last event before the end: either the order to end, or the process ended by itself.
+        let is_signal_by_lab = |s: &RouterState| matches!(s, RouterState::Term | RouterState::Killed);
+        // The last event before the end: a SIGTERM or SIGKILL by the lab, or any other if the process ended by itself.
         let before = trace.routers.iter().rev().find(|(at, n, s)| {
-            // Suspending and resuming a process don't end it.
+            // Suspending or resuming a process does not end it, so these events don't count.
             let is_suspension =
                 matches!(s, RouterState::Stopped | RouterState::Slow | RouterState::Continued);
             n == number && at <= t && s != state && !is_suspension
         });
-        let was_ordered = before.is_some_and(|(_, _, s)| is_order_to_end(s));
+        let was_signalled = before.is_some_and(|(_, _, s)| is_signal_by_lab(s));
         let killed = before.is_some_and(|(_, _, s)| *s == RouterState::Killed);
-        if !was_ordered || (!killed && *code != Some(0)) {
+        if !was_signalled || (!killed && *code != Some(0)) {
             let description = format!(
                 "router {number} ended {}with {code:?}",
-                if was_ordered { "" } else { "unexpectedly " }
+                if was_signalled { "" } else { "unexpectedly " }
             );
             findings.push(Finding { rule: Rule::Crash, t: *t, description, trace_lines: Vec::new() });
         }
--- a/crates/sandstile-audit/src/lib.rs
+++ b/crates/sandstile-audit/src/lib.rs
@@ -1,5 +1,5 @@
 //! Checks a rehearsal afterwards: reads its trace of JSON lines, and reports violations with the lines about them and
-//! the service that clients got. Shares no code with the router, so that a fault in its decisions can't hide itself.
+//! the service that clients got. Shares no code with the router, so that a fault of the router is not repeated in the checks.
 pub mod agreement;
 pub mod convergence;
 pub mod judge;
--- a/crates/sandstile-audit/src/recovery.rs
+++ b/crates/sandstile-audit/src/recovery.rs
@@ -8,10 +8,10 @@
 pub const SERVICE_TOLERANCE: f64 = 0.05;
 /// Seconds for which service has to stay recovered.
 pub const STABLE_S: f64 = 5.0;
-/// Service is sampled in steps of this, each over the window that begins there.
+/// Service is measured over windows of `WINDOW_S` seconds that begin `STEP_S` seconds apart.
 const STEP_S: f64 = 0.25;
 const WINDOW_S: f64 = 1.0;
-/// Peaks are counted in windows of this many seconds.
+/// The length in seconds of the windows in which peaks are counted.
 pub const PEAK_WINDOW_S: f64 = 0.1;
 /// Seconds after which a decision on outdated information counts as stale: notifications need time to arrive.
 pub const STALE_AFTER_S: f64 = 1.0;
@@ -38,9 +38,9 @@
 pub struct Peak {
     pub kind: &'static str,
     pub host: String,
-    /// The most in any window before the first cue, at least one.
+    /// The highest count of any window before the first cue, at least one.
     pub baseline: f64,
-    /// The most in any window after the first cue.
+    /// The highest count of any window after the first cue.
     pub max: f64,
     /// When that was, in seconds since the beginning of the run.
     pub at_s: f64,
@@ -102,7 +102,7 @@
     pub services: Vec<ServiceRecovery>,
     pub peaks: Vec<Peak>,
     /// The peak of list requests at discovery.
-    pub lists: Option<Peak>,
+    pub list_requests: Option<Peak>,
     pub stale_decisions: Vec<StaleDecision>,
     /// Before the first cue, and at the end of the run.
     pub totals: [ProcessTotals; 2],
@@ -180,7 +180,8 @@
         }
     }
 
-    /// Whether the window from here is back at the baseline. One more failed request than that is taken for chance.
+    /// Whether the window that begins at `from` is back at the baseline. One more failed request than that counts as
+    /// chance.
     fn has_recovered(&self, from: f64, baseline: f64) -> bool {
         let (served, all, max) = self.between(from, from + WINDOW_S);
         served + max >= (baseline - SERVICE_TOLERANCE) * all
@@ -202,7 +203,7 @@
     let recovered: Vec<bool> =
         (0..=steps).map(|n| curve.has_recovered(at_s + n as f64 * STEP_S, baseline)).collect();
     let needed = (STABLE_S / STEP_S) as usize;
-    // It has to stay recovered for `STABLE_S`, or up to the end of the period where that comes earlier.
+    // It has to stay recovered for `STABLE_S`, or to the end of the period if that comes earlier.
     let first =
         (0..recovered.len()).find(|n| recovered[*n..(n + needed).min(recovered.len())].iter().all(|r| *r));
     let lowest =
@@ -304,7 +305,7 @@
             *by_window.entry(window(received.t)).or_default() += 1.0;
         }
     }
-    for (t, _) in &trace.lists {
+    for (t, _) in &trace.list_requests {
         *counts.entry(("lists", "agents")).or_default().entry(window(*t)).or_default() += 1.0;
     }
     let (settled, first_cue) =
@@ -318,7 +319,7 @@
         let (max, at) = max(first_cue, i64::MAX);
         let peak = Peak { kind, host: host.to_string(), baseline, max, at_s: at as f64 * PEAK_WINDOW_S };
         match kind {
-            "lists" => out.lists = Some(peak),
+            "lists" => out.list_requests = Some(peak),
             _ => out.peaks.push(peak),
         }
     }
@@ -424,7 +425,7 @@
         writeln!(f, "\n| in any {:.0} ms | host | before | after | ratio | at s |", PEAK_WINDOW_S * 1e3)?;
         writeln!(f, "| --- | --- | --- | --- | --- | --- |")?;
         let worst = CONTACT_KINDS.iter().filter_map(|kind| self.worst(kind));
-        for peak in worst.chain(&self.lists) {
+        for peak in worst.chain(&self.list_requests) {
             writeln!(
                 f,
                 "| {} | {} | {:.0} | {:.0} | {:.1} | {:.1} |",
--- a/crates/sandstile-audit/src/trace.rs
+++ b/crates/sandstile-audit/src/trace.rs
@@ -85,10 +85,10 @@
     pub host: String,
     /// The position of its commit in the group's log; `None` for reads.
     pub commit: Option<f64>,
-    /// The log position that the host had applied.
-    pub reached: f64,
-    /// The least log position that the statement asked for.
-    pub need: f64,
+    /// The log position that the host had applied when it executed the statement.
+    pub applied_position: f64,
+    /// The lowest log position that the statement was allowed to read.
+    pub required_position: f64,
 }
 
 /// Everything the trace records about one statement.
@@ -102,7 +102,7 @@
     pub executions: Vec<Execution>,
     /// Responses of hosts: time, host and SQLSTATE or kind of the response.
     pub responses: Vec<(f64, String, String)>,
-    /// The trace's own lines about it, with their times.
+    /// The lines of the trace that name the statement, with their times.
     pub lines: Vec<(f64, String)>,
 }
 
@@ -112,7 +112,7 @@
     Started,
     /// It answers statements.
     Ready,
-    /// It was suspended by a signal, all of the time or, where it is `Slow`, most of the time; `Continued` ends both.
+    /// It was suspended by a signal: for the whole time (`Stopped`) or for most of it (`Slow`), until `Continued`.
     Stopped,
     Slow,
     Continued,
@@ -140,8 +140,8 @@
     pub clients: bool,
     pub hosts: bool,
     pub agents: bool,
-    /// Pairs of routers, from and to, between which no traffic passes.
-    pub severs: Vec<(usize, usize)>,
+    /// Pairs of routers (from, to) between which no traffic passes.
+    pub severed_pairs: Vec<(usize, usize)>,
     pub begin: f64,
     pub end: f64,
 }
@@ -154,9 +154,9 @@
     /// The router's own view: agreed, settling, cut off from some, alone.
     pub view: String,
     /// The other routers that it considers present.
-    pub there: BTreeSet<usize>,
+    pub present: BTreeSet<usize>,
     /// How many routers it assumes to share the hosts.
-    pub router_counts: Option<f64>,
+    pub sharing_routers: Option<f64>,
 }
 
 /// A router's copy of the replicated state at one time.
@@ -164,7 +164,7 @@
 pub struct StateSample {
     pub t: f64,
     pub router: usize,
-    /// `in step`, or what the copy still lacks, in the router's own words.
+    /// `in step`, or what the copy still lacks, as the router reports it.
     pub standing: String,
     /// Entries in the copy.
     pub facts: f64,
@@ -208,7 +208,7 @@
     /// Connection attempts, handshakes and probes at hosts: time, host, kind.
     pub host_contacts: Vec<(f64, String, &'static str)>,
     /// When routers asked discovery for lists.
-    pub lists: Vec<(f64, usize)>,
+    pub list_requests: Vec<(f64, usize)>,
     /// When a router was last notified that a host is primary.
     pub notified_primary: BTreeMap<(usize, String), f64>,
     /// When hosts left their list for good.
@@ -298,8 +298,14 @@
             }
             "ran" => {
                 let (host, commit) = (text("host")?, json["commit"].as_f64());
-                let (reached, need) = (number("reached")?, number("need")?);
-                self.statement(&text("id")?).executions.push(Execution { t, host, commit, reached, need });
+                let (applied_position, required_position) = (number("reached")?, number("need")?);
+                self.statement(&text("id")?).executions.push(Execution {
+                    t,
+                    host,
+                    commit,
+                    applied_position,
+                    required_position,
+                });
             }
             "said" => {
                 let (host, response) = (text("host")?, text("how")?);
@@ -325,7 +331,7 @@
                     clients: affects("clients"),
                     hosts: affects("hosts"),
                     agents: affects("agents"),
-                    severs: pairs(&json["severs"]),
+                    severed_pairs: pairs(&json["severs"]),
                     begin: t,
                     end: f64::INFINITY,
                 });
@@ -341,7 +347,7 @@
             "dialled" => self.host_contacts.push((t, text("host")?, "dials")),
             "greeted" => self.host_contacts.push((t, text("host")?, "handshakes")),
             "probed" => self.host_contacts.push((t, text("host")?, "probes")),
-            "list_asked" => self.lists.push((t, number("router")? as usize)),
+            "list_asked" => self.list_requests.push((t, number("router")? as usize)),
             "listed" if json["readiness"] == "left" => {
                 self.left.insert(text("host")?, t);
             }
@@ -349,8 +355,8 @@
                 t,
                 router: number("number")? as usize,
                 view: text("view")?,
-                there: numbers(&json["there"]).collect(),
-                router_counts: json["sharers"].as_f64(),
+                present: numbers(&json["there"]).collect(),
+                sharing_routers: json["sharers"].as_f64(),
             }),
             "kept" => self.state_samples.push(StateSample {
                 t,
@@ -418,7 +424,7 @@
     }
 
     /// Whether in this period notifications could reach a router late, or its statements reach a host late.
-    pub fn router_news_may_be_late(&self, router: usize, from: f64, to: f64) -> bool {
+    pub fn notifications_may_be_late(&self, router: usize, from: f64, to: f64) -> bool {
         self.has_link_fault(|l| l.hosts || l.agents, from, to) || self.was_stopped(router, from, to)
     }
 
--- a/crates/sandstile-audit/tests/recovery.rs
+++ b/crates/sandstile-audit/tests/recovery.rs
@@ -38,7 +38,7 @@
     let recovered = recovery(&trace((10.0, 13.0), CUE));
     let all = &recovered.services[0];
     assert_eq!((all.baseline, all.lowest), (1.0, 0.0));
-    // The window that begins 0.05 s before the end of the outage has one failed request in it, which is taken for chance.
+    // The window that begins 0.05 s before the end of the outage has one failed request in it, which counts as chance.
     assert!((2.75..=3.0).contains(&all.after_s.unwrap()), "{all:?}");
     assert_eq!(recovered.service_recovery_s(), all.after_s);
     // An outage of one second is over within a second.
@@ -88,12 +88,13 @@
     };
     let primary =
         |host: &str, t: f64| format!(r#"{{"t":{t},"what":"primary","group":"1","host":"{host}","term":1}}"#);
-    let told = r#"{"t":112.5,"what":"told","router":1,"host":"new","readiness":"active","primary":true}"#;
+    let notified_line =
+        r#"{"t":112.5,"what":"told","router":1,"host":"new","readiness":"active","primary":true}"#;
     let lines = [
         CUE.trim().to_string(),
         primary("old", 99.0),
         primary("new", 112.0),
-        told.to_string(),
+        notified_line.to_string(),
         // Half a second after the change a router need not know it yet; two seconds after it the decision is stale.
         asked("w1", "save", 112.4),
         taken("w1", "old", 112.5),
--- a/crates/sandstile-lab/src/charts.rs
+++ b/crates/sandstile-lab/src/charts.rs
@@ -34,7 +34,7 @@
         chart
             .configure_mesh()
             .x_desc("seconds since the start")
-            .y_desc("share of wishes in time")
+            .y_desc("share of requests in time")
             .label_style(("sans-serif", 14))
             .max_light_lines(1)
             .bold_line_style(RGBColor(225, 225, 225))
--- a/crates/sandstile-lab/src/clients.rs
+++ b/crates/sandstile-lab/src/clients.rs
@@ -1,6 +1,6 @@
-//! Open-loop clients of a rehearsal: pooled connections, retries, and the follow-up request after a write.
-//! Each of many small threads runs one statement at a time; times count from when a statement was due.
-use crate::trace_writer::{Line, TraceSender};
+//! Open-loop clients of a rehearsal: pooled connections, retries, and follow-up requests. Each worker thread serves one
+//! request at a time; times count from when a request was due.
+use crate::trace_writer::{TraceLine, TraceSender};
 use crossbeam_channel::{unbounded, Receiver, Sender};
 use hdrhistogram::Histogram;
 use sandstile_emulator::{protocol, Clock};
@@ -46,7 +46,7 @@
     /// Sessions with a request in progress: a session sends its requests one after the other.
     active_sessions: Mutex<BTreeSet<(usize, u64)>>,
     start_delay_us: Mutex<Histogram<u64>>,
-    asked_count: AtomicU64,
+    sent_count: AtomicU64,
     answered_count: AtomicU64,
     in_progress: AtomicUsize,
 }
@@ -88,7 +88,7 @@
             tokens: Mutex::default(),
             active_sessions: Mutex::default(),
             start_delay_us: Mutex::new(Histogram::new_with_bounds(1, 60_000_000, 3).expect("usable bounds")),
-            asked_count: AtomicU64::new(0),
+            sent_count: AtomicU64::new(0),
             answered_count: AtomicU64::new(0),
             in_progress: AtomicUsize::new(0),
         });
@@ -148,7 +148,7 @@
     /// Statements sent and answered so far, and requests in progress.
     pub fn counts(&self) -> (u64, u64, usize) {
         (
-            self.shared.asked_count.load(Relaxed),
+            self.shared.sent_count.load(Relaxed),
             self.shared.answered_count.load(Relaxed),
             self.shared.in_progress.load(Relaxed),
         )
@@ -338,7 +338,7 @@
         let router = self.choose_router(request.home);
         let endpoint = &self.endpoints[router];
         let timeout_ms = (remaining_s * 1e3).floor().max(1.0) as u64;
-        let asked_line = Line::Asked {
+        let asked_line = TraceLine::Asked {
             id: id.to_string(),
             first: first_id.to_string(),
             intended: request.intended,
@@ -348,9 +348,9 @@
             router,
             wait: timeout_ms as f64 / 1e3,
         };
-        self.asked_count.fetch_add(1, Relaxed);
+        self.sent_count.fetch_add(1, Relaxed);
         let unanswered = |how: &'static str| {
-            self.trace.write(self.clock.now(), Line::Unanswered { id: id.to_string(), how });
+            self.trace.write(self.clock.now(), TraceLine::Unanswered { id: id.to_string(), how });
         };
         let deadline = self.clock.now() + remaining_s;
         let message = self.query_message(request, id, timeout_ms, is_retry);
@@ -374,7 +374,7 @@
         if let (ReadOutcome::NoAnswer { any_received: false, .. }, true) = (&read_outcome, was_pooled) {
             // The router closed the idle connection while the statement was on its way: send it again on a new one.
             endpoint.open_connections.fetch_sub(1, SeqCst);
-            self.trace.write(self.clock.now(), Line::Resent { id: id.to_string() });
+            self.trace.write(self.clock.now(), TraceLine::Resent { id: id.to_string() });
             connection = match self.dial(endpoint, deadline) {
                 Ok(connection) => connection,
                 Err(how) => {
@@ -430,7 +430,7 @@
                 // An error or notice that announces the close is no answer; rows or a second completion are.
                 Ok(n) if n > 0 && header[0] != b'E' && header[0] != b'N' => {
                     let id = connection.last_statement.clone().unwrap_or_default();
-                    let answered_line = Line::Answered {
+                    let answered_line = TraceLine::Answered {
                         id,
                         how: "failed",
                         code: Some("stray".to_string()),
@@ -598,7 +598,7 @@
         code: Option<&str>,
         served: Option<(&str, &str, f64)>,
     ) {
-        let answered_line = Line::Answered {
+        let answered_line = TraceLine::Answered {
             id: id.to_string(),
             how,
             code: code.map(str::to_string),
--- a/crates/sandstile-lab/src/control_queries.rs
+++ b/crates/sandstile-lab/src/control_queries.rs
@@ -1,5 +1,5 @@
 //! Queries to the control sockets of a router: its view of the members, and its replicated state.
-use crate::trace_writer::Line;
+use crate::trace_writer::TraceLine;
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
@@ -17,8 +17,8 @@
 }
 
 impl MembershipView {
-    pub fn trace_line(&self, number: usize) -> Line {
-        Line::Sight {
+    pub fn trace_line(&self, number: usize) -> TraceLine {
+        TraceLine::Sight {
             number,
             view: self.view.clone(),
             there: self.present.clone(),
@@ -45,14 +45,14 @@
 }
 
 /// Reads a summary of a router's replicated state, with the digest of the facts older than `as_of`.
-pub fn query_state(socket: &Path, number: usize, as_of: f64) -> Option<Line> {
+pub fn query_state(socket: &Path, number: usize, as_of: f64) -> Option<TraceLine> {
     let mut stream = UnixStream::connect(socket).ok()?;
     stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     stream.write_all(format!("summary {as_of:.3}\n").as_bytes()).ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
     let response: Value = serde_json::from_str(&text).ok()?;
-    Some(Line::Kept {
+    Some(TraceLine::Kept {
         number,
         standing: response["standing"].as_str()?.to_string(),
         facts: response["facts"].as_u64()?,
--- a/crates/sandstile-lab/src/experiment.rs
+++ b/crates/sandstile-lab/src/experiment.rs
@@ -22,7 +22,7 @@
     pub pairs: Option<usize>,
 }
 
-/// How often an arm of a pair is run until one run is sound.
+/// How often an arm of a pair is run at most until one run is sound.
 const MAX_RUNS_PER_ARM: usize = 3;
 
 fn problems(problems: &[sandstile_scenario::Problem]) -> String {
@@ -103,7 +103,7 @@
         let program_bytes = fs::read(&router).map_err(|e| format!("{}: {e}", router.display()))?;
         let seed = experiment.pair_seed(pair);
         let run_dir = options.out.join(format!("run-{}", arm.name));
-        info!(pair, arm = arm.name, seed, "plays one arm");
+        info!(pair, arm = arm.name, seed, "playing one arm");
         let rehearsal = RehearsalOptions {
             script: arm.apply_to(script, seed),
             quick: options.quick,
@@ -126,16 +126,16 @@
             workloads: workloads(&summary_json),
             seconds: seconds(&summary_json),
             broken: summary.broken,
-            returning: returning(&summary_json),
+            returning: recovery_measures(&summary_json),
             unsound: summary.unsound.clone(),
         };
-        if let Some(why) = &row.unsound {
-            warn!(pair, arm = arm.name, "unsound: {why}");
+        if let Some(reason) = &row.unsound {
+            warn!(pair, arm = arm.name, "unsound: {reason}");
         }
         let line = serde_json::to_string(&row).map_err(|e| e.to_string())? + "\n";
         let mut file =
             OpenOptions::new().create(true).append(true).open(rows_path).map_err(|e| e.to_string())?;
-        // A line that a kill cut short is terminated first, or this row would be lost with it.
+        // If a kill cut off the last line, it is terminated first; otherwise this row would be unreadable too.
         let cut_short = fs::read(rows_path).is_ok_and(|bytes| bytes.last().is_some_and(|b| *b != b'\n'));
         let line = if cut_short { format!("\n{line}") } else { line };
         file.write_all(line.as_bytes()).and_then(|()| file.sync_data()).map_err(|e| e.to_string())?;
@@ -154,7 +154,7 @@
     all.filter_map(|w| Some((w["name"].as_str()?.to_string(), w["service"].as_f64()?))).collect()
 }
 
-fn returning(json: &Value) -> BTreeMap<String, f64> {
+fn recovery_measures(json: &Value) -> BTreeMap<String, f64> {
     let all = json["returning"].as_object().into_iter().flatten();
     all.filter_map(|(name, value)| Some((name.clone(), value.as_f64()?))).collect()
 }
@@ -168,7 +168,7 @@
         return String::new();
     }
     let mut out = String::from(
-        "\nReturns: mean of the given number of runs with its interval (90%), minimum to maximum:\n\n| |",
+        "\nReturns (recovery after faults): mean of the given number of runs with its interval (90%), minimum to maximum:\n\n| |",
     );
     names.iter().for_each(|arm| out.push_str(&format!(" {arm} |")));
     out.push_str("\n| --- |");
@@ -240,7 +240,7 @@
     let _ = writeln!(
         out,
         "{} by {} arms, {pairs} pairs of {planned}{mode}; sockets on loopback, emulated hosts. False claims allowed: {} in all, {level:.4} at \
-         this look.\n",
+         this analysis.\n",
         experiment.script,
         names.len(),
         experiment.level
--- a/crates/sandstile-lab/src/hunt.rs
+++ b/crates/sandstile-lab/src/hunt.rs
@@ -142,7 +142,7 @@
     targets.zones.sort();
     targets.zones.dedup();
     let mut out = String::from(
-        "| seed | faults | service | whole after s | verdict |\n| --- | --- | --- | --- | --- |\n",
+        "| seed | faults | service | recovered after s | verdict |\n| --- | --- | --- | --- | --- |\n",
     );
     let mut failed = 0;
     for run in 0..options.runs as u64 {
@@ -156,8 +156,8 @@
             None => String::new(),
         };
         let verdict = match (&result.unsound, result.failures.first()) {
-            (Some(why), None) => format!("unsound: {why}"),
-            (_, None) => "rules whole".to_string(),
+            (Some(reason), None) => format!("unsound: {reason}"),
+            (_, None) => "all rules kept".to_string(),
             (_, Some(first)) => first.clone(),
         };
         info!(seed, service = result.service, verdict, "played a schedule");
@@ -195,7 +195,7 @@
     while shrinker.runs() < options.shrinks {
         let Some(candidate) = shrinker.next_candidate() else { break };
         let failed = first_failure(options, &schedule_text(options, base, &candidate, seed), seed)?;
-        info!(seed, faults = candidate.len(), failed, "shrinks a schedule");
+        info!(seed, faults = candidate.len(), failed, "shrinking a schedule");
         shrinker.record_result(failed.is_some());
     }
     Ok((shrinker.smallest_failing().to_vec(), shrinker.runs()))
--- a/crates/sandstile-lab/src/main.rs
+++ b/crates/sandstile-lab/src/main.rs
@@ -10,7 +10,7 @@
 use std::process::ExitCode;
 use tracing::{error, info};
 
-/// Rehearsals of sandstile: real routers before emulated database hosts.
+/// Rehearsals of sandstile: real routers in front of emulated database hosts.
 #[derive(Parser)]
 #[command(name = "sandstile-lab", version, about)]
 struct Cli {
@@ -337,15 +337,15 @@
                 Ok(ExitCode::from(u8::from(broken > 0)))
             })
         }
-        Command::Returns { out, quick } => restart_scaling::grow(&out, quick).map(|text| {
+        Command::Returns { out, quick } => restart_scaling::simulate_scaling(&out, quick).map(|text| {
             println!("{text}");
             ExitCode::SUCCESS
         }),
-        Command::Members { out, quick } => membership_scaling::grow(&out, quick).map(|text| {
+        Command::Members { out, quick } => membership_scaling::simulate_scaling(&out, quick).map(|text| {
             println!("{text}");
             ExitCode::SUCCESS
         }),
-        Command::Copies { out, quick } => replication_scaling::grow(&out, quick).map(|text| {
+        Command::Copies { out, quick } => replication_scaling::simulate_scaling(&out, quick).map(|text| {
             println!("{text}");
             ExitCode::SUCCESS
         }),
@@ -475,7 +475,7 @@
     signals.forever().next();
     let summary = emulator.stop().map_err(|e| e.to_string())?;
     info!(
-        "timers late: p99 {} us, most {} us",
+        "timers late: p99 {} us, max {} us",
         summary.late_us.value_at_quantile(0.99),
         summary.late_us.max()
     );
@@ -522,8 +522,8 @@
     for (host, (multiple, max_multiple)) in &trace.cold_host_load {
         println!("cold {host}: offered {multiple:.1} times its capacity, {max_multiple:.1} at most");
     }
-    if let Some(why) = &trace.unsound {
-        println!("unsound: {why}");
+    if let Some(reason) = &trace.unsound {
+        println!("unsound: {reason}");
     }
     let own = sandstile_audit::own_reads(&trace);
     println!("own reads: {} checked, {} missed, {} by replicas", own.checked, own.missed, own.by_replicas);
--- a/crates/sandstile-lab/src/membership_scaling.rs
+++ b/crates/sandstile-lab/src/membership_scaling.rs
@@ -14,7 +14,7 @@
 const SETTLE_S: f64 = 60.0;
 /// Seconds after a kill within which all members have to know of it.
 const WATCH_S: f64 = 15.0;
-/// The number of kills: few with many members, because the cost grows with the square of their number.
+/// The number of kills: fewer with many members, because the cost grows with the square of their number.
 fn kill_count(members: usize) -> usize {
     if members > 300 {
         2
@@ -37,15 +37,16 @@
 
 struct Run {
     /// Seconds from each kill until the first suspicion, until the first member knows, until all living members know.
-    suspected: Vec<f64>,
-    first_known: Vec<f64>,
-    known_by_all: Vec<Option<f64>>,
+    suspected_after_s: Vec<f64>,
+    first_known_after_s: Vec<f64>,
+    known_by_all_after_s: Vec<Option<f64>>,
     quiet_s: f64,
-    /// In the quiet time; divided by the number of members, so that an event seen by all counts once.
+    /// False suspicions and deaths in the quiet time, divided by the number of members, so that an event that all
+    /// members see counts once.
     suspicions: f64,
     deaths: f64,
     /// Bytes per second that a member sends.
-    bytes: f64,
+    bytes_per_s: f64,
 }
 
 fn play(members: usize, loss: f64, quick: bool) -> Option<Run> {
@@ -65,15 +66,15 @@
         deaths += sim.observed.iter().filter(|(_, _, change)| matches!(change, Change::Died(_))).count();
         sim.observed.clear();
     }
-    let bytes = (sim.bytes - bytes_before) as f64 / quiet_s / members as f64;
+    let bytes_per_s = (sim.bytes - bytes_before) as f64 / quiet_s / members as f64;
     let mut run = Run {
-        suspected: Vec::new(),
-        first_known: Vec::new(),
-        known_by_all: Vec::new(),
+        suspected_after_s: Vec::new(),
+        first_known_after_s: Vec::new(),
+        known_by_all_after_s: Vec::new(),
         quiet_s,
         suspicions: suspicions as f64 / members as f64,
         deaths: deaths as f64 / members as f64,
-        bytes,
+        bytes_per_s,
     };
     // The seeds, members 0 and 1, are never killed, so that members that return find them.
     for kill in 0..kill_count(members) {
@@ -100,9 +101,9 @@
             _ => None,
         });
         let living = members - kill - 1;
-        run.suspected.extend(suspected.first());
-        run.first_known.extend(known.first());
-        run.known_by_all.push(known.get(living - 1).copied());
+        run.suspected_after_s.extend(suspected.first());
+        run.first_known_after_s.extend(known.first());
+        run.known_by_all_after_s.push(known.get(living - 1).copied());
         sim.observed.clear();
     }
     Some(run)
@@ -113,7 +114,7 @@
 }
 
 /// Plays all runs; writes a table and two charts, and returns the table.
-pub fn grow(out: &Path, quick: bool) -> Result<String, String> {
+pub fn simulate_scaling(out: &Path, quick: bool) -> Result<String, String> {
     let with_path = |e: std::io::Error| format!("{}: {e}", out.display());
     std::fs::create_dir_all(out).map_err(with_path)?;
     let counts: &[usize] = if quick { &[5, 50] } else { &[5, 50, 300, 1000] };
@@ -138,7 +139,7 @@
     });
     let runs = runs.into_inner().expect("no thread panics under the lock");
     let mut text = String::from(
-        "Virtual time, one seed, five kills one after the other (three at 5 members, two at 1,000); letters take 0.5 to 1.5 ms. Figures are means; *by all* the slowest of the kills.\n\n\
+        "Virtual time, one seed, five kills one after the other (three at 5 members, two at 1,000); letters (datagrams) take 0.5 to 1.5 ms. Figures are means; *by all* the slowest of the kills.\n\n\
          | members | loss | first suspected s | first known s | known by all s | quiet s | false suspicions an hour, of all | false deaths \
          in the quiet time, of all | bytes/s a member |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
     );
@@ -152,21 +153,21 @@
                 let _ = writeln!(text, "| {members} | {loss} | no agreement at the start |");
                 continue;
             };
-            let slowest = run.known_by_all.iter().copied().collect::<Option<Vec<f64>>>();
+            let slowest = run.known_by_all_after_s.iter().copied().collect::<Option<Vec<f64>>>();
             let slowest = slowest.and_then(|all| all.into_iter().reduce(f64::max));
             let by_all = slowest.map_or(format!("not in {WATCH_S:.0}"), |s| format!("{s:.2}"));
             let _ = writeln!(
                 text,
                 "| {members} | {loss} | {:.2} | {:.2} | {by_all} | {:.0} | {:.2} | {:.2} | {:.0} |",
-                mean(&run.suspected),
-                mean(&run.first_known),
+                mean(&run.suspected_after_s),
+                mean(&run.first_known_after_s),
                 run.quiet_s,
                 run.suspicions / run.quiet_s * 3600.0,
                 run.deaths,
-                run.bytes
+                run.bytes_per_s
             );
             known_points.extend(slowest.map(|s| (*members as f64, s)));
-            cost_points.push((*members as f64, run.bytes));
+            cost_points.push((*members as f64, run.bytes_per_s));
         }
         known_curves.push(Curve { name: name.clone(), points: known_points });
         cost_curves.push(Curve { name, points: cost_points });
--- a/crates/sandstile-lab/src/recordings.rs
+++ b/crates/sandstile-lab/src/recordings.rs
@@ -170,10 +170,10 @@
     let quantile_ms =
         |latency: &hdrhistogram::Histogram<u64>, q: f64| latency.value_at_quantile(q) as f64 / 1e3;
     let mut out =
-        String::from("| ms | p50 | p90 | p99 | p99.9 | most |\n| --- | --- | --- | --- | --- | --- |\n");
+        String::from("| ms | p50 | p90 | p99 | p99.9 | max |\n| --- | --- | --- | --- | --- | --- |\n");
     for (name, latency) in [
-        ("from when it was meant", &report.latency_from_due_us),
-        ("from when it was written", &report.latency_from_send_us),
+        ("from when it was due", &report.latency_from_due_us),
+        ("from when it was sent", &report.latency_from_send_us),
     ] {
         let max_ms = latency.max() as f64 / 1e3;
         let _ = writeln!(
@@ -187,8 +187,8 @@
     }
     let _ = writeln!(
         out,
-        "\nasked {}, completed {} ({:.1} a second), rejected {}, failed {}, unanswered {}, connections broken {}",
-        report.asked,
+        "\nsent {}, completed {} ({:.1} a second), rejected {}, failed {}, unanswered {}, connections broken {}",
+        report.statements,
         report.completed,
         report.rate(),
         report.rejected,
@@ -196,8 +196,8 @@
         report.unanswered,
         report.broken_connections
     );
-    if let Some(why) = report.unsound() {
-        let _ = writeln!(out, "**Unsound: {why}.**");
+    if let Some(reason) = report.unsound() {
+        let _ = writeln!(out, "**Unsound: {reason}.**");
     }
     out
 }
--- a/crates/sandstile-lab/src/rehearse.rs
+++ b/crates/sandstile-lab/src/rehearse.rs
@@ -3,7 +3,7 @@
 use crate::control_queries;
 use crate::report;
 use crate::router_process::{self, ProcessGuard, Router};
-use crate::trace_writer::{self, Line, TraceSender};
+use crate::trace_writer::{self, TraceLine, TraceSender};
 use crossbeam_channel::{unbounded, Receiver, RecvTimeoutError};
 pub use sandstile_emulator::router_address;
 use sandstile_emulator::{Clock, Emulator, Handle, Notification, Record};
@@ -86,7 +86,7 @@
 
 impl Rehearsal {
     fn record_state(&self, number: usize, state: &'static str, code: Option<i32>) {
-        self.trace.write(self.clock.now(), Line::Router { number, state, code });
+        self.trace.write(self.clock.now(), TraceLine::Router { number, state, code });
     }
 
     fn start(&self, number: usize, known: &str) -> io::Result<()> {
@@ -225,7 +225,7 @@
                 slot.lock().expect("no thread panics under the lock").as_ref().and_then(Router::resources);
             if let Some(used) = resources {
                 let (rss_kb, descriptors, cpu_ms) = (used.rss_kb, used.descriptors, used.cpu_ms);
-                self.trace.write(self.clock.now(), Line::Held { number, rss_kb, descriptors, cpu_ms });
+                self.trace.write(self.clock.now(), TraceLine::Held { number, rss_kb, descriptors, cpu_ms });
             }
         }
     }
@@ -287,7 +287,7 @@
         }
     }
 
-    fn run_line(&self) -> Line {
+    fn run_line(&self) -> TraceLine {
         let workloads: Vec<_> = self
             .script
             .plan
@@ -312,7 +312,7 @@
             })
             .collect();
         let rules = &self.script.rules;
-        Line::Run(Box::new(json!({"title": self.script.title, "seed": self.script.plan.seed,
+        TraceLine::Run(Box::new(json!({"title": self.script.title, "seed": self.script.plan.seed,
             "settle": self.script.settle, "grace": rules.grace, "slack": rules.slack,
             "routers": self.script.routers.count, "workloads": workloads})))
     }
@@ -420,10 +420,13 @@
         ));
     }
     if start_delay_us.value_at_quantile(0.99) > 5000 {
-        unsound.push(format!("clients asked {} us late at p99", start_delay_us.value_at_quantile(0.99)));
+        unsound.push(format!(
+            "clients sent their requests {} us late at p99",
+            start_delay_us.value_at_quantile(0.99)
+        ));
     }
     let unsound = (!unsound.is_empty()).then(|| unsound.join("; "));
-    rehearsal.trace.write(clock.now(), Line::End { unsound });
+    rehearsal.trace.write(clock.now(), TraceLine::End { unsound });
     drop((rehearsal, trace));
     writer.close().map_err(with_context("trace"))?;
     let result = report::RehearsalResult {
@@ -450,7 +453,7 @@
         };
         match notification {
             Notification::Process { name, selector, process_fault, spread } => {
-                // Each cue selects routers on its own, the same ones in each run of a seed.
+                // Each cue has its own seed, so that it selects the same routers in each run of the script's seed.
                 let seed =
                     name.bytes().fold(rehearsal.script.plan.seed, |h, b| h.wrapping_mul(31) ^ u64::from(b));
                 let selected = selector.select(rehearsal.routers.len(), spread, seed);
--- a/crates/sandstile-lab/src/replication_scaling.rs
+++ b/crates/sandstile-lab/src/replication_scaling.rs
@@ -15,7 +15,7 @@
 const HORIZON_S: f64 = 300.0;
 /// Writes per second, of all routers together.
 const WRITES_PER_S: f64 = 200.0;
-/// Seconds in which writes are watched, and within which a restarted router has to be in sync.
+/// Seconds for which writes are observed, and within which a restarted router has to be in sync.
 const WATCH_S: f64 = 8.0;
 const RESYNC_LIMIT_S: f64 = 60.0;
 const LOSSES: [f64; 2] = [0.0, 0.05];
@@ -25,10 +25,10 @@
     reached_all_s: Vec<f64>,
     never_reached: usize,
     /// Bytes per second that a router sends without faults.
-    bytes: f64,
+    bytes_per_s: f64,
     /// Seconds until a router that lost its state was in sync, the bytes that all routers sent meanwhile, and the most that
     /// one of its peers sent.
-    in_sync: Option<f64>,
+    in_sync_after_s: Option<f64>,
     sent_by_all: u64,
     sent_by_one: u64,
 }
@@ -77,7 +77,7 @@
         n += 1;
         sim.run(watched_from + n as f64 / WRITES_PER_S);
     }
-    let bytes = (sim.bytes_sent.iter().sum::<u64>() - bytes_before) as f64 / WATCH_S / routers as f64;
+    let bytes_per_s = (sim.bytes_sent.iter().sum::<u64>() - bytes_before) as f64 / WATCH_S / routers as f64;
     sim.run(watched_from + WATCH_S + 3.0);
     let (mut reached_all_s, mut never_reached) = (Vec::new(), 0);
     for (key, created_at, writer) in &facts {
@@ -97,11 +97,18 @@
     while !sim.in_sync(restarted) && sim.now() < restarted_at + RESYNC_LIMIT_S {
         sim.run(sim.now() + 0.05);
     }
-    let in_sync = sim.in_sync(restarted).then(|| sim.now() - restarted_at);
+    let in_sync_after_s = sim.in_sync(restarted).then(|| sim.now() - restarted_at);
     let bytes_since: Vec<u64> = sim.bytes_sent.iter().zip(&bytes_at_restart).map(|(a, b)| a - b).collect();
     let sent_by_one =
         bytes_since.iter().enumerate().filter(|(n, _)| *n != restarted).map(|(_, b)| *b).max().unwrap_or(0);
-    Run { reached_all_s, never_reached, bytes, in_sync, sent_by_all: bytes_since.iter().sum(), sent_by_one }
+    Run {
+        reached_all_s,
+        never_reached,
+        bytes_per_s,
+        in_sync_after_s,
+        sent_by_all: bytes_since.iter().sum(),
+        sent_by_one,
+    }
 }
 
 fn quantile(sorted: &[f64], q: f64) -> f64 {
@@ -110,16 +117,16 @@
 }
 
 /// Plays all runs; writes a table and two charts, and returns the table.
-pub fn grow(out: &Path, quick: bool) -> Result<String, String> {
+pub fn simulate_scaling(out: &Path, quick: bool) -> Result<String, String> {
     let with_path = |e: std::io::Error| format!("{}: {e}", out.display());
     std::fs::create_dir_all(out).map_err(with_path)?;
     let (counts, sessions): (&[usize], usize) =
         if quick { (&[5, 16], 10_000) } else { (&[5, 50, 300], 100_000) };
     let mut text = format!(
         "Virtual time, one seed; {sessions} sessions known to all, {WRITES_PER_S} writes a second of all routers together; a message takes 0.5 to \
-         1.5 ms, a lost one and all behind it 200 ms more. *Return*: a router that lost its state, until it is in step again; what all routers told \
-         meanwhile, the usual traffic included, and the most that one of its peers told.\n\n\
-         | routers | loss | everywhere after s: p50 | p99 | never | bytes/s a router | return: in step after s | told, MB | by one, MB |\n\
+         1.5 ms, a lost one and all behind it 200 ms more. *Return*: the restart of a router that lost its state, until it is in step again; what all routers sent \
+         meanwhile, the usual traffic included, and the most that one of its peers sent.\n\n\
+         | routers | loss | everywhere after s: p50 | p99 | never | bytes/s a router | return: in step after s | sent, MB | by one, MB |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
     );
     let (mut delay_curves, mut cost_curves) = (Vec::new(), Vec::new());
@@ -130,17 +137,18 @@
             let run = play(*routers, sessions, loss, 1);
             info!(routers, loss, "played one run");
             let (p50, p99) = (quantile(&run.reached_all_s, 0.5), quantile(&run.reached_all_s, 0.99));
-            let in_sync = run.in_sync.map_or(format!("not in {RESYNC_LIMIT_S:.0}"), |s| format!("{s:.2}"));
+            let in_sync =
+                run.in_sync_after_s.map_or(format!("not in {RESYNC_LIMIT_S:.0}"), |s| format!("{s:.2}"));
             let _ = writeln!(
                 text,
                 "| {routers} | {loss} | {p50:.2} | {p99:.2} | {} | {:.0} | {in_sync} | {:.1} | {:.1} |",
                 run.never_reached,
-                run.bytes,
+                run.bytes_per_s,
                 run.sent_by_all as f64 / 1e6,
                 run.sent_by_one as f64 / 1e6
             );
             delay_points.push((*routers as f64, p99));
-            cost_points.push((*routers as f64, run.bytes));
+            cost_points.push((*routers as f64, run.bytes_per_s));
         }
         delay_curves.push(Curve { name: name.clone(), points: delay_points });
         cost_curves.push(Curve { name, points: cost_points });
--- a/crates/sandstile-lab/src/report.rs
+++ b/crates/sandstile-lab/src/report.rs
@@ -39,7 +39,7 @@
 pub fn write(dir: &Path, result: &RehearsalResult) -> Result<Summary, String> {
     let trace = read(dir)?;
     let findings = judge(&trace)?;
-    let service = service(&trace).ok_or("the trace has no terms")?;
+    let service = service(&trace).ok_or("the trace has no run line")?;
     let recovery_report = recovery(&trace);
     let mut json = as_json(result, &trace, &findings, &service, &recovery_report);
     let member_agreement = agreement(&trace);
@@ -82,7 +82,7 @@
         if let Some(slowest) = convergence.slowest() {
             measures["copies the same after s"] = slowest.into();
         }
-        if let Some(slowest) = convergence.slowest_start() {
+        if let Some(slowest) = convergence.slowest_restart() {
             measures["in step after s"] = slowest.into();
         }
         measures["copies never the same"] = convergence.not_converged().into();
@@ -180,10 +180,10 @@
     let script = &result.script;
     let mode = if result.quick { ", quick" } else { "" };
     let _ = writeln!(out, "# {} (seed {}, {:.0} s{mode})\n", script.title, script.plan.seed, script.seconds);
-    if let Some(why) = &trace.unsound {
+    if let Some(reason) = &trace.unsound {
         let _ = writeln!(
             out,
-            "**Unsound: {why}.** The figures of this run are unreliable; play it again on idle cores.\n"
+            "**Unsound: {reason}.** The figures of this run are unreliable; play it again on idle cores.\n"
         );
     }
     let _ = writeln!(
@@ -192,7 +192,7 @@
         service.overall()
     );
     out.push_str(
-        "| workload | wishes | in time | late | rejected | failed | unanswered | tries | p50 ms | p99 ms |\n",
+        "| workload | requests | in time | late | rejected | failed | unanswered | tries | p50 ms | p99 ms |\n",
     );
     out.push_str("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for w in &service.workloads {
@@ -240,7 +240,7 @@
         let _ = writeln!(out, "| primary of {group} | {host} | {:.2} | |", t - begin);
     }
     let seconds = service.workloads.iter().map(|w| w.seconds.len()).max().unwrap_or(0);
-    out.push_str("\nShare in time by second (of the wishes due in it):\n\n| s |");
+    out.push_str("\nShare in time by second (of the requests due in it):\n\n| s |");
     service.workloads.iter().for_each(|w| out.push_str(&format!(" {} |", w.name)));
     out.push_str("\n| --- |");
     service.workloads.iter().for_each(|_| out.push_str(" --- |"));
@@ -258,7 +258,7 @@
     let timer_delays_us = &result.emulator.late_us;
     let _ = writeln!(
         out,
-        "\nEmulator's timers late: p50 {} us, p99 {} us, most {} us ({} timers); clients' requests late: p99 {} us. \
+        "\nEmulator's timers late: p50 {} us, p99 {} us, max {} us ({} timers); clients' requests late: p99 {} us. \
          At most {} connections.",
         timer_delays_us.value_at_quantile(0.5), timer_delays_us.value_at_quantile(0.99), timer_delays_us.max(), timer_delays_us.len(),
         result.clients_late_us.value_at_quantile(0.99), result.emulator.max_connections
--- a/crates/sandstile-lab/src/restart_scaling.rs
+++ b/crates/sandstile-lab/src/restart_scaling.rs
@@ -33,7 +33,7 @@
 /// The offered load as a share of the hosts' capacity, and the share of writes in it.
 const LOAD_SHARE: f64 = 0.6;
 const WRITE_SHARE: f64 = 0.12;
-/// Times in seconds: the fault, the downtime, the end of the run, and the least pause of a client before a retry.
+/// Times in seconds: the fault, the downtime, the end of the run, and the shortest pause of a client before a retry.
 const FAULT_AT_S: f64 = 5.0;
 const DOWNTIME_S: f64 = 0.8;
 const END_S: f64 = 22.0;
@@ -41,7 +41,7 @@
 /// The clients that come back with the routers, as a share of all statements of one second.
 const RETURNING_SHARE: f64 = 0.5;
 const COLD_DURATION_S: f64 = 5.0;
-/// The least share in time that counts as full service, also for a deployment that never had it before the fault.
+/// The lowest share in time that counts as full service, even if the share before the fault was lower.
 const MIN_FULL_SERVICE: f64 = 0.95;
 
 /// The fault of a run.
@@ -351,7 +351,7 @@
 }
 
 /// Plays all runs; writes a table and a chart for each scenario, and returns the table.
-pub fn grow(out: &Path, quick: bool) -> Result<String, String> {
+pub fn simulate_scaling(out: &Path, quick: bool) -> Result<String, String> {
     let with_path = |e: std::io::Error| format!("{}: {e}", out.display());
     std::fs::create_dir_all(out).map_err(with_path)?;
     let counts: &[usize] = if quick { &[16, 100] } else { &[16, 100, 300, 1000] };
@@ -359,7 +359,7 @@
         [("plainest", Some(Pace::Plainest)), ("off", None), ("answers", Some(Pace::Answers))];
     let mut text = format!(
         "Virtual time: {} hosts of {CORES_PER_HOST} cores at {LOAD_SHARE} of their capacity, a handshake takes {:.0} ms of a core, dial timeout {:.0} ms, one seed.\n\n\
-         | what | pace | routers | before | whole after s | least second | dials at a host in 100 ms | in the calm |\n\
+         | scenario | pace | routers | share in time before | full service after s | lowest second | dials at a host in 100 ms | before the fault |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- |\n",
         GROUP_COUNT * HOSTS_PER_GROUP,
         HANDSHAKE_WORK_S * 1e3,
--- a/crates/sandstile-lab/src/router_process.rs
+++ b/crates/sandstile-lab/src/router_process.rs
@@ -262,13 +262,13 @@
 }
 
 impl Router {
-    /// Starts a router process; it is not ready yet when this returns.
+    /// Starts a router process and returns before it is ready. `local_config` is its local configuration file.
     pub fn start(
         program: &Path,
         dir: &Path,
         number: usize,
         config: &Value,
-        own: Option<&Path>,
+        local_config: Option<&Path>,
     ) -> io::Result<Router> {
         let config_file = dir.join(format!("router-{number}.json"));
         fs::write(&config_file, config.to_string())?;
@@ -276,8 +276,8 @@
         let log = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(program);
         command.arg("serve").env("LB_CONFIG", &config_file);
-        if let Some(own) = own {
-            command.arg("--config").arg(own);
+        if let Some(local_config) = local_config {
+            command.arg("--config").arg(local_config);
         }
         for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
             command.env_remove(name);
--- a/crates/sandstile-lab/src/scale_out.rs
+++ b/crates/sandstile-lab/src/scale_out.rs
@@ -259,12 +259,12 @@
 /// Simulates all points of a figure in parallel, since they are independent.
 fn simulate_all(experiment: &Experiment, figure: &Figure, setup: Setup) -> Vec<Point> {
     std::thread::scope(|scope| {
-        let played: Vec<_> = figure
+        let threads: Vec<_> = figure
             .workers
             .iter()
             .map(|workers| scope.spawn(move || simulate(experiment, figure, setup, *workers)))
             .collect();
-        played.into_iter().map(|p| p.join().expect("no point panics")).collect()
+        threads.into_iter().map(|p| p.join().expect("no point panics")).collect()
     })
 }
 
@@ -338,8 +338,8 @@
             format!("/* id={id:016x},c={class},d={timeout_ms},cluster={group} */ {sql}")
         })
         .map_err(|e| format!("the load: {e}"))?;
-        if let Some(why) = report.unsound() {
-            return Err(why);
+        if let Some(reason) = report.unsound() {
+            return Err(reason);
         }
         let quantile_ms = |latency: &Histogram<u64>, q: f64| latency.value_at_quantile(q) as f64 / 1e3;
         points.push(Point {
--- a/crates/sandstile-lab/src/trace_writer.rs
+++ b/crates/sandstile-lab/src/trace_writer.rs
@@ -10,7 +10,7 @@
 /// A trace line of the clients or of the lab itself.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum Line {
+pub enum TraceLine {
     Run(Box<serde_json::Value>),
     Asked {
         id: String,
@@ -75,14 +75,14 @@
 }
 
 #[derive(Serialize)]
-struct TimedLine {
+struct TimedTraceLine {
     t: f64,
     #[serde(flatten)]
-    line: Line,
+    line: TraceLine,
 }
 
 enum Message {
-    Lab(f64, Line),
+    Lab(f64, TraceLine),
     Emulator(Record),
 }
 
@@ -91,7 +91,7 @@
 pub struct TraceSender(Sender<Message>);
 
 impl TraceSender {
-    pub fn write(&self, t: f64, line: Line) {
+    pub fn write(&self, t: f64, line: TraceLine) {
         let _ = self.0.send(Message::Lab(t, line));
     }
 }
@@ -115,7 +115,7 @@
         let mut lines = 0;
         for message in messages {
             match message {
-                Message::Lab(t, line) => serde_json::to_writer(&mut out, &TimedLine { t, line })?,
+                Message::Lab(t, line) => serde_json::to_writer(&mut out, &TimedTraceLine { t, line })?,
                 Message::Emulator(record) => serde_json::to_writer(&mut out, &record)?,
             }
             out.write_all(b"\n")?;
--- a/crates/sandstile-load/src/engine.rs
+++ b/crates/sandstile-load/src/engine.rs
@@ -34,8 +34,8 @@
     pub latency_from_send_us: Histogram<u64>,
     /// Microseconds by which this tool noticed late that a statement was due.
     pub scheduling_delay_us: Histogram<u64>,
-    /// Counted statements.
-    pub asked: u64,
+    /// Statements that were due after the warm-up.
+    pub statements: u64,
     pub completed: u64,
     pub rejected: u64,
     pub failed: u64,
@@ -101,7 +101,8 @@
     idle: Vec<usize>,
     /// Due times of statements that wait for a connection.
     waiting: VecDeque<f64>,
-    asked: u64,
+    /// Statements sent so far, the warm-up included; numbers the next one.
+    sent_count: u64,
     report: Report,
 }
 
@@ -115,7 +116,7 @@
         latency_from_due_us: histogram(),
         latency_from_send_us: histogram(),
         scheduling_delay_us: histogram(),
-        asked: 0,
+        statements: 0,
         completed: 0,
         rejected: 0,
         failed: 0,
@@ -132,7 +133,7 @@
         connections: Vec::new(),
         idle: Vec::new(),
         waiting: VecDeque::new(),
-        asked: 0,
+        sent_count: 0,
         report,
     };
     for n in 0..load.connections {
@@ -230,15 +231,15 @@
             self.waiting.pop_front();
             let expires_at = due + self.load.timeout_s;
             let counted = due >= self.load.warm_up_s;
-            self.report.asked += u64::from(counted);
+            self.report.statements += u64::from(counted);
             if expires_at <= now {
                 self.report.unanswered += u64::from(counted);
                 self.idle.push(slot);
                 continue;
             }
             let ms = ((expires_at - now) * 1000.0).floor().max(1.0) as u64;
-            let text = (self.statement_text)(self.asked, ms);
-            self.asked += 1;
+            let text = (self.statement_text)(self.sent_count, ms);
+            self.sent_count += 1;
             pg::query(&mut connection.out, text.as_bytes());
             connection.answer = pg::Answer::default();
             connection.in_flight = Some(InFlight { due, sent_at: now, expires_at, counted });
@@ -260,7 +261,7 @@
         }
         while self.waiting.front().is_some_and(|due| due + self.load.timeout_s <= now) {
             let counted = self.waiting.pop_front().is_some_and(|due| due >= self.load.warm_up_s);
-            self.report.asked += u64::from(counted);
+            self.report.statements += u64::from(counted);
             self.report.unanswered += u64::from(counted);
         }
     }
@@ -282,7 +283,7 @@
                 && connection.answer.stage == pg::Stage::Nothing;
             match connection.in_flight.take() {
                 Some(statement) if closed_idle => {
-                    self.report.asked -= u64::from(statement.counted);
+                    self.report.statements -= u64::from(statement.counted);
                     self.waiting.push_front(statement.due);
                 }
                 Some(statement) => self.report.unanswered += u64::from(statement.counted),
--- a/crates/sandstile-load/tests/latency.rs
+++ b/crates/sandstile-load/tests/latency.rs
@@ -57,7 +57,7 @@
     let address = host(|n| Duration::from_millis(20 + (n * 37) % 100));
     let arrivals = Arrivals::new(Shape::Constant(500.0), 4.0, 1);
     let report = run(&load(vec![address], 200, 4.0), arrivals, &mut |n, _| format!("q{n}")).expect("a load");
-    assert_eq!((report.asked, report.completed, report.broken_connections), (2001, 2001, 0));
+    assert_eq!((report.statements, report.completed, report.broken_connections), (2001, 2001, 0));
     for (share, truth) in [(0.1, 29.5), (0.5, 69.5), (0.9, 109.5), (0.99, 118.5)] {
         let seen = report.latency_from_send_us.value_at_quantile(share) as f64 / 1000.0;
         // The scripted delays are whole milliseconds apart; the rest of the tolerance is for the machine.
@@ -94,8 +94,8 @@
     let load = Load { timeout_s: 0.3, ..load(vec![address], 50, 2.0) };
     let arrivals = Arrivals::new(Shape::Poisson(200.0), 2.0, 3);
     let report = run(&load, arrivals, &mut |n, ms| format!("q{n} {ms}")).expect("a load");
-    assert_eq!(report.completed + report.unanswered, report.asked);
-    let share = report.unanswered as f64 / report.asked as f64;
+    assert_eq!(report.completed + report.unanswered, report.statements);
+    let share = report.unanswered as f64 / report.statements as f64;
     assert!((0.07..0.14).contains(&share), "{share}: one in ten is slow");
     assert!(report.latency_from_due_us.value_at_quantile(0.9) < 50_000);
 }
