--- a/crates/sandstile-experiment/src/analysis.rs
+++ b/crates/sandstile-experiment/src/analysis.rs
@@ -22,12 +22,12 @@
 fn judge_all(overall: &[Measure], workloads: &[Measure], level: f64, seed: u64) -> Vec<MeasureResult> {
     let mut all = judge(overall, OVERALL_LEVEL_SHARE * level, seed);
     let claimed = all.iter().any(|r| matches!(r.verdict, Verdict::Better | Verdict::Worse));
-    let left = if claimed { level } else { (1.0 - OVERALL_LEVEL_SHARE) * level };
-    all.extend(judge(workloads, left, seed));
+    let workload_level = if claimed { level } else { (1.0 - OVERALL_LEVEL_SHARE) * level };
+    all.extend(judge(workloads, workload_level, seed));
     all
 }
 
-/// Compares all arms over the complete pairs. `level` is the significance level of this look.
+/// Compares all arms over the complete pairs. `level` is the significance level of this interim analysis.
 pub fn compare_arms(experiment: &Experiment, rows: &Rows, level: f64) -> Vec<ArmResult> {
     let names: Vec<String> = experiment.arms.iter().map(|a| a.name.clone()).collect();
     let pairs = rows.complete_pairs(&names);
--- a/crates/sandstile-experiment/src/plan.rs
+++ b/crates/sandstile-experiment/src/plan.rs
@@ -13,7 +13,7 @@
     pub router: Option<String>,
     pub executions: Option<usize>,
     /// The longest delay in seconds that routers may ask clients to wait before a retry.
-    pub return_s: Option<f64>,
+    pub max_retry_after_s: Option<f64>,
     pub retries: Option<usize>,
     pub routers: Option<usize>,
     pub sessions: Option<SessionTracking>,
@@ -33,7 +33,7 @@
         let mut script = script.clone();
         script.plan.seed = seed;
         script.allowed.max_executions = self.executions.unwrap_or(script.allowed.max_executions);
-        script.allowed.max_retry_after_s = self.return_s.unwrap_or(script.allowed.max_retry_after_s);
+        script.allowed.max_retry_after_s = self.max_retry_after_s.unwrap_or(script.allowed.max_retry_after_s);
         script.clients.retries = self.retries.unwrap_or(script.clients.retries);
         script.routers.count = self.routers.unwrap_or(script.routers.count);
         script.sessions = self.sessions.unwrap_or(script.sessions);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The looks at the results, with the level that each may spend.
+    /// When the results are analysed while the experiment runs, and the significance level of all analyses together.
     pub fn analysis_plan(&self, pairs: usize) -> Plan {
         Plan { level: self.level, first_at: 6.min(pairs), step: 2, max_pairs: pairs }
     }
@@ -89,10 +89,10 @@
     /// machine whose speed drifts, as when it grows warm.
     pub fn arm_order(&self, pair: usize) -> Vec<usize> {
         let mut rng = Rng::new(self.seed, &format!("order {pair}"));
-        let mut left: Vec<usize> = (0..self.arms.len()).collect();
+        let mut remaining: Vec<usize> = (0..self.arms.len()).collect();
         let mut order = Vec::new();
-        while !left.is_empty() {
-            order.push(left.swap_remove(rng.below(left.len())));
+        while !remaining.is_empty() {
+            order.push(remaining.swap_remove(rng.below(remaining.len())));
         }
         order
     }
@@ -116,7 +116,7 @@
             name: s.name.clone(),
             router: s.text("router"),
             executions: count("executions", 16.0).map(|n| n.max(1)),
-            return_s: s.optional_number("return_ms", 0.0..60_000.0).map(|ms| ms / 1000.0),
+            max_retry_after_s: s.optional_number("return_ms", 0.0..60_000.0).map(|ms| ms / 1000.0),
             retries: count("retries", 10.0),
             routers: count("routers", 64.0).map(|n| n.max(1)),
             sessions: s.has("sessions").then(|| s.choice("sessions", &choices, Some(off))),
--- a/crates/sandstile-faults/src/lib.rs
+++ b/crates/sandstile-faults/src/lib.rs
@@ -1,7 +1,7 @@
-//! A model of faults in and between processes: endpoints and the links that a fault affects (`ends`), the
-//! faults that are active on a link (`fault_state`), their effect on bytes and datagrams in flight (`lane`),
-//! faults of processes and of their stored state (`process`), schedules drawn from a seed (`draw`), and a
-//! search for the smallest schedule that still fails (`shrink`). This crate opens no socket, starts no
+//! A model of faults in and between processes: endpoints of links (`endpoints`), the faults that are active on
+//! a link (`link_faults`), their effect on bytes and datagrams in flight (`channel`), faults of processes and
+//! of their stored state (`process`), schedules drawn from a seed (`schedule`), and a search for the smallest
+//! schedule that still fails (`shrink`). This crate opens no socket, starts no
 //! process and reads no clock: the relays and the lab do.
 //!
 //! Times are seconds as f64 on the caller's clock.
--- a/crates/sandstile-recording/src/lib.rs
+++ b/crates/sandstile-recording/src/lib.rs
@@ -74,7 +74,7 @@
             RecordingError::UnsupportedVersion(v) => {
                 write!(f, "a recording of version {v} is not supported; this program knows version {VERSION}")
             }
-            RecordingError::Corrupted => write!(f, "spoilt: a checksum or value is wrong"),
+            RecordingError::Corrupted => write!(f, "corrupted: a checksum or value is wrong"),
             RecordingError::Truncated => write!(f, "cut off before its end marker"),
             RecordingError::Io(e) => write!(f, "{e}"),
         }
--- a/crates/sandstile-scenario/src/script.rs
+++ b/crates/sandstile-scenario/src/script.rs
@@ -36,7 +36,7 @@
     pub groups: Vec<usize>,
     /// Statements per second.
     pub rate: f64,
-    /// The number of names that statements draw from; workloads with session consistency use them as sessions.
+    /// The number of session names that statements draw from; they matter to workloads with session consistency.
     pub sessions: usize,
     pub jumps: Vec<RateJump>,
     /// After each completed statement, the same session sends one of this workload after this many seconds.
@@ -569,8 +569,8 @@
     let max_age_s = section.ms("bound_ms", 0.0..3_600_000.0, 1.0);
     let mean = section.required_number("work_ms", 0.0..60_000.0) / 1000.0;
     let sigma = section.optional_number("sigma", 0.0..3.0);
-    let spread = section.text("spread").unwrap_or_else(|| "exponential".to_string());
-    let work = match spread.as_str() {
+    let distribution = section.text("spread").unwrap_or_else(|| "exponential".to_string());
+    let work = match distribution.as_str() {
         "fixed" => Work::Fixed(mean),
         "exponential" => Work::Exponential(mean),
         "lognormal" => Work::LogNormal { mean, sigma: sigma.unwrap_or(1.0) },
@@ -580,7 +580,7 @@
             Work::Fixed(mean)
         }
     };
-    if sigma.is_some() && spread != "lognormal" {
+    if sigma.is_some() && distribution != "lognormal" {
         section.problem("sigma", "sigma needs spread = \"lognormal\"", None);
     }
     let slo = section.required_number("slo_ms", 1.0..86_400_000.0) / 1000.0;
@@ -607,8 +607,8 @@
 fn stream(section: &Section, workloads: &[String], groups: &[String]) -> TrafficStream {
     let workload = section.reference("workload", "workload", workloads).unwrap_or(0);
     let chosen = match section.texts("groups") {
-        Some(known_names) => {
-            known_names.iter().filter_map(|n| section.find("groups", "group", n, groups)).collect()
+        Some(group_names) => {
+            group_names.iter().filter_map(|n| section.find("groups", "group", n, groups)).collect()
         }
         None => (0..groups.len()).collect(),
     };
--- a/crates/sandstile-shim/preload/lib.rs
+++ b/crates/sandstile-shim/preload/lib.rs
@@ -186,10 +186,10 @@
 /// The port of a socket's peer; 0 if it has none.
 fn peer_port(fd: c_int) -> u16 {
     unsafe {
-        let mut at: sockaddr_in = zeroed();
+        let mut address: sockaddr_in = zeroed();
         let mut length = size_of::<sockaddr_in>() as socklen_t;
-        match libc::getpeername(fd, (&raw mut at).cast(), &mut length) {
-            0 => port_of(&*(&raw const at).cast()),
+        match libc::getpeername(fd, (&raw mut address).cast(), &mut length) {
+            0 => port_of(&*(&raw const address).cast()),
             _ => 0,
         }
     }
@@ -428,8 +428,8 @@
 static STEP_MS: AtomicU64 = AtomicU64::new(0);
 
 #[no_mangle]
-pub unsafe extern "C" fn clock_gettime(clock: clockid_t, at: *mut timespec) -> c_int {
-    let done = libc_function!(c"clock_gettime", ClockGetTime)(clock, at);
+pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
+    let done = libc_function!(c"clock_gettime", ClockGetTime)(clock, time);
     if clock != libc::CLOCK_REALTIME || done != 0 {
         return done;
     }
@@ -437,11 +437,11 @@
         STEP_MS.store(ms as u64, SeqCst);
     }
     let step = STEP_MS.load(SeqCst) as i64;
-    (*at).tv_sec += step.div_euclid(1000);
-    (*at).tv_nsec += step.rem_euclid(1000) * 1_000_000;
-    if (*at).tv_nsec >= 1_000_000_000 {
-        (*at).tv_sec += 1;
-        (*at).tv_nsec -= 1_000_000_000;
+    (*time).tv_sec += step.div_euclid(1000);
+    (*time).tv_nsec += step.rem_euclid(1000) * 1_000_000;
+    if (*time).tv_nsec >= 1_000_000_000 {
+        (*time).tv_sec += 1;
+        (*time).tv_nsec -= 1_000_000_000;
     }
     done
 }
--- a/crates/sandstile-shim/src/lib.rs
+++ b/crates/sandstile-shim/src/lib.rs
@@ -202,7 +202,7 @@
         .find(|p| p.exists());
     found.ok_or_else(|| {
         format!(
-            "{}: no {LIBRARY} beside it; build it: cargo build --package sandstile-shim --examples",
+            "{}: no {LIBRARY} in the examples folder next to it; build it with cargo build --package sandstile-shim --examples",
             program.display()
         )
     })
--- a/crates/sandstile-soak/src/acceptor.rs
+++ b/crates/sandstile-soak/src/acceptor.rs
@@ -47,7 +47,7 @@
     /// Accepts all pending connections to this host.
     fn accept(&mut self, number: usize) {
         while let Some(Ok((stream, _))) = self.listeners[number].as_ref().map(TcpListener::accept) {
-            self.hosts[number].accepted(stream.into());
+            self.hosts[number].serve_connection(stream.into());
         }
     }
 
@@ -58,7 +58,7 @@
             if down && !closed {
                 self.listeners[number] = None;
             } else if closed && !down {
-                // The address is this host's alone; a failed attempt is repeated at the next check.
+                // No other host uses this address; a failed attempt is repeated at the next check.
                 let _ = self.listen(number);
             }
         }
--- a/crates/sandstile-soak/src/agent.rs
+++ b/crates/sandstile-soak/src/agent.rs
@@ -81,11 +81,11 @@
 
     /// The whole list, in the form of the `known` setting of a router's configuration.
     pub fn known(&self) -> String {
-        list(&self.state.lock().expect("state"), 0)
+        list(&self.state.lock().expect("the lock of the state is not poisoned"), 0)
     }
 
     fn change(&self, host: usize, event: RunEvent, change: impl FnOnce(&mut Entry)) {
-        let mut state = self.state.lock().expect("state");
+        let mut state = self.state.lock().expect("the lock of the state is not poisoned");
         state.index += 1;
         let index = state.index;
         let entry = &mut state.entries[host];
@@ -113,23 +113,23 @@
 
     pub fn fall_silent(&self, ms: u64) {
         let until = self.recorder.now() + ms as f64 / 1e3;
-        self.state.lock().expect("state").silent_until = until;
+        self.state.lock().expect("the lock of the state is not poisoned").silent_until = until;
     }
 
     pub fn reset_watches(&self) {
-        self.state.lock().expect("state").resets += 1;
+        self.state.lock().expect("the lock of the state is not poisoned").resets += 1;
     }
 
     /// Resets all watches; those that follow get the whole list.
     pub fn send_whole_list(&self) {
         let until = self.recorder.now() + WHOLE_LIST_S;
-        let mut state = self.state.lock().expect("state");
+        let mut state = self.state.lock().expect("the lock of the state is not poisoned");
         (state.resets, state.whole_until) = (state.resets + 1, until);
     }
 
     /// Moves a host to another zone: a change of the list that doesn't affect where statements can go.
     pub fn change_zone(&self, host: usize) {
-        let mut state = self.state.lock().expect("state");
+        let mut state = self.state.lock().expect("the lock of the state is not poisoned");
         state.index += 1;
         let index = state.index;
         let entry = &mut state.entries[host];
@@ -140,7 +140,7 @@
     fn serve(&self, mut stream: &TcpStream) {
         let Some(mut sent_index) = self.requested_index(stream) else { return };
         let resets = {
-            let state = self.state.lock().expect("state");
+            let state = self.state.lock().expect("the lock of the state is not poisoned");
             if self.recorder.now() < state.whole_until {
                 sent_index = 0;
             }
@@ -151,7 +151,7 @@
             thread::sleep(POLL_INTERVAL);
             let now = self.recorder.now();
             let text = {
-                let state = self.state.lock().expect("state");
+                let state = self.state.lock().expect("the lock of the state is not poisoned");
                 if state.resets != resets || self.recorder.is_over() {
                     return;
                 }
--- a/crates/sandstile-soak/src/client.rs
+++ b/crates/sandstile-soak/src/client.rs
@@ -48,7 +48,7 @@
     pub router: Option<usize>,
     pub groups: usize,
     /// Closes its connection after this many statements.
-    pub asks_each: Option<u64>,
+    pub statements_per_connection: Option<u64>,
     /// The longest pause between two statements in milliseconds; the shortest is a ninth of it.
     pub pause_ms: u64,
     pub endpoints: Arc<Vec<Endpoint>>,
@@ -70,8 +70,8 @@
             let Some(mut connection) = idle.take() else { continue };
             sent += 1;
             let id = format!("{:x}{:04x}{sent:06x}", self.seed, self.number);
-            let stays_open = self.ask(&mut connection, &id, &mut rng, &mut writes);
-            if stays_open && self.asks_each.is_none_or(|max| sent % max > 0) {
+            let stays_open = self.run_statement(&mut connection, &id, &mut rng, &mut writes);
+            if stays_open && self.statements_per_connection.is_none_or(|max| sent % max > 0) {
                 idle = Some(connection);
             }
         }
@@ -97,7 +97,13 @@
     }
 
     /// Sends one statement and awaits its answer; returns whether the connection stays open.
-    fn ask(&self, connection: &mut Connection, id: &str, rng: &mut Rand64, writes: &mut Writes) -> bool {
+    fn run_statement(
+        &self,
+        connection: &mut Connection,
+        id: &str,
+        rng: &mut Rand64,
+        writes: &mut Writes,
+    ) -> bool {
         let (class, effect) = match rng.rand_range(0..10) {
             0 | 1 => ("book", Effect::NonIdempotent),
             2 => ("once", Effect::Deduplicated),
@@ -106,14 +112,14 @@
         };
         let wait_ms = rng.rand_range(250..1001);
         let group = if self.groups > 1 { rng.rand_range(0..self.groups as u64) } else { 0 };
-        let verb = match effect {
+        let sql = match effect {
             Effect::Idempotent => format!("SELECT payload FROM entries WHERE ref = 's{}'", self.number),
             _ => format!(
                 "INSERT INTO entries (ref, payload) VALUES ('s{}', '\\x9f') RETURNING payload",
                 self.number
             ),
         };
-        let text = format!("/* id={id},c={class},d={wait_ms},cluster={} */ {verb}", group + 1);
+        let text = format!("/* id={id},c={class},d={wait_ms},cluster={} */ {sql}", group + 1);
         let mut bytes = if connection.fresh { pg::startup_message() } else { Vec::new() };
         pg::query(&mut bytes, text.as_bytes());
         // The router did not receive a statement that was not written completely.
@@ -134,7 +140,7 @@
         let (router, life, fresh) = (connection.router, connection.generation, connection.fresh);
         connection.fresh = false;
         let id = id.to_string();
-        self.recorder.request(Request {
+        self.recorder.record_request(Request {
             id,
             group: group as usize,
             router,
@@ -204,17 +210,17 @@
             let wait = Duration::from_secs_f64((next - now).max(0.001));
             let _ = connection.stream.set_read_timeout(Some(wait));
             match connection.stream.read(&mut bytes) {
-                Ok(0) => return self.closed(code, any_byte),
+                Ok(0) => return self.end_of_closed(code, any_byte),
                 Ok(n) => connection.buf.extend_from_slice(&bytes[..n]),
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.closed(code, any_byte),
+                Err(_) => return self.end_of_closed(code, any_byte),
             }
         }
     }
 
     /// How a request ended whose connection was closed. No ReadyForQuery is needed after an error that closes it.
-    fn closed(&self, code: Option<String>, any_byte: bool) -> End {
+    fn end_of_closed(&self, code: Option<String>, any_byte: bool) -> End {
         let at = self.recorder.now();
         match (code, any_byte) {
             (Some(code), _) => End::Answered { code: Some(code), at },
--- a/crates/sandstile-soak/src/host.rs
+++ b/crates/sandstile-soak/src/host.rs
@@ -24,7 +24,7 @@
     hangs_until: f64,
     down_until: f64,
     resets_until: f64,
-    turns_away_until: f64,
+    rejects_until: f64,
 }
 
 /// When each deduplicated statement was executed; shared by all members of a group.
@@ -79,8 +79,8 @@
         self.0.primary.store(primary, SeqCst);
     }
 
-    /// Serves a connection on a new thread.
-    pub fn accepted(&self, stream: TcpStream) {
+    /// Serves an accepted connection on a new thread.
+    pub fn serve_connection(&self, stream: TcpStream) {
         let host = self.clone();
         thread::spawn(move || {
             let _ = host.serve(&stream);
@@ -94,7 +94,7 @@
 
     fn set_fault(&self, ms: u64, fault: impl FnOnce(&mut ActiveFaults, f64)) {
         let until = self.0.recorder.now() + ms as f64 / 1e3;
-        fault(&mut self.0.faults.lock().expect("faults"), until);
+        fault(&mut self.0.faults.lock().expect("the lock of the faults is not poisoned"), until);
     }
 
     pub fn hang(&self, ms: u64) {
@@ -109,12 +109,12 @@
         self.set_fault(ms, |faults, until| faults.resets_until = until);
     }
 
-    pub fn turn_away(&self, ms: u64) {
-        self.set_fault(ms, |faults, until| faults.turns_away_until = until);
+    pub fn reject_statements(&self, ms: u64) {
+        self.set_fault(ms, |faults, until| faults.rejects_until = until);
     }
 
     fn is_active(&self, fault: impl Fn(&ActiveFaults) -> f64) -> bool {
-        self.0.recorder.now() < fault(&self.0.faults.lock().expect("faults"))
+        self.0.recorder.now() < fault(&self.0.faults.lock().expect("the lock of the faults is not poisoned"))
     }
 
     pub fn is_down(&self) -> bool {
@@ -159,20 +159,20 @@
     fn answer(&self, stream: &TcpStream, text: &str) -> io::Result<bool> {
         let mut out = Vec::new();
         if text.starts_with("SHOW") {
-            self.row(&mut out);
+            self.write_row(&mut out);
             return self.send(stream, &out).map(|()| true);
         }
-        let turned_away = self.is_active(|faults| faults.turns_away_until);
+        let is_rejecting = self.is_active(|faults| faults.rejects_until);
         let is_misrouted = !self.is_primary() && text.contains("INSERT");
-        let ran = !turned_away && !is_misrouted && !self.is_repeat(text);
-        self.0.recorder.arrival(Arrival {
+        let ran = !is_rejecting && !is_misrouted && !self.is_repeat(text);
+        self.0.recorder.record_arrival(Arrival {
             id: field(text, "id").unwrap_or_default().to_string(),
             host: self.0.number,
             at: self.0.recorder.now(),
             told: field(text, "d").and_then(|d| d.parse::<f64>().ok()).map(|ms| ms / 1e3),
             ran,
         });
-        if turned_away {
+        if is_rejecting {
             pg::error(&mut out, false, "53300", "turned away", None);
             self.finish_answer(&mut out);
             return self.send(stream, &out).map(|()| true);
@@ -186,7 +186,7 @@
         while self.is_active(|faults| faults.hangs_until) && !self.is_down() && !self.0.recorder.is_over() {
             thread::sleep(POLL_INTERVAL);
         }
-        self.row(&mut out);
+        self.write_row(&mut out);
         if self.is_active(|faults| faults.resets_until) {
             self.send(stream, &out[..out.len() / 2])?;
             return Ok(false);
@@ -203,7 +203,7 @@
             return false;
         }
         let now = self.0.recorder.now();
-        let mut executed = self.0.executed.lock().expect("repeats");
+        let mut executed = self.0.executed.lock().expect("the lock of the repeats is not poisoned");
         let id = field(text, "id").unwrap_or_default().to_string();
         let dropped = executed.get(&id).is_some_and(|executed_at| now < executed_at + DEDUP_WINDOW_S);
         if !dropped {
@@ -219,7 +219,7 @@
         position.max(self.0.position_at_switch.load(SeqCst))
     }
 
-    fn row(&self, out: &mut Vec<u8>) {
+    fn write_row(&self, out: &mut Vec<u8>) {
         let position = self.position().to_string();
         let value = position.as_bytes();
         pg::write_frame(out, b'T', &[b"\0\x01payload\0", &[0; 18]]);
--- a/crates/sandstile-soak/src/judge.rs
+++ b/crates/sandstile-soak/src/judge.rs
@@ -11,8 +11,8 @@
 const STALL_RANGE_S: f64 = 0.3;
 /// Seconds for which a router may be delayed between reading its clock and a write.
 const ROUTER_DELAY_S: f64 = 0.15;
-/// Seconds; where an idle connection is closed this soon after a request was written, the router did not read the
-/// request, and its client asks again on another connection.
+/// Seconds. If an idle connection is closed this soon after a request was written, the router did not read the
+/// request, and real clients would send it again on another connection.
 const CLOSE_RACE_S: f64 = 0.1;
 /// Seconds after its client has left in which an attempt may still begin.
 const ABANDON_DELAY_S: f64 = 0.1;
@@ -67,7 +67,7 @@
     }
 }
 
-/// When a router process was told to end, and when it was killed.
+/// When a router process received SIGTERM, and when it was killed.
 #[derive(Clone, Copy, Debug, Default)]
 struct Shutdown {
     terminated_at: Option<f64>,
@@ -197,13 +197,13 @@
     let end = request.written_at + request.wait;
     let exceeded = attempts.iter().find_map(|a| {
         let sent = a.told?;
-        let left = (end - a.at).max(0.0);
-        let max =
-            left + DEADLINE_SLACK_S + ROUTER_DELAY_S + slack(observed, request.written_at, a.at) - SLACK_S;
-        (sent > max).then_some((sent, left))
+        let remaining = (end - a.at).max(0.0);
+        let max = remaining + DEADLINE_SLACK_S + ROUTER_DELAY_S + slack(observed, request.written_at, a.at)
+            - SLACK_S;
+        (sent > max).then_some((sent, remaining))
     });
-    let (sent, left) = exceeded?;
-    finding(Rule::Deadline, format!("sent with {sent:.3} s where {left:.3} s were left: {request:?}"))
+    let (sent, remaining) = exceeded?;
+    finding(Rule::Deadline, format!("sent with {sent:.3} s where {remaining:.3} s were left: {request:?}"))
 }
 
 fn duplicate(request: &Request, attempts: &[&Arrival]) -> Option<Finding> {
@@ -269,8 +269,8 @@
         let arrivals = |h: usize| {
             observed.arrivals.iter().filter(|a| a.host == h && cold.contains(&a.at)).count() as f64
         };
-        // A cold host collapses at twice its capacity. A warm host has at least the capacity that the busiest host was
-        // sent, which is the primary where other replicas are out.
+        // A cold host collapses at twice its capacity. The capacity of a warm host is at least the load of the busiest
+        // host, which is the primary if other replicas are unavailable.
         let busiest = (0..plan.hosts).filter(|h| h != host).map(arrivals).fold(0.0, f64::max);
         let share = (1.0 + COLD_INITIAL_SHARE) / 2.0;
         let expected = (2.0 * share * busiest).max(1.0);
--- a/crates/sandstile-soak/src/plan.rs
+++ b/crates/sandstile-soak/src/plan.rs
@@ -6,9 +6,9 @@
 
 /// The longest timeout of a soak's clients, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 1000;
-/// The time from SIGTERM to SIGKILL: the longest timeout and 0.7 s.
+/// The time from SIGTERM to SIGKILL: the longest timeout plus 0.7 s.
 pub const KILL_AFTER: Duration = Duration::from_millis(MAX_DEADLINE_MS + 700);
-/// The port of database hosts. Nothing else that a router connects to has it.
+/// The port of database hosts. No other peer of a router uses it, so fault rules can select hosts by it.
 pub const HOST_PORT: u16 = 5433;
 /// Seconds for which a restarted host counts as cold, and its initial share of the full capacity.
 pub const COLD_S: f64 = 2.0;
--- a/crates/sandstile-soak/src/record.rs
+++ b/crates/sandstile-soak/src/record.rs
@@ -49,7 +49,7 @@
     pub wait: f64,
     /// When its last byte was written.
     pub written_at: f64,
-    /// The first request on its connection.
+    /// Whether this was the first request on its connection.
     pub fresh: bool,
     pub end: End,
     /// The log position that the answer was read at, and that of the session's last write before; in milliseconds.
@@ -65,7 +65,7 @@
     pub at: f64,
     /// The remaining time in seconds that the statement was sent with, if any.
     pub told: Option<f64>,
-    /// The host executed it, neither rejecting it nor dropping it as a repeat.
+    /// Whether the host executed it, instead of rejecting it or dropping it as a repeat.
     pub ran: bool,
 }
 
@@ -142,11 +142,11 @@
         self.observations.lock().expect("no thread panics under the lock")
     }
 
-    pub fn request(&self, request: Request) {
+    pub fn record_request(&self, request: Request) {
         self.observations().requests.push(request);
     }
 
-    pub fn arrival(&self, arrival: Arrival) {
+    pub fn record_arrival(&self, arrival: Arrival) {
         self.observations().arrivals.push(arrival);
     }
 
--- a/crates/sandstile-soak/src/run.rs
+++ b/crates/sandstile-soak/src/run.rs
@@ -67,19 +67,19 @@
     }
 }
 
-/// How many runs can use separate addresses at the same time.
+/// How many runs can use separate blocks of addresses at the same time.
 const BLOCKS: u16 = 30 * 256;
 
-/// Kinds of addresses, by which the second byte differs.
+/// Kinds of addresses; each kind has its own value of the second byte.
 const HOSTS: u8 = 0;
 const AGENT: u8 = 1;
 const ROUTERS: u8 = 2;
 
 /// How many runs of large fleets can go on at the same time, and how many host addresses each has.
 const LARGE_BLOCKS: usize = 512;
-const LARGE_BLOCK: usize = 8_192;
+const LARGE_BLOCK_HOSTS: usize = 8_192;
 /// The highest number of hosts that fit into the block of addresses of one run.
-const BLOCK_HOSTS: usize = 250;
+const MAX_BLOCK_HOSTS: usize = 250;
 
 /// A loopback address that no other run uses.
 fn address(block: u16, kind: u8, number: usize) -> SocketAddr {
@@ -91,10 +91,10 @@
 
 /// The address of a host. Large fleets have a separate range of addresses.
 fn host_address(block: u16, hosts: usize, number: usize) -> SocketAddr {
-    if hosts <= BLOCK_HOSTS {
+    if hosts <= MAX_BLOCK_HOSTS {
         return address(block, HOSTS, number);
     }
-    let offset = (usize::from(block) % LARGE_BLOCKS) * LARGE_BLOCK + number;
+    let offset = (usize::from(block) % LARGE_BLOCKS) * LARGE_BLOCK_HOSTS + number;
     let [_, high, middle, low] = (offset as u32).to_be_bytes();
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 188 + high, middle, low)), HOST_PORT)
 }
@@ -135,13 +135,13 @@
             })
             .collect();
         for start in starting {
-            start.join().expect("a start")?;
+            start.join().expect("the starting thread does not panic")?;
         }
     }
     let restarts = fleet.apply_events();
     over.store(true, SeqCst);
-    clients.into_iter().for_each(|client| client.join().expect("a client"));
-    restarts.into_iter().for_each(|restart| restart.join().expect("a restart"));
+    clients.into_iter().for_each(|client| client.join().expect("a client does not panic"));
+    restarts.into_iter().for_each(|restart| restart.join().expect("a restart does not panic"));
     (0..plan.routers).for_each(|number| fleet.end(number));
     fleet.recorder.end();
     thread::sleep(RELEASE_TIME);
@@ -193,7 +193,7 @@
             stays: self.plan.lasting,
             router: None,
             groups: self.plan.groups,
-            asks_each: self.plan.asks_each,
+            statements_per_connection: self.plan.asks_each,
             pause_ms: self.plan.pause_ms,
             endpoints: self.endpoints.clone(),
             over: over.clone(),
@@ -215,7 +215,7 @@
                 stays: false,
                 router: Some(router),
                 groups: fleet.plan.groups,
-                asks_each: Some(1),
+                statements_per_connection: Some(1),
                 pause_ms: fleet.plan.pause_ms,
                 endpoints: fleet.endpoints.clone(),
                 over: over.clone(),
@@ -226,7 +226,7 @@
                 numbers.map(client).map(|client| thread::spawn(move || client.run())).collect();
             thread::sleep(Duration::from_millis(ms));
             over.store(true, SeqCst);
-            rushing.into_iter().for_each(|client| client.join().expect("a client"));
+            rushing.into_iter().for_each(|client| client.join().expect("a client does not panic"));
         })
     }
 
@@ -270,11 +270,15 @@
         let known = self.agent.known();
         let router =
             Router::start(&self.plan, &self.programs, number, generation, addresses, &known, &self.recorder)?;
-        *self.slots[number].router.lock().expect("a slot") = Some(router);
+        *self.slots[number].router.lock().expect("no thread panics under the lock") = Some(router);
         let deadline = Instant::now() + READY_TIMEOUT;
         while !is_ready(endpoint.address) {
-            let ended =
-                self.slots[number].router.lock().expect("a slot").as_mut().is_some_and(Router::has_ended);
+            let ended = self.slots[number]
+                .router
+                .lock()
+                .expect("no thread panics under the lock")
+                .as_mut()
+                .is_some_and(Router::has_ended);
             if ended || Instant::now() >= deadline {
                 let code = None;
                 self.recorder.record_event(RunEvent::Ended { router: number, life: generation, code });
@@ -305,7 +309,7 @@
             Event::Hang { host, ms } => self.hosts[host].hang(ms),
             Event::Down { host, ms } => self.hosts[host].go_down(ms),
             Event::Reset { host, ms } => self.hosts[host].reset(ms),
-            Event::TurnAway { host, ms } => self.hosts[host].turn_away(ms),
+            Event::TurnAway { host, ms } => self.hosts[host].reject_statements(ms),
             Event::Drain { host } => self.agent.drain(host),
             Event::AgentSilent { ms } => self.agent.fall_silent(ms),
             Event::AgentReset => self.agent.reset_watches(),
@@ -347,7 +351,7 @@
     }
 
     fn signal(&self, number: usize, signal: Signal) {
-        if let Some(router) = &*self.slots[number].router.lock().expect("a slot") {
+        if let Some(router) = &*self.slots[number].router.lock().expect("no thread panics under the lock") {
             router.signal(signal);
         }
     }
@@ -367,7 +371,7 @@
         if !self.endpoints[number].open.load(SeqCst) {
             return None;
         }
-        self.slots[number].router.lock().expect("a slot").take()
+        self.slots[number].router.lock().expect("no thread panics under the lock").take()
     }
 
     fn restart(&self, number: usize) {
@@ -375,7 +379,7 @@
         let generation = router.generation;
         self.finish(number, &mut router);
         drop(router);
-        self.start(number, generation + 1).expect("a process that starts");
+        self.start(number, generation + 1).expect("the router can be started");
     }
 
     /// Sends SIGTERM, and SIGKILL at the earliest allowed time if the process still runs.
@@ -405,12 +409,12 @@
         router.kill();
         router.check_log_for_panic();
         drop(router);
-        self.start(number, generation + 1).expect("a process that starts");
+        self.start(number, generation + 1).expect("the router can be started");
     }
 
     /// Ends a router at the end of the run; by now all requests have been answered.
     fn end(&self, number: usize) {
-        let router = self.slots[number].router.lock().expect("a slot").take();
+        let router = self.slots[number].router.lock().expect("no thread panics under the lock").take();
         if let Some(mut router) = router {
             if !router.has_ended() {
                 self.finish(number, &mut router);
--- a/crates/sandstile-stats/src/sequential.rs
+++ b/crates/sandstile-stats/src/sequential.rs
@@ -3,7 +3,7 @@
 //! proportion to the pairs between them. The sum over all looks bounds the share of experiments that ever make a false
 //! claim, however the looks are correlated.
 
-/// At how many pairs an experiment is looked at, and its significance level.
+/// The numbers of pairs after which an experiment is analysed, and its significance level.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The share of experiments without a true difference that may claim one.
