--- a/crates/sandstile-durable-state/src/lib.rs
+++ b/crates/sandstile-durable-state/src/lib.rs
@@ -51,8 +51,7 @@
 }
 
 /// Reads what an earlier generation left, and begins the state file of this one. The witness is written
-/// first: from then on, no copy of an earlier generation is taken for the latest one, wherever this start is
-/// interrupted.
+/// first, so that no copy of an earlier generation is taken for the latest one, even if this start is interrupted.
 pub fn open(mut storage: Box<dyn Storage>, generation: u64) -> OpenedState {
     let bytes = storage.read();
     let witness_bytes = storage.read_witness();
--- a/crates/sandstile-durable-state/tests/disks.rs
+++ b/crates/sandstile-durable-state/tests/disks.rs
@@ -144,11 +144,11 @@
 #[test]
 fn second_process_cannot_open_the_same_state_directory() {
     let dir = std::env::temp_dir().join(format!("sandstile-durable-state-{}", std::process::id()));
-    let first = StateDirectory::open(&dir, None).expect("the folder opens");
-    let second = StateDirectory::open(&dir, None).err().expect("the second process is told of the lock");
+    let first = StateDirectory::open(&dir, None).expect("the directory can be opened");
+    let second = StateDirectory::open(&dir, None).err().expect("the second process gets an error");
     assert!(second.contains("another process"), "{second}");
     drop(first);
-    StateDirectory::open(&dir, None).expect("the folder is free again");
+    StateDirectory::open(&dir, None).expect("the directory is unlocked again");
     let _ = std::fs::remove_dir_all(dir);
 }
 
@@ -159,13 +159,16 @@
     let _ = std::fs::remove_dir_all(&dir);
     let (state, witness) = (dir.join("state"), dir.join("elsewhere"));
     let generation = |generation: u64| {
-        open(Box::new(StateDirectory::open(&state, Some(&witness)).expect("the folder opens")), generation)
+        open(
+            Box::new(StateDirectory::open(&state, Some(&witness)).expect("the directory can be opened")),
+            generation,
+        )
     };
     let mut replica = Replica::new(300.0);
     (0..300).for_each(|n| add_fact(&mut replica, n));
     generation(1)
         .state_file
-        .expect("the disk takes the state file")
+        .expect("the disk accepts the state file")
         .end(NOW, &replica.snapshot())
         .expect("there is room on the disk");
     std::fs::write(state.join("state.new"), b"half").expect("there is room on the disk");
@@ -263,5 +266,5 @@
             readable += usize::from(!facts.is_empty());
         }
     }
-    assert!(readable > 10_000, "most facts of a spoilt message are still read: {readable}");
+    assert!(readable > 10_000, "most facts of a damaged message are still read: {readable}");
 }
--- a/crates/sandstile-exchange/src/lib.rs
+++ b/crates/sandstile-exchange/src/lib.rs
@@ -13,7 +13,7 @@
 const MAGIC: &[u8; 4] = b"sndx";
 const NONCE_LEN: usize = 16;
 const MAC_LEN: usize = 16;
-/// Names of instances are short.
+/// Names of instances are short; longer ones are cut off.
 const MAX_NAME_LEN: usize = 64;
 /// The length of a mark: key, kind, term, position.
 const MARK_LEN: usize = 25;
@@ -47,6 +47,7 @@
 /// Why received bytes are rejected. The connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
+    /// Not a valid greeting or frame.
     Form,
     /// The peer uses an unknown version. Both instances go on, but neither receives marks from the other.
     Version,
--- a/crates/sandstile-hcl/src/lib.rs
+++ b/crates/sandstile-hcl/src/lib.rs
@@ -200,7 +200,7 @@
     pub fn count(&self, key: &str, range: Range<f64>, default: usize) -> usize {
         let n = self.number(key, range, default as f64);
         if n.fract() != 0.0 {
-            self.problem(key, format!("{key} is no whole number"), None);
+            self.problem(key, format!("{key} is not a whole number"), None);
         }
         n as usize
     }
@@ -217,7 +217,7 @@
         let (value, offset) = self.value(key)?;
         let text = value.as_str().map(str::to_string);
         if text.is_none() {
-            self.source.problem(offset, format!("{key} is no text"), Some("in double quotes".to_string()));
+            self.source.problem(offset, format!("{key} is not a text"), Some("in double quotes".to_string()));
         }
         text
     }
@@ -255,7 +255,7 @@
             }
             _ => {
                 let wanted = format!("wanted: a list of numbers from {} to {}", range.start, range.end);
-                self.source.problem(offset, format!("{key} is no usable list"), Some(wanted));
+                self.source.problem(offset, format!("{key} is not a valid list"), Some(wanted));
                 None
             }
         }
@@ -270,7 +270,7 @@
             _ => {
                 self.source.problem(
                     offset,
-                    format!("{key} is no list of texts"),
+                    format!("{key} is not a list of texts"),
                     Some("[\"a\", \"b\"]".to_string()),
                 );
                 None
--- a/crates/sandstile-journal/examples/durable.rs
+++ b/crates/sandstile-journal/examples/durable.rs
@@ -26,7 +26,8 @@
     for batch in [1u64, 10, 100, 1000] {
         let writes = (batch * 400).min(200_000);
         let _ = (std::fs::remove_file(&journal_path), std::fs::remove_file(&redb_path));
-        let (mut journal, _) = Journal::open(&journal_path, 0.0).expect("the place for files is writable");
+        let (mut journal, _) =
+            Journal::open(&journal_path, 0.0).expect("the directory for the files is writable");
         let started = Instant::now();
         for n in 0..writes {
             journal.append(key(n), &SessionMarks::of(mark(n))).expect("there is room on the disk");
@@ -36,7 +37,7 @@
         }
         let journal_rate = writes as f64 / started.elapsed().as_secs_f64();
         let journal_bytes = journal.bytes();
-        let database = Database::create(&redb_path).expect("the place for files is writable");
+        let database = Database::create(&redb_path).expect("the directory for the files is writable");
         let started = Instant::now();
         for first in (0..writes).step_by(batch as usize) {
             let transaction = database.begin_write().expect("a transaction");
@@ -48,7 +49,7 @@
                         .expect("there is room on the disk");
                 }
             }
-            transaction.commit().expect("the disk takes the commit");
+            transaction.commit().expect("the disk accepts the commit");
         }
         let redb_rate = writes as f64 / started.elapsed().as_secs_f64();
         let redb_bytes = std::fs::metadata(&redb_path).map_or(0, |m| m.len());
@@ -56,7 +57,8 @@
     }
     let sessions = 1_000_000;
     let _ = (std::fs::remove_file(&journal_path), std::fs::remove_file(&redb_path));
-    let (mut journal, _) = Journal::open(&journal_path, 0.0).expect("the place for files is writable");
+    let (mut journal, _) =
+        Journal::open(&journal_path, 0.0).expect("the directory for the files is writable");
     (0..sessions)
         .for_each(|n| journal.append(key(n), &SessionMarks::of(mark(n))).expect("there is room on the disk"));
     journal.sync().expect("the disk syncs");
@@ -65,13 +67,13 @@
     let (_, found) = Journal::open(&journal_path, 0.0).expect("the journal is readable");
     let (journal_seconds, marks) = (started.elapsed().as_secs_f64(), found.marks.len());
     {
-        let database = Database::create(&redb_path).expect("the place for files is writable");
+        let database = Database::create(&redb_path).expect("the directory for the files is writable");
         let transaction = database.begin_write().expect("a transaction");
         {
             let mut table = transaction.open_table(TABLE).expect("a table");
             (0..sessions).for_each(|n| drop(table.insert((key(n).0, 1), mark(n).position.to_bits())));
         }
-        transaction.commit().expect("the disk takes the commit");
+        transaction.commit().expect("the disk accepts the commit");
     }
     let started = Instant::now();
     let database = Database::open(&redb_path).expect("a database");
--- a/crates/sandstile-journal/tests/damage.rs
+++ b/crates/sandstile-journal/tests/damage.rs
@@ -43,7 +43,7 @@
 
 fn journal_bytes(n: u64) -> Vec<u8> {
     let disk = Disk::default();
-    let mut journal = Journal::create(disk.clone()).expect("the disk takes a header");
+    let mut journal = Journal::create(disk.clone()).expect("there is room on the disk for the header");
     (0..n).for_each(|k| journal.append(SessionKey(k), &marks_of(k)).expect("there is room on the disk"));
     journal.append(SessionKey(n), &SessionMarks::Lost(1000.0 + n as f64)).expect("there is room on the disk");
     journal.sync().expect("there is room on the disk");
@@ -100,16 +100,16 @@
     let checksum_bytes = blake3::hash(&newer[..16]);
     newer[16..24].copy_from_slice(&checksum_bytes.as_bytes()[..8]);
     for (bytes, newer) in [(newer, true), (b"something else that is longer than a head".to_vec(), false)] {
-        std::fs::write(&path, &bytes).expect("the place for files is writable");
+        std::fs::write(&path, &bytes).expect("the directory for the files is writable");
         match Journal::open(&path, 0.0) {
             Err(JournalError::NewerVersion(9)) if newer => {}
             Err(JournalError::NotAJournal) if !newer => {}
             Err(other) => panic!("{other}"),
-            Ok(_) => panic!("the file was taken up"),
+            Ok(_) => panic!("the file was accepted"),
         }
         assert_eq!(std::fs::read(&path).expect("the file exists"), bytes, "the file is left as it was");
     }
-    std::fs::remove_dir_all(dir).expect("our own folder can be removed");
+    std::fs::remove_dir_all(dir).expect("the test directory can be removed");
 }
 
 #[test]
@@ -136,7 +136,7 @@
 
 fn test_directory(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("sandstile-journal-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("the place for files is writable");
+    std::fs::create_dir_all(&dir).expect("the directory for the files is writable");
     dir
 }
 
@@ -146,7 +146,7 @@
 fn reopened_journal_merges_marks_and_reports_a_clean_end() {
     let dir = test_directory("again");
     let path = dir.join("marks");
-    let (mut journal, found) = Journal::open(&path, 0.0).expect("the place for files is writable");
+    let (mut journal, found) = Journal::open(&path, 0.0).expect("the directory for the files is writable");
     assert!(found.marks.is_empty() && !found.intact && !found.closed_cleanly);
     for n in 0..100 {
         journal.append(SessionKey(n % 10), &marks_of(n)).expect("there is room on the disk");
@@ -164,10 +164,10 @@
     let found = read(&std::fs::read(&path).expect("the file exists")).expect("the journal is readable");
     assert!(found.intact && !found.closed_cleanly && found.marks.len() == 6);
     // The rest of a replacement file that was interrupted by a power failure is ignored.
-    std::fs::write(dir.join("marks.new"), b"half").expect("the place for files is writable");
+    std::fs::write(dir.join("marks.new"), b"half").expect("the directory for the files is writable");
     let (_, found) = Journal::open(&path, 0.0).expect("the journal is readable");
     assert_eq!(found.marks.len(), 6);
-    std::fs::remove_dir_all(dir).expect("our own folder can be removed");
+    std::fs::remove_dir_all(dir).expect("the test directory can be removed");
 }
 
 /// Marks that arrive faster than syncs are due do not delay a sync: no mark waits longer than the interval.
--- a/crates/sandstile-membership-view/src/lib.rs
+++ b/crates/sandstile-membership-view/src/lib.rs
@@ -39,9 +39,9 @@
 /// Whether the router may act on information from a peer. `own` says that the router has observed the same itself. The view
 /// matters only for becoming less careful.
 ///
-/// None of the five rules can be broken, whichever side is wrong. More care sends to fewer hosts, to the primary, or not at all; the
-/// router also does each of these on its own knowledge, and all of them keep the rules. Less care is limited to what the router
-/// would have done on its own observations without any peer, in every state.
+/// Neither direction can break one of the five rules that a router has to keep, whichever router is wrong. A more careful router
+/// sends to fewer hosts, only to the primary, or not at all; it also does each of these on its own observations, and all of them
+/// keep the rules. A less careful router does only what it would have done on its own observations without any peer.
 pub fn may_act(view: View, topic: Topic, direction: Direction, own: bool) -> bool {
     match (direction, topic) {
         (Direction::MoreCareful, _) => true,
--- a/crates/sandstile-membership-view/tests/model.rs
+++ b/crates/sandstile-membership-view/tests/model.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq)]
 enum OwnObservation {
     Nothing,
-    Well,
-    Ill,
+    Healthy,
+    Unhealthy,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
@@ -56,7 +56,9 @@
     fn actions(&self, _: &Router, actions: &mut Vec<Action>) {
         actions.extend((0..4).map(Action::View));
         actions.extend(
-            [true, false].into_iter().flat_map(|well| [Action::PeerReport(well), Action::Observation(well)]),
+            [true, false]
+                .into_iter()
+                .flat_map(|healthy| [Action::PeerReport(healthy), Action::Observation(healthy)]),
         );
     }
 
@@ -70,19 +72,20 @@
                     view,
                     topic,
                     Direction::MoreCareful,
-                    router.own_observation == OwnObservation::Ill,
+                    router.own_observation == OwnObservation::Unhealthy,
                 )
             }
             Action::PeerReport(true) => {
-                let own = router.own_observation == OwnObservation::Well || self.trusts_reports;
+                let own = router.own_observation == OwnObservation::Healthy || self.trusts_reports;
                 if router.careful && may_act(view, topic, Direction::LessCareful, own) {
                     router.careful = false;
-                    router.by_report_alone |= router.own_observation != OwnObservation::Well;
+                    router.by_report_alone |= router.own_observation != OwnObservation::Healthy;
                 }
             }
-            Action::Observation(well) => {
-                router.own_observation = if well { OwnObservation::Well } else { OwnObservation::Ill };
-                router.careful = !well;
+            Action::Observation(healthy) => {
+                router.own_observation =
+                    if healthy { OwnObservation::Healthy } else { OwnObservation::Unhealthy };
+                router.careful = !healthy;
             }
         }
         (router != *before).then_some(router)
@@ -97,7 +100,7 @@
                 router.careful && router.own_observation == OwnObservation::Nothing
             }),
             Property::sometimes("an own observation makes the router less careful", |_, router: &Router| {
-                !router.careful && router.own_observation == OwnObservation::Well
+                !router.careful && router.own_observation == OwnObservation::Healthy
             }),
         ]
     }
--- a/crates/sandstile-membership-view/tests/views.rs
+++ b/crates/sandstile-membership-view/tests/views.rs
@@ -22,41 +22,44 @@
 
 #[test]
 fn a_worse_view_counts_at_once_and_a_better_one_after_a_delay() {
-    let calm = Observation { live: 8, ..Observation::default() };
+    let healthy = Observation { live: 8, ..Observation::default() };
     let mut tracker = ViewTracker::new(0.0);
-    assert_eq!((tracker.observe(0.0, &calm), tracker.observe(1.9, &calm)), (None, None));
-    assert_eq!(tracker.observe(2.0, &calm), Some(View::Agreed));
-    assert_eq!(tracker.observe(3.0, &Observation { suspects: 1, ..calm }), Some(View::Settling));
-    assert_eq!(tracker.observe(3.1, &Observation { live: 4, dead: 4, ..calm }), Some(View::CutOff));
-    assert_eq!(tracker.observe(3.2, &Observation { live: 0, dead: 8, ..calm }), Some(View::Alone));
+    assert_eq!((tracker.observe(0.0, &healthy), tracker.observe(1.9, &healthy)), (None, None));
+    assert_eq!(tracker.observe(2.0, &healthy), Some(View::Agreed));
+    assert_eq!(tracker.observe(3.0, &Observation { suspects: 1, ..healthy }), Some(View::Settling));
+    assert_eq!(tracker.observe(3.1, &Observation { live: 4, dead: 4, ..healthy }), Some(View::CutOff));
+    assert_eq!(tracker.observe(3.2, &Observation { live: 0, dead: 8, ..healthy }), Some(View::Alone));
     // Recovery enters the worst view seen during the delay, so a flapping connection never reaches `Agreed`.
     let mut now = 4.0;
     for n in 0..40 {
         now += 1.0;
-        let observation = if n % 2 == 0 { calm } else { Observation { live: 3, dead: 5, ..calm } };
+        let observation = if n % 2 == 0 { healthy } else { Observation { live: 3, dead: 5, ..healthy } };
         assert_ne!(tracker.observe(now, &observation), Some(View::Agreed), "{now}");
     }
     for _ in 0..6 {
         now += 1.0;
-        tracker.observe(now, &calm);
+        tracker.observe(now, &healthy);
     }
     assert_eq!(tracker.view(), View::Agreed);
     // One crash among many members is no partition; two of three are.
-    assert_eq!(tracker.observe(now + 1.0, &Observation { live: 7, dead: 1, ..calm }), None);
-    assert_eq!(tracker.observe(now + 2.0, &Observation { live: 1, dead: 2, ..calm }), Some(View::CutOff));
+    assert_eq!(tracker.observe(now + 1.0, &Observation { live: 7, dead: 1, ..healthy }), None);
+    assert_eq!(tracker.observe(now + 2.0, &Observation { live: 1, dead: 2, ..healthy }), Some(View::CutOff));
     // A router that receives nothing is alone at once, however many members it considers live; one that is reported dead is cut off.
     assert_eq!(
-        ViewTracker::new(0.0).observe(0.0, &Observation { silent: true, ..calm }),
+        ViewTracker::new(0.0).observe(0.0, &Observation { silent: true, ..healthy }),
         None,
         "the view is `Alone` from the start"
     );
     for _ in 0..6 {
         now += 1.0;
-        tracker.observe(now + 3.0, &calm);
+        tracker.observe(now + 3.0, &healthy);
     }
     assert_eq!(tracker.view(), View::Agreed);
-    assert_eq!(tracker.observe(now + 4.0, &Observation { declared_dead: true, ..calm }), Some(View::CutOff));
-    assert_eq!(tracker.observe(now + 4.1, &Observation { silent: true, ..calm }), Some(View::Alone));
+    assert_eq!(
+        tracker.observe(now + 4.0, &Observation { declared_dead: true, ..healthy }),
+        Some(View::CutOff)
+    );
+    assert_eq!(tracker.observe(now + 4.1, &Observation { silent: true, ..healthy }), Some(View::Alone));
     assert_eq!(
         ViewTracker::new(0.0).observe(5.0, &Observation::default()),
         None,
--- a/crates/sandstile-pgwire/src/frame.rs
+++ b/crates/sandstile-pgwire/src/frame.rs
@@ -1,9 +1,9 @@
-//! Finds the boundaries of frames and rejects frames that the peer cannot have meant.
+//! Finds the boundaries of frames and rejects those that no peer of this protocol sends.
 use std::ops::Range;
 
 /// Fits a value of 64 KiB as hexadecimal digits in a query, with its statement and comment.
 pub const MAX_FRAME_BYTES: usize = 2 * 64 * 1024 + 16 * 1024;
-/// The largest value that the protocol's page specifies. Longer ones occur and are accepted while memory
+/// The largest value that the specification of the protocol states. Longer ones occur and are accepted while memory
 /// allows.
 pub const TYPICAL_VALUE_BYTES: usize = 64 * 1024;
 /// For frames that hold only names, texts and codes.
@@ -16,7 +16,7 @@
 const SSL: i32 = 80_877_103;
 const GSS: i32 = 80_877_104;
 
-/// The bytes are no valid frame of the protocol.
+/// The bytes are not a valid frame of the protocol.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BadFrame(pub &'static str);
 
@@ -65,9 +65,9 @@
     Ok(Some(1 + length.ok_or(BadFrame("frame length"))?))
 }
 
-/// Fails if a database host cannot have sent a frame that begins like this. Prevents waiting for the rest of
-/// something that is no frame: noise that happens to have a small length, or a row that is longer or shorter
-/// than its value.
+/// Fails if a database host cannot have sent a frame that begins like this. Without this check a
+/// reader could wait for the rest of bytes that are not a frame: noise that happens to have a small length, or a row
+/// that is longer or shorter than its value.
 pub fn check_plausible(buf: &[u8], max_value_bytes: usize) -> Result<(), BadFrame> {
     let Some(tag) = buf.first() else { return Ok(()) };
     let max_length = match tag {
--- a/crates/sandstile-probe-sharing/tests/probe_sharing.rs
+++ b/crates/sandstile-probe-sharing/tests/probe_sharing.rs
@@ -181,12 +181,12 @@
     let (mut liar_accepted, mut honest_accepted) = (0, 0);
     for n in 0..600 {
         let now = f64::from(n) * 0.1;
-        liar_accepted += usize::from(warnings.accept(now, "liar", "well"));
-        warnings.answered(now + 0.05, "well");
-        honest_accepted += usize::from(warnings.accept(now, "honest", "ill"));
+        liar_accepted += usize::from(warnings.accept(now, "liar", "healthy"));
+        warnings.answered(now + 0.05, "healthy");
+        honest_accepted += usize::from(warnings.accept(now, "honest", "refusing"));
     }
     assert!(liar_accepted <= 6 && honest_accepted == 600, "{liar_accepted} {honest_accepted}");
-    assert!(warnings.accept(1000.0, "liar", "well"), "accepted again after a while");
+    assert!(warnings.accept(1000.0, "liar", "healthy"), "accepted again after a while");
 }
 
 #[test]
--- a/crates/sandstile-restart-pacing/src/admission_ramp.rs
+++ b/crates/sandstile-restart-pacing/src/admission_ramp.rs
@@ -5,7 +5,7 @@
 /// The initial limit of statements in flight.
 const INITIAL_WINDOW: f64 = 8.0;
 /// The number of completions without a rejection after which the ramp ends.
-const CALM_COMPLETIONS: u32 = 200;
+const COMPLETIONS_TO_FINISH: u32 = 200;
 /// The ramp ends at this limit, which no router of these deployments exceeds.
 const MAX_WINDOW: f64 = 256.0;
 
@@ -54,7 +54,7 @@
         }
         self.window += 1.0;
         self.completions_since_rejection += 1;
-        if self.completions_since_rejection >= CALM_COMPLETIONS || self.window >= MAX_WINDOW {
+        if self.completions_since_rejection >= COMPLETIONS_TO_FINISH || self.window >= MAX_WINDOW {
             self.finished = true;
             self.in_flight.clear();
         }
--- a/crates/sandstile-restart-pacing/src/list_polling.rs
+++ b/crates/sandstile-restart-pacing/src/list_polling.rs
@@ -1,8 +1,9 @@
 //! Backoff between requests for the host list. Routers that lost the same agent or were started together
-//! would otherwise ask in step.
+//! would otherwise ask at the same times.
 use oorandom::Rand64;
 
-/// The first and the longest pause in seconds: an absent agent costs little, and changes must not wait long.
+/// The first and the longest pause in seconds. They are short because a request to an absent agent costs little, and
+/// changes of the list must not wait long.
 const INITIAL_PAUSE: f64 = 0.2;
 const MAX_PAUSE: f64 = 1.0;
 
