--- a/crates/sandstile-audit/src/agreement.rs
+++ b/crates/sandstile-audit/src/agreement.rs
@@ -198,7 +198,7 @@
 fn judge(epoch: &mut Epoch, trace: &Trace, begin: f64) {
     let side: BTreeMap<usize, &BTreeSet<usize>> =
         epoch.sides.iter().flat_map(|side| side.iter().map(move |n| (*n, side))).collect();
-    // The latest sample of each router; one that has just started knows nobody.
+    // The latest sample of each router; one that has just started knows no other.
     let mut latest: BTreeMap<usize, &MembershipSample> = BTreeMap::new();
     let started: Vec<(f64, usize)> = trace
         .routers
@@ -212,7 +212,7 @@
             let present = latest.get(n).map_or(&nobody, |s| &s.present);
             let is_exact =
                 present.len() + 1 == side.len() && present.iter().all(|m| m != n && side.contains(m));
-            // A router that reaches nobody need not declare the others dead, as long as it reports its isolation.
+            // A router that reaches no other need not declare the others dead, as long as it reports its isolation.
             let reports_isolation =
                 |s: &&MembershipSample| matches!(s.view.as_str(), "alone" | "cut off from some");
             is_exact || (side.len() == 1 && latest.get(n).is_some_and(reports_isolation))
--- a/crates/sandstile-audit/src/convergence.rs
+++ b/crates/sandstile-audit/src/convergence.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// Evaluates a whole trace; empty where no router keeps replicated state.
+/// Evaluates a whole trace; empty if no router has replicated state.
 pub fn state_convergence(trace: &Trace) -> Convergence {
     let Some(settings) = trace.settings.as_ref().filter(|_| !trace.state_samples.is_empty()) else {
         return Convergence::default();
--- a/crates/sandstile-audit/src/trace.rs
+++ b/crates/sandstile-audit/src/trace.rs
@@ -59,7 +59,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// What the value itself says: the statement it was made for, the host that made it and that host's log position.
+    /// Taken from the value itself: the statement it was made for, the host that made it and that host's log position.
     Completed {
         made_for: Option<String>,
         by: Option<String>,
--- a/crates/sandstile-audit/tests/agreement.rs
+++ b/crates/sandstile-audit/tests/agreement.rs
@@ -46,7 +46,7 @@
     assert_eq!(after[1..], [Some(3.5), Some(1.0)], "{found}");
     assert_eq!(found.epochs[1].sides.len(), 2);
     assert_eq!(found.false_deaths(), 0);
-    // A router that reaches nobody and does not report it has not agreed.
+    // A router that reaches no other and does not report that does not count as agreed.
     let unaware = lines.replace("alone", "agreed");
     assert_eq!(agreement(&trace(&unaware)).epochs[1].agreed_after, None);
 }
@@ -110,7 +110,7 @@
     assert_eq!((found.not_agreed(), found.false_deaths()), (1, 0));
 }
 
-/// A router that is back before the others missed it knows nobody until it reports otherwise.
+/// A router that is back before the others noticed its end knows no other until it reports one.
 #[test]
 fn a_restarted_router_does_not_keep_what_its_predecessor_saw() {
     let lines = all_agreed()
--- a/crates/sandstile-durable-state/src/lib.rs
+++ b/crates/sandstile-durable-state/src/lib.rs
@@ -1,10 +1,10 @@
 //! Stores the replicated state on disk. The state file holds a copy followed by the changes since then. A
-//! witness file, best kept on another disk and out of backups, names the generation that wrote the state and
+//! witness file, which should be on another disk and left out of backups, names the generation that wrote the state and
 //! the version that it ended with.
 //!
 //! A start reads all facts that it finds, but the file is trusted to be complete only if the witness confirms
 //! it (`sandstile_replicated_state::catchup::assess_trust`). A failing disk ends the writing and is reported,
-//! but has no other effect: the file then lacks its end record and is never taken for complete.
+//! but has no other effect: the file then lacks its end record and is never mistaken for a complete one.
 mod state_directory;
 
 use sandstile_replicated_state::catchup::{StoredCopy, Witness};
@@ -51,7 +51,7 @@
 }
 
 /// Reads what an earlier generation left, and begins the state file of this one. The witness is written
-/// first, so that no copy of an earlier generation is taken for the latest one, even if this start is interrupted.
+/// first, so that no copy of an earlier generation is mistaken for the latest one, even if this start is interrupted.
 pub fn open(mut storage: Box<dyn Storage>, generation: u64) -> OpenedState {
     let bytes = storage.read();
     let witness_bytes = storage.read_witness();
--- a/crates/sandstile-durable-state/tests/disks.rs
+++ b/crates/sandstile-durable-state/tests/disks.rs
@@ -115,7 +115,7 @@
     assert_eq!(run_generation(&disk, 6, 0, true), (Trust::None, 0));
 }
 
-/// Wherever the disk fills up or turns read-only, a later start never trusts an incomplete file to hold
+/// At whatever point the disk fills up or turns read-only, a later start never trusts an incomplete file to hold
 /// everything.
 #[test]
 fn full_disk_never_leads_to_full_trust_in_a_partial_file() {
--- a/crates/sandstile-faults/tests/faults.rs
+++ b/crates/sandstile-faults/tests/faults.rs
@@ -20,7 +20,7 @@
 }
 
 /// Under any sequence of link conditions, the bytes of a stream arrive whole and in order, and none stays in
-/// flight for ever.
+/// flight forever.
 #[test]
 fn a_stream_arrives_whole_and_in_order_under_any_link_condition() {
     fn received_equals_sent(seed: u64) -> bool {
--- a/crates/sandstile-hcl/src/lib.rs
+++ b/crates/sandstile-hcl/src/lib.rs
@@ -174,7 +174,7 @@
                 None
             }
             None => {
-                self.source.problem(offset, format!("{key} is no number"), None);
+                self.source.problem(offset, format!("{key} is not a number"), None);
                 None
             }
         }
--- a/crates/sandstile-journal/src/lib.rs
+++ b/crates/sandstile-journal/src/lib.rs
@@ -21,7 +21,7 @@
 const RECORD_LEN: usize = 40;
 const BODY_LEN: usize = RECORD_LEN - 8;
 
-/// `KIND_MARK` holds a mark; `KIND_LOST` says only that the session wrote, up to a position.
+/// `KIND_MARK` holds a mark; `KIND_LOST` records only that the session wrote up to a position.
 const KIND_MARK: u8 = 1;
 const KIND_LOST: u8 = 2;
 /// The instance shut down cleanly, and the records above hold all that it knew.
@@ -217,7 +217,7 @@
         }
         journal.sync()?;
         fs::rename(&new_path, path)?;
-        // From here on, the new file is the journal even if a later step fails: a writer that went on with
+        // From here on, the new file is the journal even if a later step fails: a writer that kept using
         // the old file would write to a file without a name. The new name becomes durable with the next sync
         // at the latest.
         if sync_directory(path).is_err() {
@@ -227,8 +227,8 @@
     }
 }
 
-/// Ensures that the journal at `path`, if any, is never taken for intact later: removes it, or truncates it,
-/// or renames it. On an error the file is unchanged.
+/// Ensures that the journal at `path`, if any, is never mistaken for an intact one later: removes it, or
+/// truncates it, or renames it. On an error the file is unchanged.
 pub fn invalidate(path: &Path) -> io::Result<()> {
     let removed = match fs::remove_file(path) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
--- a/crates/sandstile-lab/src/clients.rs
+++ b/crates/sandstile-lab/src/clients.rs
@@ -208,7 +208,7 @@
         let mut session = arrival.session;
         while !self.active_sessions.lock().expect("no worker panics under the lock").insert((group, session))
         {
-            // The session is busy: another session takes the request.
+            // The session is busy, so another session sends the request.
             session += 1_000_000_007;
         }
         self.send_with_follow_up(due, arrival, session, home);
@@ -365,7 +365,7 @@
             }
         };
         let mut written = write_with_deadline(&mut connection.stream, &message, &self.clock, deadline);
-        // From here on the statement is in the trace, whatever its outcome.
+        // The statement is recorded in the trace before its outcome is known.
         self.trace.write(self.clock.now(), asked_line);
         let mut read_outcome = match written {
             Ok(()) => self.read_answer(&mut connection, id, deadline),
--- a/crates/sandstile-lab/src/trace_writer.rs
+++ b/crates/sandstile-lab/src/trace_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the trace on a thread of its own, which takes lines from a channel, so that no timed code waits for the disk.
+//! Writes the trace on its own thread, which receives lines from a channel, so that no timed code waits for the disk.
 use crossbeam_channel::{unbounded, Sender};
 use sandstile_emulator::Record;
 use serde::Serialize;
--- a/crates/sandstile-limits/src/retry_budget.rs
+++ b/crates/sandstile-limits/src/retry_budget.rs
@@ -2,7 +2,7 @@
 //! completions there are no retries, and after an outage retries grow in proportion to what the group serves.
 use std::collections::BTreeMap;
 
-/// Limits the tokens saved, so that a long calm period does not allow a burst.
+/// The largest number of saved tokens, so that a long period without retries does not allow a burst.
 const MAX_TOKENS: f64 = 10.0;
 /// The number of pairs of workload and group that are tracked; the least recently used one is dropped.
 const MAX_PAIRS: usize = 1024;
--- a/crates/sandstile-limits/src/storm_detector.rs
+++ b/crates/sandstile-limits/src/storm_detector.rs
@@ -1,5 +1,5 @@
-//! Detects retry storms. An ordinary rise of the load is told from a storm by the kind of traffic and not by
-//! its volume: by the share of retries among statements and of refusals among answers. Each share is watched
+//! Detects retry storms. A storm is distinguished from an ordinary rise of the load by the kind of traffic and
+//! not by its volume: by the share of retries among statements and of refusals among answers. Each share is watched
 //! with Page's CUSUM test (1954) for a Bernoulli variable; the threshold follows from the accepted number of
 //! false alarms per day (Wald's bound).
 
@@ -46,7 +46,7 @@
     threshold: f64,
 }
 
-/// Shares below this are always ordinary: on a quiet day, a single retry would double the usual share.
+/// Shares below this never count as a storm: on a quiet day, a single retry would double the usual share.
 const MIN_CALM_SHARE: f64 = 0.1;
 /// The share in a storm is at least this multiple of the usual one, and at least `MIN_STORM_SHARE`.
 const STORM_FACTOR: f64 = 3.0;
@@ -80,13 +80,13 @@
         let log_ratio = if self.in_storm { -log_ratio } else { log_ratio };
         self.evidence = (self.evidence + log_ratio).max(0.0);
         if !self.in_storm {
-            // Counted only while the evidence for a storm is low, so that a storm is not learnt.
+            // Counted only while the evidence for a storm is low, so that the share of a storm is not learnt as usual.
             self.event_count += 1;
             let weight = (1.0 / (self.event_count as f64 + ASSUMED_EVENTS)).max(1.0 / BASELINE_EVENTS);
             let hit = f64::from(u8::from(hit && self.evidence < self.threshold / 2.0));
             self.baseline += weight * (hit - self.baseline);
         }
-        // The end needs less evidence than the beginning: a wrong end only means that the limits start again.
+        // The end needs less evidence than the beginning: after a wrong end, the limits only start again.
         let needed = if self.in_storm { self.threshold / 2.0 } else { self.threshold };
         if self.evidence < needed {
             return false;
@@ -127,7 +127,7 @@
     changes: Vec<StormChange>,
 }
 
-/// Seconds without traffic that end any storm, as no client is left to return.
+/// Seconds without traffic that end any storm, because then no client is left that could return.
 const SILENCE_SECONDS: f64 = 10.0;
 /// Events per day of a busy router; the threshold grows only with their logarithm.
 const EVENTS_PER_DAY: f64 = 1e8;
--- a/crates/sandstile-limits/tests/limits.rs
+++ b/crates/sandstile-limits/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Storms are told from ordinary load jumps, retry budgets keep their ratio, and returning clients stay
+//! Storms are distinguished from ordinary load jumps, retry budgets keep their ratio, and returning clients stay
 //! within the capacity set aside for them.
 use oorandom::Rand64;
 use quickcheck::{Gen, QuickCheck};
--- a/crates/sandstile-membership-view/src/sharing_routers.rs
+++ b/crates/sandstile-membership-view/src/sharing_routers.rs
@@ -36,7 +36,7 @@
             (self.count, self.lower) = (live, None);
             return self.count;
         }
-        // `own` is true: this router's own member list says that they are gone, not a peer alone.
+        // `own` is true because this router's own member list shows that they are gone, not only a peer's report.
         if !may_act(view, Topic::SharingRouters, Direction::LessCareful, true) {
             self.lower = None;
             return self.count;
--- a/crates/sandstile-membership-view/src/view.rs
+++ b/crates/sandstile-membership-view/src/view.rs
@@ -1,5 +1,5 @@
-//! Classifies how well this router's view of the members agrees with that of the others. A change for the worse counts at once, a
-//! change for the better only after it has lasted (hysteresis).
+//! Classifies how well this router's view of the members agrees with that of the others. A worse view takes effect at once, a
+//! better one only after it has lasted (hysteresis).
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum View {
@@ -35,7 +35,7 @@
     pub differing: usize,
     /// Configured addresses of other members.
     pub seeds: usize,
-    /// No datagram arrived for so long that it is not due to loss; the number of live members is then meaningless.
+    /// No datagram arrived for longer than packet loss explains; the number of live members is then meaningless.
     pub silent: bool,
     /// Others report this router dead, so they do not receive its datagrams.
     pub declared_dead: bool,
--- a/crates/sandstile-recording/src/lib.rs
+++ b/crates/sandstile-recording/src/lib.rs
@@ -15,7 +15,7 @@
 pub const VERSION: u16 = 1;
 /// Arrivals per block.
 const ARRIVALS_PER_BLOCK: usize = 4096;
-/// Upper limit for the length of a block or header; a longer one is taken as corrupted.
+/// Upper limit for the length of a block or header; a longer one counts as corrupted.
 const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// One arrival.
@@ -171,7 +171,7 @@
         &self.out
     }
 
-    /// Writes the end marker, by which a reader knows that nothing is missing.
+    /// Writes the end marker, which tells a reader that nothing is missing.
     pub fn end(mut self) -> io::Result<W> {
         self.flush()?;
         let mut body = Vec::new();
--- a/crates/sandstile-relay/tests/links.rs
+++ b/crates/sandstile-relay/tests/links.rs
@@ -73,7 +73,7 @@
 }
 
 /// The relay has received more than one turn reads, and nothing arrives afterwards, so no readiness event
-/// announces the unread bytes. Guards against a relay that leaves them unread for ever.
+/// announces the unread bytes. Guards against a relay that leaves them unread forever.
 #[test]
 fn bytes_left_unread_after_a_turn_are_read_without_a_new_event() {
     const SENT_BYTES: usize = 700_000;
--- a/crates/sandstile-restart-pacing/src/stall.rs
+++ b/crates/sandstile-restart-pacing/src/stall.rs
@@ -1,9 +1,9 @@
-//! Detects that the process was stopped. It resumes as if nothing had happened, but its host list, its
-//! positions and the statements in its sockets are outdated. The event loop calls `check` at least every
+//! Detects that the process was stopped. It then resumes as if nothing had happened, but its host list,
+//! its positions and the statements in its sockets are outdated. The event loop calls `check` at least every
 //! `CHECK_INTERVAL` seconds; a call that is far too late shows a stall, and decisions then wait until current
 //! data had time to arrive.
 
-/// Seconds between checks, so that a stall can be told from an idle event loop.
+/// Seconds between checks, so that a stall can be distinguished from an idle event loop.
 pub const CHECK_INTERVAL: f64 = 0.25;
 /// Seconds after a stall until the threads of this process have read what waits in their sockets, one after
 /// another.
--- a/crates/sandstile-scenario/src/traffic.rs
+++ b/crates/sandstile-scenario/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Open-loop arrivals of client statements, at a rate that changes as the script says. Arrivals depend only
+//! Open-loop arrivals of client statements, at a rate that changes as the script specifies. Arrivals depend only
 //! on the seed and don't wait for answers, so a slow fleet receives the same load as a fast one.
 use crate::script::{RateJump, Script, TrafficStream};
 use sandstile_fleet::random::Rng;
--- a/crates/sandstile-shim/preload/lib.rs
+++ b/crates/sandstile-shim/preload/lib.rs
@@ -1,5 +1,5 @@
 //! The library that is preloaded into a process under test. It replaces the C library's wrappers of system calls and
-//! makes them fail, transfer less or wait, as the rules in `SANDSTILE_SHIM` say. After the start no function here takes
+//! makes them fail, transfer less or wait, as the rules in `SANDSTILE_SHIM` specify. After the start no function here takes
 //! a lock or allocates, because some of these calls come from signal handlers.
 // The safety requirements are those that the C library's manual states for the functions of the same names.
 #![allow(clippy::missing_safety_doc)]
@@ -132,7 +132,7 @@
     }
 }
 
-/// The fault of this call now, if any. A delay takes place here, after which the call goes on.
+/// Returns the fault that applies to this call, if any. Delays are carried out here, and the call then proceeds.
 fn fault(call: &str) -> Option<Fault> {
     socket_fault(call, || 0)
 }
--- a/crates/sandstile-soak/src/client.rs
+++ b/crates/sandstile-soak/src/client.rs
@@ -1,4 +1,4 @@
-//! A simulated client. It keeps a connection for as long as the router does, sends one statement after the other, and
+//! A simulated client. It keeps a connection until the router closes it, sends one statement after the other, and
 //! records how each ended.
 use crate::record::{Effect, End, Recorder, Request};
 use oorandom::Rand64;
--- a/crates/sandstile-soak/src/run.rs
+++ b/crates/sandstile-soak/src/run.rs
@@ -26,7 +26,7 @@
 const RELEASE_TIME: Duration = Duration::from_millis(100);
 /// A router limited to a tenth of a core runs for a tenth of this period and is stopped for the rest.
 const CPU_PERIOD: Duration = Duration::from_millis(20);
-/// How long an idle crowd stays connected.
+/// How long the idle clients of `Event::Crowd` stay connected.
 const CROWD_DURATION: Duration = Duration::from_secs(3);
 
 /// The result of a run.
--- a/crates/sandstile-stats/src/verdict.rs
+++ b/crates/sandstile-stats/src/verdict.rs
@@ -17,7 +17,7 @@
 pub enum Verdict {
     Better,
     Worse,
-    /// The difference, whatever it is, is smaller than the smallest relevant one.
+    /// Any difference there may be is smaller than the smallest relevant one.
     NoDifference,
     NotEnough,
 }
