--- a/crates/sandstile-connections/src/budget.rs
+++ b/crates/sandstile-connections/src/budget.rs
@@ -99,7 +99,7 @@
     }
 
     /// Upstream connections, client connections and bytes held.
-    pub fn held(&self) -> (usize, usize, usize) {
+    pub fn usage(&self) -> (usize, usize, usize) {
         (self.upstream_connections, self.clients, self.long_bytes)
     }
 
--- a/crates/sandstile-connections/src/client_connection.rs
+++ b/crates/sandstile-connections/src/client_connection.rs
@@ -515,7 +515,7 @@
                 Ok(statement) => {
                     // The client waits from the statement's own last byte, however long the statements before
                     // it took.
-                    let deadline = arrived_at + statement.wait;
+                    let deadline = arrived_at + statement.timeout;
                     // The grace of the answer starts no earlier than now. Otherwise a statement that was
                     // delayed by those before it would lose its answer, and so would all statements behind
                     // it.
--- a/crates/sandstile-connections/src/close_reason.rs
+++ b/crates/sandstile-connections/src/close_reason.rs
@@ -47,7 +47,7 @@
 
 impl CloseReason {
     /// Whether this is part of normal operation and needs no line in the log.
-    pub fn ordinary(self) -> bool {
+    pub fn is_ordinary(self) -> bool {
         use CloseReason::*;
         matches!(self, ClientClosed | ClientTerminated | ClientRested | ClientEvicted | ClientDismissed)
     }
--- a/crates/sandstile-connections/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -11,7 +11,7 @@
 pub enum Placement {
     /// This idle connection takes it, after the caller has checked that its socket is still usable.
     Assign(usize, HostTask),
-    /// The task waits. The caller has to dial one more connection to this address and report it by `dialled`.
+    /// The task waits. The caller has to dial one more connection to this address and report it by `dial_started`.
     Dial(SocketAddr),
     /// The task fails at once.
     End(HostTask, Ending),
@@ -84,7 +84,7 @@
     }
 
     /// Reports the id of the dial that `begin` asked for last.
-    pub fn dialled(&mut self, connection: usize) {
+    pub fn dial_started(&mut self, connection: usize) {
         self.dials.insert(connection, self.address_number);
         if let Some(task) = self.awaiting_dial.take() {
             self.waiting.push_back((connection, task));
--- a/crates/sandstile-connections/src/statement.rs
+++ b/crates/sandstile-connections/src/statement.rs
@@ -9,7 +9,7 @@
 pub struct Statement {
     query: Vec<u8>,
     /// Where the digits of the field `d` are in `query`.
-    wait_range: Range<usize>,
+    timeout_range: Range<usize>,
     pub id: String,
     pub workload: usize,
     pub group: String,
@@ -17,9 +17,9 @@
     pub session: Option<String>,
     pub writes: bool,
     /// Seconds for which the client waits, counted from when it sent the statement.
-    pub wait: f64,
+    pub timeout: f64,
     /// Unix seconds of the session's last write, if the client sends it.
-    pub after: Option<f64>,
+    pub last_write_at: Option<f64>,
     pub retry: bool,
     /// The session's mark, as this or another router issued it.
     pub mark: Option<String>,
@@ -31,9 +31,9 @@
     Comment,
     Id,
     Workload,
-    Wait,
+    Timeout,
     Group,
-    After,
+    LastWrite,
 }
 
 impl StatementError {
@@ -43,9 +43,9 @@
             StatementError::Comment => "unreadable comment",
             StatementError::Id => "missing or unusable id",
             StatementError::Workload => "unknown workload in c",
-            StatementError::Wait => "missing or unreadable d",
+            StatementError::Timeout => "missing or unreadable d",
             StatementError::Group => "missing cluster",
-            StatementError::After => "unreadable after",
+            StatementError::LastWrite => "unreadable after",
         }
     }
 }
@@ -58,7 +58,7 @@
 }
 
 /// One day: no client waits that long, and larger values would overflow the platform's timers.
-const MAX_WAIT_MS: u64 = 86_400_000;
+const MAX_TIMEOUT_MS: u64 = 86_400_000;
 /// Clients use ids of 16 digits. The limit bounds the memory that the ids of open statements take.
 const MAX_ID_BYTES: usize = 64;
 /// Longer than any mark that a router issues.
@@ -77,14 +77,14 @@
         find("id").map(text).filter(|id| (1..=MAX_ID_BYTES).contains(&id.len())).ok_or(StatementError::Id)?;
     let workload_name = find("c").map(text).ok_or(StatementError::Workload)?;
     let workload = workloads.iter().position(|w| w.name == workload_name).ok_or(StatementError::Workload)?;
-    let wait_range = find("d").ok_or(StatementError::Wait)?;
+    let timeout_range = find("d").ok_or(StatementError::Timeout)?;
     // 0 is accepted: a last retry may have no time left, and it is answered like any other statement whose
     // deadline has passed.
-    let wait = parse_ms(text(wait_range.clone())).filter(|ms| *ms <= MAX_WAIT_MS);
+    let timeout = parse_ms(text(timeout_range.clone())).filter(|ms| *ms <= MAX_TIMEOUT_MS);
     let group = find("cluster").map(text).filter(|g| !g.is_empty()).ok_or(StatementError::Group)?;
-    let after = match find("after").map(text) {
+    let last_write_at = match find("after").map(text) {
         None => None,
-        Some(ms) => Some(parse_ms(ms).ok_or(StatementError::After)?),
+        Some(ms) => Some(parse_ms(ms).ok_or(StatementError::LastWrite)?),
     };
     let session = workloads[workload].sessions.then(|| first_quoted(&query[comment_end..])).flatten();
     let session = session.map(|name| String::from_utf8_lossy(name).into_owned());
@@ -99,12 +99,12 @@
         group,
         session,
         writes: workloads[workload].writes,
-        wait: wait.ok_or(StatementError::Wait)? as f64 / 1000.0,
-        after: after.filter(|ms| *ms > 0).map(|ms| ms as f64 / 1000.0),
+        timeout: timeout.ok_or(StatementError::Timeout)? as f64 / 1000.0,
+        last_write_at: last_write_at.filter(|ms| *ms > 0).map(|ms| ms as f64 / 1000.0),
         retry,
         mark,
         query,
-        wait_range,
+        timeout_range,
     })
 }
 
@@ -158,9 +158,10 @@
 impl StatementPayload for Statement {
     /// The Query message for a database host. Only the value of `d` is replaced, by the time for which this
     /// router will wait.
-    fn message(&self, wait: f64) -> Vec<u8> {
-        let ms = ((wait * 1000.0).floor().max(1.0) as u64).to_string();
-        let (before, after) = (&self.query[..self.wait_range.start], &self.query[self.wait_range.end..]);
+    fn message(&self, timeout: f64) -> Vec<u8> {
+        let ms = ((timeout * 1000.0).floor().max(1.0) as u64).to_string();
+        let (before, after) =
+            (&self.query[..self.timeout_range.start], &self.query[self.timeout_range.end..]);
         let mut out = Vec::with_capacity(self.query.len() + 16);
         pg::write_frame(&mut out, b'Q', &[before, ms.as_bytes(), after, b"\0"]);
         out
--- a/crates/sandstile-connections/src/upstream_connection.rs
+++ b/crates/sandstile-connections/src/upstream_connection.rs
@@ -158,15 +158,15 @@
     }
 
     /// It has a descriptor and is being dialled.
-    pub fn dialled(&mut self) {
+    pub fn dial_started(&mut self) {
         if let State::Queued { deadline } = self.state {
             self.state = State::Dialling { deadline };
         }
     }
 
-    /// Like `dialled`, for a dial that was delayed to limit concurrent dials: the host gets the whole dial
+    /// Like `dial_started`, for a dial that was delayed to limit concurrent dials: the host gets the whole dial
     /// timeout from now on.
-    pub fn dialled_with_deadline(&mut self, deadline: f64) {
+    pub fn dial_started_with_deadline(&mut self, deadline: f64) {
         if let State::Queued { .. } = self.state {
             self.state = State::Dialling { deadline };
         }
@@ -353,7 +353,7 @@
     }
 
     /// Closes it while it is idle.
-    pub fn leave(&mut self) {
+    pub fn close_idle(&mut self) {
         self.state = State::Ended;
     }
 
--- a/crates/sandstile-connections/tests/client_connections.rs
+++ b/crates/sandstile-connections/tests/client_connections.rs
@@ -201,7 +201,7 @@
             match action {
                 Some(ClientAction::Submit { statement, deadline }) => {
                     assert_eq!(open_statement, None, "only one statement at a time");
-                    assert!(statement.wait == 0.5 && deadline <= harness.now + 0.5);
+                    assert!(statement.timeout == 0.5 && deadline <= harness.now + 0.5);
                     submitted += 1;
                     harness.connection.submitted(submitted);
                     open_statement = Some(submitted);
@@ -237,7 +237,7 @@
             "seed {seed}, closed {closed}"
         );
         harness.connection.release(&mut harness.budget);
-        assert_eq!(harness.budget.held(), (0, 0, 0), "seed {seed}");
+        assert_eq!(harness.budget.usage(), (0, 0, 0), "seed {seed}");
     }
 }
 
--- a/crates/sandstile-connections/tests/upstream_connections.rs
+++ b/crates/sandstile-connections/tests/upstream_connections.rs
@@ -16,8 +16,8 @@
 struct FixedQuery;
 
 impl StatementPayload for FixedQuery {
-    fn message(&self, wait: f64) -> Vec<u8> {
-        assert!(wait > 0.0);
+    fn message(&self, timeout: f64) -> Vec<u8> {
+        assert!(timeout > 0.0);
         let mut out = Vec::new();
         pg::query(&mut out, &[b'x'; 40]);
         out
@@ -56,7 +56,7 @@
 /// A connection that is ready at `now`.
 fn ready_connection(now: f64, budget: &mut Budget) -> UpstreamConnection {
     let mut connection = UpstreamConnection::new(now + MAX_PAUSE_S, MAX_PAUSE_S);
-    connection.dialled();
+    connection.dial_started();
     connection.connected();
     connection.wrote(connection.pending_output().len());
     assert!(matches!(connection.receive(now, &startup_response(), budget), Some(Event::Ready)));
@@ -89,7 +89,7 @@
             assert_eq!((outcome.ending, outcome.host_report.primary), (Ending::Completed, Some(false)));
             assert_eq!(outcome.host_report.position, Some(1_700_000_000.123));
             assert!(outcome.rows.windows(value.len().max(1)).any(|w| w == value) || value.is_empty());
-            assert_eq!(budget.held(), (0, 0, 0));
+            assert_eq!(budget.usage(), (0, 0, 0));
         }
     }
 }
@@ -113,7 +113,7 @@
         for _ in 0..80 {
             let event = match random_below(14) {
                 0 => {
-                    connection.dialled();
+                    connection.dial_started();
                     None
                 }
                 1 => {
@@ -205,7 +205,7 @@
             }
         }
         connection.release(&mut budget);
-        assert_eq!(budget.held(), (0, 0, 0), "seed {seed}");
+        assert_eq!(budget.usage(), (0, 0, 0), "seed {seed}");
     }
     use Ending::*;
     let all = [
@@ -276,7 +276,7 @@
                             }
                             Placement::Dial(_) => {
                                 next_connection += 1;
-                                pool.dialled(next_connection);
+                                pool.dial_started(next_connection);
                                 dials.insert(next_connection);
                             }
                             Placement::End(task, ending) => {
--- a/crates/sandstile-deployment/src/host_list.rs
+++ b/crates/sandstile-deployment/src/host_list.rs
@@ -95,7 +95,7 @@
                 group: groups.intern(&entry.group),
                 zone: self.zones.intern(&entry.zone),
                 primary: entry.primary,
-                since: entry.since,
+                started_at: entry.since,
                 readiness: entry.readiness,
             };
             changed.insert(entry.host.clone(), member);
--- a/crates/sandstile-deployment/src/settings.rs
+++ b/crates/sandstile-deployment/src/settings.rs
@@ -82,7 +82,7 @@
                 "deduplicated" => Effect::Deduplicated,
                 _ => Effect::NonIdempotent,
             },
-            scope: match text_at(&path("dedupScope")) {
+            dedup_scope: match text_at(&path("dedupScope")) {
                 "all" => DedupScope::All,
                 "zone" => DedupScope::Zone,
                 _ => DedupScope::Group,
--- a/crates/sandstile-dispatcher/src/dispatcher.rs
+++ b/crates/sandstile-dispatcher/src/dispatcher.rs
@@ -226,7 +226,7 @@
                         return self.turn_away(&request, delay);
                     }
                 }
-                let term = self.policy.term(group);
+                let term = self.policy.reported_term(group);
                 let read_requirement = self
                     .sources
                     .iter_mut()
@@ -241,7 +241,7 @@
                         false => self.sessions.find(&name),
                     }),
                     time_left: request.deadline - now,
-                    wait: request.wait,
+                    timeout: request.timeout,
                     // Negative if the clock of whoever issued the token runs ahead; the position is still
                     // valid.
                     token_age: request.last_write_at.map(|written_at| now - written_at),
@@ -314,7 +314,7 @@
                 let client_done = open.client_connection.is_none();
                 self.finish_candidates.push(statement_id);
                 self.trace(|| LogEvent::Ended { statement_id, execution, ending: outcome.ending });
-                self.policy.ended(
+                self.policy.execution_ended(
                     now,
                     statement_id,
                     execution,
@@ -332,7 +332,7 @@
                 }
                 let name = self.hosts.name(host);
                 self.sources.iter_mut().for_each(|s| s.probe_ended(now, name, &outcome));
-                self.policy.probed(now, host, outcome.ending == Ending::Completed, outcome.host_report);
+                self.policy.probe_ended(now, host, outcome.ending == Ending::Completed, outcome.host_report);
             }
         }
     }
--- a/crates/sandstile-dispatcher/src/messages.rs
+++ b/crates/sandstile-dispatcher/src/messages.rs
@@ -20,7 +20,7 @@
     pub writes: bool,
     /// The client's deadline in Unix seconds, and the number of seconds that the client allowed.
     pub deadline: f64,
-    pub wait: f64,
+    pub timeout: f64,
     /// When the session last wrote, if the client says so.
     pub last_write_at: Option<f64>,
     pub retry: bool,
--- a/crates/sandstile-dispatcher/src/outcome.rs
+++ b/crates/sandstile-dispatcher/src/outcome.rs
@@ -108,7 +108,7 @@
     }
 
     /// Whether the outcome occurs in normal operation and is not logged.
-    pub fn ordinary(self) -> bool {
+    pub fn is_ordinary(self) -> bool {
         use Ending::*;
         matches!(
             self,
--- a/crates/sandstile-dispatcher/src/task.rs
+++ b/crates/sandstile-dispatcher/src/task.rs
@@ -2,10 +2,10 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Encodes a statement for a database host; `wait` is the number of seconds for which this router waits for
+/// Encodes a statement for a database host; `timeout` is the number of seconds for which this router waits for
 /// the answer.
 pub trait StatementPayload: Send + Sync {
-    fn message(&self, wait: f64) -> Vec<u8>;
+    fn message(&self, timeout: f64) -> Vec<u8>;
 }
 
 /// The one final answer of a statement.
--- a/crates/sandstile-emulator/examples/many_connections.rs
+++ b/crates/sandstile-emulator/examples/many_connections.rs
@@ -54,8 +54,8 @@
     while started.elapsed() < Duration::from_secs(SECONDS) {
         let due = started.elapsed().as_micros() as u64 * RATE / 1_000_000;
         while n < due {
-            let at = (n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20) as usize % streams.len();
-            let _ = streams[at].write_all(b"q");
+            let index = (n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20) as usize % streams.len();
+            let _ = streams[index].write_all(b"q");
             n += 1;
         }
         thread::sleep(Duration::from_micros(500));
--- a/crates/sandstile-emulator/src/agent.rs
+++ b/crates/sandstile-emulator/src/agent.rs
@@ -47,8 +47,8 @@
 impl Catalog {
     /// Schedules a change. It reaches the agents at `at`, but not before the changes scheduled earlier.
     pub fn schedule_change(&mut self, at: f64, entry: Entry) {
-        let at = self.pending_changes.back().map_or(at, |(before, _)| before.max(at));
-        self.pending_changes.push_back((at, entry));
+        let effective_at = self.pending_changes.back().map_or(at, |(before, _)| before.max(at));
+        self.pending_changes.push_back((effective_at, entry));
     }
 
     pub fn next_change_at(&self) -> Option<f64> {
--- a/crates/sandstile-emulator/src/emulator.rs
+++ b/crates/sandstile-emulator/src/emulator.rs
@@ -639,7 +639,7 @@
                 if let Some(relay) = &self.relay {
                     relay.begin(cue, scope.clone(), link_fault);
                 }
-                let on = self.affected_ends(&scope);
+                let on = self.affected_endpoint_kinds(&scope);
                 let severs = self.severed_pairs(&scope, link_fault);
                 self.record(now, EmulatorEvent::LinkBegins { name: name.clone(), on, severs });
                 duration_s
@@ -679,15 +679,15 @@
     }
 
     /// The kinds of link ends that a link fault affects, for the audit of the run.
-    fn affected_ends(&self, scope: &FaultScope) -> Vec<&'static str> {
+    fn affected_endpoint_kinds(&self, scope: &FaultScope) -> Vec<&'static str> {
         let routers = || (0..self.script.routers.count).map(Endpoint::Router);
         let hosts = (0..self.fleet.host_count()).map(|h| self.fleet.listing(h));
         let hosts: Vec<Endpoint> = hosts
             .map(|listing| Endpoint::Host { name: listing.name, group: listing.group, zone: listing.zone })
             .collect();
-        let affects = |ends_of: &dyn Fn(usize) -> Vec<Endpoint>| {
+        let affects = |endpoints_of: &dyn Fn(usize) -> Vec<Endpoint>| {
             routers().enumerate().any(|(n, r)| {
-                ends_of(n).iter().any(|end| r.talks_to(end) && scope.affects_either_way(&r, end))
+                endpoints_of(n).iter().any(|end| r.talks_to(end) && scope.affects_either_way(&r, end))
             })
         };
         let mut on = Vec::new();
@@ -770,8 +770,8 @@
     }
 
     fn send_answer(&mut self, token: usize, answer: &Answer) -> io::Result<()> {
-        let Some(c) = self.conns.get_mut(&token) else { return Ok(()) };
-        let (host, workload) = (c.host, c.workload.take());
+        let Some(connection) = self.conns.get_mut(&token) else { return Ok(()) };
+        let (host, workload) = (connection.host, connection.workload.take());
         let name = self.fleet.listing(host).name;
         let writes = |w: usize| self.script.plan.workloads[w].consistency == Consistency::Write;
         let denied;
@@ -804,29 +804,32 @@
             }
         }
         self.write_to(token, |out| out.append(&mut bytes));
-        if let (Answer::Unusable { .. }, Some(c)) = (answer, self.conns.get_mut(&token)) {
-            c.unresponsive = true;
+        if let (Answer::Unusable { .. }, Some(connection)) = (answer, self.conns.get_mut(&token)) {
+            connection.unresponsive = true;
         }
         Ok(())
     }
 
     fn write_to(&mut self, token: usize, write: impl FnOnce(&mut Vec<u8>)) {
-        let Some(c) = self.conns.get_mut(&token).filter(|c| !c.unresponsive) else { return };
-        write(&mut c.out);
+        let Some(connection) = self.conns.get_mut(&token).filter(|connection| !connection.unresponsive)
+        else {
+            return;
+        };
+        write(&mut connection.out);
         self.flush(token);
     }
 
     fn close_when_sent(&mut self, token: usize) {
-        if let Some(c) = self.conns.get_mut(&token) {
-            c.close_when_sent = true;
+        if let Some(connection) = self.conns.get_mut(&token) {
+            connection.close_when_sent = true;
         }
         self.flush(token);
     }
 
     fn flush(&mut self, token: usize) {
-        let Some(c) = self.conns.get_mut(&token) else { return };
-        match write_pending(&mut c.stream, &mut c.out, &mut c.sent) {
-            Ok(true) if c.close_when_sent => self.drop_conn(token, false),
+        let Some(connection) = self.conns.get_mut(&token) else { return };
+        match write_pending(&mut connection.stream, &mut connection.out, &mut connection.sent) {
+            Ok(true) if connection.close_when_sent => self.drop_conn(token, false),
             Ok(_) => {}
             Err(_) => self.connection_lost(token),
         }
@@ -835,9 +838,12 @@
     /// Handles a connection that the peer has closed.
     fn connection_lost(&mut self, token: usize) {
         let now = self.clock.now();
-        if let Some(c) = self.conns.get(&token).filter(|c| self.script.planted_defect && c.workload.is_some())
+        if let Some(connection) = self
+            .conns
+            .get(&token)
+            .filter(|connection| self.script.planted_defect && connection.workload.is_some())
         {
-            self.deny_next_write.insert(c.host);
+            self.deny_next_write.insert(connection.host);
         }
         self.fleet.input(now, token as u64, Input::Closed);
         self.drop_conn(token, false);
@@ -845,9 +851,9 @@
 
     fn drop_conn(&mut self, token: usize, resets: bool) {
         self.token_owners.remove(&token);
-        if let Some(c) = self.conns.remove(&token) {
+        if let Some(connection) = self.conns.remove(&token) {
             if resets {
-                sockets::reset(c.stream);
+                sockets::reset(connection.stream);
             }
         }
     }
@@ -910,14 +916,17 @@
         loop {
             let read_in_pieces =
                 self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement);
-            let Some(c) = self.conns.get_mut(&token).filter(|c| !c.unresponsive) else { return Ok(()) };
+            let Some(connection) = self.conns.get_mut(&token).filter(|connection| !connection.unresponsive)
+            else {
+                return Ok(());
+            };
             let read_limit = if read_in_pieces { PARTIAL_READ_BYTES } else { bytes.len() };
-            match c.stream.read(&mut bytes[..read_limit]) {
+            match connection.stream.read(&mut bytes[..read_limit]) {
                 Ok(0) => {
                     self.connection_lost(token);
                     return self.process_events();
                 }
-                Ok(n) => c.reader.receive(&bytes[..n]),
+                Ok(n) => connection.reader.receive(&bytes[..n]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
@@ -925,8 +934,8 @@
                     return self.process_events();
                 }
             }
-            while let Some(c) = self.conns.get_mut(&token) {
-                match c.reader.message() {
+            while let Some(connection) = self.conns.get_mut(&token) {
+                match connection.reader.message() {
                     Ok(Some(message)) => self.on_message(token, message)?,
                     Ok(None) => break,
                     Err(_) => {
@@ -945,19 +954,22 @@
 
     /// Reports a partially received statement, for which cues may wait.
     fn check_partial_statement(&mut self, token: usize) -> io::Result<()> {
-        let Some(c) = self.conns.get_mut(&token).filter(|c| !c.part_reported) else { return Ok(()) };
-        if c.reader.buffered_bytes() == 0
+        let Some(connection) = self.conns.get_mut(&token).filter(|connection| !connection.part_reported)
+        else {
+            return Ok(());
+        };
+        if connection.reader.buffered_bytes() == 0
             || !self.cue_scheduler.as_ref().is_some_and(CueScheduler::awaits_partial_statement)
         {
             return Ok(());
         }
         let Some(workload) =
-            protocol::workload_of_partial_query(c.reader.incomplete_message(), &self.workloads)
+            protocol::workload_of_partial_query(connection.reader.incomplete_message(), &self.workloads)
         else {
             return Ok(());
         };
-        c.part_reported = true;
-        let (now, host) = (self.clock.now(), c.host);
+        connection.part_reported = true;
+        let (now, host) = (self.clock.now(), connection.host);
         let (host, name) = (self.fleet.listing(host).name, self.workloads[workload].clone());
         self.record(now, EmulatorEvent::Part { host, workload: name });
         self.notify_cue_scheduler(now, &ScenarioEvent::PartlyReceived { workload });
@@ -966,9 +978,9 @@
 
     fn on_message(&mut self, token: usize, message: pg::ClientMessage) -> io::Result<()> {
         let now = self.clock.now();
-        let Some(c) = self.conns.get_mut(&token) else { return Ok(()) };
-        let host = c.host;
-        c.part_reported = false;
+        let Some(connection) = self.conns.get_mut(&token) else { return Ok(()) };
+        let host = connection.host;
+        connection.part_reported = false;
         match message {
             pg::ClientMessage::Begin => self.fleet.input(now, token as u64, Input::Connect { host }),
             pg::ClientMessage::Encrypt => self.write_to(token, |out| out.push(b'N')),
@@ -980,7 +992,7 @@
             }
             pg::ClientMessage::Query(text) => match protocol::parse_query(&text, &self.workloads) {
                 Query::Statement(request) => {
-                    c.workload = Some(request.workload);
+                    connection.workload = Some(request.workload);
                     self.fleet.input(now, token as u64, Input::Statement(request));
                 }
                 Query::Report if self.script.allowed.probes => {
@@ -1061,7 +1073,7 @@
                 agent_conn.reported_index = Some(self.catalog.index());
                 agent_conn.next_keepalive = now + WATCH_KEEPALIVE_S;
                 self.flush_agent_conn(token);
-                self.record_told(now, router, &changed);
+                self.record_sent_entries(now, router, &changed);
                 return self.process_events();
             }
             None if agent_conn.next_keepalive <= now => {
@@ -1074,7 +1086,7 @@
         Ok(())
     }
 
-    fn record_told(&mut self, now: f64, router: usize, entries: &[Entry]) {
+    fn record_sent_entries(&mut self, now: f64, router: usize, entries: &[Entry]) {
         for entry in entries {
             let (host, readiness, primary) = (entry.name.clone(), entry.readiness, entry.primary);
             self.record(now, EmulatorEvent::Told { router, host, readiness, primary });
@@ -1165,7 +1177,7 @@
                 agent_conn.close_when_sent = true;
                 let all = self.catalog.all_entries();
                 self.flush_agent_conn(token);
-                self.record_told(now, router, &all);
+                self.record_sent_entries(now, router, &all);
                 self.process_events()
             }
             AgentRequest::Watch(since) => {
--- a/crates/sandstile-fleet/src/fleet.rs
+++ b/crates/sandstile-fleet/src/fleet.rs
@@ -21,11 +21,11 @@
         host: usize,
         version: u64,
     },
-    /// Commits up to `upto` reach a replica, if the primary of that term is still reachable.
+    /// Commits up to `up_to` reach a replica, if the primary of that term is still reachable.
     CommitsArrive {
         to: usize,
         from: usize,
-        upto: u64,
+        up_to: u64,
         term: u64,
     },
     /// Checks again whether a held read can run.
@@ -167,15 +167,15 @@
     }
 
     pub fn listing(&self, host: usize) -> Listing {
-        let h = &self.hosts[host];
+        let host_state = &self.hosts[host];
         Listing {
-            name: h.name.clone(),
-            group: self.plan.groups[h.group].name.clone(),
-            zone: self.machines[h.node].zone.clone(),
-            machine: self.machines[h.node].name.clone(),
-            readiness: h.readiness,
-            since: h.since,
-            primary: self.groups[h.group].roles.primary == Some(host),
+            name: host_state.name.clone(),
+            group: self.plan.groups[host_state.group].name.clone(),
+            zone: self.machines[host_state.node].zone.clone(),
+            machine: self.machines[host_state.node].name.clone(),
+            readiness: host_state.readiness,
+            since: host_state.since,
+            primary: self.groups[host_state.group].roles.primary == Some(host),
         }
     }
 
@@ -198,10 +198,10 @@
 
     /// Number of commits that a replica has received but not applied, and number not yet received.
     pub fn backlog(&self, host: usize) -> (u64, u64) {
-        let h = &self.hosts[host];
+        let host_state = &self.hosts[host];
         (
-            h.replay.received - h.replay.applied,
-            self.groups[h.group].end_index().saturating_sub(h.replay.received),
+            host_state.replay.received - host_state.replay.applied,
+            self.groups[host_state.group].end_index().saturating_sub(host_state.replay.received),
         )
     }
 
@@ -353,18 +353,18 @@
 
     /// The time up to which the host has applied all commits.
     fn position(&self, now: f64, host: usize) -> f64 {
-        let h = &self.hosts[host];
-        let group = &self.groups[h.group];
+        let host_state = &self.hosts[host];
+        let group = &self.groups[host_state.group];
         if group.roles.primary == Some(host) {
             return now;
         }
-        let log_known_until = if h.receives_log {
-            now - self.plan.groups[h.group].replication_delay_s
+        let log_known_until = if host_state.receives_log {
+            now - self.plan.groups[host_state.group].replication_delay_s
         } else {
-            h.log_known_until
+            host_state.log_known_until
         };
-        match group.position_at(h.replay.applied.max(group.first_index())) {
-            Some(next) if h.replay.applied < h.replay.received => next - POSITION_STEP_S,
+        match group.position_at(host_state.replay.applied.max(group.first_index())) {
+            Some(next) if host_state.replay.applied < host_state.replay.received => next - POSITION_STEP_S,
             _ => log_known_until,
         }
     }
@@ -555,7 +555,9 @@
                     self.continue_replay(now, host);
                 }
             }
-            Timer::CommitsArrive { to, from, upto, term } => self.commits_arrived(now, to, from, upto, term),
+            Timer::CommitsArrive { to, from, up_to, term } => {
+                self.commits_arrived(now, to, from, up_to, term)
+            }
             Timer::RecheckHeldRead { job } => self.recheck_held_read(now, job),
             Timer::IdleTimeout { conn, version } => {
                 let Some(c) =
@@ -666,9 +668,9 @@
 
     fn commit(&mut self, now: f64, group: usize, host: usize, request: &StatementRequest) -> f64 {
         let position = self.groups[group].commit(now, &request.id);
-        let upto = self.groups[group].end_index();
-        self.hosts[host].replay.receive(upto);
-        self.hosts[host].replay.applied = upto;
+        let up_to = self.groups[group].end_index();
+        self.hosts[host].replay.receive(up_to);
+        self.hosts[host].replay.applied = up_to;
         if let Some(session) = &request.session {
             self.groups[group].set_session_mark(session, position);
         }
@@ -683,7 +685,7 @@
         for to in self.groups[group].hosts.clone() {
             if to != host && self.is_alive(to) {
                 self.timers
-                    .push(now + replication_delay_s, Timer::CommitsArrive { to, from: host, upto, term });
+                    .push(now + replication_delay_s, Timer::CommitsArrive { to, from: host, up_to, term });
             }
         }
         let applied =
@@ -693,7 +695,7 @@
         position
     }
 
-    fn commits_arrived(&mut self, now: f64, to: usize, from: usize, upto: u64, term: u64) {
+    fn commits_arrived(&mut self, now: f64, to: usize, from: usize, up_to: u64, term: u64) {
         let group = self.hosts[to].group;
         let from_current_primary = self.groups[group].roles.term == term && self.is_primary(from);
         if !from_current_primary
@@ -703,12 +705,12 @@
             return;
         }
         let first_index = self.groups[group].first_index();
-        let h = &mut self.hosts[to];
+        let host_state = &mut self.hosts[to];
         // A replica that needs records which the log no longer keeps gets a full copy.
-        h.replay.applied = h.replay.applied.max(first_index.min(upto));
-        h.replay.receive(upto);
-        h.receives_log = true;
-        h.last_seen_term = term;
+        host_state.replay.applied = host_state.replay.applied.max(first_index.min(up_to));
+        host_state.replay.receive(up_to);
+        host_state.receives_log = true;
+        host_state.last_seen_term = term;
         self.continue_replay(now, to);
     }
 
@@ -731,9 +733,9 @@
     fn resync(&mut self, now: f64, host: usize) {
         let group = self.hosts[host].group;
         let Some(from) = self.groups[group].roles.primary.filter(|p| *p != host) else { return };
-        let (upto, term) = (self.groups[group].end_index(), self.groups[group].roles.term);
+        let (up_to, term) = (self.groups[group].end_index(), self.groups[group].roles.term);
         let replication_delay_s = self.plan.groups[group].replication_delay_s;
-        self.timers.push(now + replication_delay_s, Timer::CommitsArrive { to: host, from, upto, term });
+        self.timers.push(now + replication_delay_s, Timer::CommitsArrive { to: host, from, up_to, term });
     }
 
     /// Updates which members receive the primary's log after a change.
@@ -756,13 +758,14 @@
             .hosts
             .iter()
             .map(|host| {
-                let h = &self.hosts[*host];
+                let host_state = &self.hosts[*host];
                 MemberState {
                     host: *host,
-                    is_reachable: h.effects.is_reachable() && h.readiness != Readiness::Left,
-                    eligible: h.readiness == Readiness::Active,
-                    received: h.replay.received,
-                    applied: h.replay.applied,
+                    is_reachable: host_state.effects.is_reachable()
+                        && host_state.readiness != Readiness::Left,
+                    eligible: host_state.readiness == Readiness::Active,
+                    received: host_state.replay.received,
+                    applied: host_state.replay.applied,
                 }
             })
             .collect();
@@ -817,8 +820,8 @@
     }
 
     fn announce_listing(&mut self, now: f64, host: usize) {
-        let h = &self.hosts[host];
-        let (readiness, since) = (h.readiness, h.since);
+        let host_state = &self.hosts[host];
+        let (readiness, since) = (host_state.readiness, host_state.since);
         self.emit(now, Output::ListingChanged { host, readiness, since });
     }
 
@@ -939,13 +942,13 @@
             self.machines[node].cpu.stop(now, job);
         }
         self.rearm_cpu_timer(node);
-        let h = &mut self.hosts[host];
-        h.deferred_inputs.clear();
-        h.withheld_outputs.clear();
-        h.suspended_jobs.clear();
-        h.cold_load.clear();
-        h.replay.halt();
-        for conn in std::mem::take(&mut h.conns) {
+        let host_state = &mut self.hosts[host];
+        host_state.deferred_inputs.clear();
+        host_state.withheld_outputs.clear();
+        host_state.suspended_jobs.clear();
+        host_state.cold_load.clear();
+        host_state.replay.halt();
+        for conn in std::mem::take(&mut host_state.conns) {
             self.conns.remove(&conn);
         }
     }
--- a/crates/sandstile-fleet/src/replay.rs
+++ b/crates/sandstile-fleet/src/replay.rs
@@ -32,8 +32,8 @@
         self.version += 1;
     }
 
-    pub fn receive(&mut self, upto: u64) {
-        self.received = self.received.max(upto);
+    pub fn receive(&mut self, up_to: u64) {
+        self.received = self.received.max(up_to);
     }
 
     /// Drops the commits from this log index on; returns whether any of them had been applied.
--- a/crates/sandstile-fleet/tests/faults.rs
+++ b/crates/sandstile-fleet/tests/faults.rs
@@ -294,9 +294,9 @@
 #[test]
 fn work_of_a_closed_connection_stops_or_continues_as_configured() {
     for stops in [true, false] {
-        let mut p = plan(1);
-        p.kinds[0].stops_on_disconnect = stops;
-        let mut driver = Driver::new(p);
+        let mut fleet_plan = plan(1);
+        fleet_plan.kinds[0].stops_on_disconnect = stops;
+        let mut driver = Driver::new(fleet_plan);
         let conn = driver.send(0, "w", SAVE, None);
         driver.run(0.005);
         driver.close(conn);
@@ -337,10 +337,10 @@
 /// A replica that reports a position has applied every commit up to it.
 #[test]
 fn no_replica_claims_a_position_that_it_has_not_applied() {
-    let mut p = plan(3);
-    p.groups[0].apply = Work::Exponential(0.004);
-    p.kinds[0].connections = 1000;
-    let mut driver = Driver::new(p);
+    let mut fleet_plan = plan(3);
+    fleet_plan.groups[0].apply = Work::Exponential(0.004);
+    fleet_plan.kinds[0].connections = 1000;
+    let mut driver = Driver::new(fleet_plan);
     let mut acked: Vec<(f64, String)> = Vec::new();
     for n in 0..400 {
         driver.send(0, &format!("w{n}"), SAVE, Some(&format!("u{}", n % 7)));
@@ -355,7 +355,7 @@
             .events
             .iter()
             .filter_map(|(_, e)| match e {
-                Event::Ran { commit: Some(p), id, .. } => Some((*p, id.clone())),
+                Event::Ran { commit: Some(fleet_plan), id, .. } => Some((*fleet_plan, id.clone())),
                 _ => None,
             })
             .collect();
@@ -368,7 +368,8 @@
                 let (waiting, _) = driver.fleet.backlog(host);
                 let total = acked.len() as u64;
                 let applied = total - waiting - driver.fleet.backlog(host).1;
-                let claimed = acked.iter().filter(|(p, _)| *p <= position + 1e-9).count() as u64;
+                let claimed =
+                    acked.iter().filter(|(fleet_plan, _)| *fleet_plan <= position + 1e-9).count() as u64;
                 assert!(claimed <= applied, "host {host} claims {claimed} of {applied} at {n}");
             }
             driver.close(conn);
--- a/crates/sandstile-lab/src/restart_scaling.rs
+++ b/crates/sandstile-lab/src/restart_scaling.rs
@@ -146,7 +146,7 @@
                         workload: request.workload,
                         group: request.group,
                         session: request.session,
-                        wait: request.deadline - now,
+                        timeout: request.deadline - now,
                     };
                     due_requests.push((request.router, client_request));
                 }
@@ -229,7 +229,7 @@
         consistency,
         max_age: 0.0,
         effect,
-        scope: terms::DedupScope::Zone,
+        dedup_scope: terms::DedupScope::Zone,
         dedup_window: 60.0,
         slo: SLO_S,
         timeout: TIMEOUT_S,
--- a/crates/sandstile-policy/src/policy.rs
+++ b/crates/sandstile-policy/src/policy.rs
@@ -145,7 +145,7 @@
             consistency: settings.consistency,
             max_age: settings.max_age,
             effect: settings.effect,
-            scope: settings.scope,
+            dedup_scope: settings.dedup_scope,
             dedup_window: settings.dedup_window,
             slo: settings.slo,
             timeout: settings.timeout,
@@ -195,19 +195,19 @@
             (group.arrival_interval + 0.1 * (since_last_arrival - group.arrival_interval), now);
         let last_write_position = group.last_write_position;
         let workload = &mut self.workloads[arrival.workload];
-        let same_timeout = (arrival.wait - workload.first_attempt.0).abs() < 0.01;
+        let same_timeout = (arrival.timeout - workload.first_attempt.0).abs() < 0.01;
         workload.first_attempt.1 = (workload.first_attempt.1 + if same_timeout { 2 } else { -1 }).min(32);
         if workload.first_attempt.1 < 0 {
-            workload.first_attempt = (arrival.wait, 2);
+            workload.first_attempt = (arrival.timeout, 2);
         }
         // A timeout shorter than the usual one marks a later attempt, provided a first attempt has failed.
         // Without that condition, clients that start to use longer or shorter timeouts would make all other
         // statements look like later attempts.
         let is_later_attempt = (arrival.retry || !self.terms.clients_mark_retries)
-            && arrival.wait < workload.first_attempt.0 - 0.01
+            && arrival.timeout < workload.first_attempt.0 - 0.01
             && workload.expected_retries >= 1.0;
         workload.expected_retries -= if is_later_attempt { 1.0 } else { 0.0 };
-        let elapsed = if is_later_attempt { (workload.timeout - arrival.wait).max(0.0) } else { 0.0 };
+        let elapsed = if is_later_attempt { (workload.timeout - arrival.timeout).max(0.0) } else { 0.0 };
         let session_writes =
             arrival.session.and_then(|index| self.sessions.get(index)).copied().unwrap_or_default();
         let required_position = match workload.consistency {
@@ -259,7 +259,7 @@
         self.due_statements.push_back(statement_id);
     }
 
-    pub fn ended(
+    pub fn execution_ended(
         &mut self,
         now: f64,
         statement_id: u64,
@@ -410,7 +410,7 @@
         }
     }
 
-    pub fn probed(&mut self, now: f64, host_index: usize, succeeded: bool, report: HostReport) {
+    pub fn probe_ended(&mut self, now: f64, host_index: usize, succeeded: bool, report: HostReport) {
         self.now = now;
         let Some(host) = self.hosts.get_mut(host_index).filter(|_| succeeded) else { return };
         if host.unreachable_since.is_some() {
@@ -463,7 +463,7 @@
     }
 
     /// The highest term reported by a group's members, 0 if none has reported one.
-    pub fn term(&self, group: usize) -> u64 {
+    pub fn reported_term(&self, group: usize) -> u64 {
         self.groups.get(group).map_or(0, |g| g.term)
     }
 
@@ -498,22 +498,28 @@
             return Some(Decision::Subscribe);
         }
         while let Some(&statement_id) = self.due_statements.front() {
-            if let Some(decision) = self.consider(statement_id) {
+            if let Some(decision) = self.decide_statement(statement_id) {
                 return Some(decision);
             }
             self.due_statements.pop_front();
         }
         while let Some(group) = self.changed_groups.pop_first() {
             let mut queue = std::mem::take(&mut self.groups[group].waiting);
-            queue.retain(|id| self.statements.get(id).is_some_and(|s| s.waiting && !s.answered));
+            queue.retain(|statement_id| {
+                self.statements.get(statement_id).is_some_and(|s| s.waiting && !s.answered)
+            });
             if queue.is_empty() {
                 self.waiting_groups.remove(&group);
                 continue;
             }
             // Newest first among equals: under overload the oldest would be sent just too late to be in time.
-            queue.sort_by_cached_key(|id| Reverse((self.value_density(*id).to_bits(), *id)));
+            queue.sort_by_cached_key(|statement_id| {
+                Reverse((self.value_density(*statement_id).to_bits(), *statement_id))
+            });
             self.groups[group].waiting = queue.clone();
-            if let Some(decision) = queue.into_iter().find_map(|statement_id| self.consider(statement_id)) {
+            if let Some(decision) =
+                queue.into_iter().find_map(|statement_id| self.decide_statement(statement_id))
+            {
                 self.changed_groups.insert(group);
                 return Some(decision);
             }
@@ -556,23 +562,25 @@
             / workload.typical_duration
     }
 
-    fn consider(&mut self, id: u64) -> Option<Decision> {
+    fn decide_statement(&mut self, statement_id: u64) -> Option<Decision> {
         let now = self.now;
-        let statement = self.statements.get_mut(&id)?;
+        let statement = self.statements.get_mut(&statement_id)?;
         let is_running = statement.executions.last().is_some_and(|running| running.ended_at.is_none());
         if statement.answered {
             if !is_running {
-                let executions =
-                    self.statements.remove(&id).map_or(Vec::new(), |statement| statement.executions);
+                let executions = self
+                    .statements
+                    .remove(&statement_id)
+                    .map_or(Vec::new(), |statement| statement.executions);
                 executions.iter().for_each(|running| self.hosts[running.host].executions -= 1);
                 return None;
             }
             let execution = statement.executions.len() - 1;
             let cancel_settled = std::mem::replace(&mut statement.executions[execution].cancel_settled, true);
-            return (!cancel_settled).then_some(Decision::Cancel { statement_id: id, execution });
+            return (!cancel_settled).then_some(Decision::Cancel { statement_id, execution });
         }
-        let give_up_at = self.give_up_deadline(id);
-        let statement = self.statements.get_mut(&id)?;
+        let give_up_at = self.give_up_deadline(statement_id);
+        let statement = self.statements.get_mut(&statement_id)?;
         let workload = &self.workloads[statement.workload];
         // A statement that can't meet its SLO any more would only take the slot of one that can. A running
         // execution continues past the SLO time, as its client would retry and the whole work would be
@@ -594,7 +602,7 @@
         let time_over = (now >= give_up_at).then_some(FailureCause::TimeOver);
         let slo_over = (worthless_when_late && now > latest_useful_start).then_some(FailureCause::SloOver);
         if let Some(cause) = time_over.or(slo_over).or(no_further_execution) {
-            return Some(self.give_final_answer(id, cause));
+            return Some(self.give_final_answer(statement_id, cause));
         }
         let mut next_check_at =
             if worthless_when_late { latest_useful_start.min(give_up_at) } else { give_up_at };
@@ -621,27 +629,29 @@
         // often anyway.
         if statement.next_check_at <= now || next_check_at < statement.next_check_at {
             statement.next_check_at = next_check_at;
-            self.scheduled_checks.push(Reverse((next_check_at.to_bits(), id)));
+            self.scheduled_checks.push(Reverse((next_check_at.to_bits(), statement_id)));
         }
         if is_running {
             return None;
         }
-        if let Some(chosen_host) = self.choose_host(id).or_else(|| self.choose_trial_host(id)) {
-            return Some(self.send(id, chosen_host));
+        if let Some(chosen_host) =
+            self.choose_host(statement_id).or_else(|| self.choose_trial_host(statement_id))
+        {
+            return Some(self.send(statement_id, chosen_host));
         }
-        let wait_reason = self.current_wait_reason(id);
-        let statement = self.statements.get_mut(&id)?;
+        let wait_reason = self.current_wait_reason(statement_id);
+        let statement = self.statements.get_mut(&statement_id)?;
         statement.wait_reason = Some(wait_reason);
         if !std::mem::replace(&mut statement.waiting, true) {
-            self.groups[statement.group].waiting.push(id);
+            self.groups[statement.group].waiting.push(statement_id);
             self.waiting_groups.insert(statement.group);
         }
         None
     }
 
     /// Why no host was chosen for this statement just now.
-    fn current_wait_reason(&self, id: u64) -> WaitReason {
-        let statement = &self.statements[&id];
+    fn current_wait_reason(&self, statement_id: u64) -> WaitReason {
+        let statement = &self.statements[&statement_id];
         let workload = &self.workloads[statement.workload];
         let any_replica = self.terms.hosts_check_reads && !statement.requires_known_position;
         if any_replica && !matches!(workload.consistency, Consistency::Write | Consistency::Fresh) {
@@ -665,11 +675,12 @@
     /// ahead of it than its host completes in the remaining half of its time, is rejected at half of its time
     /// instead of waiting in vain. This doesn't apply while nothing is in flight at the host: its speed is
     /// unknown then, and the statement is about to be tried there.
-    fn give_up_deadline(&self, id: u64) -> f64 {
-        let statement = &self.statements[&id];
+    fn give_up_deadline(&self, statement_id: u64) -> f64 {
+        let statement = &self.statements[&statement_id];
         let group = &self.groups[statement.group];
         let host_too_slow = |p: usize| {
-            group.queue_position(id) >= self.hosts[p].meter.rate * (statement.deadline - statement.halfway)
+            group.queue_position(statement_id)
+                >= self.hosts[p].meter.rate * (statement.deadline - statement.halfway)
         };
         let is_congested = |p: usize| host_too_slow(p) && !self.is_idle(p, 0.0);
         let latest_useful_start = self.workloads[statement.workload].latest_useful_start(statement);
@@ -685,26 +696,26 @@
     }
 
     /// The only place that gives a final answer. A rejection promises that the client can safely retry.
-    fn give_final_answer(&mut self, id: u64, cause: FailureCause) -> Decision {
-        let statement = self.statements.get_mut(&id).expect("the statement is tracked");
+    fn give_final_answer(&mut self, statement_id: u64, cause: FailureCause) -> Decision {
+        let statement = self.statements.get_mut(&statement_id).expect("the statement is tracked");
         statement.answered = true;
-        self.due_statements.push_back(id);
+        self.due_statements.push_back(statement_id);
         let workload = &mut self.workloads[statement.workload];
         workload.expected_retries =
             (workload.expected_retries + if statement.is_later_attempt { 0.0 } else { 3.0 }).min(64.0);
         let may_have_run = statement.executions.iter().any(|e| e.may_have_run);
         let always_deduplicated =
-            workload.effect == Effect::Deduplicated && workload.scope == DedupScope::All;
+            workload.effect == Effect::Deduplicated && workload.dedup_scope == DedupScope::All;
         if workload.effect == Effect::Idempotent || always_deduplicated || !may_have_run {
-            return Decision::Reject { statement_id: id, retry_after: self.terms.max_retry_after, cause };
+            return Decision::Reject { statement_id, retry_after: self.terms.max_retry_after, cause };
         }
-        Decision::Abort { statement_id: id, cause }
+        Decision::Abort { statement_id, cause }
     }
 
     /// The only place that sends.
-    fn send(&mut self, id: u64, host_index: usize) -> Decision {
+    fn send(&mut self, statement_id: u64, host_index: usize) -> Decision {
         let now = self.now;
-        let statement = self.statements.get_mut(&id).expect("the statement is tracked");
+        let statement = self.statements.get_mut(&statement_id).expect("the statement is tracked");
         statement.waiting = false;
         let repeat_deadline =
             self.workloads[statement.workload].repeat_deadline(statement) - self.answer_margin;
@@ -734,14 +745,14 @@
             session_writes.writes_in_flight += 1;
         }
         let host = &mut self.hosts[host_index];
-        host.in_flight.push((now, id));
+        host.in_flight.push((now, statement_id));
         host.executions += 1;
         (host.credit, host.sent_at) = (host.credit - 1.0, now);
         if host.consecutive_failures > 0 {
             host.eject(now, rotation_period, 0);
         }
         host.meter.update(now, false);
-        Decision::Send { statement_id: id, host: host_index, timeout }
+        Decision::Send { statement_id, host: host_index, timeout }
     }
 
     fn is_sendable(&self, host: &Host) -> bool {
@@ -757,7 +768,7 @@
         let (host, workload) = (&self.hosts[host_index], &self.workloads[statement.workload]);
         let may_follow = |e: &Execution| match workload.effect {
             _ if !e.may_have_run || e.ended_at.is_none() => !e.may_have_run,
-            Effect::Deduplicated if workload.scope == DedupScope::Zone => {
+            Effect::Deduplicated if workload.dedup_scope == DedupScope::Zone => {
                 self.hosts[e.host].zone == host.zone
             }
             _ => true,
@@ -781,9 +792,9 @@
             && statement.executions.iter().all(may_follow)
     }
 
-    fn choose_host(&mut self, id: u64) -> Option<usize> {
+    fn choose_host(&mut self, statement_id: u64) -> Option<usize> {
         let now = self.now;
-        let statement = &self.statements[&id];
+        let statement = &self.statements[&statement_id];
         let workload = &self.workloads[statement.workload];
         let group = &self.groups[statement.group];
         let primary = group.primary.filter(|primary_index| self.is_sendable(&self.hosts[*primary_index]));
--- a/crates/sandstile-policy/src/policy/host_updates.rs
+++ b/crates/sandstile-policy/src/policy/host_updates.rs
@@ -41,12 +41,12 @@
         (host.zone, host.listed_readiness, host.listed_primary) =
             (member.zone, member.readiness, member.primary);
         // Times in the list come from the clock of its writer, which may have been stepped.
-        let start_is_newer = member.since > host.listed_start;
-        host.listed_start = host.listed_start.max(member.since);
+        let start_is_newer = member.started_at > host.listed_start;
+        host.listed_start = host.listed_start.max(member.started_at);
         let start_is_stale = host.was_listed
-            && member.since < now - MAX_START_AGE_S
+            && member.started_at < now - MAX_START_AGE_S
             && self.created_at < now - MAX_START_AGE_S;
-        let started = if start_is_stale { now } else { member.since.min(now) };
+        let started = if start_is_stale { now } else { member.started_at.min(now) };
         self.listed_hosts += usize::from(!host.was_listed);
         host.was_listed = true;
         let newly_started = start_is_newer && started > host.started_at;
--- a/crates/sandstile-policy/src/policy/pacing.rs
+++ b/crates/sandstile-policy/src/policy/pacing.rs
@@ -67,8 +67,8 @@
     /// An idle host for a statement that has not been sent anywhere for a quarter of the time in which its
     /// answer is useful. Gaps and ejections also count in rotation periods, which in a group with little
     /// traffic are longer than statements wait.
-    pub(super) fn choose_trial_host(&self, id: u64) -> Option<usize> {
-        let statement = &self.statements[&id];
+    pub(super) fn choose_trial_host(&self, statement_id: u64) -> Option<usize> {
+        let statement = &self.statements[&statement_id];
         let workload = &self.workloads[statement.workload];
         let arrived_at = 2.0 * statement.halfway - statement.deadline;
         let late_is_worthless = workload.late_share == 0.0 && workload.effect == Effect::Idempotent;
--- a/crates/sandstile-policy/src/state.rs
+++ b/crates/sandstile-policy/src/state.rs
@@ -168,7 +168,7 @@
     pub consistency: Consistency,
     pub max_age: f64,
     pub effect: Effect,
-    pub scope: DedupScope,
+    pub dedup_scope: DedupScope,
     pub dedup_window: f64,
     pub slo: f64,
     pub timeout: f64,
--- a/crates/sandstile-policy/src/terms.rs
+++ b/crates/sandstile-policy/src/terms.rs
@@ -35,7 +35,7 @@
     /// Share of the importance that an answer after the SLO time is still worth.
     pub late_share: f64,
     pub effect: Effect,
-    pub scope: DedupScope,
+    pub dedup_scope: DedupScope,
     pub dedup_window: f64,
     pub consistency: Consistency,
     pub max_age: f64,
@@ -92,7 +92,7 @@
     pub group: usize,
     pub zone: usize,
     pub primary: bool,
-    pub since: f64,
+    pub started_at: f64,
     pub readiness: Readiness,
 }
 
@@ -105,7 +105,7 @@
     /// Seconds until the client gives up, and the seconds that it allowed for this attempt. Less is left for
     /// a statement that waited behind others on its connection.
     pub time_left: f64,
-    pub wait: f64,
+    pub timeout: f64,
     /// Seconds since the session's last write, if the client passes it.
     pub token_age: Option<f64>,
     pub retry: bool,
--- a/crates/sandstile-policy/tests/rules.rs
+++ b/crates/sandstile-policy/tests/rules.rs
@@ -38,7 +38,7 @@
                 world.host_list[host].readiness =
                     [Readiness::Active, Readiness::Draining, Readiness::Gone, Readiness::Active][n / 5 % 4];
                 if n.is_multiple_of(11) {
-                    (world.host_list[host].since, world.host_list[host].readiness) =
+                    (world.host_list[host].started_at, world.host_list[host].readiness) =
                         (world.now, Readiness::Active);
                 }
                 world.update_host_list();
@@ -51,7 +51,7 @@
                         world.known_positions[n % HOST_COUNT].max(position);
                 }
                 let report = HostReport { position, primary: Some(n.is_multiple_of(3)) };
-                world.policy.probed(world.now, n % HOST_COUNT, !n.is_multiple_of(5), report);
+                world.policy.probe_ended(world.now, n % HOST_COUNT, !n.is_multiple_of(5), report);
             }
             13 => {
                 let id = world.statements.keys().copied().nth(n % world.statements.len().max(1));
@@ -176,7 +176,7 @@
     world.advance(0.005);
     assert_eq!(world.sends().len(), 3);
     assert!(world.decisions.iter().any(|d| matches!(d, Decision::Probe { .. })));
-    world.policy.probed(world.now, 4, true, HostReport { position: None, primary: Some(true) });
+    world.policy.probe_ended(world.now, 4, true, HostReport { position: None, primary: Some(true) });
     world.advance(0.02);
     assert_eq!(world.sends().last(), Some(&(write, 4)));
 }
@@ -262,7 +262,8 @@
     let mut world = World::new(terms(0b110_0111), 7);
     world.now += 100.0;
     for member in &mut world.host_list {
-        (member.group, member.since) = (member.host % 2, if member.host % 2 == 1 { world.now } else { 0.0 });
+        (member.group, member.started_at) =
+            (member.host % 2, if member.host % 2 == 1 { world.now } else { 0.0 });
     }
     world.update_host_list();
     let _: Vec<usize> = (0..40).map(|_| world.serve(4, OutcomeClass::Completed, Some(false))).collect();
@@ -318,7 +319,7 @@
     assert_eq!(world.sends()[0].1, 2);
     assert!(world.decisions.contains(&Decision::Probe { host: 0 }));
     world.known_positions[0] = world.now - 0.1;
-    world.policy.probed(
+    world.policy.probe_ended(
         world.now,
         0,
         true,
@@ -361,7 +362,7 @@
     world.serve(2, OutcomeClass::ConnectFailed, None);
     world.advance(0.4);
     assert_eq!(world.sends().len(), 1, "held beyond the ejection");
-    world.policy.probed(world.now, 2, true, HostReport { position: None, primary: Some(true) });
+    world.policy.probe_ended(world.now, 2, true, HostReport { position: None, primary: Some(true) });
     world.advance(0.02);
     assert_eq!(world.sends().last(), Some(&(0, 2)));
 }
@@ -437,10 +438,10 @@
     let reads_at_host = |clock_step: f64, wait_s: f64| {
         let mut world = World::new(terms(0b110_0111), 3);
         world.now += 100.0;
-        world.host_list[0].since = world.now + clock_step;
+        world.host_list[0].started_at = world.now + clock_step;
         world.policy.update_hosts(world.now, &world.host_list);
         // The expected result assumes the true start.
-        world.host_list[0].since = world.now;
+        world.host_list[0].started_at = world.now;
         world.advance(wait_s);
         let before = world.sends().len();
         for _ in 0..60 {
@@ -466,7 +467,7 @@
     let cold_host_sends = |outcome, seed, rounds: usize| {
         let mut world = World::new(terms(0b110_0111), seed);
         world.now += 100.0;
-        world.host_list[0].since = world.now;
+        world.host_list[0].started_at = world.now;
         world.update_host_list();
         for _ in 0..rounds {
             let (statement_id, before) = (world.arrive(4, 1.0), world.sends().len());
@@ -533,7 +534,7 @@
     for seed in 0..20 {
         let mut world = World::new(terms(0b110_0111), seed);
         world.now += 100.0;
-        world.host_list.iter_mut().for_each(|member| member.since = world.now);
+        world.host_list.iter_mut().for_each(|member| member.started_at = world.now);
         world.update_host_list();
         for _ in 0..100 {
             let (statement_id, before) = (world.arrive(4, 0.05), world.sends().len());
@@ -600,7 +601,7 @@
         group: 0,
         session: None,
         time_left: 0.5,
-        wait: 0.5,
+        timeout: 0.5,
         token_age: None,
         retry: false,
         read_requirement: Some(read_requirement),
@@ -613,7 +614,7 @@
             importance: 1.0,
             late_share: 0.0,
             effect: if *c == Consistency::Write { Effect::NonIdempotent } else { Effect::Idempotent },
-            scope: DedupScope::Group,
+            dedup_scope: DedupScope::Group,
             dedup_window: 0.0,
             consistency: *c,
             max_age: 0.0,
@@ -640,16 +641,16 @@
             group: 0,
             zone: 0,
             primary: host == 0,
-            since: 0.0,
+            started_at: 0.0,
             readiness: Readiness::Active,
         };
         policy.update_hosts(now, &[member(0), member(1), member(2)]);
         for host in 0..3 {
             assert!(policy.record_term(host, 1));
             let report = HostReport { position: Some(990.0 + host as f64), primary: Some(host == 0) };
-            policy.probed(now, host, true, report);
+            policy.probe_ended(now, host, true, report);
         }
-        assert_eq!(policy.term(0), 1);
+        assert_eq!(policy.reported_term(0), 1);
         let sends = |policy: &mut Instance, statement_id: u64, read_requirement| {
             let mut hosts = Vec::new();
             for offset in 0..6 {
@@ -660,7 +661,7 @@
                     if let Decision::Send { statement_id, host, .. } = decision {
                         hosts.push(host);
                         let report = HostReport { position: None, primary: Some(host == 0) };
-                        policy.ended(now, statement_id, 0, OutcomeClass::Completed, true, report);
+                        policy.execution_ended(now, statement_id, 0, OutcomeClass::Completed, true, report);
                     }
                 }
                 policy.advance_time(now);
@@ -775,7 +776,7 @@
     world.advance(0.005);
     assert_eq!(probed_hosts(&world).len(), HOST_COUNT, "all are probed while it may be lost");
     for host in 0..HOST_COUNT {
-        world.policy.probed(
+        world.policy.probe_ended(
             world.now,
             host,
             true,
@@ -857,7 +858,7 @@
         world.advance(0.005);
     }
     assert!(world.decisions.contains(&Decision::Probe { host: 2 }), "its ejection keeps no probe from it");
-    world.policy.probed(world.now, 2, true, HostReport { position: None, primary: Some(true) });
+    world.policy.probe_ended(world.now, 2, true, HostReport { position: None, primary: Some(true) });
     world.advance(0.005);
     assert!(world.sends().contains(&(write, 2)), "once reached it is used at once");
 }
@@ -869,7 +870,7 @@
     world.serve(2, OutcomeClass::Completed, Some(true));
     world.serve(2, OutcomeClass::ConnectFailed, None);
     world.advance(0.4);
-    world.policy.probed(world.now, 2, true, HostReport { position: None, primary: Some(true) });
+    world.policy.probe_ended(world.now, 2, true, HostReport { position: None, primary: Some(true) });
     world.advance(0.005);
     world.end_execution(1, 1, OutcomeClass::Completed, Some(true), 0.0);
     for _ in 0..3 {
@@ -885,7 +886,7 @@
     world.serve(2, OutcomeClass::Completed, Some(true));
     world.serve(2, OutcomeClass::ConnectFailed, None);
     world.advance(3.0);
-    world.policy.probed(world.now, 2, true, HostReport { position: None, primary: Some(true) });
+    world.policy.probe_ended(world.now, 2, true, HostReport { position: None, primary: Some(true) });
     for _ in 0..3 {
         world.serve(2, OutcomeClass::Completed, Some(true));
         world.advance(0.1);
@@ -908,7 +909,7 @@
         group: 0,
         session: Some(0),
         time_left: 1.0,
-        wait: 1.0,
+        timeout: 1.0,
         token_age: None,
         retry: false,
         read_requirement: Some(ReadRequirement::Primary),
--- a/crates/sandstile-policy/tests/simulated_hosts/mod.rs
+++ b/crates/sandstile-policy/tests/simulated_hosts/mod.rs
@@ -39,9 +39,9 @@
 }
 
 pub fn workload(consistency: Consistency, effect: Effect) -> Workload {
-    let scope = DedupScope::Zone;
+    let dedup_scope = DedupScope::Zone;
     let (slo, timeout, importance, late_share, dedup_window, max_age) = (0.4, 1.0, 2.0, 0.0, 0.5, 0.8);
-    Workload { slo, timeout, importance, late_share, effect, scope, dedup_window, consistency, max_age }
+    Workload { slo, timeout, importance, late_share, effect, dedup_scope, dedup_window, consistency, max_age }
 }
 
 pub fn terms(flags: u16) -> Terms {
@@ -83,7 +83,7 @@
             group: 0,
             zone: host % 2,
             primary: host == 2,
-            since: 0.0,
+            started_at: 0.0,
             readiness: Readiness::Active,
         };
         let host_list: Vec<ListedHost> = (0..HOST_COUNT).map(member).collect();
@@ -115,7 +115,7 @@
             group: self.group,
             session: Some(0),
             time_left,
-            wait: time_left,
+            timeout: time_left,
             token_age: Some(0.3),
             retry: false,
             read_requirement: None,
@@ -153,7 +153,7 @@
 
     pub fn update_host_list(&mut self) {
         for host in &self.host_list {
-            if host.since > 0.0 && self.now - host.since < 0.001 {
+            if host.started_at > 0.0 && self.now - host.started_at < 0.001 {
                 (self.cold_sends[host.host], self.warm_completions[host.host]) = (0.0, 0.0);
             }
         }
@@ -179,9 +179,9 @@
         let newly_ended = statement.executions.get(execution).is_some_and(|s| s.ended.is_none());
         if let Some(execution) = statement.executions.get_mut(execution).filter(|_| newly_ended) {
             execution.ended = Some(outcome);
-            let since = self.host_list[execution.host].since;
+            let started_at = self.host_list[execution.host].started_at;
             if outcome == OutcomeClass::Completed
-                && (since == 0.0 || self.now >= since + self.terms.cold_duration)
+                && (started_at == 0.0 || self.now >= started_at + self.terms.cold_duration)
             {
                 self.warm_completions.iter_mut().for_each(|n| *n += 1.0);
             } else if outcome == OutcomeClass::Completed {
@@ -208,7 +208,7 @@
         }
         statement.answered |= outcome == OutcomeClass::Completed && newly_ended;
         let answered = statement.answered;
-        self.policy.ended(self.now, statement_id, execution, outcome, answered, report);
+        self.policy.execution_ended(self.now, statement_id, execution, outcome, answered, report);
     }
 
     pub fn advance(&mut self, seconds: f64) {
@@ -296,7 +296,7 @@
                     };
                     assert!(self.known_positions[host] >= required_position, "a read may get a stale answer");
                 }
-                if target.since > 0.0 && self.now < target.since + self.terms.cold_duration {
+                if target.started_at > 0.0 && self.now < target.started_at + self.terms.cold_duration {
                     self.cold_sends[host] += 1.0;
                     assert!(
                         // One send that each router may have from the start.
--- a/crates/sandstile-probe-sharing/tests/probe_sharing.rs
+++ b/crates/sandstile-probe-sharing/tests/probe_sharing.rs
@@ -279,7 +279,7 @@
         let first = ranks("n0", &BTreeSet::from(["n1".to_string()]), &["h"])["h"];
         let own = names[if first == 0 { n } else { 1 - n }];
         let mut probe_sharing = ProbeSharing::new(own, settings);
-        probe_sharing.set_reachable_peers(-1000.0, &names.iter().map(|s| s.to_string()).collect());
+        probe_sharing.set_reachable_peers(-1000.0, &names.iter().map(|name| name.to_string()).collect());
         let router = &state.routers[n];
         // The host has been known for a long time.
         probe_sharing.record_own_probe(-1000.0, "h", ProbeResult::NotPrimary);
@@ -319,68 +319,71 @@
         }]
     }
 
-    fn actions(&self, s: &State, steps: &mut Vec<Step>) {
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         steps.push(Step::Tick);
         steps.extend((0..2).map(Step::Deliver));
         steps.extend((0..2).map(Step::Stop));
         steps.extend((0..2).map(Step::Resume));
-        steps.push(if s.partition { Step::Heal } else { Step::Partition });
+        steps.push(if state.partition { Step::Heal } else { Step::Partition });
     }
 
     fn next_state(&self, before: &State, step: Step) -> Option<State> {
-        let mut s = before.clone();
+        let mut state = before.clone();
         match step {
-            Step::Tick if s.now < 11 => {
+            Step::Tick if state.now < 11 => {
                 // Results within one side arrive within a tick; a partition or a stop delays them.
-                s.now += 1;
+                state.now += 1;
                 for n in 0..2 {
-                    if s.routers[n].stopped || !self.should_probe(n, &s) {
+                    if state.routers[n].stopped || !self.should_probe(n, &state) {
                         continue;
                     }
-                    s.routers[n].own_probe_at = Some(s.now);
-                    s.in_transit[1 - n] = s.in_transit[1 - n].max(Some(s.now));
+                    state.routers[n].own_probe_at = Some(state.now);
+                    state.in_transit[1 - n] = state.in_transit[1 - n].max(Some(state.now));
                 }
                 for n in 0..2 {
-                    if s.routers[n].stopped {
+                    if state.routers[n].stopped {
                         continue;
                     }
                     // Probes on the side of a running router: its own, and those of the other from before the
                     // partition.
-                    let others = if s.partition {
-                        s.probes_before_partition[1 - n]
+                    let others = if state.partition {
+                        state.probes_before_partition[1 - n]
                     } else {
-                        s.routers[1 - n].own_probe_at
+                        state.routers[1 - n].own_probe_at
                     };
-                    let last = s.routers[n].own_probe_at.max(others).unwrap_or(0);
-                    s.longest_gap = s.longest_gap.max(s.now - last);
+                    let last = state.routers[n].own_probe_at.max(others).unwrap_or(0);
+                    state.longest_gap = state.longest_gap.max(state.now - last);
                 }
             }
-            Step::Deliver(n) if !s.partition && !s.routers[n].stopped => {
-                let at = s.in_transit[n].take()?;
-                let at = if self.0 == Mutant::IgnoresAge { s.now } else { at };
-                s.routers[n].other_probe_at = s.routers[n].other_probe_at.max(Some(at));
+            Step::Deliver(n) if !state.partition && !state.routers[n].stopped => {
+                let at = state.in_transit[n].take()?;
+                let at = if self.0 == Mutant::IgnoresAge { state.now } else { at };
+                state.routers[n].other_probe_at = state.routers[n].other_probe_at.max(Some(at));
             }
-            Step::Stop(n) if s.stops < 1 && !s.routers[n].stopped => {
-                (s.routers[n].stopped, s.stops) = (true, s.stops + 1);
+            Step::Stop(n) if state.stops < 1 && !state.routers[n].stopped => {
+                (state.routers[n].stopped, state.stops) = (true, state.stops + 1);
             }
-            Step::Resume(n) if s.routers[n].stopped => s.routers[n].stopped = false,
-            Step::Partition if s.partitions < 1 => {
-                (s.partition, s.partitions, s.probes_before_partition) =
-                    (true, s.partitions + 1, [s.routers[0].own_probe_at, s.routers[1].own_probe_at]);
+            Step::Resume(n) if state.routers[n].stopped => state.routers[n].stopped = false,
+            Step::Partition if state.partitions < 1 => {
+                (state.partition, state.partitions, state.probes_before_partition) = (
+                    true,
+                    state.partitions + 1,
+                    [state.routers[0].own_probe_at, state.routers[1].own_probe_at],
+                );
             }
-            Step::Heal => (s.partition, s.probes_before_partition) = (false, [None; 2]),
+            Step::Heal => (state.partition, state.probes_before_partition) = (false, [None; 2]),
             _ => return None,
         }
-        (s != *before).then_some(s)
+        (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NO_GAP, |_, s: &State| s.longest_gap <= MAX_GAP_TICKS),
-            Property::sometimes("one router skips probes", |_, s: &State| {
-                s.now > 8
-                    && s.routers.iter().any(|p| p.own_probe_at.is_none_or(|at| at < 4) && !p.stopped)
-                    && s.longest_gap <= 4
+            Property::always(NO_GAP, |_, state: &State| state.longest_gap <= MAX_GAP_TICKS),
+            Property::sometimes("one router skips probes", |_, state: &State| {
+                state.now > 8
+                    && state.routers.iter().any(|p| p.own_probe_at.is_none_or(|at| at < 4) && !p.stopped)
+                    && state.longest_gap <= 4
             }),
         ]
     }
--- a/crates/sandstile-recording/tests/stream.rs
+++ b/crates/sandstile-recording/tests/stream.rs
@@ -41,13 +41,13 @@
 #[test]
 fn recorded_arrivals_are_read_back_unchanged() {
     fn reads_back_equal(steps: Vec<(u32, u8, bool, u64, u32)>) -> bool {
-        let mut at = 0;
+        let mut at_us = 0;
         let all: Vec<Arrival> = steps
             .into_iter()
             .map(|(step, kind, is_retry, session, wait_ms)| {
-                at += u64::from(step);
+                at_us += u64::from(step);
                 let (workload, group) = (u32::from(kind) % 3, u32::from(kind) % 2);
-                Arrival { at_us: at, workload, group, session, wait_ms, is_retry }
+                Arrival { at_us, workload, group, session, wait_ms, is_retry }
             })
             .collect();
         read(&recorded(&all)).is_ok_and(|played| played == all)
--- a/crates/sandstile-relay/src/relay_loop.rs
+++ b/crates/sandstile-relay/src/relay_loop.rs
@@ -149,10 +149,10 @@
 
     /// Sets the timer of a key to this time, unless an earlier one is set.
     fn schedule(&mut self, key: usize, seconds: f64) {
-        let at = (seconds * 1e9) as u64 + 1;
-        if self.scheduled.get(&key).is_none_or(|scheduled| at < *scheduled) {
-            self.scheduled.insert(key, at);
-            self.timers.push(Reverse((at, key)));
+        let due_ns = (seconds * 1e9) as u64 + 1;
+        if self.scheduled.get(&key).is_none_or(|scheduled| due_ns < *scheduled) {
+            self.scheduled.insert(key, due_ns);
+            self.timers.push(Reverse((due_ns, key)));
         }
     }
 
--- a/crates/sandstile-replicated-state/src/fact.rs
+++ b/crates/sandstile-replicated-state/src/fact.rs
@@ -251,12 +251,12 @@
         first_u64(&hash)
     }
 
-    /// Whether the fact has expired. `horizon` is the maximum replica lag in seconds: older marks and log positions
+    /// Whether the fact has expired. `max_replica_lag` is the maximum replica lag in seconds: older marks and log positions
     /// constrain no read.
-    pub fn is_expired(&self, kind: Kind, now: f64, horizon: f64) -> bool {
+    pub fn is_expired(&self, kind: Kind, now: f64, max_replica_lag: f64) -> bool {
         match &self.value {
-            Value::SessionMarks(session_marks) => session_marks.latest() + horizon < now,
-            Value::Max(position) if kind == Kind::LogPosition => position + horizon < now,
+            Value::SessionMarks(session_marks) => session_marks.latest() + max_replica_lag < now,
+            Value::Max(position) if kind == Kind::LogPosition => position + max_replica_lag < now,
             _ => self.created_at + kind.lifetime() < now,
         }
     }
--- a/crates/sandstile-replicated-state/src/state.rs
+++ b/crates/sandstile-replicated-state/src/state.rs
@@ -61,7 +61,7 @@
     eviction_order: BTreeMap<Kind, OrdSet<(u8, u64, Key)>>,
     /// Marks up to this position may have been evicted, so a session that is missing may have been among them.
     pub evicted_up_to: f64,
-    horizon: f64,
+    max_replica_lag: f64,
     /// Values that were replaced in the last seconds, in two batches of [`HISTORY_SECONDS`] each. They allow
     /// comparing copies as of a moment ago.
     history: [OrdMap<(Key, u64), Fact>; 2],
@@ -71,8 +71,8 @@
 }
 
 impl Replica {
-    /// `horizon` is the maximum replica lag in seconds.
-    pub fn new(horizon: f64) -> Replica {
+    /// `max_replica_lag` is the maximum replica lag in seconds.
+    pub fn new(max_replica_lag: f64) -> Replica {
         Replica {
             facts: OrdMap::new(),
             by_hash: OrdMap::new(),
@@ -82,7 +82,7 @@
             version: 0,
             eviction_order: ALL_KINDS.iter().map(|kind| (*kind, OrdSet::new())).collect(),
             evicted_up_to: 0.0,
-            horizon,
+            max_replica_lag,
             history: [OrdMap::new(), OrdMap::new()],
             history_rotated_at: f64::NEG_INFINITY,
             evidence: Vec::new(),
@@ -195,7 +195,7 @@
             && fact.value.fits(key.kind)
             && !too_far_ahead
             && fact.created_at <= now
-            && !fact.is_expired(key.kind, now, self.horizon)
+            && !fact.is_expired(key.kind, now, self.max_replica_lag)
     }
 
     /// Merges a fact that this router observed itself.
@@ -264,7 +264,7 @@
         let expired_keys: Vec<Key> = self
             .facts
             .iter()
-            .filter(|(k, f)| f.is_expired(k.kind, now, self.horizon))
+            .filter(|(k, f)| f.is_expired(k.kind, now, self.max_replica_lag))
             .map(|(k, _)| k.clone())
             .collect();
         expired_keys.iter().for_each(|key| self.replace(key, None, 0));
@@ -306,7 +306,7 @@
             facts: self.facts.clone(),
             change_log: self.change_log.clone(),
             version: self.version,
-            horizon: self.horizon,
+            max_replica_lag: self.max_replica_lag,
             history: self.history.clone(),
         }
     }
@@ -322,7 +322,7 @@
     facts: OrdMap<Key, Fact>,
     change_log: OrdMap<u64, (Key, u32)>,
     version: u64,
-    horizon: f64,
+    max_replica_lag: f64,
     history: [OrdMap<(Key, u64), Fact>; 2],
 }
 
@@ -348,8 +348,8 @@
     /// whatever is in transit now.
     pub fn digest_as_of(&self, at: f64) -> u64 {
         let timestamp = |key: &Key, fact: &Fact| match &fact.value {
-            Value::SessionMarks(session_marks) => (session_marks.latest(), self.horizon),
-            Value::Max(highest) if key.kind == Kind::LogPosition => (*highest, self.horizon),
+            Value::SessionMarks(session_marks) => (session_marks.latest(), self.max_replica_lag),
+            Value::Max(highest) if key.kind == Kind::LogPosition => (*highest, self.max_replica_lag),
             _ => (fact.created_at, key.kind.lifetime()),
         };
         let is_included = |key: &Key, fact: &Fact| {
--- a/crates/sandstile-replication/src/replicator.rs
+++ b/crates/sandstile-replication/src/replicator.rs
@@ -16,7 +16,7 @@
     pub name: String,
     pub generation: u64,
     /// Maximum replica lag in seconds.
-    pub horizon: f64,
+    pub max_replica_lag: f64,
     pub seed: u64,
     /// The facts read from the disk, and how far they are trusted.
     pub stored: Vec<(Key, Fact)>,
@@ -149,7 +149,7 @@
 
 impl ReplicationPeer {
     pub fn new(settings: ReplicationSettings, now: f64) -> ReplicationPeer {
-        let mut replica = Replica::new(settings.horizon);
+        let mut replica = Replica::new(settings.max_replica_lag);
         for (key, fact) in &settings.stored {
             // If the clock was set back, a stored fact must not lie in the future: it gets the current time.
             let created_at = fact.created_at.min(now);
@@ -358,7 +358,7 @@
     fn merge_facts(&mut self, now: f64, source: u32, facts: &[(Key, Fact)]) {
         for (key, fact) in facts {
             if key.kind == Kind::Generation && *key.subject == *self.own_name {
-                self.generation_met(&fact.value);
+                self.handle_reported_generation(&fact.value);
             }
             match self.replica.learn_from(now, key, fact, source) {
                 LearnOutcome::New => {
@@ -372,7 +372,7 @@
     }
 
     /// A peer met this generation of this router.
-    fn generation_met(&mut self, met: &Value) {
+    fn handle_reported_generation(&mut self, met: &Value) {
         let Value::Max(met) = met else { return };
         let met = *met as u64;
         if met > self.generation {
--- a/crates/sandstile-replication/src/sim.rs
+++ b/crates/sandstile-replication/src/sim.rs
@@ -51,7 +51,7 @@
 pub struct Sim {
     now: f64,
     net: Net,
-    horizon: f64,
+    max_replica_lag: f64,
     rng: Rand64,
     nodes: Vec<Option<Node>>,
     events: Vec<Vec<(f64, ReplicationEvent)>>,
@@ -72,11 +72,11 @@
 
 impl Sim {
     /// Creates a number of nodes, none of them started. Times are absolute seconds that start at `now`.
-    pub fn new(nodes: usize, net: Net, horizon: f64, seed: u64, now: f64) -> Sim {
+    pub fn new(nodes: usize, net: Net, max_replica_lag: f64, seed: u64, now: f64) -> Sim {
         Sim {
             now,
             net,
-            horizon,
+            max_replica_lag,
             rng: Rand64::new(u128::from(seed)),
             nodes: (0..nodes).map(|_| None).collect(),
             events: vec![Vec::new(); nodes],
@@ -132,7 +132,7 @@
         let settings = ReplicationSettings {
             name: Self::name(node),
             generation,
-            horizon: self.horizon,
+            max_replica_lag: self.max_replica_lag,
             seed: self.rng.rand_u64(),
             stored,
             trust,
@@ -150,8 +150,8 @@
             for (from, to, from_generation, to_generation) in
                 [(node, other, generation, theirs), (other, node, theirs, generation)]
             {
-                let at = self.now + self.net.delay * 2.0 + self.net.jitter * self.rng.rand_float();
-                self.schedule(at, Event::Connect(from, to, from_generation, to_generation));
+                let connect_at = self.now + self.net.delay * 2.0 + self.net.jitter * self.rng.rand_float();
+                self.schedule(connect_at, Event::Connect(from, to, from_generation, to_generation));
             }
         }
         let phase = TICK_SECONDS * self.rng.rand_float();
@@ -185,9 +185,9 @@
             let healed = stream.partitioned && !partitioned;
             stream.partitioned = partitioned;
             if healed {
-                let at = self.now + RETRANSMIT_SECONDS;
-                stream.in_transit.iter_mut().for_each(|(due, _)| *due = due.max(at));
-                stream.last_arrival_at = stream.last_arrival_at.max(at);
+                let resent_at = self.now + RETRANSMIT_SECONDS;
+                stream.in_transit.iter_mut().for_each(|(due, _)| *due = due.max(resent_at));
+                stream.last_arrival_at = stream.last_arrival_at.max(resent_at);
                 let due: Vec<f64> = stream.in_transit.iter().map(|(due, _)| *due).collect();
                 due.into_iter().for_each(|at| self.schedule(at, Event::Deliver(pair.0, pair.1)));
             }
--- a/crates/sandstile-replication/tests/replication.rs
+++ b/crates/sandstile-replication/tests/replication.rs
@@ -171,7 +171,7 @@
     let settings = ReplicationSettings {
         name: name.to_string(),
         generation: (now * 1e6) as u64,
-        horizon: 300.0,
+        max_replica_lag: 300.0,
         seed: 1,
         stored: Vec::new(),
         trust: Trust::None,
--- a/crates/sandstile-restart-pacing/tests/pacing.rs
+++ b/crates/sandstile-restart-pacing/tests/pacing.rs
@@ -63,9 +63,10 @@
             return (now - 100.0, max_concurrent);
         }
         now = next;
-        let (up, in_progress): (Vec<_>, Vec<_>) = host.in_progress.drain(..).partition(|(at, _)| *at <= now);
+        let (connected, in_progress): (Vec<_>, Vec<_>) =
+            host.in_progress.drain(..).partition(|(at, _)| *at <= now);
         host.in_progress = in_progress;
-        for (_, router) in up {
+        for (_, router) in connected {
             let since = started_at.get_mut(&router).map(|times| times.remove(0)).unwrap();
             pacers[router].dial_ended(now, 0, DialOutcome::Connected(now - since));
         }
@@ -110,10 +111,14 @@
             }
             if !pending.is_empty() && rng.rand_range(0..3) == 0 {
                 let (host, since) = pending.swap_remove(rng.rand_range(0..pending.len() as u64) as usize);
-                let up = rng.rand_range(0..4) > 0;
+                let connected = rng.rand_range(0..4) > 0;
                 let failure =
                     if rng.rand_range(0..2) == 0 { DialOutcome::TimedOut } else { DialOutcome::Refused };
-                pacer.dial_ended(now, host, if up { DialOutcome::Connected(now - since) } else { failure });
+                pacer.dial_ended(
+                    now,
+                    host,
+                    if connected { DialOutcome::Connected(now - since) } else { failure },
+                );
             }
             if pacer.in_flight(0) + pacer.in_flight(1) + pacer.in_flight(2) + pacer.in_flight(3)
                 != pending.len()
@@ -136,12 +141,12 @@
             (0..routers).map(|n| DialPacer::new(pace, routers, n as u64, 7, 100.0)).collect();
         // Concurrent handshakes share the host evenly; those whose router gave up still take their share.
         let mut handshakes: Vec<(usize, f64, f64)> = Vec::new();
-        let (mut up, mut dialling_since, step) = (vec![false; routers], vec![None; routers], 0.001);
+        let (mut connected, mut dialling_since, step) = (vec![false; routers], vec![None; routers], 0.001);
         for tick in 0..30_000 {
             let now = 100.0 + f64::from(tick) * step;
             for router in 0..routers {
                 if dialling_since[router].is_none()
-                    && !up[router]
+                    && !connected[router]
                     && pacers[router].decide(now, 0) == DialDecision::Now
                 {
                     pacers[router].dial_started(now, 0);
@@ -158,10 +163,10 @@
             for (router, started_at, _) in handshakes.extract_if(.., |handshake| handshake.2 <= 0.0) {
                 if dialling_since[router] == Some(started_at) {
                     pacers[router].dial_ended(now, 0, DialOutcome::Connected(now - started_at));
-                    (dialling_since[router], up[router]) = (None, true);
+                    (dialling_since[router], connected[router]) = (None, true);
                 }
             }
-            if up.iter().all(|up| *up) {
+            if connected.iter().all(|connected| *connected) {
                 return Some(now - 100.0);
             }
         }
--- a/crates/sandstile-router/src/clients.rs
+++ b/crates/sandstile-router/src/clients.rs
@@ -56,7 +56,7 @@
 pub struct Clients {
     slots: Slab<ClientSlot>,
     workloads: Vec<Workload>,
-    dispatcher: MailboxSender<DispatcherMessage>,
+    dispatcher_sender: MailboxSender<DispatcherMessage>,
     client_events: Vec<ClientEvent>,
     /// Idle connections that have not sent a statement yet.
     idle_new_clients: usize,
@@ -76,11 +76,11 @@
 }
 
 impl Clients {
-    pub fn new(workloads: Vec<Workload>, dispatcher: MailboxSender<DispatcherMessage>) -> Self {
+    pub fn new(workloads: Vec<Workload>, dispatcher_sender: MailboxSender<DispatcherMessage>) -> Self {
         Clients {
             slots: Slab::new(),
             workloads,
-            dispatcher,
+            dispatcher_sender,
             client_events: Vec::new(),
             idle_new_clients: 0,
             statements: 0,
@@ -226,7 +226,7 @@
             let mut progressed = false;
             if slot.socket.read_closed() && slot.client_connection.awaits_answer() {
                 // The client is gone, though commands from before its end may still be unread for lack of room.
-                report_abandoned(slot.client_connection.closed(), &self.dispatcher);
+                report_abandoned(slot.client_connection.closed(), &self.dispatcher_sender);
                 break;
             }
             match slot.socket.write(slot.client_connection.pending_output()) {
@@ -239,7 +239,7 @@
                 Transfer::Ended => {}
                 Transfer::Broken(error) => {
                     (slot.error, slot.close_reason) = (error, Some(CloseReason::ClientBroken));
-                    report_abandoned(slot.client_connection.closed(), &self.dispatcher);
+                    report_abandoned(slot.client_connection.closed(), &self.dispatcher_sender);
                     break;
                 }
                 Transfer::NotReady => {}
@@ -263,12 +263,12 @@
                     progressed = true;
                 }
                 Transfer::Ended => {
-                    report_abandoned(slot.client_connection.closed(), &self.dispatcher);
+                    report_abandoned(slot.client_connection.closed(), &self.dispatcher_sender);
                     break;
                 }
                 Transfer::Broken(error) => {
                     (slot.error, slot.close_reason) = (error, Some(CloseReason::ClientBroken));
-                    report_abandoned(slot.client_connection.closed(), &self.dispatcher);
+                    report_abandoned(slot.client_connection.closed(), &self.dispatcher_sender);
                     break;
                 }
                 Transfer::OutOfMemory => {
@@ -323,7 +323,7 @@
                     }
                     debug!(context.log, "asked"; "client" => slot.number, "statement" => self.statements, "id" => &statement.id,
                         "reads" => slot.reads, "time_left_s" => format!("{:.3}", deadline - now));
-                    self.dispatcher.send(DispatcherMessage::StatementRequest(StatementRequest {
+                    self.dispatcher_sender.send(DispatcherMessage::StatementRequest(StatementRequest {
                         statement_id: self.statements,
                         client_connection: key,
                         id: statement.id.clone(),
@@ -332,15 +332,15 @@
                         session: statement.session.clone(),
                         writes: statement.writes,
                         deadline,
-                        wait: statement.wait,
-                        last_write_at: statement.after,
+                        timeout: statement.timeout,
+                        last_write_at: statement.last_write_at,
                         retry: statement.retry,
                         mark: statement.mark.clone(),
                         payload: Arc::new(*statement),
                     }));
                     progressed = true;
                 }
-                action => report_abandoned(action, &self.dispatcher),
+                action => report_abandoned(action, &self.dispatcher_sender),
             }
             more_work =
                 progressed || (slot.socket.writable() && !slot.client_connection.pending_output().is_empty());
@@ -420,7 +420,7 @@
         context.counters.count_close(reason);
         let now = context.clock.now();
         debug!(context.log, "client closed: {reason:?}"; "client" => slot.number, "answered" => slot.client_connection.answered());
-        if !reason.ordinary() && self.unusual_close_log.admits(now, reason) {
+        if !reason.is_ordinary() && self.unusual_close_log.admits(now, reason) {
             info!(context.log, "client closed: {reason:?}"; "client" => slot.number, "reads" => slot.reads,
                 "answered" => slot.client_connection.answered(), "unanswered_bytes" => slot.client_connection.unanswered_bytes(),
                 "errno" => slot.error, "connected_s" => format!("{:.3}", now - slot.accepted_at));
@@ -443,8 +443,8 @@
     }
 }
 
-fn report_abandoned(action: Option<ClientAction>, dispatcher: &MailboxSender<DispatcherMessage>) {
+fn report_abandoned(action: Option<ClientAction>, dispatcher_sender: &MailboxSender<DispatcherMessage>) {
     if let Some(ClientAction::Abandon(statement_id)) = action {
-        dispatcher.send(DispatcherMessage::ClientGone(statement_id));
+        dispatcher_sender.send(DispatcherMessage::ClientGone(statement_id));
     }
 }
--- a/crates/sandstile-router/src/control.rs
+++ b/crates/sandstile-router/src/control.rs
@@ -114,7 +114,8 @@
         self.ready |= freed;
     }
 
-    pub fn busy(&self) -> bool {
+    /// Whether clients may be waiting that can be served now.
+    pub fn may_accept(&self) -> bool {
         self.ready && self.clients.iter().any(Option::is_none)
     }
 
--- a/crates/sandstile-router/src/discovery.rs
+++ b/crates/sandstile-router/src/discovery.rs
@@ -56,7 +56,7 @@
     pub agent: Arc<DiscoveryAgent>,
     pub index: u64,
     pub known_hosts: KnownHosts,
-    pub dispatcher: MailboxSender<HostListUpdate>,
+    pub dispatcher_sender: MailboxSender<HostListUpdate>,
     pub counters: Arc<Counters>,
     pub log: Logger,
     pub reported: BTreeSet<String>,
@@ -235,7 +235,7 @@
             for entry in chunk.entries.iter().filter(|_| !is_snapshot) {
                 info!(self.log, "listed as {:?}", entry.readiness; "host" => &entry.host, "since" => entry.since);
             }
-            self.dispatcher.send(chunk);
+            self.dispatcher_sender.send(chunk);
         }
         // Whoever waits for the first list need not wait any longer.
         self.first_list = None;
--- a/crates/sandstile-router/src/event_loop.rs
+++ b/crates/sandstile-router/src/event_loop.rs
@@ -231,7 +231,7 @@
             }
             self.handle_control_messages();
             if let Some(members) = &mut self.members {
-                members.turn(&self.context);
+                members.run_once(&self.context);
             }
             // A connection with more work to do goes to the back of the queue.
             for _ in 0..self.context.queue.len() {
@@ -263,7 +263,7 @@
 
     fn has_work(&self) -> bool {
         let has_messages = !self.inbox.is_empty() || self.dispatcher.pending() || !self.answers.is_empty();
-        let has_datagrams = self.members.as_ref().is_some_and(|m| m.busy());
+        let has_datagrams = self.members.as_ref().is_some_and(|m| m.may_have_datagrams());
         has_messages
             || has_datagrams
             || !self.context.queue.is_empty()
--- a/crates/sandstile-router/src/exchange.rs
+++ b/crates/sandstile-router/src/exchange.rs
@@ -53,7 +53,7 @@
     /// members.
     own_address: Option<SocketAddr>,
     secret: [u8; 32],
-    dispatcher: MailboxSender<SessionMessage>,
+    dispatcher_sender: MailboxSender<SessionMessage>,
     log: Logger,
 }
 
@@ -82,13 +82,13 @@
                 continue;
             }
             let stop_flag = Arc::new(AtomicBool::new(false));
-            let (name, secret, dispatcher, log) =
-                (self.name.clone(), self.secret, self.dispatcher.clone(), self.log.clone());
+            let (name, secret, dispatcher_sender, log) =
+                (self.name.clone(), self.secret, self.dispatcher_sender.clone(), self.log.clone());
             let stop = stop_flag.clone();
             let spawned = threads::spawn_detached("tell", move || {
                 while !stop.load(SeqCst) {
                     // Every new connection begins with a snapshot, whatever ended the last one.
-                    if let Ok(true) = send_to_peer(peer, &name, &secret, &dispatcher, &stop, &log) {
+                    if let Ok(true) = send_to_peer(peer, &name, &secret, &dispatcher_sender, &stop, &log) {
                         return;
                     }
                     thread::sleep(RECONNECT_DELAY);
@@ -110,7 +110,7 @@
     generation: u64,
     replicates_state: bool,
     secrets: Vec<[u8; 32]>,
-    dispatcher: MailboxSender<SessionMessage>,
+    dispatcher_sender: MailboxSender<SessionMessage>,
     log: &Logger,
 ) -> Result<ExchangePeers, String> {
     let name = format!("{}#{generation}", name.chars().take(40).collect::<String>());
@@ -118,7 +118,7 @@
     let listener =
         TcpListener::bind(config.listen).map_err(|e| format!("exchange: {}: {e}", config.listen))?;
     let (own_name, keys, to_dispatcher, thread_log) =
-        (name.to_string(), secrets.clone(), dispatcher.clone(), log.clone());
+        (name.to_string(), secrets.clone(), dispatcher_sender.clone(), log.clone());
     threads::spawn_detached("exchange", move || {
         accept(&listener, &own_name, &keys, &to_dispatcher, &thread_log)
     })?;
@@ -128,7 +128,7 @@
         name: name.to_string(),
         own_address: replicates_state.then_some(config.listen),
         secret: secrets[0],
-        dispatcher,
+        dispatcher_sender,
         log: log.clone(),
     };
     exchange_peers.update(&BTreeSet::new());
@@ -158,7 +158,7 @@
     listener: &TcpListener,
     name: &str,
     secrets: &[[u8; 32]],
-    dispatcher: &MailboxSender<SessionMessage>,
+    dispatcher_sender: &MailboxSender<SessionMessage>,
     log: &Logger,
 ) {
     let connections = Arc::new(AtomicUsize::new(0));
@@ -172,12 +172,12 @@
             continue;
         }
         let nonce = nonce(&secrets[0], number);
-        let (secrets, dispatcher, log) = (secrets.to_vec(), dispatcher.clone(), log.clone());
+        let (secrets, dispatcher_sender, log) = (secrets.to_vec(), dispatcher_sender.clone(), log.clone());
         let (greeting, open_connections) = (greeting(nonce, name), connections.clone());
         let receive = move || {
             let result = stream
                 .write_all(&greeting)
-                .and_then(|()| receive_from_peer(&mut stream, &secrets, &nonce, &dispatcher));
+                .and_then(|()| receive_from_peer(&mut stream, &secrets, &nonce, &dispatcher_sender));
             if let Err(e) = result {
                 info!(log, "exchange: a connection ended: {e}");
             }
@@ -194,7 +194,7 @@
     stream: &mut TcpStream,
     secrets: &[[u8; 32]],
     nonce: &[u8; 16],
-    dispatcher: &MailboxSender<SessionMessage>,
+    dispatcher_sender: &MailboxSender<SessionMessage>,
 ) -> io::Result<()> {
     let mut decoder = FrameDecoder::new(secrets, nonce);
     let mut from = None;
@@ -216,11 +216,11 @@
             }
             // Backpressure: a peer that sends faster than the dispatcher reads is held back by its TCP
             // connection.
-            while dispatcher.queued() > MAX_QUEUED_MESSAGES {
+            while dispatcher_sender.queued() > MAX_QUEUED_MESSAGES {
                 thread::sleep(BACKPRESSURE_PAUSE);
             }
             if let Some(from) = &from {
-                dispatcher.send(SessionMessage::FromPeer(from.clone(), frame));
+                dispatcher_sender.send(SessionMessage::FromPeer(from.clone(), frame));
             }
         }
     }
@@ -232,14 +232,14 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    dispatcher: &MailboxSender<SessionMessage>,
+    dispatcher_sender: &MailboxSender<SessionMessage>,
     stop: &AtomicBool,
     log: &Logger,
 ) -> io::Result<bool> {
     let mut connected_to = None;
-    let result = run_connection(peer, name, secret, dispatcher, stop, log, &mut connected_to);
+    let result = run_connection(peer, name, secret, dispatcher_sender, stop, log, &mut connected_to);
     if let Some(peer_name) = connected_to {
-        dispatcher.send(SessionMessage::PeerDisconnected(peer_name));
+        dispatcher_sender.send(SessionMessage::PeerDisconnected(peer_name));
     }
     result
 }
@@ -250,7 +250,7 @@
     peer: SocketAddr,
     name: &str,
     secret: &[u8; 32],
-    dispatcher: &MailboxSender<SessionMessage>,
+    dispatcher_sender: &MailboxSender<SessionMessage>,
     stop: &AtomicBool,
     log: &Logger,
     connected_to: &mut Option<String>,
@@ -275,7 +275,7 @@
     stream.write_all(&encoder.introduction(name))?;
     let (sender, messages) = bounded_mailbox(MAX_QUEUED_MARKS);
     *connected_to = Some(peer_name.clone());
-    dispatcher.send(SessionMessage::PeerConnected(peer_name.clone(), sender));
+    dispatcher_sender.send(SessionMessage::PeerConnected(peer_name.clone(), sender));
     loop {
         let message = match messages.recv(Some(PEER_CHECK_INTERVAL)) {
             Ok(message) => message,
@@ -302,7 +302,7 @@
             }
             PeerMessage::State(state) => {
                 stream.write_all(&encoder.state(&state))?;
-                dispatcher.send(SessionMessage::StateBytesWritten(peer_name.clone(), state.len()));
+                dispatcher_sender.send(SessionMessage::StateBytesWritten(peer_name.clone(), state.len()));
             }
             PeerMessage::SessionMarks(key, session_marks) => {
                 // Sends all queued marks in one frame.
--- a/crates/sandstile-router/src/hosts.rs
+++ b/crates/sandstile-router/src/hosts.rs
@@ -59,7 +59,7 @@
 pub struct Hosts {
     hosts: Vec<Option<Host>>,
     slots: Slab<ConnectionSlot>,
-    dispatcher: MailboxSender<DispatcherMessage>,
+    dispatcher_sender: MailboxSender<DispatcherMessage>,
     counters: Arc<Counters>,
     log: Logger,
     /// Connections that wait for a descriptor, with the address to dial.
@@ -103,7 +103,7 @@
 
 impl Hosts {
     pub fn new(
-        dispatcher: MailboxSender<DispatcherMessage>,
+        dispatcher_sender: MailboxSender<DispatcherMessage>,
         counters: Arc<Counters>,
         log: Logger,
         dial_timeout: f64,
@@ -112,7 +112,7 @@
         Hosts {
             hosts: Vec::new(),
             slots: Slab::new(),
-            dispatcher,
+            dispatcher_sender,
             counters,
             log,
             pending_dials: VecDeque::new(),
@@ -215,7 +215,7 @@
             local_retry_until,
         };
         let key = self.slots.insert(slot);
-        self.host(host).pool.dialled(key);
+        self.host(host).pool.dial_started(key);
         self.pending_dials.push_back((key, address));
     }
 
@@ -362,11 +362,11 @@
             }
         }
         if let Some(dial_pacer) = &mut self.dial_pacer {
-            slot.connection.dialled_with_deadline(now + self.dial_timeout);
+            slot.connection.dial_started_with_deadline(now + self.dial_timeout);
             slot.dial_started_at = Some(now);
             dial_pacer.dial_started(now, slot.host);
         } else {
-            slot.connection.dialled();
+            slot.connection.dial_started();
         }
         match connected {
             Ok(mut socket) => {
@@ -492,7 +492,7 @@
     /// Closes an idle connection, for a reason of this machine.
     pub fn close_idle(&mut self, key: usize, ending: Ending, context: &mut LoopContext) {
         let Some(slot) = self.slots.get_mut(key).filter(|slot| slot.connection.idle()) else { return };
-        slot.connection.leave();
+        slot.connection.close_idle();
         let host = slot.host;
         self.host(host).pool.idle_closed(key);
         self.counters.count_ending(ending);
@@ -663,7 +663,7 @@
 
     fn report(&mut self, host: usize, task: HostTask, outcome: Outcome, context: &LoopContext) {
         self.record_ending(host, outcome.ending, context);
-        self.dispatcher.send(match task.kind {
+        self.dispatcher_sender.send(match task.kind {
             TaskKind::Statement { statement_id, execution, .. } => {
                 DispatcherMessage::Ended { statement_id, execution, outcome }
             }
@@ -675,7 +675,7 @@
     /// that is down ends statements by the hundred.
     fn record_ending(&mut self, host: usize, ending: Ending, context: &LoopContext) {
         self.counters.count_ending(ending);
-        if ending.ordinary() {
+        if ending.is_ordinary() {
             return;
         }
         let now = context.clock.now();
--- a/crates/sandstile-router/src/local_config.rs
+++ b/crates/sandstile-router/src/local_config.rs
@@ -24,7 +24,7 @@
     /// Upper bound of the difference between the routers' clocks.
     pub max_clock_skew: f64,
     /// Upper bound of the replicas' lag.
-    pub horizon: f64,
+    pub max_replica_lag: f64,
     /// All writes of a session go through this instance, for as long as the instance runs.
     pub sessions_stay: bool,
     pub max_sessions: usize,
@@ -259,7 +259,7 @@
         keys: section.text("keys").map(PathBuf::from),
         token_lifetime: section.number("token_lasts_s", 1.0..31_536_000.0, 86_400.0),
         max_clock_skew: section.ms("skew_ms", 0.0..600_000.0, 1.0),
-        horizon: section.number("replicas_lag_at_most_s", 1.0..86_400.0, 300.0),
+        max_replica_lag: section.number("replicas_lag_at_most_s", 1.0..86_400.0, 300.0),
         sessions_stay: section.boolean("sessions_stay", false),
         allow_unmarked: section.choice(
             "without_mark",
--- a/crates/sandstile-router/src/members.rs
+++ b/crates/sandstile-router/src/members.rs
@@ -104,7 +104,7 @@
     }
 
     /// Whether the socket may have datagrams to read.
-    pub fn busy(&self) -> bool {
+    pub fn may_have_datagrams(&self) -> bool {
         self.readable
     }
 
@@ -119,7 +119,7 @@
 
     /// Does a bounded amount of work: reads datagrams, runs due timers, sends messages, and serves the
     /// control socket.
-    pub fn turn(&mut self, context: &LoopContext) {
+    pub fn run_once(&mut self, context: &LoopContext) {
         // Datagrams are read before timers run, so that a process that was stopped declares nobody dead whose
         // messages are waiting in the socket.
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -84,7 +84,7 @@
         }
         Err(e) => warn!(thread_log, "the recording ends after a write error: {e}"),
     };
-    let thread = threads::spawn_joinable("recorder", threads::STACK, run)?;
+    let thread = threads::spawn_joinable("recorder", threads::THREAD_STACK_BYTES, run)?;
     info!(log, "recording"; "file" => %config.file.display());
     Ok((RecordingSource { sender, counters: counters.clone() }, thread))
 }
--- a/crates/sandstile-router/src/replicated_state.rs
+++ b/crates/sandstile-router/src/replicated_state.rs
@@ -48,7 +48,7 @@
     pub generation: u64,
     pub seed: u64,
     /// Seconds.
-    pub horizon: f64,
+    pub max_replica_lag: f64,
 }
 
 /// What processing the received facts has brought.
@@ -144,7 +144,7 @@
                 Ok(state_file) => {
                     let (sender, tasks) = mailbox();
                     let thread_log = log.clone();
-                    threads::spawn_joinable("state", threads::STACK, move || {
+                    threads::spawn_joinable("state", threads::THREAD_STACK_BYTES, move || {
                         run_disk(state_file, &tasks, &result_sender, &thread_log)
                     })?;
                     disk = Some(sender);
@@ -166,7 +166,7 @@
             sandstile_replication::ReplicationSettings {
                 name: settings.name.to_string(),
                 generation: settings.generation,
-                horizon: settings.horizon,
+                max_replica_lag: settings.max_replica_lag,
                 seed: settings.seed ^ settings.generation,
                 stored: facts,
                 trust,
--- a/crates/sandstile-router/src/router.rs
+++ b/crates/sandstile-router/src/router.rs
@@ -74,7 +74,7 @@
         agent: agent.clone(),
         index,
         known_hosts,
-        dispatcher: list_sender.clone(),
+        dispatcher_sender: list_sender.clone(),
         counters: counters.clone(),
         log: log.clone(),
         reported: BTreeSet::new(),
@@ -104,7 +104,7 @@
                 name: &launch.name,
                 generation,
                 seed: launch.seed,
-                horizon: plan.horizon,
+                max_replica_lag: plan.max_replica_lag,
             };
             ReplicatedState::begin(state, &settings, session_sender.clone(), &clock, &log)
         });
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -105,14 +105,15 @@
     ) -> Result<Sessions, String> {
         let now = clock.now();
         let key_ring = config.read_keys()?;
-        let limits = StoreLimits { exact: config.max_sessions, cells: config.sketch_cells, terms: 4 };
+        let limits =
+            StoreLimits { exact_sessions: config.max_sessions, sketch_cells: config.sketch_cells, terms: 4 };
         let mut store = Store::new(limits);
         // Without a complete journal, writes before this start are unknown.
         let mut complete_since = now;
         let mut journal = None;
         if let Some(path) = &config.journal {
             let with_path = |e| format!("{}: {e}", path.display());
-            let (opened, found) = open_journal(path, now - config.horizon, log).map_err(with_path)?;
+            let (opened, found) = open_journal(path, now - config.max_replica_lag, log).map_err(with_path)?;
             found.marks.iter().for_each(|(key, session_marks)| store.merge(*key, session_marks));
             // The journal is complete if each write was on the disk before its answer was sent, or if the
             // last writer shut down in order. A new, empty journal says nothing about earlier writes.
@@ -175,7 +176,7 @@
         let session = request.session.as_deref()?;
         if now > self.last_expiry_at + EXPIRY_INTERVAL_S {
             self.last_expiry_at = now;
-            self.store.remove_expired(now, self.config.horizon);
+            self.store.remove_expired(now, self.config.max_replica_lag);
         }
         if now > self.last_logged_at + LOG_INTERVAL_S {
             self.last_logged_at = now;
@@ -203,8 +204,8 @@
             let context = ReadContext {
                 now,
                 term: (term > 0).then_some(Term(term)),
-                horizon: self.config.horizon,
-                skew: self.config.max_clock_skew,
+                max_replica_lag: self.config.max_replica_lag,
+                max_clock_skew: self.config.max_clock_skew,
                 complete_since: self.complete_since,
                 startup_mark,
             };
--- a/crates/sandstile-router/tests/agreement.rs
+++ b/crates/sandstile-router/tests/agreement.rs
@@ -237,7 +237,7 @@
     final_answers
 }
 
-fn with_stand_ins(scenario: &Scenario) -> Vec<String> {
+fn with_test_doubles(scenario: &Scenario) -> Vec<String> {
     let host = |(n, replies): (usize, &Option<Vec<HostReply>>)| -> SocketAddr {
         match replies {
             Some(replies) => Host::scripted(n == 0, replies).address,
@@ -257,7 +257,7 @@
         let runs: Vec<_> = scenarios()
             .into_iter()
             .map(|scenario| {
-                scope.spawn(move || (scenario.name, with_emulator(&scenario), with_stand_ins(&scenario)))
+                scope.spawn(move || (scenario.name, with_emulator(&scenario), with_test_doubles(&scenario)))
             })
             .collect();
         for run in runs {
--- a/crates/sandstile-router/tests/codecs.rs
+++ b/crates/sandstile-router/tests/codecs.rs
@@ -63,7 +63,7 @@
 
 #[test]
 fn only_field_d_is_rewritten_and_fields_may_be_in_any_order() {
-    fn rewrites_only_d(order: Vec<u8>, d: u16, wait: u16, tail: Vec<u8>, quotes: bool) -> bool {
+    fn rewrites_only_d(order: Vec<u8>, d: u16, timeout: u16, tail: Vec<u8>, quotes: bool) -> bool {
         let d = u32::from(d) + 1;
         let quote = if quotes { "'" } else { "" };
         let mut fields =
@@ -83,22 +83,22 @@
         };
         let statement = statement::read(with(&d.to_string()), &workloads()).expect("a statement");
         let mut expected = Vec::new();
-        let wait = f64::from(wait) / 1000.0 + 0.0004;
-        let ms = ((wait * 1000.0) as u64).max(1);
+        let timeout = f64::from(timeout) / 1000.0 + 0.0004;
+        let ms = ((timeout * 1000.0) as u64).max(1);
         pg::write_frame(&mut expected, b'Q', &[&with(&ms.to_string()), b"\0"]);
-        statement.message(wait) == expected
+        statement.message(timeout) == expected
             && statement.workload == 1
             && statement.group == "7"
             && statement.session.as_deref() == Some("k9")
-            && statement.after == Some(1_767_225_600.123)
+            && statement.last_write_at == Some(1_767_225_600.123)
             && statement.retry
-            && (statement.wait - f64::from(d) / 1000.0).abs() < 1e-9
+            && (statement.timeout - f64::from(d) / 1000.0).abs() < 1e-9
     }
     check_property(rewrites_only_d as fn(Vec<u8>, u16, u16, Vec<u8>, bool) -> bool);
     let error_of = |text: &str| statement::read(text.as_bytes().to_vec(), &workloads()).err();
     assert_eq!(error_of("/* id=1,c=look,d=5 */ SELECT 1"), Some(StatementError::Group));
-    assert_eq!(error_of("/* id=1,c=look,d=-5,cluster=3 */ SELECT 1"), Some(StatementError::Wait));
-    assert_eq!(error_of("/* id=1,c=look,d=5,cluster=3,after=x */ SELECT 1"), Some(StatementError::After));
+    assert_eq!(error_of("/* id=1,c=look,d=-5,cluster=3 */ SELECT 1"), Some(StatementError::Timeout));
+    assert_eq!(error_of("/* id=1,c=look,d=5,cluster=3,after=x */ SELECT 1"), Some(StatementError::LastWrite));
     assert_eq!(error_of("/* c,d=5,cluster=3 */ SELECT 1"), Some(StatementError::Comment));
     assert_eq!(error_of("/* c=look,d=5,cluster=3 */ SELECT 1"), Some(StatementError::Id));
     assert_eq!(error_of(""), Some(StatementError::NoComment));
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -117,7 +117,7 @@
 const KEY: &str = "1 00112233445566778899aabbccddeeff0123456789abcdef0123456789abcdef\n";
 
 /// Creates a folder for one test, with a key file in it.
-fn test_folder(name: &str) -> PathBuf {
+fn test_directory(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
     fs::create_dir_all(&dir).expect("cannot write the test's files");
@@ -156,7 +156,7 @@
 /// and one under another name at the old address, each count as a new member.
 #[test]
 fn a_name_belongs_to_one_process_at_a_time() {
-    let (dir, primary) = (test_folder("members-names"), Host::start(true));
+    let (dir, primary) = (test_directory("members-names"), Host::start(true));
     let addresses: Vec<SocketAddr> = (0..4).map(|_| free_address()).collect();
     let files: Vec<_> = (0..4).map(|n| write_local_config(&dir, n, addresses[n], addresses[0])).collect();
     let first = start_router("a", &primary, &files[0].0);
@@ -205,7 +205,7 @@
 /// serving, agree again once it is silent, and stay within their limits.
 #[test]
 fn false_updates_by_a_key_holder_do_not_disrupt_the_routers() {
-    let (dir, primary) = (test_folder("members-liar"), Host::start(true));
+    let (dir, primary) = (test_directory("members-liar"), Host::start(true));
     let addresses: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
     let files: Vec<_> = (0..3).map(|n| write_local_config(&dir, n, addresses[n], addresses[0])).collect();
     let routers: Vec<Router> =
@@ -292,7 +292,7 @@
 /// sockets, and no more threads.
 #[test]
 fn members_use_no_socket_when_off_and_no_thread_when_on() {
-    let (dir, primary) = (test_folder("members-off"), Host::start(true));
+    let (dir, primary) = (test_directory("members-off"), Host::start(true));
     let config = config(DiscoveryAgent::start().address, &known(&primary, &[]));
     let off = Router::start(&config);
     let address = free_address();
@@ -313,7 +313,7 @@
 
 #[test]
 fn errors_in_the_members_section_are_reported() {
-    let dir = test_folder("members-file");
+    let dir = test_directory("members-file");
     let file = dir.join("f.hcl");
     let check_error = |text: &str| {
         fs::write(&file, text).expect("cannot write the test's files");
--- a/crates/sandstile-router/tests/module_cycles.rs
+++ b/crates/sandstile-router/tests/module_cycles.rs
@@ -6,8 +6,8 @@
 /// Modules of the crate that a file refers to by `crate::`.
 fn dependencies_of(text: &str, modules: &BTreeSet<String>) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
-    for (at, _) in text.match_indices("crate::") {
-        let rest = &text[at + 7..];
+    for (offset, _) in text.match_indices("crate::") {
+        let rest = &text[offset + 7..];
         // Handles `use crate::{a, b};` and `crate::a::…` alike.
         let end = if rest.starts_with('{') { rest.find('}').unwrap_or(0) } else { 40.min(rest.len()) };
         let is_group = rest.starts_with('{');
--- a/crates/sandstile-router/tests/program.rs
+++ b/crates/sandstile-router/tests/program.rs
@@ -32,8 +32,8 @@
     let passed = replica.queries.lock().expect("queries")[0].clone();
     let passed = String::from_utf8(passed).expect("text");
     let (before, rest) = passed.split_once(",d=").expect("a d");
-    let (d, after) = rest.split_once(',').expect("more fields");
-    assert!((700..=800).contains(&d.parse::<u32>().expect("a number")), "{d}");
+    let (remaining_ms, after) = rest.split_once(',').expect("more fields");
+    assert!((700..=800).contains(&remaining_ms.parse::<u32>().expect("a number")), "{remaining_ms}");
     assert_eq!(format!("{before},d=800,{after}"), format!("{asked}\0"));
     assert!(client.ask(" ; ").empty);
     assert_eq!(value(&client.ask(&write(800))), b"primary");
--- a/crates/sandstile-router/tests/system_calls.rs
+++ b/crates/sandstile-router/tests/system_calls.rs
@@ -44,7 +44,7 @@
 }
 
 /// Checks that statements on new connections under these rules are answered in time; yields the log.
-fn answered_under(name: &str, rules: &[Rule]) -> String {
+fn assert_answered_under(name: &str, rules: &[Rule]) -> String {
     let (primary, replica) = (Host::start(true), Host::start(false));
     let router = router_under(rules, &primary, &[&replica]);
     for _ in 0..3 {
@@ -60,11 +60,11 @@
 /// Neither an error nor a short read proves that everything has been read.
 #[test]
 fn interrupted_and_one_byte_reads_and_writes_lose_no_answer() {
-    answered_under(
+    assert_answered_under(
         "one byte",
         &[Rule::new(Call::Recv, Fault::Short(1)), Rule::new(Call::Send, Fault::Short(1))],
     );
-    answered_under(
+    assert_answered_under(
         "interrupted",
         &[
             Rule::fails(Call::Recv, EINTR).probability(0.5),
@@ -79,16 +79,16 @@
 /// A read that returns EAGAIN although bytes are there is repeated within a bounded time.
 #[test]
 fn spurious_would_block_results_are_rechecked() {
-    answered_under("reads", &[Rule::fails(Call::Recv, EAGAIN).probability(0.4)]);
-    answered_under("writes", &[Rule::fails(Call::Send, EAGAIN).probability(0.4)]);
-    answered_under("accepts", &[Rule::fails(Call::Accept, EAGAIN).probability(0.6)]);
+    assert_answered_under("reads", &[Rule::fails(Call::Recv, EAGAIN).probability(0.4)]);
+    assert_answered_under("writes", &[Rule::fails(Call::Send, EAGAIN).probability(0.4)]);
+    assert_answered_under("accepts", &[Rule::fails(Call::Accept, EAGAIN).probability(0.6)]);
 }
 
 /// A call that fails for lack of memory closes no connection.
 #[test]
 fn out_of_memory_errors_of_reads_and_writes_close_no_connection() {
     let reads = Rule::fails(Call::Recv, ENOMEM).probability(0.3);
-    answered_under("short", &[reads, Rule::fails(Call::Send, ENOBUFS).probability(0.3)]);
+    assert_answered_under("short", &[reads, Rule::fails(Call::Send, ENOBUFS).probability(0.3)]);
 }
 
 /// No error of `accept` proves that the listen queue is empty.
@@ -98,7 +98,7 @@
         [ECONNABORTED, EINTR, EPROTO, ENETDOWN, EHOSTUNREACH, ENETUNREACH, ETIMEDOUT].map(|n| (n, 0.7));
     let out_of_memory = [ENFILE, EMFILE, ENOBUFS, ENOMEM].map(|n| (n, 0.6));
     for (errno, probability) in transient.into_iter().chain(out_of_memory) {
-        let log = answered_under(
+        let log = assert_answered_under(
             &format!("accept {errno}"),
             &[Rule::fails(Call::Accept, errno).probability(probability)],
         );
@@ -143,8 +143,8 @@
 /// A connection that can't be set up now is set up a moment later.
 #[test]
 fn a_connection_that_cannot_be_set_up_at_once_is_not_dropped() {
-    answered_under("registration", &[Rule::fails(Call::EpollAdd, ENOMEM).after(3).times(4)]);
-    answered_under("options", &[Rule::fails(Call::SetSockOpt, ENOBUFS).probability(0.8)]);
+    assert_answered_under("registration", &[Rule::fails(Call::EpollAdd, ENOMEM).after(3).times(4)]);
+    assert_answered_under("options", &[Rule::fails(Call::SetSockOpt, ENOBUFS).probability(0.8)]);
 }
 
 /// A write that breaks before its last byte never ran; one whose last byte was accepted may have run.
@@ -194,14 +194,14 @@
 /// A failed wake-up between threads is repeated.
 #[test]
 fn a_failed_wake_up_ends_no_router() {
-    answered_under("interrupted", &[Rule::fails(Call::WakeWrite, EINTR).probability(0.7)]);
-    answered_under("short of memory", &[Rule::fails(Call::WakeWrite, ENOMEM).probability(0.3)]);
+    assert_answered_under("interrupted", &[Rule::fails(Call::WakeWrite, EINTR).probability(0.7)]);
+    assert_answered_under("short of memory", &[Rule::fails(Call::WakeWrite, ENOMEM).probability(0.3)]);
 }
 
 /// An address that is still in use, or a machine that is short of sockets, delays a start but doesn't fail it.
 #[test]
 fn a_start_waits_for_its_address_and_for_sockets() {
-    answered_under("sockets", &[Rule::fails(Call::Socket, ENOBUFS).between(0, 800)]);
+    assert_answered_under("sockets", &[Rule::fails(Call::Socket, ENOBUFS).between(0, 800)]);
     let (primary, replica) = (Host::start(true), Host::start(false));
     let late = Rule::fails(Call::EpollAdd, ENOMEM).between(0, 800);
     let router = router_under(&[late], &primary, &[&replica]);
--- a/crates/sandstile-router/tests/test_doubles/mod.rs
+++ b/crates/sandstile-router/tests/test_doubles/mod.rs
@@ -480,10 +480,13 @@
     NEXT.fetch_add(1, SeqCst)
 }
 
-pub fn read(d: u32) -> String {
-    format!("/* id=9b1f{},c=look,d={d},cluster=3 */ SELECT payload FROM entries WHERE ref = 'k1'", next_id())
+pub fn read(timeout_ms: u32) -> String {
+    format!(
+        "/* id=9b1f{},c=look,d={timeout_ms},cluster=3 */ SELECT payload FROM entries WHERE ref = 'k1'",
+        next_id()
+    )
 }
 
-pub fn write(d: u32) -> String {
-    format!("/* id=9b20{},c=book,d={d},cluster=3 */ INSERT INTO entries (ref, payload) VALUES ('k1', '\\x9f') RETURNING payload", next_id())
+pub fn write(timeout_ms: u32) -> String {
+    format!("/* id=9b20{},c=book,d={timeout_ms},cluster=3 */ INSERT INTO entries (ref, payload) VALUES ('k1', '\\x9f') RETURNING payload", next_id())
 }
--- a/crates/sandstile-sessions/examples/cost.rs
+++ b/crates/sandstile-sessions/examples/cost.rs
@@ -25,8 +25,8 @@
     let context = ReadContext {
         now: 1100.0,
         term: Some(Term(1)),
-        horizon: 300.0,
-        skew: 1.0,
+        max_replica_lag: 300.0,
+        max_clock_skew: 1.0,
         complete_since: f64::INFINITY,
         startup_mark: None,
     };
--- a/crates/sandstile-sessions/examples/marks.rs
+++ b/crates/sandstile-sessions/examples/marks.rs
@@ -15,8 +15,8 @@
 }
 
 fn main() {
-    let limits = StoreLimits { exact: 1 << 16, cells: 1 << 20, terms: 2 };
-    println!("exact {}, sketch {} cells per row, 4 rows", limits.exact, limits.cells);
+    let limits = StoreLimits { exact_sessions: 1 << 16, sketch_cells: 1 << 20, terms: 2 };
+    println!("exact {}, sketch {} cells per row, 4 rows", limits.exact_sessions, limits.sketch_cells);
     println!("sessions    store: save ns  get ns     MB    fill  raised  raised by s (mean)   map: save ns  get ns     MB  forgotten");
     for sessions in [10_000u64, 1_000_000, 10_000_000] {
         let writes = sessions;
@@ -25,8 +25,8 @@
         let context = ReadContext {
             now: 1060.0,
             term: Some(Term(1)),
-            horizon: 120.0,
-            skew: 1.0,
+            max_replica_lag: 120.0,
+            max_clock_skew: 1.0,
             complete_since: f64::INFINITY,
             startup_mark: None,
         };
@@ -61,7 +61,7 @@
         for n in 0..writes {
             map.insert(hashed_key(n), position_of(n));
             order.push_back(hashed_key(n));
-            if map.len() > limits.exact {
+            if map.len() > limits.exact_sessions {
                 if let Some(oldest) = order.pop_front() {
                     map.remove(&oldest);
                 }
--- a/crates/sandstile-sessions/src/required_position.rs
+++ b/crates/sandstile-sessions/src/required_position.rs
@@ -36,9 +36,9 @@
     pub term: Option<Term>,
     /// Upper bound of the replicas' lag, in seconds, as configured for the installation. Every replica has
     /// applied marks that are older than this.
-    pub horizon: f64,
+    pub max_replica_lag: f64,
     /// The largest difference between clocks, in seconds. A position further ahead of `now` is not trusted.
-    pub skew: f64,
+    pub max_clock_skew: f64,
     /// This instance knows every write to the group since this time, because it was the only instance since
     /// then or because it found its journal intact. Infinite if it cannot know.
     pub complete_since: f64,
@@ -61,7 +61,7 @@
     context: &ReadContext,
 ) -> RequiredPosition {
     // Every replica has applied positions older than this, whatever their term.
-    let oldest_relevant = context.now - context.horizon;
+    let oldest_relevant = context.now - context.max_replica_lag;
     let no_marks = std::collections::BTreeMap::new();
     let marks = match session_marks {
         SessionMarks::Lost(latest) if *latest >= oldest_relevant => {
@@ -70,7 +70,7 @@
         SessionMarks::Lost(_) => &no_marks,
         SessionMarks::Terms(marks) => marks,
     };
-    if marks.values().any(|position| *position > context.now + context.skew) {
+    if marks.values().any(|position| *position > context.now + context.max_clock_skew) {
         return RequiredPosition::Unknown(UnknownReason::Ahead);
     }
     let complete = carried || context.complete_since <= oldest_relevant;
@@ -79,8 +79,9 @@
     let startup_mark = context
         .startup_mark
         .filter(|mark| context.complete_since.is_finite() && context.term == Some(mark.term));
-    let startup_mark =
-        startup_mark.filter(|mark| mark.position <= context.now + context.skew).map(|mark| mark.position);
+    let startup_mark = startup_mark
+        .filter(|mark| mark.position <= context.now + context.max_clock_skew)
+        .map(|mark| mark.position);
     let mut relevant = marks.iter().filter(|(_, position)| **position >= oldest_relevant).peekable();
     if relevant.peek().is_none() {
         return match (complete, startup_mark) {
--- a/crates/sandstile-sessions/src/store.rs
+++ b/crates/sandstile-sessions/src/store.rs
@@ -28,16 +28,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
     /// The number of sessions with exact marks.
-    pub exact: usize,
+    pub exact_sessions: usize,
     /// Cells per row of a sketch.
-    pub cells: usize,
+    pub sketch_cells: usize,
     /// The number of terms that get a sketch. Marks of further terms are lost when they are evicted.
     pub terms: usize,
 }
 
 impl StoreLimits {
     pub fn default_limits() -> StoreLimits {
-        StoreLimits { exact: 1 << 16, cells: 1 << 18, terms: 4 }
+        StoreLimits { exact_sessions: 1 << 16, sketch_cells: 1 << 18, terms: 4 }
     }
 }
 
@@ -113,7 +113,7 @@
             self.exact.by_age.insert((new_age, key));
         }
         self.exact.by_session.insert(key, session_marks);
-        while self.exact.by_session.len() > self.limits.exact {
+        while self.exact.by_session.len() > self.limits.exact_sessions {
             self.evict_oldest();
         }
     }
@@ -149,14 +149,14 @@
             return None;
         }
         // The sketch starts one day before its first mark; older positions are rounded up to that time.
-        let sketch = Sketch::new(self.limits.cells, mark.position - 86_400.0);
+        let sketch = Sketch::new(self.limits.sketch_cells, mark.position - 86_400.0);
         self.sketches.push(TermSketch { term: mark.term, sketch, latest: mark.position });
         self.sketches.last_mut()
     }
 
-    /// Removes the marks that are older than `horizon` seconds, because every replica has applied them.
-    pub fn remove_expired(&mut self, now: f64, horizon: f64) {
-        let cutoff = now - horizon;
+    /// Removes the marks that are older than `max_replica_lag` seconds, because every replica has applied them.
+    pub fn remove_expired(&mut self, now: f64, max_replica_lag: f64) {
+        let cutoff = now - max_replica_lag;
         while let Some((position, key)) = self.exact.by_age.get_min().copied() {
             if f64::from_bits(position) >= cutoff {
                 break;
@@ -195,7 +195,8 @@
             session_marks.merge(&SessionMarks::of(mark));
         }
         // The session may be one of those that were evicted without being put into a sketch.
-        let may_be_lost = session_marks.is_empty() && self.lost_up_to >= context.now - context.horizon;
+        let may_be_lost =
+            session_marks.is_empty() && self.lost_up_to >= context.now - context.max_replica_lag;
         let known = if may_be_lost { SessionMarks::Lost(self.lost_up_to) } else { session_marks };
         required_position(&known, carried.is_some(), context)
     }
--- a/crates/sandstile-sessions/src/token.rs
+++ b/crates/sandstile-sessions/src/token.rs
@@ -117,7 +117,7 @@
         Some(to_text(&bytes))
     }
 
-    /// Checks a token that a client sent for this session. `max_age` and `skew` (in seconds) are the time for
+    /// Checks a token that a client sent for this session. `max_age` and `max_clock_skew` (in seconds) are the time for
     /// which tokens are valid and the largest difference between clocks.
     pub fn check(
         &self,
@@ -125,13 +125,13 @@
         key: SessionKey,
         now: f64,
         max_age: f64,
-        skew: f64,
+        max_clock_skew: f64,
     ) -> Result<Token, TokenError> {
         let token = self.read_token(text)?;
         if token.key != key {
             return Err(TokenError::Foreign);
         }
-        if token.issued > now + skew {
+        if token.issued > now + max_clock_skew {
             return Err(TokenError::Ahead);
         }
         if token.issued + max_age < now {
--- a/crates/sandstile-sessions/tests/failover_model.rs
+++ b/crates/sandstile-sessions/tests/failover_model.rs
@@ -86,13 +86,13 @@
 
     /// The position that the session's read must reach, computed by the code that routers use.
     fn required_position(&self, router: &Router, token: Option<(u8, u8)>) -> RequiredPosition {
-        let mut store = Store::new(StoreLimits { exact: 4, cells: 16, terms: 1 });
+        let mut store = Store::new(StoreLimits { exact_sessions: 4, sketch_cells: 16, terms: 1 });
         router.memory.iter().for_each(|mark| store.record(KEY, self.mark(*mark)));
         let context = ReadContext {
             now: 50.0,
             term: (router.term > 0).then(|| self.term(router.term)),
-            horizon: 100.0,
-            skew: 10.0,
+            max_replica_lag: 100.0,
+            max_clock_skew: 10.0,
             complete_since: f64::INFINITY,
             startup_mark: None,
         };
--- a/crates/sandstile-sessions/tests/marks.rs
+++ b/crates/sandstile-sessions/tests/marks.rs
@@ -61,8 +61,8 @@
     ReadContext {
         now,
         term: Some(Term(term)),
-        horizon: 60.0,
-        skew: 1.0,
+        max_replica_lag: 60.0,
+        max_clock_skew: 1.0,
         complete_since: f64::INFINITY,
         startup_mark: None,
     }
@@ -179,7 +179,7 @@
 /// Sessions that were evicted from the exact store never get a required position below their latest write.
 #[test]
 fn evicted_sessions_never_require_less_than_their_mark() {
-    let limits = StoreLimits { exact: 50, cells: 4096, terms: 2 };
+    let limits = StoreLimits { exact_sessions: 50, sketch_cells: 4096, terms: 2 };
     let mut store = Store::new(limits);
     let mut truth: BTreeMap<u64, (u64, f64)> = BTreeMap::new();
     let mut rng = oorandom::Rand32::new(9);
@@ -189,7 +189,7 @@
         let position = 1000.0 + n as f64 * 0.01;
         store.record(SessionKey(key), Mark { term: Term(term), position });
         truth.insert(key, (term, position));
-        assert!(store.len() <= limits.exact);
+        assert!(store.len() <= limits.exact_sessions);
     }
     let mut ctx = context(1050.0, 2);
     ctx.complete_since = 0.0;
@@ -230,7 +230,7 @@
 /// marks.
 #[test]
 fn snapshot_is_unaffected_by_later_writes() {
-    let mut store = Store::new(StoreLimits { exact: 1000, cells: 64, terms: 2 });
+    let mut store = Store::new(StoreLimits { exact_sessions: 1000, sketch_cells: 64, terms: 2 });
     (0..500).for_each(|n| store.record(SessionKey(n), Mark { term: Term(1), position: 100.0 }));
     let before = store.snapshot();
     (0..500).for_each(|n| store.record(SessionKey(n), Mark { term: Term(1), position: 200.0 }));
--- a/crates/sandstile-simulation/src/instance_driver.rs
+++ b/crates/sandstile-simulation/src/instance_driver.rs
@@ -15,7 +15,7 @@
     pub group: usize,
     pub session: usize,
     /// Timeout in seconds.
-    pub wait: f64,
+    pub timeout: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -173,8 +173,8 @@
                     workload: request.workload,
                     group: request.group,
                     session: Some(request.session),
-                    time_left: request.wait,
-                    wait: request.wait,
+                    time_left: request.timeout,
+                    timeout: request.timeout,
                     token_age: None,
                     retry: false,
                     read_requirement: None,
@@ -185,7 +185,7 @@
             Decider::Direct(primaries) => Some(primaries[request.group]),
         };
         if let Some(host) = direct {
-            self.send(now, host, statement_id, now + request.wait);
+            self.send(now, host, statement_id, now + request.timeout);
         }
         self.decide(now);
     }
@@ -315,7 +315,7 @@
                 Input::Statement(StatementRequest {
                     id: format!("{}-{statement_id}", conn % self.conn_id_stride),
                     workload: request.workload,
-                    timeout_s: request.wait,
+                    timeout_s: request.timeout,
                     required_position: None,
                     session: Some(format!("u{}", request.session)),
                 })
@@ -327,13 +327,13 @@
 
     /// Handles the greeting of the host: the connection is ready for statements.
     pub fn on_greeted(&mut self, now: f64, conn: u64) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        if let ConnState::PacedDial(since) = c.state {
-            let host = c.host;
+        let Some(connection) = self.conns.get_mut(&conn) else { return };
+        if let ConnState::PacedDial(since) = connection.state {
+            let host = connection.host;
             self.dial_ended(now, host, DialOutcome::Connected(now - since));
             self.assign_or_idle(now, conn);
             self.start_needed_dials(now, host);
-        } else if let ConnState::Connecting(task) = c.state {
+        } else if let ConnState::Connecting(task) = connection.state {
             if now >= task.deadline || !self.is_needed(task) {
                 self.set_idle(conn);
                 self.report_for_conn(now, conn, task, OutcomeClass::NotSent, HostReport::default());
@@ -351,9 +351,9 @@
     }
 
     fn set_idle(&mut self, conn: u64) {
-        let c = self.conns.get_mut(&conn).expect("connection belongs to this router");
-        c.state = ConnState::Idle;
-        self.idle.entry(c.host).or_default().push(conn);
+        let connection = self.conns.get_mut(&conn).expect("connection belongs to this router");
+        connection.state = ConnState::Idle;
+        self.idle.entry(connection.host).or_default().push(conn);
     }
 
     /// Handles the end of a connection, closed by either side.
@@ -364,43 +364,49 @@
         while_connecting: OutcomeClass,
         while_busy: OutcomeClass,
     ) {
-        let Some(c) = self.conns.remove(&conn) else { return };
-        match c.state {
+        let Some(connection) = self.conns.remove(&conn) else { return };
+        match connection.state {
             ConnState::Idle => {
-                if let Some(idle) = self.idle.get_mut(&c.host) {
+                if let Some(idle) = self.idle.get_mut(&connection.host) {
                     idle.retain(|other| *other != conn);
                 }
             }
             ConnState::Connecting(task) => {
-                self.report_outcome(now, c.host, task, while_connecting, HostReport::default())
+                self.report_outcome(now, connection.host, task, while_connecting, HostReport::default())
             }
             ConnState::PacedDial(since) => {
                 let timed_out = now >= since + self.dial_timeout_s - 1e-9;
                 self.dial_ended(
                     now,
-                    c.host,
+                    connection.host,
                     if timed_out { DialOutcome::TimedOut } else { DialOutcome::Refused },
                 );
                 // If more tasks wait than dials are in progress, the failed dial ends the task that has waited longest.
-                let left = self.dials_in_progress.get(&c.host).copied().unwrap_or(0);
-                let waiting_tasks = self.waiting_tasks.entry(c.host).or_default();
+                let left = self.dials_in_progress.get(&connection.host).copied().unwrap_or(0);
+                let waiting_tasks = self.waiting_tasks.entry(connection.host).or_default();
                 if waiting_tasks.len() > left {
                     if let Some((_, task)) = waiting_tasks.pop_front() {
-                        self.report_outcome(now, c.host, task, while_connecting, HostReport::default());
+                        self.report_outcome(
+                            now,
+                            connection.host,
+                            task,
+                            while_connecting,
+                            HostReport::default(),
+                        );
                     }
                 }
-                self.start_needed_dials(now, c.host);
+                self.start_needed_dials(now, connection.host);
             }
             ConnState::Busy(task) => {
-                self.report_outcome(now, c.host, task, while_busy, HostReport::default())
+                self.report_outcome(now, connection.host, task, while_busy, HostReport::default())
             }
         }
         self.decide(now);
     }
 
     pub fn on_answer(&mut self, now: f64, conn: u64, answer: &Answer) {
-        let Some(c) = self.conns.get(&conn) else { return };
-        let ConnState::Busy(task) = c.state else { return };
+        let Some(connection) = self.conns.get(&conn) else { return };
+        let ConnState::Busy(task) = connection.state else { return };
         let host_report =
             |primary: bool, position: f64| HostReport { position: Some(position), primary: Some(primary) };
         let (outcome, report) = match answer {
@@ -421,12 +427,12 @@
             Answer::Unusable { .. } => (OutcomeClass::UnusableAnswer, HostReport::default()),
         };
         if outcome == OutcomeClass::UnusableAnswer {
-            let host = c.host;
+            let host = connection.host;
             self.conns.remove(&conn);
             self.actions.push(DriverAction::Close(conn));
             self.report_outcome(now, host, task, outcome, report);
         } else {
-            let host = c.host;
+            let host = connection.host;
             match self.dial_pacer.is_some() {
                 true => self.assign_or_idle(now, conn),
                 false => self.set_idle(conn),
@@ -458,7 +464,7 @@
     ) {
         let Some((statement_id, execution)) = task.execution_id else {
             if let Decider::Module(policy) = &mut self.decider {
-                policy.probed(now, host, outcome == OutcomeClass::Completed, report);
+                policy.probe_ended(now, host, outcome == OutcomeClass::Completed, report);
             }
             return;
         };
@@ -470,15 +476,17 @@
         let answered = open.answered;
         self.possibly_finished.insert(statement_id);
         match &mut self.decider {
-            Decider::Module(policy) => policy.ended(now, statement_id, execution, outcome, answered, report),
+            Decider::Module(policy) => {
+                policy.execution_ended(now, statement_id, execution, outcome, answered, report)
+            }
             Decider::Direct(_) => self.send_final_answer(statement_id, FinalAnswer::Aborted),
         }
     }
 
     /// Handles the timeout of a connection: a dial that did not complete or an execution without an answer.
     pub fn on_timeout(&mut self, now: f64, conn: u64, at: f64) {
-        let Some(c) = self.conns.get(&conn) else { return };
-        let (while_connecting, while_busy) = match c.state {
+        let Some(connection) = self.conns.get(&conn) else { return };
+        let (while_connecting, while_busy) = match connection.state {
             ConnState::Connecting(_) => (OutcomeClass::ConnectFailed, OutcomeClass::NotSent),
             ConnState::PacedDial(since) if since + self.dial_timeout_s <= at + 1e-9 => {
                 (OutcomeClass::ConnectFailed, OutcomeClass::NotSent)
@@ -541,7 +549,7 @@
 
     fn cancel(&mut self, now: f64, execution_id: (u64, usize)) {
         let found_conn = self.conns.iter().find(
-            |(_, c)| matches!(c.state, ConnState::Connecting(task) | ConnState::Busy(task) if task.execution_id == Some(execution_id)),
+            |(_, connection)| matches!(connection.state, ConnState::Connecting(task) | ConnState::Busy(task) if task.execution_id == Some(execution_id)),
         );
         let Some((&conn, _)) = found_conn else {
             let mut found = None;
@@ -559,13 +567,13 @@
             return;
         };
         self.actions.push(DriverAction::Close(conn));
-        let c = self.conns.remove(&conn).expect("connection was found above");
-        let (task, outcome) = match c.state {
+        let connection = self.conns.remove(&conn).expect("connection was found above");
+        let (task, outcome) = match connection.state {
             ConnState::Connecting(task) => (task, OutcomeClass::NotSent),
             ConnState::Busy(task) => (task, OutcomeClass::Cancelled),
             ConnState::Idle | ConnState::PacedDial(_) => return,
         };
-        self.report_outcome(now, c.host, task, outcome, HostReport::default());
+        self.report_outcome(now, connection.host, task, outcome, HostReport::default());
     }
 
     /// Number of statements that have not finished.
--- a/crates/sandstile-simulation/src/workers.rs
+++ b/crates/sandstile-simulation/src/workers.rs
@@ -125,7 +125,7 @@
                 workload: pending.workload,
                 group: pending.group,
                 session: worker,
-                wait: self.timeout_s,
+                timeout: self.timeout_s,
             };
             self.pending.insert(self.last_key, pending);
             requests.push((worker % self.routers, request));
@@ -138,7 +138,7 @@
         let Some(pending) = self.pending.remove(&key) else { return };
         let is_measured = now >= self.measured_from;
         let worker = pending.worker;
-        let (at, repeated) = match answer {
+        let (ready_at, repeated) = match answer {
             FinalAnswer::Completed => {
                 if is_measured {
                     self.tally.completed += 1;
@@ -156,7 +156,7 @@
                 (now + after.max(0.001), Some(pending))
             }
         };
-        self.ready.push(at, (worker, repeated));
-        self.earliest = self.earliest.min(at);
+        self.ready.push(ready_at, (worker, repeated));
+        self.earliest = self.earliest.min(ready_at);
     }
 }
--- a/crates/sandstile-simulation/src/world.rs
+++ b/crates/sandstile-simulation/src/world.rs
@@ -119,7 +119,7 @@
                     group,
                     zone: 0,
                     primary: listing.primary,
-                    since: listing.since,
+                    started_at: listing.since,
                     readiness,
                 })
             })
@@ -157,13 +157,13 @@
             let model_wake = self.fleet.next_wake().unwrap_or(f64::INFINITY);
             let next_timer = self.timers.earliest().unwrap_or(f64::INFINITY);
             // Wake-ups of the decision module are at least 1 ms apart, as behind sockets.
-            let at =
+            let next_time =
                 wake.max(self.now + 0.001).min(model_wake).min(next_timer).min(clients.next_request_at());
-            if at > until {
+            if next_time > until {
                 self.now = until;
                 return;
             }
-            self.now = self.now.max(at);
+            self.now = self.now.max(next_time);
             let now = self.now;
             self.fleet.advance(now);
             self.process_model_output(clients);
--- a/crates/sandstile-simulation/tests/world.rs
+++ b/crates/sandstile-simulation/tests/world.rs
@@ -62,7 +62,7 @@
         importance: 1.0,
         late_share: 0.5,
         effect,
-        scope: DedupScope::Group,
+        dedup_scope: DedupScope::Group,
         dedup_window: 0.0,
         consistency,
         max_age: 0.0,
--- a/crates/sandstile-simulator-adapter/src/instance.rs
+++ b/crates/sandstile-simulator-adapter/src/instance.rs
@@ -105,7 +105,7 @@
                     group,
                     session,
                     time_left,
-                    wait: time_left,
+                    timeout: time_left,
                     token_age: session_token_age,
                     retry,
                     read_requirement: None,
@@ -140,7 +140,14 @@
                 if let Some(&statement_id) = self.statement_ids.get(request_id) {
                     let host_report = HostReport { position, primary };
                     self.maybe_over.push(statement_id);
-                    self.policy.ended(now, statement_id, execution, outcome, request_over, host_report);
+                    self.policy.execution_ended(
+                        now,
+                        statement_id,
+                        execution,
+                        outcome,
+                        request_over,
+                        host_report,
+                    );
                 }
             }
             "VANISHED" => {
@@ -163,7 +170,7 @@
                         _ => {}
                     }
                 }
-                self.policy.probed(now, host, succeeded, host_report);
+                self.policy.probe_ended(now, host, succeeded, host_report);
             }
             "FIRED" => {
                 if fields.integer("a timer's name")? == self.timer_number {
