--- a/crates/sandstile-connections/src/pool.rs
+++ b/crates/sandstile-connections/src/pool.rs
@@ -11,7 +11,8 @@
 pub enum Placement {
     /// This idle connection takes it, after the caller has checked that its socket is still usable.
     Assign(usize, HostTask),
-    /// The task waits. The caller has to dial one more connection to this address and report it by `dial_started`.
+    /// The task waits. The caller has to dial one more connection to this address and report it by
+    /// `dial_started`.
     Dial(SocketAddr),
     /// The task fails at once.
     End(HostTask, Ending),
--- a/crates/sandstile-connections/src/sqlstate.rs
+++ b/crates/sandstile-connections/src/sqlstate.rs
@@ -1,7 +1,7 @@
 //! Maps the SQLSTATEs of database hosts to the outcomes of executions.
 use sandstile_dispatcher::Ending;
 
-/// The outcome that an SQLSTATE stands for, once the statement was written completely.
+/// The outcome that an SQLSTATE means, once the statement was written completely.
 pub fn ending(code: &str) -> Ending {
     match code {
         "25006" | "72000" => Ending::Missed,
--- a/crates/sandstile-dispatcher/src/messages.rs
+++ b/crates/sandstile-dispatcher/src/messages.rs
@@ -18,7 +18,7 @@
     pub group: String,
     pub session: Option<String>,
     pub writes: bool,
-    /// The client's deadline in Unix seconds, and the number of seconds that the client allowed.
+    /// The client's deadline in Unix seconds, and the client's timeout in seconds.
     pub deadline: f64,
     pub timeout: f64,
     /// When the session last wrote, if the client says so.
@@ -82,7 +82,7 @@
     RouterCount(f64),
 }
 
-/// An event worth a log line.
+/// An event to be logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     GroupAdded(usize, String),
--- a/crates/sandstile-emulator/src/emulator.rs
+++ b/crates/sandstile-emulator/src/emulator.rs
@@ -81,7 +81,7 @@
 /// A request of the emulator to the program that runs it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notification {
-    /// The agents have moved to these addresses, one per router; the routers have to be told.
+    /// The agents have moved to these addresses, one per router; the routers have to be notified.
     AgentsMoved(Vec<SocketAddr>),
     /// A process fault has to be applied to router processes.
     Process { name: String, selector: ProcessSelector, process_fault: ProcessFault, spread: f64 },
@@ -678,7 +678,7 @@
         pairs.filter(|(a, b)| a != b && scope.affects(&Endpoint::Router(*a), &Endpoint::Router(*b))).collect()
     }
 
-    /// The kinds of link ends that a link fault affects, for the audit of the run.
+    /// The kinds of endpoints that a link fault affects, for the audit of the run.
     fn affected_endpoint_kinds(&self, scope: &FaultScope) -> Vec<&'static str> {
         let routers = || (0..self.script.routers.count).map(Endpoint::Router);
         let hosts = (0..self.fleet.host_count()).map(|h| self.fleet.listing(h));
--- a/crates/sandstile-emulator/tests/hosts.rs
+++ b/crates/sandstile-emulator/tests/hosts.rs
@@ -111,7 +111,7 @@
         connection
     }
 
-    /// `Nothing` stands for a bare ReadyForQuery.
+    /// `Nothing` means a bare ReadyForQuery.
     fn answer(&mut self) -> Received {
         let mut answer = pg::Answer::default();
         let mut rows = 0;
--- a/crates/sandstile-fleet/src/fleet.rs
+++ b/crates/sandstile-fleet/src/fleet.rs
@@ -825,7 +825,7 @@
         self.emit(now, Output::ListingChanged { host, readiness, since });
     }
 
-    /// The hosts that a target stands for at present; can be empty.
+    /// The hosts that a target resolves to at present; can be empty.
     pub fn resolve_target(&self, target: &Target) -> Vec<usize> {
         let group = |name: &str| self.plan.groups.iter().position(|g| g.name == name);
         let not_left = |host: &usize| self.hosts[*host].readiness != Readiness::Left;
--- a/crates/sandstile-fleet/tests/driver/mod.rs
+++ b/crates/sandstile-fleet/tests/driver/mod.rs
@@ -144,7 +144,8 @@
         self.answers.iter().find(|(_, c, _)| *c == conn).map(|(_, _, a)| a)
     }
 
-    /// The answer as a word: `row`, `spoilt`, `report`, the code of an error, or `-` for no answer.
+    /// The kind of the answer: `row`, `spoilt`, `report`, the code of an error, or `-` for no
+    /// answer.
     pub fn outcome(&self, conn: u64) -> &'static str {
         match self.answer(conn) {
             Some(Answer::Row { .. }) => "row",
--- a/crates/sandstile-membership/tests/members.rs
+++ b/crates/sandstile-membership/tests/members.rs
@@ -147,7 +147,7 @@
 #[test]
 fn forged_updates_remove_no_member_and_fill_no_memory() {
     let mut sim = settled(6, 8);
-    let lie = |from: usize, subject: usize, incarnation: u32, state: State| {
+    let forged_datagram = |from: usize, subject: usize, incarnation: u32, state: State| {
         let update = |n: usize, incarnation, state| MemberUpdate {
             id: MemberId { name: format!("n{n}"), life: 1 },
             address: address(n),
@@ -165,19 +165,19 @@
         .write()
     };
     for round in 0..200u32 {
-        let bytes = lie(5, 2, round * 3, State::Dead);
+        let bytes = forged_datagram(5, 2, round * 3, State::Dead);
         sim.inject(0, &bytes);
         sim.advance(0.05);
     }
     assert!(sim.until_agreed(20.0).is_some(), "the member that was reported dead refutes it");
     // A flood of new names does not fill the memory.
     for n in 0..5000 {
-        let bytes = lie(5, 10_000 + n, 0, State::Alive);
+        let bytes = forged_datagram(5, 10_000 + n, 0, State::Alive);
         sim.inject(0, &bytes);
     }
     assert!(sim.member(0).unwrap().state_entries() < 1024 * 3 + 512);
     // Another process with the same name is reported.
-    let mut same_name = Datagram::read(&lie(1, 2, 0, State::Alive)).unwrap();
+    let mut same_name = Datagram::read(&forged_datagram(1, 2, 0, State::Alive)).unwrap();
     same_name.from.id = MemberId { name: "n0".to_string(), life: 9 };
     same_name.from.address = address(77);
     sim.inject(0, &same_name.write());
--- a/crates/sandstile-policy/src/policy.rs
+++ b/crates/sandstile-policy/src/policy.rs
@@ -1,7 +1,7 @@
 //! The routing decisions of one sandstile instance, without I/O. The embedding program passes events in
-//! through `update_hosts`, `statement_arrived`, `ended`, `probed`, `client_gone` and `advance_time`, which
-//! only update what is known. It then calls `decide` until it returns nothing, and `advance_time` again no
-//! later than `wake_at`. The interface types are in `terms.rs`.
+//! through `update_hosts`, `statement_arrived`, `execution_ended`, `probe_ended`, `client_gone` and
+//! `advance_time`, which only update what is known. It then calls `decide` until it returns nothing, and
+//! `advance_time` again no later than `wake_at`. The interface types are in `terms.rs`.
 //!
 //! The design's rules (DBFarm's change numbers, round-robin over replicas, the check of a read's consistency
 //! class by the database host) decide the ordinary path. Six mechanisms add to it:
@@ -240,7 +240,7 @@
             ..Statement::default()
         };
         self.statements.insert(statement_id, statement);
-        // It joins the waiting statements first, or a new statement would be sent before a waiting one of
+        // The statement is queued first; otherwise a new statement would be sent before a waiting one of
         // higher value.
         self.group(arrival.group).waiting.push(statement_id);
         self.waiting_groups.insert(arrival.group);
--- a/crates/sandstile-policy/src/terms.rs
+++ b/crates/sandstile-policy/src/terms.rs
@@ -102,8 +102,8 @@
     pub workload: usize,
     pub group: usize,
     pub session: Option<usize>,
-    /// Seconds until the client gives up, and the seconds that it allowed for this attempt. Less is left for
-    /// a statement that waited behind others on its connection.
+    /// Seconds until the client gives up, and the client's timeout for this attempt in seconds. Less is left
+    /// for a statement that waited behind others on its connection.
     pub time_left: f64,
     pub timeout: f64,
     /// Seconds since the session's last write, if the client passes it.
--- a/crates/sandstile-policy/tests/rules.rs
+++ b/crates/sandstile-policy/tests/rules.rs
@@ -582,7 +582,7 @@
     let rejected_count = answered_count(&world);
     assert!(
         rejected_count > 0 && sent_before + rejected_count < 20,
-        "{rejected_count} are told of their rejection, the first in the queue wait on"
+        "{rejected_count} were rejected, the first in the queue still wait"
     );
     world.advance(0.5);
     assert_eq!(
--- a/crates/sandstile-recording/src/lib.rs
+++ b/crates/sandstile-recording/src/lib.rs
@@ -40,7 +40,7 @@
 }
 
 impl Header {
-    /// The hash that stands for a session's name in this recording.
+    /// The hash that represents a session's name in this recording.
     pub fn session(&self, name: &str) -> u64 {
         let mut key = [0; 32];
         key[..16].copy_from_slice(&self.salt);
--- a/crates/sandstile-replicated-state/src/catchup.rs
+++ b/crates/sandstile-replicated-state/src/catchup.rs
@@ -35,7 +35,7 @@
 }
 
 /// How far a copy from the disk is trusted. An intact but outdated copy looks like a current one; only evidence that
-/// is stored apart from the copy tells them apart. Without a matching witness the copy says nothing about what it
+/// is stored apart from the copy distinguishes them. Without a matching witness the copy says nothing about what it
 /// lacks.
 pub fn assess_trust(stored: StoredCopy, witness: Witness) -> Trust {
     let StoredCopy::Intact { generation, version, ended_cleanly } = stored else { return Trust::None };
--- a/crates/sandstile-replicated-state/src/fact.rs
+++ b/crates/sandstile-replicated-state/src/fact.rs
@@ -251,8 +251,8 @@
         first_u64(&hash)
     }
 
-    /// Whether the fact has expired. `max_replica_lag` is the maximum replica lag in seconds: older marks and log positions
-    /// constrain no read.
+    /// Whether the fact has expired. `max_replica_lag` is in seconds: older marks and log positions constrain no
+    /// read.
     pub fn is_expired(&self, kind: Kind, now: f64, max_replica_lag: f64) -> bool {
         match &self.value {
             Value::SessionMarks(session_marks) => session_marks.latest() + max_replica_lag < now,
--- a/crates/sandstile-replicated-state/src/state.rs
+++ b/crates/sandstile-replicated-state/src/state.rs
@@ -71,7 +71,7 @@
 }
 
 impl Replica {
-    /// `max_replica_lag` is the maximum replica lag in seconds.
+    /// `max_replica_lag` is in seconds.
     pub fn new(max_replica_lag: f64) -> Replica {
         Replica {
             facts: OrdMap::new(),
--- a/crates/sandstile-replication/src/replicator.rs
+++ b/crates/sandstile-replication/src/replicator.rs
@@ -102,7 +102,7 @@
     outgoing: VecDeque<Message>,
     /// Whether a message has come from it since it connected. A comparison is only answered if messages pass in both
     /// directions.
-    heard_from: bool,
+    message_received: bool,
     /// It sent more requests than answers may be queued.
     shedding: bool,
     /// Bytes that were handed to its writer and not written yet.
@@ -132,7 +132,7 @@
     catchup: CatchUp,
     peers: BTreeMap<String, Peer>,
     /// Peers that sent messages before the connection to them was up.
-    heard_before_connect: BTreeSet<String>,
+    early_senders: BTreeSet<String>,
     last_peer_id: u32,
     /// The version of this router's last report.
     last_report_version: u64,
@@ -164,7 +164,7 @@
             stored_generation: settings.stored_generation,
             replica,
             peers: BTreeMap::new(),
-            heard_before_connect: BTreeSet::new(),
+            early_senders: BTreeSet::new(),
             last_peer_id: 0,
             last_report_version: 0,
             generation_announced: false,
@@ -230,8 +230,8 @@
             known.deltas.rewind();
             known.outgoing.clear();
             known.unwritten_bytes = 0;
-            (known.disconnected_at, known.round, known.heard_from) =
-                (None, None, self.heard_before_connect.remove(peer));
+            (known.disconnected_at, known.round, known.message_received) =
+                (None, None, self.early_senders.remove(peer));
             known.outgoing.push_back(HELLO);
             return;
         }
@@ -248,7 +248,7 @@
             sync: PeerSync::default(),
             disconnected_at: None,
             outgoing: VecDeque::from([HELLO]),
-            heard_from: self.heard_before_connect.remove(peer),
+            message_received: self.early_senders.remove(peer),
             shedding: false,
             unwritten_bytes: 0,
             send_credit: BURST_BYTES,
@@ -263,7 +263,7 @@
     }
 
     pub fn peer_disconnected(&mut self, now: f64, peer: &str) {
-        self.heard_before_connect.remove(peer);
+        self.early_senders.remove(peer);
         if let Some(peer) = self.peers.get_mut(peer) {
             self.counts.rounds_lost += u64::from(peer.round.is_some());
             (peer.disconnected_at, peer.round) = (Some(now), None);
@@ -282,8 +282,8 @@
         };
         self.counts.refused += corrupt as u64;
         let Some(peer) = self.peers.get_mut(from).filter(|p| p.disconnected_at.is_none()) else {
-            if self.heard_before_connect.len() < MAX_PEERS {
-                self.heard_before_connect.insert(from.to_string());
+            if self.early_senders.len() < MAX_PEERS {
+                self.early_senders.insert(from.to_string());
             }
             // The sender has proven that it is a peer, so its facts are accepted.
             if let Message::Facts(facts) | Message::Deltas { facts, .. } = message {
@@ -291,7 +291,7 @@
             }
             return;
         };
-        peer.heard_from = true;
+        peer.message_received = true;
         let peer_id = peer.id;
         let expects_answer = !matches!(message, Message::Facts(_) | Message::Deltas { .. } | Message::Ack(_));
         if expects_answer
@@ -371,7 +371,7 @@
         }
     }
 
-    /// A peer met this generation of this router.
+    /// Handles the highest generation of this router that a peer has met.
     fn handle_reported_generation(&mut self, met: &Value) {
         let Value::Max(met) = met else { return };
         let met = *met as u64;
@@ -389,7 +389,7 @@
     }
 
     fn start_round(peer: &mut Peer, now: f64, replica: &Replica) {
-        if peer.heard_from
+        if peer.message_received
             && peer.round.is_none()
             && now >= peer.last_comparison_at + COMPARISON_INTERVAL_SECONDS
             && peer.queue_length() < MAX_QUEUED_MESSAGES
--- a/crates/sandstile-router/src/discovery.rs
+++ b/crates/sandstile-router/src/discovery.rs
@@ -33,7 +33,8 @@
         self.lock().0
     }
 
-    /// Sets a new address and ends a watch of the previous one, which would stay open without news for a while.
+    /// Sets a new address and ends a watch of the previous one, which would stay open without changes for a
+    /// while.
     pub fn set_address(&self, address: SocketAddr) {
         let mut state = self.lock();
         if state.0 != address {
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Warns once per cause, or an agent that stays away would fill the log. The set of causes is cleared when it
-    /// is full, to bound its memory.
+    /// Warns once per cause; otherwise an unreachable agent would fill the log. The set of causes is cleared when
+    /// it is full, to bound its memory.
     fn warn_once(&mut self, cause: String, consequence: &str) {
         debug!(self.log, "discovery: {cause}");
         if self.reported.len() >= MAX_REPORTED_CAUSES {
@@ -237,7 +238,7 @@
             }
             self.dispatcher_sender.send(chunk);
         }
-        // Whoever waits for the first list need not wait any longer.
+        // Dropping the sender ends the wait for the first list.
         self.first_list = None;
         Ok(())
     }
--- a/crates/sandstile-router/src/event_loop.rs
+++ b/crates/sandstile-router/src/event_loop.rs
@@ -44,7 +44,8 @@
 /// Seconds after SIGTERM for which the router serves on: new connections arrive for 0.4 s at most, and clients
 /// learn of the end only through their connections.
 const SHUTDOWN_WINDOW_S: f64 = 0.5;
-/// Seconds of an iteration that is worth a line of log: a tenth of the shortest time that clients wait.
+/// An iteration that takes at least this many seconds is logged: a tenth of the shortest time that
+/// clients wait.
 const LONG_ITERATION_S: f64 = 0.05;
 /// How long the end waits until the state of the sessions has been stored.
 const SESSIONS_END_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/sandstile-router/src/recorder.rs
+++ b/crates/sandstile-router/src/recorder.rs
@@ -70,7 +70,7 @@
     File::open("/dev/urandom").and_then(|mut file| file.read_exact(&mut salt)).map_err(with_path)?;
     groups.sort();
     groups.dedup();
-    // The empty name stands for groups that no host list has named yet.
+    // The empty name represents groups that no host list has named yet.
     groups.push(String::new());
     let header = Header { salt, workloads, groups };
     let out = CountingWriter { out: BufWriter::new(file), written: 0 };
--- a/crates/sandstile-router/src/sessions.rs
+++ b/crates/sandstile-router/src/sessions.rs
@@ -82,7 +82,7 @@
     log: Logger,
 }
 
-/// Seconds between removals of marks that are older than the horizon.
+/// Seconds between removals of marks that are older than the maximum replica lag.
 const EXPIRY_INTERVAL_S: f64 = 5.0;
 /// Seconds for which a handover is valid. A restart takes no longer; afterwards the instance may have written
 /// marks that nobody here knows of.
--- a/crates/sandstile-router/src/threads.rs
+++ b/crates/sandstile-router/src/threads.rs
@@ -4,7 +4,7 @@
 /// Stack bytes for a thread that parses a few lines and writes a line of log, with room to spare.
 pub const THREAD_STACK_BYTES: usize = 128 * 1024;
 
-/// Starts a thread that nobody joins.
+/// Starts a detached thread.
 pub fn spawn_detached(name: &str, body: impl FnOnce() + Send + 'static) -> Result<(), String> {
     spawn_joinable(name, THREAD_STACK_BYTES, body).map(drop)
 }
--- a/crates/sandstile-router/tests/agreement.rs
+++ b/crates/sandstile-router/tests/agreement.rs
@@ -1,5 +1,6 @@
-//! Runs the same small scripts against the emulator and against this package's stand-ins, and compares the
-//! final answers statement by statement. Results from the emulator are meaningful only while both agree.
+//! Runs the same small scripts against the emulator and against this package's test doubles, and compares
+//! the final answers statement by statement. Results from the emulator are meaningful only while both
+//! agree.
 #[allow(dead_code)]
 mod test_doubles;
 
@@ -84,7 +85,8 @@
     cues: String,
     faults_before_start: usize,
     delay_ms: u32,
-    /// For the stand-ins: the replies of the primary and of both replicas; `None` where nobody listens.
+    /// For the test doubles: the replies of the primary and of both replicas; `None` where nobody
+    /// listens.
     replies: [Option<Vec<HostReply>>; 3],
 }
 
--- a/crates/sandstile-router/tests/members.rs
+++ b/crates/sandstile-router/tests/members.rs
@@ -116,7 +116,7 @@
 
 const KEY: &str = "1 00112233445566778899aabbccddeeff0123456789abcdef0123456789abcdef\n";
 
-/// Creates a folder for one test, with a key file in it.
+/// Creates a directory for one test, with a key file in it.
 fn test_directory(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("sandstile-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
--- a/crates/sandstile-router/tests/program.rs
+++ b/crates/sandstile-router/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as operators start it, between stand-ins on loopback.
+//! The program as operators start it, between test doubles on loopback.
 mod test_doubles;
 
 use sandstile_router::pg;
--- a/crates/sandstile-router/tests/races.rs
+++ b/crates/sandstile-router/tests/races.rs
@@ -1,5 +1,5 @@
-//! Races between pairs of events; each order is forced by a barrier or by what a stand-in waits for. They are
-//! listed in `docs/design/crossings.md`.
+//! Races between pairs of events; each order is forced by a barrier or by what a test double waits for. They
+//! are listed in `docs/design/crossings.md`.
 #[allow(dead_code)]
 mod test_doubles;
 
--- a/crates/sandstile-router/tests/restarts.rs
+++ b/crates/sandstile-router/tests/restarts.rs
@@ -5,7 +5,8 @@
 use sandstile_scenario::Script;
 use std::path::{Path, PathBuf};
 
-/// Four routers in front of one group whose hosts pay for each connection; the cues are appended.
+/// Four routers in front of one group whose hosts need CPU time to set up each connection; the cues
+/// are appended.
 const FLEET: &str = r#"
 title = "Returns, in little"
 seconds = 12
--- a/crates/sandstile-router/tests/sessions.rs
+++ b/crates/sandstile-router/tests/sessions.rs
@@ -343,8 +343,8 @@
     fs::remove_dir_all(&fleet.dir).expect("cannot remove the test's folder");
 }
 
-/// The state in a folder can be shown over a socket and compared with a file. A second process on the same
-/// folder fails to start, with an error of one line.
+/// The state in a directory can be shown over a socket and compared with a file. A second process on the
+/// same directory fails to start, with an error of one line.
 #[test]
 fn replicated_state_can_be_shown_and_compared_and_has_one_owner() {
     let fleet = TestFleet::new();
--- a/crates/sandstile-router/tests/test_doubles/mod.rs
+++ b/crates/sandstile-router/tests/test_doubles/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback for everything that a router talks to (clients, database hosts, discovery), and the
-//! program itself.
+//! Test doubles on loopback for everything that a router talks to (clients, database hosts, discovery), and
+//! the program itself.
 use sandstile_router::pg;
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -300,7 +300,7 @@
         Router::spawn_and_wait(command, address, file)
     }
 
-    // Not all tests that use these stand-ins pass arguments.
+    // Not all tests that use these test doubles pass arguments.
     #[allow(dead_code)]
     pub fn start_with_arguments(config: &str, arguments: &[&str]) -> Router {
         let (mut command, address, file) = Router::command(config);
